--- a/src/coordination/leadership.rs
+++ b/src/coordination/leadership.rs
@@ -214,7 +214,7 @@
         let Role::Leading { lease, .. } = self.role else {
             return None;
         };
-        if self.made_room(now) {
+        if self.transferred_leadership(now) {
             return None;
         }
         self.resigned_at = Some(now);
@@ -223,7 +223,7 @@
     }
 
     /// Whether this node gave up the office a short while ago.
-    pub fn made_room(&self, now: Time) -> bool {
+    pub fn transferred_leadership(&self, now: Time) -> bool {
         self.resigned_at.is_some_and(|at| now.since(at) < REST * 10)
     }
 
--- a/src/node/cancellations.rs
+++ b/src/node/cancellations.rs
@@ -7,28 +7,31 @@
 
 use std::time::Duration;
 
-use super::{Node, MAX_TOLD};
-use crate::protocol::peers::{self, Cancelled, Secured};
+use super::{peer_messages, Node, MAX_TOLD};
+use crate::protocol::peers::{self, AcknowledgedJobs, CancelledJobs, RecentCancellation};
 use crate::protocol::workers::{stops, Order, Report};
 use crate::transport::{CallError, Network, Response};
 use crate::types::JobId;
 
 /// Users wait for it; who can't be told by then is told to come back.
-const SECURE_LIMIT: Duration = Duration::from_millis(900);
+const ACKNOWLEDGE_TIMEOUT: Duration = Duration::from_millis(900);
 /// Cancellations in one question to the leader.
 const MAX_SECURED: usize = 500;
 
 impl<N: Network> Node<N> {
     /// The latest cancellations, with what is left of their time: it only gets less on its way from
     /// node to node, so that none goes round for ever.
-    pub(super) fn cancelled_to_tell(&self) -> Vec<(u64, u32)> {
+    pub(super) fn cancelled_to_tell(&self) -> Vec<RecentCancellation> {
         let now = self.net.now();
-        let mut latest: Vec<(u64, u32)> = self
+        let recent = self
             .cancelled
             .iter()
-            .map(|(job, until)| (job.0, until.since(now).as_millis() as u32))
-            .collect();
-        latest.sort_by_key(|(_, left)| std::cmp::Reverse(*left));
+            .map(|(job, until)| RecentCancellation {
+                job: job.0,
+                remaining_ms: until.since(now).as_millis() as u32,
+            });
+        let mut latest: Vec<RecentCancellation> = recent.collect();
+        latest.sort_by_key(|cancelled| std::cmp::Reverse(cancelled.remaining_ms));
         latest.truncate(MAX_TOLD);
         latest
     }
@@ -65,26 +68,36 @@
             self.to_secure = middle.map(|m| jobs.split_off(&m)).unwrap_or_default();
         }
         let leader = self.leadership.leader.as_deref();
+        let jobs: Vec<JobId> = jobs.into_iter().collect();
         let peer = self
             .settings
             .peers
             .iter()
             .find(|p| Some(p.name.as_str()) == leader);
         let Some(peer) = peer else {
-            let now = self.net.now();
-            for job in jobs {
-                self.front.on_secured(job, false, now);
-            }
-            return;
+            return self.none_acknowledged(jobs);
         };
-        let jobs: Vec<JobId> = jobs.into_iter().collect();
-        let body = peers::encode(&Cancelled {
+        let message = CancelledJobs {
             jobs: jobs.iter().map(|j| j.0).collect(),
-        });
-        let call = self
-            .net
-            .call(peer.addr, "POST", peers::CANCELLED, &body, SECURE_LIMIT);
-        self.securing = Some((call, jobs));
+        };
+        let call = peer_messages::send(
+            &mut self.net,
+            peer.addr,
+            peers::CANCELLED_PATH,
+            &message,
+            ACKNOWLEDGE_TIMEOUT,
+        );
+        match call {
+            Some(call) => self.securing = Some((call, jobs)),
+            None => self.none_acknowledged(jobs),
+        }
+    }
+
+    fn none_acknowledged(&mut self, jobs: Vec<JobId>) {
+        let now = self.net.now();
+        for job in jobs {
+            self.front.on_secured(job, false, now);
+        }
     }
 
     pub(super) fn on_secured(&mut self, result: Result<Response, CallError>) {
@@ -92,9 +105,8 @@
             return;
         };
         let now = self.net.now();
-        let answer = result.ok().filter(|r| r.status == 200);
-        let secured = answer.and_then(|r| peers::decode::<Secured>(&r.body));
-        let secured = secured.map_or(Vec::new(), |s| s.jobs);
+        let answer = peer_messages::answer::<AcknowledgedJobs>(peers::CANCELLED_PATH, result);
+        let secured = answer.map_or(Vec::new(), |a| a.jobs);
         for job in jobs {
             let known = secured.contains(&job.0);
             self.front.on_secured(job, known, now);
@@ -104,12 +116,13 @@
 
     /// Another node has found these jobs cancelled in the records.
     pub(super) fn on_told_cancelled(&mut self, body: &[u8]) -> Response {
-        let Some(told) = peers::decode::<Cancelled>(body) else {
-            return Response::new(400, Vec::new());
+        let told: CancelledJobs = match peers::decode(body) {
+            Ok(told) => told,
+            Err(error) => return peer_messages::refusal(peers::CANCELLED_PATH, &error),
         };
         let jobs = told.jobs.into_iter();
         let jobs = jobs.filter(|job| self.has_in_hand(JobId(*job))).collect();
-        Response::new(200, peers::encode(&Secured { jobs }))
+        peer_messages::response(&AcknowledgedJobs { jobs })
     }
 
     /// Whether this node leads, surely so at this moment, and what it says of the cancelled job's tasks
--- a/src/node/front/mod.rs
+++ b/src/node/front/mod.rs
@@ -6,12 +6,13 @@
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::time::Duration;
 
+use super::peer_messages;
 use crate::bookkeeping::records::{self, ChunkRecord, JobRecord, OverRecord};
 use crate::bookkeeping::store::{Ask, Class, Outcome};
 use crate::coordination::placement;
 use crate::protocol::cloud::MachineType;
 use crate::protocol::encode;
-use crate::protocol::peers::{self, Relay, Relayed};
+use crate::protocol::peers::{RelayedRequest, RelayedResponse};
 use crate::protocol::state::{value, Change, Item, Txn};
 use crate::protocol::users::{self, JobSpec, JobState, JobStatus, Problem, Submission};
 use crate::settings::Team;
@@ -97,7 +98,7 @@
 pub enum FrontAct {
     Ask(Class, Ask, FrontAsk),
     Respond(ConnId, Response),
-    Relay(FrontId, Relay),
+    Relay(FrontId, RelayedRequest),
     /// A user is about to be told that the job is cancelled: see to it that the leader knows.
     Secure(JobId),
 }
@@ -177,12 +178,12 @@
 
     fn respond(&mut self, client: Client, mut response: Response) {
         if client.relayed {
-            let relayed = Relayed {
+            let relayed = RelayedResponse {
                 status: response.status,
                 retry_after: response.retry_after,
                 body: response.body,
             };
-            response = Response::new(200, peers::encode(&relayed));
+            response = peer_messages::response(&relayed);
         }
         self.acts.push(FrontAct::Respond(client.conn, response));
     }
@@ -417,23 +418,25 @@
             return self.finish(id, unavailable());
         }
         let relay = match &open.want {
-            Want::Submit(record) => Relay::Submit(encode(&record.spec)),
-            Want::Repeat { .. } | Want::Poll => Relay::Poll(open.job.to_string()),
-            Want::Withdraw => Relay::Withdraw(open.job.to_string()),
+            Want::Submit(record) => RelayedRequest::Submit(encode(&record.spec)),
+            Want::Repeat { .. } | Want::Poll => RelayedRequest::Status(open.job.to_string()),
+            Want::Withdraw => RelayedRequest::Cancel(open.job.to_string()),
         };
         self.enter(id, Stage::Relaying);
         self.acts.push(FrontAct::Relay(id, relay));
     }
 
     /// What the other node said; `None` if it could not be asked, or did not answer.
-    pub fn on_relayed(&mut self, id: FrontId, relayed: Option<Relayed>, now: Time) {
+    pub fn on_relayed(&mut self, id: FrontId, relayed: Option<RelayedResponse>, now: Time) {
         let Some(open) = self.open.get(&id) else {
             return;
         };
         let relayed = relayed.filter(|_| now < open.until);
         let response = match (relayed, &open.want) {
             (None, _) => unavailable(),
-            (Some(Relayed { status: 404, .. }), Want::Repeat { otherwise }) => otherwise.clone(),
+            (Some(RelayedResponse { status: 404, .. }), Want::Repeat { otherwise }) => {
+                otherwise.clone()
+            }
             (Some(relayed), _) => Response {
                 status: relayed.status,
                 retry_after: relayed.retry_after,
--- /dev/null
+++ b/src/node/heartbeats.rs
@@ -0,0 +1,190 @@
+//! Heartbeats: what the controllers tell each other once a second, and what each makes of it.
+
+use std::net::SocketAddr;
+use std::time::Duration;
+
+use super::{peer_messages, Node, HEADROOM};
+use crate::bookkeeping::budget::share_of;
+use crate::protocol::peers::{self, Heartbeat, Spending};
+use crate::transport::{CallError, CallId, Network, Response};
+use crate::types::{JobId, Term, Time};
+
+const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(1);
+const HEARTBEAT_TIMEOUT: Duration = Duration::from_millis(1500);
+/// A peer that has not answered for longer is unreachable.
+const REACHABLE_FOR: Duration = Duration::from_secs(3);
+
+/// What this controller knows of one of its peers.
+pub(super) struct PeerLink {
+    pub(super) addr: SocketAddr,
+    /// The heartbeat under way.
+    call: Option<CallId>,
+    due: Time,
+    sent_at: Time,
+    /// When the last heartbeat that it answered was sent, whatever the answer said.
+    reached_at: Option<Time>,
+    /// The last answer that was understood, and when the heartbeat before it was sent.
+    heartbeat: Option<(Time, Heartbeat)>,
+    logged_reachable: bool,
+}
+
+impl PeerLink {
+    pub(super) fn new(addr: SocketAddr) -> PeerLink {
+        PeerLink {
+            addr,
+            call: None,
+            due: Time::default(),
+            sent_at: Time::default(),
+            reached_at: None,
+            heartbeat: None,
+            logged_reachable: true,
+        }
+    }
+
+    /// Whether that call is the heartbeat under way.
+    pub(super) fn awaits(&self, call: CallId) -> bool {
+        self.call == Some(call)
+    }
+
+    /// The next heartbeat leaves at once.
+    pub(super) fn hurry(&mut self, now: Time) {
+        self.due = now;
+    }
+
+    /// It answered lately. An answer that is not understood, such as one of another version, shows
+    /// as well as any other that the peer is there.
+    pub(super) fn is_reachable(&self, now: Time) -> bool {
+        self.reached_at
+            .is_some_and(|at| now.since(at) < REACHABLE_FOR)
+    }
+
+    /// What it said last, if that is not too long ago.
+    pub(super) fn recent_heartbeat(&self, now: Time) -> Option<&Heartbeat> {
+        let (at, heartbeat) = self.heartbeat.as_ref()?;
+        (now.since(*at) < REACHABLE_FOR).then_some(heartbeat)
+    }
+
+    /// What it said last, however long ago.
+    pub(super) fn last_heartbeat(&self) -> Option<&Heartbeat> {
+        self.heartbeat.as_ref().map(|(_, heartbeat)| heartbeat)
+    }
+}
+
+impl<N: Network> Node<N> {
+    fn heartbeat(&self) -> Heartbeat {
+        let now = self.net.now();
+        Heartbeat {
+            from: self.settings.name.clone(),
+            term: self.leadership.term.0,
+            leader: self.leadership.leader.clone(),
+            state_ok: self.state_answers(now),
+            home_zone: self.home.clone(),
+            workers: self.workers.len() as u32,
+            transferred_leadership: self.leadership.transferred_leadership(now),
+            spending: Spending {
+                requests: self.spends.0.ceil() as u32,
+                changes: self.spends.1.ceil() as u32,
+            },
+            cancelled: self.cancelled_to_tell(),
+        }
+    }
+
+    /// Sends a heartbeat to each peer to which one is due.
+    pub(super) fn send_heartbeats(&mut self, now: Time) {
+        let is_due = |peer: &PeerLink| peer.call.is_none() && now >= peer.due;
+        if !self.peers.iter().any(is_due) {
+            return;
+        }
+        let heartbeat = self.heartbeat();
+        for peer in self.peers.iter_mut().filter(|peer| is_due(peer)) {
+            peer.due = now.after(HEARTBEAT_INTERVAL);
+            peer.sent_at = now;
+            peer.call = peer_messages::send(
+                &mut self.net,
+                peer.addr,
+                peers::HEARTBEAT_PATH,
+                &heartbeat,
+                HEARTBEAT_TIMEOUT,
+            );
+        }
+    }
+
+    /// A peer's heartbeat may be a late copy: of it only the term and the cancellations count, which
+    /// never go back. That a peer is reachable shows in its answers to our own.
+    pub(super) fn on_heartbeat(&mut self, body: &[u8]) -> Response {
+        match peers::decode(body) {
+            Ok(heartbeat) => {
+                self.learn_from_heartbeat(&heartbeat);
+                peer_messages::response(&self.heartbeat())
+            }
+            Err(error) => peer_messages::refusal(peers::HEARTBEAT_PATH, &error),
+        }
+    }
+
+    /// The answer to the heartbeat that was sent to this peer. It tells how things were at some time
+    /// after that heartbeat left.
+    pub(super) fn on_heartbeat_answer(&mut self, peer: usize, result: Result<Response, CallError>) {
+        let peer = &mut self.peers[peer];
+        peer.call = None;
+        if result.is_ok() {
+            peer.reached_at = Some(peer.sent_at);
+        }
+        let answer: Option<Heartbeat> = peer_messages::answer(peers::HEARTBEAT_PATH, result);
+        if let Some(heartbeat) = answer {
+            peer.heartbeat = Some((peer.sent_at, heartbeat.clone()));
+            self.learn_from_heartbeat(&heartbeat);
+        }
+    }
+
+    fn learn_from_heartbeat(&mut self, heartbeat: &Heartbeat) {
+        let longest = self.settings.settings.workers.cancel() * 2;
+        for cancelled in &heartbeat.cancelled {
+            let remaining = Duration::from_millis(u64::from(cancelled.remaining_ms));
+            self.on_cancelled(JobId(cancelled.job), remaining.min(longest));
+        }
+        let term = Term(heartbeat.term);
+        let wish = self.leadership.heard_of(term, heartbeat.leader.as_deref());
+        self.grant(wish);
+    }
+
+    /// A controller that falls silent shows in the logs of the others.
+    pub(super) fn log_peer_reachability(&mut self, now: Time) {
+        for (named, peer) in self.settings.peers.iter().zip(&mut self.peers) {
+            let reachable = peer.is_reachable(now);
+            // At the start all are given the time to answer.
+            let started = now >= Time::default().after(REACHABLE_FOR);
+            if started && reachable != peer.logged_reachable {
+                peer.logged_reachable = reachable;
+                let how = if reachable {
+                    "heard again"
+                } else {
+                    "not heard"
+                };
+                log::info!("{}: {how}", named.name);
+            }
+        }
+    }
+
+    /// The nodes share the state service's budgets: each spends what the others leave.
+    pub(super) fn share_budgets(&mut self, now: Time) {
+        let passed = now.since(self.spent_at);
+        if passed < HEARTBEAT_INTERVAL {
+            return;
+        }
+        self.spent_at = now;
+        let spent = self.store.spent();
+        let rate = |now: f64, before: f64| (now - before) / passed.as_secs_f64();
+        self.spends = (rate(spent.0, self.spent.0), rate(spent.1, self.spent.1));
+        self.spent = spent;
+        let mut others = (0.0, 0.0);
+        for heartbeat in self.peers.iter().filter_map(|p| p.recent_heartbeat(now)) {
+            others.0 += f64::from(heartbeat.spending.requests);
+            others.1 += f64::from(heartbeat.spending.changes);
+        }
+        let state = &self.settings.settings.state;
+        let nodes = self.peers.len() + 1;
+        let rps = share_of(state.rps * HEADROOM, nodes, others.0);
+        let write_rps = share_of(state.write_rps * HEADROOM, nodes, others.1);
+        self.store.set_rates(now, rps, write_rps);
+    }
+}
--- a/src/node/seat.rs
+++ b/src/node/leader_locality.rs
@@ -3,10 +3,9 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use super::{Node, CALM, HANDICAP, HEARD_FOR, WORKERS_FOR};
+use super::{Node, CALM, HANDICAP, WORKERS_FOR};
 use crate::coordination::Reach;
 use crate::protocol::cloud::MachineType;
-use crate::protocol::peers::Hello;
 use crate::transport::Network;
 use crate::types::{Term, Time};
 
@@ -38,14 +37,13 @@
         if reach.home.is_some() {
             self.home.clone_from(&reach.home);
         }
-        let fit = |h: &Hello, at: Time| h.state_ok && now.since(at) < HEARD_FOR;
         let mut peers = self.settings.peers.iter().zip(&self.peers);
         let at_better = peers.any(|(named, peer)| {
-            peer.heard.as_ref().is_some_and(|(at, h)| {
-                let hears_more = h.workers as usize > reach.heard && !h.made_room;
+            peer.recent_heartbeat(now).is_some_and(|h| {
+                let hears_more = h.workers as usize > reach.heard && !h.transferred_leadership;
                 let hears_more = hears_more && reach.is_cut_off();
                 let at_home = several && !at_home && Some(&named.zone) == self.home.as_ref();
-                fit(h, *at) && (hears_more || at_home)
+                h.state_ok && (hears_more || at_home)
             })
         });
         if at_better {
@@ -62,8 +60,10 @@
             .iter()
             .zip(&self.peers)
             .any(|(named, peer)| {
-                let made_room = peer.heard.as_ref().is_some_and(|(_, h)| h.made_room);
-                named.zone == self.settings.zone && made_room
+                let transferred_leadership = peer
+                    .last_heartbeat()
+                    .is_some_and(|h| h.transferred_leadership);
+                named.zone == self.settings.zone && transferred_leadership
             });
         let away = several && !at_home && !in_vain;
         let cut_off = reach.is_cut_off() && (away || at_better);
@@ -83,7 +83,7 @@
         let named = || self.settings.peers.iter().zip(&self.peers);
         let heard = |zone: &str| {
             *zone == self.settings.zone
-                || named().any(|(n, p)| n.zone == zone && self.hears(p, now))
+                || named().any(|(n, p)| n.zone == zone && p.is_reachable(now))
         };
         let zones = named().map(|(n, _)| n.zone.clone());
         zones.filter(|z| !heard(z)).collect()
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -2,13 +2,13 @@
 
 mod cancellations;
 pub mod front;
-mod gossip;
+mod heartbeats;
+mod leader_locality;
 mod office;
-mod seat;
+mod peer_messages;
 
 use hdrhistogram::Histogram;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
-use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
 use crate::bookkeeping::records::{self, HolderRecord, TermRecord};
@@ -16,7 +16,7 @@
 use crate::coordination::leadership::{Leadership, Seen, Step, Wish};
 use crate::coordination::{Controller, Deposed, Rulebook};
 use crate::protocol::cloud::{MachineType, MachineTypes};
-use crate::protocol::peers::{self, Hello, Relay};
+use crate::protocol::peers::{self, RelayedRequest};
 use crate::protocol::state::Page;
 use crate::protocol::workers::{Answer, Elsewhere, Report};
 use crate::protocol::{decode, encode};
@@ -24,6 +24,7 @@
 use crate::transport::{CallId, ConnId, Door, Happening, Network, Request, Response, Transport};
 use crate::types::{seconds, HostName, JobId, Stamp, Term, Time};
 use front::{Client, Front, FrontAct, FrontAsk, FrontId, View};
+use heartbeats::PeerLink;
 use office::{Office, OfficeAsk};
 
 /// Whose request to the state service it was.
@@ -34,24 +35,9 @@
     Types,
 }
 
-struct Peer {
-    addr: SocketAddr,
-    call: Option<CallId>,
-    due: Time,
-    /// When it was last greeted, and when it was greeted that it last answered, and what.
-    greeted: Time,
-    heard: Option<(Time, Hello)>,
-    /// What was last said of it in the log.
-    told_heard: bool,
-}
-
-const HELLO_EVERY: Duration = Duration::from_secs(1);
-/// A peer that was not heard for longer is out of reach.
-const HEARD_FOR: Duration = Duration::from_secs(3);
-const HELLO_LIMIT: Duration = Duration::from_millis(1500);
 const TURN: Duration = Duration::from_millis(100);
 const LEAD_LIMIT: Duration = Duration::from_millis(1200);
-const RELAY_LIMIT: Duration = Duration::from_millis(1200);
+const RELAY_TIMEOUT: Duration = Duration::from_millis(1200);
 const TYPES_RETRY: Duration = Duration::from_secs(2);
 /// The state service counts as lost to this node after so long without a good answer.
 const STATE_LOST: Duration = Duration::from_millis(2500);
@@ -64,7 +50,7 @@
 const CALM: Duration = Duration::from_secs(15);
 const WORKERS_FOR: Duration = Duration::from_secs(6);
 const MAX_WORKERS: usize = 10_000;
-/// Cancellations in one message of gossip.
+/// Cancellations in one heartbeat.
 const MAX_TOLD: usize = 300;
 const SUMMARY_EVERY: Duration = Duration::from_secs(10);
 /// What the nodes together leave of the budgets, for requests that are counted late.
@@ -79,7 +65,7 @@
     office: Option<Office>,
     front: Front,
     purposes: HashMap<AskId, Purpose>,
-    peers: Vec<Peer>,
+    peers: Vec<PeerLink>,
     types: Vec<MachineType>,
     types_due: Time,
     types_call: Option<CallId>,
@@ -164,14 +150,7 @@
         let peers = settings
             .peers
             .iter()
-            .map(|p| Peer {
-                addr: p.addr,
-                call: None,
-                due: Time::default(),
-                greeted: Time::default(),
-                heard: None,
-                told_heard: true,
-            })
+            .map(|p| PeerLink::new(p.addr))
             .collect();
         let turns = log::log_enabled!(log::Level::Debug)
             .then(|| Histogram::new_with_bounds(1, 60_000_000, 2).ok())
@@ -311,17 +290,17 @@
             relayed: true,
         };
         let response = match (method, path) {
-            ("POST", peers::HELLO) => self.on_hello(body),
-            ("POST", peers::CANCELLED) => self.on_told_cancelled(body),
-            ("POST", peers::RELAY) => match peers::decode(body) {
-                Some(Relay::Submit(job)) => {
+            ("POST", peers::HEARTBEAT_PATH) => self.on_heartbeat(body),
+            ("POST", peers::CANCELLED_PATH) => self.on_told_cancelled(body),
+            ("POST", peers::RELAY_PATH) => match peers::decode(body) {
+                Ok(RelayedRequest::Submit(job)) => {
                     self.front
                         .submit(client, &job, &self.types, self.net.time_of_day(), now);
                     return;
                 }
-                Some(Relay::Poll(id)) => return self.front.poll(client, &id, now),
-                Some(Relay::Withdraw(id)) => return self.front.withdraw(client, &id, now),
-                None => Response::new(400, Vec::new()),
+                Ok(RelayedRequest::Status(id)) => return self.front.poll(client, &id, now),
+                Ok(RelayedRequest::Cancel(id)) => return self.front.withdraw(client, &id, now),
+                Err(error) => peer_messages::refusal(path, &error),
             },
             _ => Response::new(404, Vec::new()),
         };
@@ -329,21 +308,23 @@
     }
 
     /// Passes a user's request on to a node that the state service answers.
-    fn relay(&mut self, id: FrontId, relay: &Relay) {
+    fn relay(&mut self, id: FrontId, relay: &RelayedRequest) {
         let now = self.net.now();
-        let state_ok = |p: &Peer| p.heard.as_ref().is_some_and(|(_, h)| h.state_ok);
         let fit = self
             .peers
             .iter()
-            .find(|p| self.hears(p, now) && state_ok(p));
+            .find(|p| p.recent_heartbeat(now).is_some_and(|h| h.state_ok));
         let Some(peer) = fit else {
             return self.front.on_relayed(id, None, now);
         };
-        let body = peers::encode(relay);
-        let call = self
-            .net
-            .call(peer.addr, "POST", peers::RELAY, &body, RELAY_LIMIT);
-        self.relays.insert(call, id);
+        let to = peer.addr;
+        let call = peer_messages::send(&mut self.net, to, peers::RELAY_PATH, relay, RELAY_TIMEOUT);
+        match call {
+            Some(call) => {
+                self.relays.insert(call, id);
+            }
+            None => self.front.on_relayed(id, None, now),
+        }
     }
 
     fn on_beat(&mut self, body: &[u8]) -> Response {
@@ -394,15 +375,10 @@
     fn stands_in(&self, seen: Term, now: Time) -> Option<Term> {
         let (term, leader) = self.leadership.confirmed(now)?;
         let at = self.settings.peers.iter().position(|p| p.name == leader)?;
-        let unheard = !self.hears(&self.peers[at], now);
+        let unheard = !self.peers[at].is_reachable(now);
         (unheard && seen <= term).then_some(term)
     }
 
-    fn hears(&self, peer: &Peer, now: Time) -> bool {
-        let heard = peer.heard.as_ref();
-        heard.is_some_and(|(at, _)| now.since(*at) < HEARD_FOR)
-    }
-
     fn deposed(&mut self, term: Term) {
         log::info!("deposed: term {term} is in office");
         let mut wish = self.leadership.heard_of(term, None);
@@ -422,7 +398,7 @@
     /// one that hears nobody at all can do nothing for users. An outage that all see takes none
     /// out of the balancer: they hear each other.
     fn is_healthy(&self, now: Time) -> bool {
-        let hears_others = self.peers.iter().any(|p| self.hears(p, now));
+        let hears_others = self.peers.iter().any(|p| p.is_reachable(now));
         self.state_answers(now) || hears_others || self.peers.is_empty()
     }
 
@@ -430,21 +406,14 @@
 
     fn on_reply(&mut self, call: CallId, result: Result<Response, crate::transport::CallError>) {
         let now = self.net.now();
-        if let Some(peer) = self.peers.iter_mut().find(|p| p.call == Some(call)) {
-            peer.call = None;
-            if let Some(hello) = result.ok().and_then(|r| peers::decode::<Hello>(&r.body)) {
-                // It tells how things were at some time after our gossip left.
-                peer.heard = Some((peer.greeted, hello.clone()));
-                self.term_from_peer(&hello);
-            }
-            return;
+        if let Some(at) = self.peers.iter().position(|p| p.awaits(call)) {
+            return self.on_heartbeat_answer(at, result);
         }
         if self.securing.as_ref().is_some_and(|(c, _)| *c == call) {
             return self.on_secured(result);
         }
         if let Some(id) = self.relays.remove(&call) {
-            let answer = result.ok().filter(|r| r.status == 200);
-            let relayed = answer.and_then(|r| peers::decode(&r.body));
+            let relayed = peer_messages::answer(peers::RELAY_PATH, result);
             self.front.on_relayed(id, relayed, now);
             return;
         }
@@ -583,7 +552,7 @@
         }
         // The others learn at once where workers belong.
         for peer in &mut self.peers {
-            peer.due = now;
+            peer.hurry(now);
         }
     }
 
@@ -593,17 +562,7 @@
         let now = self.net.now();
         let wish = self.leadership.tick(now);
         self.grant(wish);
-        let hello = peers::encode(&self.hello());
-        for peer in &mut self.peers {
-            if peer.call.is_none() && now >= peer.due {
-                peer.due = now.after(HELLO_EVERY);
-                peer.greeted = now;
-                let call = self
-                    .net
-                    .call(peer.addr, "POST", peers::HELLO, &hello, HELLO_LIMIT);
-                peer.call = Some(call);
-            }
-        }
+        self.send_heartbeats(now);
         if let Some(office) = &self.office {
             if !office.controller.types.is_empty() && self.types.is_empty() {
                 self.types = office.controller.types.clone();
@@ -615,7 +574,7 @@
             let id = self.store.ask(now, Class::Booking, ask, LEAD_LIMIT);
             self.purposes.insert(id, Purpose::Types);
         }
-        self.tell_of_peers(now);
+        self.log_peer_reachability(now);
         self.share_budgets(now);
         for job in self.front.take_cancelled() {
             self.on_cancelled(job, self.settings.settings.workers.cancel() * 2);
