--- a/tests/cluster.rs
+++ b/tests/cluster.rs
@@ -154,6 +154,41 @@
     play("services", 1..4);
 }
 
+#[test]
+fn services_close_looks() {
+    play("services_close_looks", 1..4);
+}
+
+#[test]
+fn services_out_of_reach() {
+    play("services_out_of_reach", 1..4);
+}
+
+#[test]
+fn services_moved() {
+    play("services_moved", 1..4);
+}
+
+#[test]
+fn services_fail() {
+    play("services_fail", 1..4);
+}
+
+#[test]
+fn services_at_limit() {
+    play("services_at_limit", 1..4);
+}
+
+#[test]
+fn services_divided() {
+    play("services_divided", 1..4);
+}
+
+#[test]
+fn services_for_hours() {
+    play("services_for_hours", 1..2);
+}
+
 // ---- the checker sees what is wrong
 
 /// A checker that knows job 1 (two tasks of 2 CPUs) and machines m1 and m2 in zone a, m3 in b.
@@ -170,6 +205,7 @@
         spread: false,
         spot: true,
         service: false,
+        ends_everywhere: false,
         odd: false,
     };
     change(&mut job);
