--- a/src/bookkeeping/division.rs
+++ b/src/bookkeeping/division.rs
@@ -9,6 +9,7 @@
 use super::ledger::{Batch, Jobs, Ledger, MAX_BYTES};
 use super::records::{self, JobRecord};
 use crate::coordination::jobs::{Chunk, Division, Job, JobPhase, TaskState};
+use crate::protocol::cloud::MachineType;
 use crate::protocol::state::{value, Change};
 use crate::types::{JobId, Stamp};
 
@@ -82,6 +83,14 @@
         dirty
     }
 
+    /// See [`JobRecord::shorten`].
+    pub fn shorten_description(&mut self, max_value: usize, offered: &[MachineType]) {
+        if let Some(mut record) = self.description() {
+            record.shorten(max_value, offered);
+            self.spec = Some(Box::new(record.spec));
+        }
+    }
+
     fn description_size(&self) -> usize {
         self.description().map_or(usize::MAX, |d| records::size(&d))
     }
--- a/src/bookkeeping/records.rs
+++ b/src/bookkeeping/records.rs
@@ -11,6 +11,7 @@
 use ciborium::Value;
 use serde::{Deserialize, Serialize};
 
+use crate::protocol::cloud::MachineType;
 use crate::protocol::users::{JobSpec, JobState};
 use crate::types::{Attempt, HostName, JobId, LeaseId, Session, Term};
 
@@ -55,6 +56,19 @@
     pub chunk: u32,
 }
 
+impl JobRecord {
+    /// Leaves out the allowed machine types that the cloud does not offer, if the record is larger than
+    /// that with them: nothing can run on those.
+    pub fn shorten(&mut self, max_value: usize, offered: &[MachineType]) {
+        if size(self) <= max_value {
+            return;
+        }
+        if let Some(allowed) = &mut self.spec.types {
+            allowed.retain(|name| offered.iter().any(|offer| offer.name == *name));
+        }
+    }
+}
+
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub struct OverRecord {
     pub state: JobState,
--- a/src/coordination/jobs.rs
+++ b/src/coordination/jobs.rs
@@ -550,9 +550,9 @@
         self.spec.as_ref().map_or(30.0, |s| s.estimate_s.0.max(1.0))
     }
 
-    /// When it should be complete, by the time of day.
+    /// When it should be complete, by the time of day. A service has no end, so none is late.
     pub fn due_ms(&self) -> Option<f64> {
-        let spec = self.spec.as_ref()?;
+        let spec = self.spec.as_ref().filter(|spec| !spec.is_service())?;
         spec.deadline_s.map(|d| self.at_ms as f64 + d.0 * 1000.0)
     }
 
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -353,6 +353,8 @@
         let Some(job) = self.jobs.get_mut(&id) else {
             return;
         };
+        // The last step writes the description too, which production may have left too large.
+        job.shorten_description(self.ledger.max_value, &self.types);
         if !self.ledger.divide(job) {
             return;
         }
--- a/src/node/front/mod.rs
+++ b/src/node/front/mod.rs
@@ -238,12 +238,13 @@
                 let id = spec.id;
                 let want = match self.can_ever_run(&spec, types) {
                     Some(Ok(())) => {
-                        let chunk = self.chunk_size;
-                        Want::Submit(Box::new(JobRecord {
+                        let mut record = JobRecord {
                             spec: *spec,
                             at_ms,
-                            chunk,
-                        }))
+                            chunk: self.chunk_size,
+                        };
+                        record.shorten(self.max_value, types);
+                        Want::Submit(Box::new(record))
                     }
                     Some(Err(why)) => Want::Repeat {
                         otherwise: problem(422, why),
--- a/src/protocol/users.rs
+++ b/src/protocol/users.rs
@@ -102,7 +102,7 @@
             Ok(()) => return Submission::Good(Box::new(spec)),
             Err(wrong) => wrong,
         },
-        Err(wrong) => wrong,
+        Err(wrong) => field_error(body).unwrap_or(wrong),
     };
     match decode::<IdOnly>(body) {
         Ok(IdOnly { id }) => Submission::Bad(id, wrong),
@@ -110,6 +110,15 @@
     }
 }
 
+/// Why a body that could not be decoded is no job, with the name of the field. CBOR decoding alone does
+/// not tell it where a value is of the wrong type.
+fn field_error(body: &[u8]) -> Option<String> {
+    let value: ciborium::Value = decode(body).ok()?;
+    let value = serde_json::to_value(value).ok()?;
+    let spec: Result<JobSpec, _> = serde_path_to_error::deserialize(value);
+    spec.err().map(|error| error.to_string())
+}
+
 fn check(spec: &JobSpec) -> Result<(), String> {
     let amounts = [
         ("cpus", spec.cpus),
@@ -129,17 +138,21 @@
     if spec.tasks == 0 || spec.tasks > MAX_TASKS {
         return Err(format!("pieces is {}", spec.tasks));
     }
-    let names = [&spec.class, &spec.team, &spec.image];
     let types = spec.types.as_deref().unwrap_or_default();
-    let zone = spec.zone.iter();
-    if types.len() > MAX_TYPES
-        || names
-            .into_iter()
-            .chain(types)
-            .chain(zone)
-            .any(|n| n.len() > MAX_NAME)
-    {
-        return Err("a name or list is too long".into());
+    if types.len() > MAX_TYPES {
+        return Err(format!("hosttypes names {} types", types.len()));
+    }
+    let names = [
+        ("jobclass", &spec.class),
+        ("crew", &spec.team),
+        ("bundle", &spec.image),
+    ];
+    let types = types.iter().map(|name| ("hosttypes", name));
+    let zone = spec.zone.iter().map(|name| ("hall", name));
+    for (field, name) in names.into_iter().chain(types).chain(zone) {
+        if name.len() > MAX_NAME {
+            return Err(format!("{field} has a name of {} bytes", name.len()));
+        }
     }
     Ok(())
 }
--- a/tests/front.rs
+++ b/tests/front.rs
@@ -4,11 +4,13 @@
 use std::time::Duration;
 
 use ciborium::Value;
-use lichencrank::bookkeeping::records::{BookedRecord, ChunkRecord, FinalRecord, OverRecord};
+use lichencrank::bookkeeping::records::{
+    self, BookedRecord, ChunkRecord, FinalRecord, JobRecord, OverRecord,
+};
 use lichencrank::bookkeeping::store::{Ask, Outcome};
 use lichencrank::node::front::{Client, Front, FrontAct, FrontAsk, View};
 use lichencrank::protocol::cloud::MachineType;
-use lichencrank::protocol::state::{value, Item, Page};
+use lichencrank::protocol::state::{value, Change, Item, Page};
 use lichencrank::protocol::users::JobState;
 use lichencrank::protocol::{decode, encode, Amount};
 use lichencrank::settings::Team;
@@ -72,17 +74,21 @@
     encode(&Value::Map(fields))
 }
 
+/// A team without a limit.
+fn open_team() -> Team {
+    Team {
+        name: "open".into(),
+        cpus: None,
+        cpus_max: None,
+        gpus: None,
+        gpus_max: None,
+    }
+}
+
 impl Desk {
     fn new() -> Desk {
-        let team = Team {
-            name: "open".into(),
-            cpus: None,
-            cpus_max: None,
-            gpus: None,
-            gpus_max: None,
-        };
         Desk {
-            front: Front::new(vec![team], 32.0, 24),
+            front: Front::new(vec![open_team()], 32.0, 24),
             next: 0,
             asked: Vec::new(),
             answers: BTreeMap::new(),
@@ -455,6 +461,35 @@
     assert!(matches!(&desk.asked[0].0, Ask::Get(key) if key == "live/job-000002"));
 }
 
+/// Where values may only be small, a description that names many machine types is kept without those
+/// that the cloud does not offer, as nothing can run on them: it is no malformed job.
+#[test]
+fn a_long_description_is_shortened() {
+    let mut desk = Desk::new();
+    desk.front = Front::new(vec![open_team()], 2.0, 5);
+    let mut body: Value = decode(&description(1)).expect("a map");
+    let unknown = (0..60).map(|n| Value::from(format!("{n:060}")));
+    let mut allowed: Vec<Value> = unknown.collect();
+    allowed.insert(30, "small".into());
+    let fields = body.as_map_mut().expect("a map");
+    fields.push(("hosttypes".into(), Value::Array(allowed)));
+    let client = desk.client();
+    let body = encode(&body);
+    desk.front.submit(client, &body, &types(), 1000, desk.now);
+    desk.pump();
+    let Ask::Txn(txn) = &desk.asked[0].0 else {
+        panic!("{:?}", desk.asked[0].0);
+    };
+    let Change::Put { value, .. } = &txn.changes[0] else {
+        panic!("{:?}", txn.changes);
+    };
+    let record: JobRecord = value.deserialized().expect("a description");
+    assert!(records::size(&record) <= 2048);
+    assert_eq!(record.spec.types, Some(vec!["small".to_owned()]));
+    desk.reply(Outcome::Applied(Stamp(7)));
+    assert_eq!(desk.answers[&client.conn.serial].0, 201);
+}
+
 /// All replicas of a service run at once, so they have to fit into the team's limit together; an array
 /// needs room for one task.
 #[test]
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -125,3 +125,65 @@
     let mixed = json!({"rps": 100.0, "write_rps": null, "value_kb": 64.0, "txn_ops": 8});
     assert_eq!(limits(mixed), (100.0, 60.0, 32.0, 8));
 }
+
+/// Runs the program with `--check` on a real settings file whose limits of later are that; its exit and
+/// what it prints on standard error.
+fn check_with_next(name: &str, next: &str) -> (bool, String) {
+    let mut settings = good();
+    settings["settings"]["state"]["next"] = json!("NEXT");
+    let text = match next {
+        "missing" => settings.to_string().replace("\"next\":\"NEXT\",", ""),
+        next => settings.to_string().replace("\"NEXT\"", next),
+    };
+    assert!(!text.contains("NEXT"), "{text}");
+    let file = std::env::temp_dir().join(format!("lichencrank-{}-{name}.json", std::process::id()));
+    std::fs::write(&file, text).expect("a settings file");
+    let program = std::process::Command::new(env!("CARGO_BIN_EXE_lichencrank"))
+        .args(["--check", "--config"])
+        .arg(&file)
+        .output()
+        .expect("the program runs");
+    std::fs::remove_file(&file).expect("the settings file is there");
+    let errors = String::from_utf8_lossy(&program.stderr).into_owned();
+    (program.status.success(), errors)
+}
+
+/// Limits of later that are null, missing, partial or larger than today's start; nonsense ends the
+/// program with one line that names the field.
+#[test]
+fn limits_of_later_are_checked_in_the_file() {
+    let good = [
+        "missing",
+        "null",
+        "{}",
+        r#"{"value_kb": 2.0, "txn_ops": 5, "write_rps": 21.0, "rps": 100}"#,
+        r#"{"value_kb": null, "txn_ops": 8}"#,
+        r#"{"value_kb": 1024, "txn_ops": 999, "write_rps": 1e6, "rps": 1e6}"#,
+        r#"{"of_later": [1, 2]}"#,
+    ];
+    for (number, next) in good.into_iter().enumerate() {
+        let (starts, errors) = check_with_next(&format!("good-{number}"), next);
+        assert!(starts, "{next}: {errors}");
+    }
+    let bad = [
+        (r#"{"value_kb": 0}"#, "settings.state.next.value_kb"),
+        (r#"{"value_kb": -2.0}"#, "settings.state.next.value_kb"),
+        (r#"{"value_kb": "2"}"#, "settings.state.next.value_kb"),
+        (r#"{"value_kb": 1e999}"#, "settings.state.next.value_kb"),
+        (r#"{"txn_ops": 0}"#, "settings.state.next.txn_ops"),
+        (r#"{"txn_ops": -5}"#, "settings.state.next.txn_ops"),
+        (r#"{"txn_ops": 5.5}"#, "settings.state.next.txn_ops"),
+        (r#"{"txn_ops": true}"#, "settings.state.next.txn_ops"),
+        (r#"{"write_rps": 0.0}"#, "settings.state.next.write_rps"),
+        (r#"{"write_rps": []}"#, "settings.state.next.write_rps"),
+        (r#"{"rps": -1}"#, "settings.state.next.rps"),
+        (r#""soon""#, "settings.state.next"),
+        ("7", "settings.state.next"),
+    ];
+    for (number, (next, field)) in bad.into_iter().enumerate() {
+        let (starts, errors) = check_with_next(&format!("bad-{number}"), next);
+        assert!(!starts, "{next}");
+        assert!(errors.contains(field), "{next}: {errors}");
+        assert_eq!(errors.trim_end().lines().count(), 1, "{errors}");
+    }
+}
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -1,10 +1,12 @@
 //! Tables for what comes over the wire: good, odd, and hostile.
 
 use ciborium::Value;
+use lichencrank::bookkeeping::records::JobRecord;
+use lichencrank::coordination::jobs::Job;
 use lichencrank::protocol::users::{read_submission, Submission};
 use lichencrank::protocol::{decode, encode, workers};
 use lichencrank::transport::http::{parse_request, parse_response, Malformed, Parsed, MAX_BODY};
-use lichencrank::types::{JobId, TaskId};
+use lichencrank::types::{JobId, Stamp, TaskId};
 
 #[test]
 fn requests() {
@@ -168,6 +170,15 @@
     }
 }
 
+/// It is malformed, it names a job that may be known, and the message names the field.
+#[track_caller]
+fn assert_names_field(read: &Submission, name: &str) {
+    match read {
+        Submission::Bad(JobId(412), why) => assert!(why.contains(name), "{name}: {why}"),
+        other => panic!("{name}: {other:?}"),
+    }
+}
+
 #[test]
 fn submissions() {
     assert!(matches!(submission(|_| {}), Submission::Good(_)));
@@ -180,6 +191,17 @@
         set("guessS", Value::from(0.0))(fields);
     });
     assert!(matches!(service, Submission::Good(spec) if spec.is_service()));
+    // No page says that these are malformed; a service has no run time and no deadline to keep.
+    for (name, value) in [("guessS", 30.0), ("dueS", 60.0)] {
+        let service = submission(|fields| {
+            set("shape", Value::from("service"))(fields);
+            set(name, Value::from(value))(fields);
+        });
+        assert!(
+            matches!(service, Submission::Good(_)),
+            "{name}: {service:?}"
+        );
+    }
     // Malformed, but they name a job that may be known: that has to be looked up first.
     let bad = [
         ("pieces", Value::from(0)),
@@ -195,20 +217,28 @@
         ("samePlace", Value::from(1)),
         ("hosttypes", Value::from("g8")),
         ("crew", Value::from("x".repeat(5000))),
+        (
+            "hosttypes",
+            Value::Array(vec![Value::from("x".repeat(300))]),
+        ),
+        ("hosttypes", Value::Array(vec![Value::from("g8"); 100])),
+        ("hall", Value::from("x".repeat(300))),
+        ("loaners", Value::from("yes")),
+        ("guessS", Value::from(-1.0)),
+        ("guessS", Value::Null),
     ];
     for (name, value) in bad {
-        let read = submission(set(name, value.clone()));
-        assert!(
-            matches!(read, Submission::Bad(JobId(412), _)),
-            "{name} {value:?}: {read:?}"
-        );
+        for shape in ["sweep", "service"] {
+            let read = submission(|fields| {
+                set("shape", Value::from(shape))(fields);
+                set(name, value.clone())(fields);
+            });
+            assert_names_field(&read, name);
+        }
     }
-    for name in ["jobclass", "crew", "pieces", "bundle", "guessS"] {
+    for name in ["jobclass", "crew", "shape", "pieces", "bundle", "guessS"] {
         let read = submission(|f| f.retain(|(k, _)| k.as_text() != Some(name)));
-        assert!(
-            matches!(read, Submission::Bad(..)),
-            "without {name}: {read:?}"
-        );
+        assert_names_field(&read, name);
     }
     // Not even a job's name can be read.
     for body in [&b""[..], b"\xff", b"\x80", b"hello", b"\xa1\x63ref\x01"] {
@@ -221,6 +251,26 @@
     assert!(matches!(hopeless, Submission::Hopeless(_)));
 }
 
+/// A deadline of a service is no reason to put it behind those that can still meet theirs.
+#[test]
+fn a_service_has_no_deadline() {
+    for (shape, due) in [("sweep", Some(61_000.0)), ("service", None)] {
+        let read = submission(|fields| {
+            set("shape", Value::from(shape))(fields);
+            set("dueS", Value::from(60.0))(fields);
+        });
+        let Submission::Good(spec) = read else {
+            panic!("{read:?}");
+        };
+        let record = JobRecord {
+            spec: *spec,
+            at_ms: 1000,
+            chunk: 16,
+        };
+        assert_eq!(Job::new(record, Stamp(1)).due_ms(), due, "{shape}");
+    }
+}
+
 /// Deeply nested input must not exhaust the stack.
 #[test]
 fn nesting() {
