--- a/src/coordination/orders.rs
+++ b/src/coordination/commands.rs
@@ -1,6 +1,6 @@
 //! What a machine is told: in the answer to its report, or by a command of its own.
 
-use super::hosts::{BookingPhase, Ear, Host, Life, StopWhy};
+use super::hosts::{BookingPhase, Host, HostLifecycle, Reachability, StopWhy};
 use super::jobs::JobPhase;
 use super::{Action, CommandResult, Controller, Deposed};
 use crate::protocol::workers::Order;
@@ -31,7 +31,7 @@
             }
             let job = self.jobs.get(&task.job);
             // Once its job is over in the records, nothing more is written of the task.
-            let over = job.is_none_or(|j| j.phase == JobPhase::Sweeping);
+            let over = job.is_none_or(|j| j.phase == JobPhase::GarbageCollected);
             let chunk = job.and_then(|j| j.chunk(j.chunk_of(task.index)));
             let written = over || chunk.is_none_or(|c| c.written >= leftover.change);
             let finishing = job.is_some_and(|j| j.phase == JobPhase::Finishing);
@@ -52,7 +52,7 @@
             match (booking.stop, booking.phase) {
                 (Some(why), BookingPhase::Present) if !booking.saving => {
                     let spec = jobs.get(&task.job).and_then(|j| j.spec.as_ref());
-                    let saves = why != StopWhy::Withdrawn;
+                    let saves = why != StopWhy::Cancelled;
                     let grace_s = spec
                         .filter(|s| saves && s.checkpoint_s.0 > 0.0)
                         .map_or(0.0, |s| s.save_s.0 * 1.2 + 1.0);
@@ -81,7 +81,10 @@
     /// Sends a worker its orders directly, so that a start need not wait for the next report.
     pub(super) fn command(&mut self, host: &mut Host, now: Time) {
         let fresh = now.since(host.heard_at) <= self.rules.report.mul_f64(1.6);
-        let ready = host.life == Life::Up && fresh && !host.commanding && host.ear == Ear::Open;
+        let ready = host.lifecycle == HostLifecycle::Up
+            && fresh
+            && !host.commanding
+            && host.reachability == Reachability::Confirmed;
         let (true, Some(to)) = (ready, host.address) else {
             return;
         };
@@ -169,7 +172,7 @@
                 self.take_in(&report, false, now)?;
             }
             // A silent machine is silent to probes too, which says nothing new.
-            CommandResult::NotSent | CommandResult::Lost if host.life == Life::Up => {
+            CommandResult::NotSent | CommandResult::Lost if host.lifecycle == HostLifecycle::Up => {
                 host.ignored(now);
             }
             CommandResult::NotSent | CommandResult::Lost | CommandResult::HeldBack => {}
--- a/src/coordination/watch.rs
+++ b/src/coordination/failure_detector.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use super::hosts::{Cordon, Ear, Host, Life, StopWhy};
+use super::hosts::{Cordon, Host, HostLifecycle, Reachability, StopWhy};
 use super::{Action, Controller};
 use crate::protocol::cloud::MAX_RELEASE;
 use crate::types::{seconds, HostName, Time};
@@ -24,12 +24,12 @@
         let mut by_zone: BTreeMap<String, (usize, usize)> = BTreeMap::new();
         let mut everywhere = (0, 0);
         for host in self.hosts.values_mut() {
-            if host.life == Life::Up && now.since(host.heard_at) > limit {
+            if host.lifecycle == HostLifecycle::Up && now.since(host.heard_at) > limit {
                 log::info!("{}: silent", host.name);
-                host.enter(Life::Silent);
+                host.enter(HostLifecycle::Silent);
             }
-            if matches!(host.life, Life::Up | Life::Silent) {
-                let deaf = matches!(host.ear, Ear::Deaf { .. });
+            if matches!(host.lifecycle, HostLifecycle::Up | HostLifecycle::Silent) {
+                let deaf = matches!(host.reachability, Reachability::HalfOpen { .. });
                 let gone = usize::from(deaf || now.since(host.heard_at) > late);
                 let (silent, all) = by_zone.entry(host.zone.clone()).or_default();
                 *all += 1;
@@ -48,7 +48,7 @@
         self.probe(now);
         let mut give_up = Vec::new();
         for host in self.hosts.values() {
-            if host.life == Life::Releasing {
+            if host.lifecycle == HostLifecycle::Releasing {
                 continue;
             }
             if self.host_is_lost(host, &by_zone, now) || self.holds_a_cancelled_task(host, now) {
@@ -61,11 +61,11 @@
             if let Some(host) = self.hosts.get_mut(&name) {
                 log::info!(
                     "{name}: given up, {:?}, {} booked",
-                    host.life,
+                    host.lifecycle,
                     host.bookings.len()
                 );
                 host.cordon(why);
-                host.enter(Life::Releasing);
+                host.enter(HostLifecycle::Releasing);
                 self.fleet.release(name);
             }
         }
@@ -81,9 +81,9 @@
                 .is_some_and(|at| now.since(at) < REMOVE_AGAIN);
             !asked
                 && host.bookings.iter().any(|(task, booking)| {
-                    let withdrawn_at = self.jobs.get(&task.job).and_then(|j| j.withdrawn_at);
-                    booking.stop == Some(StopWhy::Withdrawn)
-                        && withdrawn_at.is_some_and(|at| now.since(at) > limit)
+                    let cancelled_at = self.jobs.get(&task.job).and_then(|j| j.cancelled_at);
+                    booking.stop == Some(StopWhy::Cancelled)
+                        && cancelled_at.is_some_and(|at| now.since(at) > limit)
                 })
         };
         let hosts = self.hosts.values().filter(overdue);
@@ -92,7 +92,7 @@
             if let Some(host) = self.hosts.get_mut(name) {
                 log::info!("{name}: holds cancelled work for too long, returned");
                 host.cordon(Cordon::Lost);
-                host.enter(Life::Releasing);
+                host.enter(HostLifecycle::Releasing);
                 host.removed_at = Some(now);
             }
         }
@@ -110,13 +110,13 @@
             if self.probing >= self.rules.probes {
                 return;
             }
-            let wanted = match host.life {
-                Life::Up => host.ear != Ear::Open,
-                Life::Silent => now.since(host.heard_at) > patience,
-                Life::Expected => host
+            let wanted = match host.lifecycle {
+                HostLifecycle::Up => host.reachability != Reachability::Confirmed,
+                HostLifecycle::Silent => now.since(host.heard_at) > patience,
+                HostLifecycle::Expected => host
                     .running_since
                     .is_some_and(|at| now.since(at) > patience),
-                Life::Releasing => false,
+                HostLifecycle::Releasing => false,
             };
             let due = wanted && now >= host.probe_at && !host.commanding;
             let (true, Some(to)) = (due, host.address) else {
@@ -148,20 +148,26 @@
         let (silent, all) = by_zone.get(&host.zone).copied().unwrap_or_default();
         let cut = silent >= 3 && silent * 2 > all || self.unheard_zones.contains(&host.zone);
         let taken = host.gone_by.is_some_and(|by| now.since(by) > TAKEN_AFTER);
-        match (host.life, host.ear) {
+        match (host.lifecycle, host.reachability) {
             // The cloud has taken it, as it said it would.
-            (Life::Up | Life::Silent, _) if taken && host.gone_by > Some(host.heard_at) => true,
+            (HostLifecycle::Up | HostLifecycle::Silent, _)
+                if taken && host.gone_by > Some(host.heard_at) =>
+            {
+                true
+            }
             // No longer in the list, and silent for longer than reports take.
-            (Life::Up | Life::Silent, _) if host.unlisted => {
+            (HostLifecycle::Up | HostLifecycle::Silent, _) if host.unlisted => {
                 silent_for > self.rules.report.mul_f64(1.3)
             }
-            (Life::Silent, _) => silent_for > if cut { self.rules.lease * 3 } else { limit },
+            (HostLifecycle::Silent, _) => {
+                silent_for > if cut { self.rules.lease * 3 } else { limit }
+            }
             // Its tasks end with its lease, unless it hears again before.
-            (Life::Up, Ear::Deaf { since }) => {
+            (HostLifecycle::Up, Reachability::HalfOpen { since }) => {
                 let patience = if cut { 3 } else { 1 };
                 now.since(since) > self.rules.lease * patience + limit
             }
-            (Life::Expected, _) => {
+            (HostLifecycle::Expected, _) => {
                 let kind = host.kind.and_then(|k| self.types.get(k));
                 let boot = kind.map_or(60.0, |t| t.boot_s.0);
                 let overdue =
@@ -170,18 +176,19 @@
                 // A new leader finds machines that are long up: they get their time to report.
                 now.since(host.known_at) > limit && (overdue || said_running)
             }
-            (Life::Up | Life::Releasing, _) => false,
+            (HostLifecycle::Up | HostLifecycle::Releasing, _) => false,
         }
     }
 
     /// A cancelled job's task sits on a machine that doesn't answer, and the time runs out.
     fn holds_a_cancelled_task(&self, host: &Host, now: Time) -> bool {
-        let heard = now.since(host.heard_at) <= self.rules.report * 2 && host.ear == Ear::Open;
+        let heard = now.since(host.heard_at) <= self.rules.report * 2
+            && host.reachability == Reachability::Confirmed;
         host.bookings.iter().any(|(task, booking)| {
-            let withdrawn_at = self.jobs.get(&task.job).and_then(|j| j.withdrawn_at);
+            let cancelled_at = self.jobs.get(&task.job).and_then(|j| j.cancelled_at);
             let share = if heard { 0.55 } else { 0.25 };
-            booking.stop == Some(StopWhy::Withdrawn)
-                && withdrawn_at.is_some_and(|at| now.since(at) > self.rules.cancel.mul_f64(share))
+            booking.stop == Some(StopWhy::Cancelled)
+                && cancelled_at.is_some_and(|at| now.since(at) > self.rules.cancel.mul_f64(share))
         })
     }
 }
--- a/src/coordination/fleet.rs
+++ b/src/coordination/fleet.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
 
-use super::hosts::{Cordon, Host, Life};
+use super::hosts::{Cordon, Host, HostLifecycle};
 use super::{Action, Controller};
 use crate::protocol::cloud::{ListedHost, ListedStatus, Rental, MAX_RELEASE, MAX_RENTAL};
 use crate::protocol::users::JobSpec;
@@ -288,10 +288,10 @@
                 ListedStatus::Running => {
                     host.running_since.get_or_insert(now);
                 }
-                ListedStatus::Failed if host.life != Life::Releasing => {
+                ListedStatus::Failed if host.lifecycle != HostLifecycle::Releasing => {
                     log::info!("{name}: failed, says the cloud");
                     host.cordon(Cordon::Lost);
-                    host.enter(Life::Releasing);
+                    host.enter(HostLifecycle::Releasing);
                     self.fleet.release(name);
                 }
                 ListedStatus::Failed | ListedStatus::Starting | ListedStatus::Other => {}
--- a/src/coordination/forecast.rs
+++ b/src/coordination/forecast.rs
@@ -5,7 +5,7 @@
 use std::collections::{BTreeMap, BinaryHeap};
 
 use super::fleet::{Market, ARRIVALS_FOR};
-use super::hosts::{Cordon, Life};
+use super::hosts::{Cordon, HostLifecycle};
 use super::jobs::Resources;
 use super::placement::{self, capacity};
 use super::Controller;
@@ -56,7 +56,7 @@
 }
 
 /// A machine that is up or to come, as the forecast sees it; times are seconds from now.
-struct Lane {
+struct Timeline {
     kind: usize,
     zone: String,
     spot: bool,
@@ -69,7 +69,7 @@
     ends: Vec<(f64, Resources)>,
 }
 
-impl Lane {
+impl Timeline {
     /// When there will be room for a task.
     fn start_of(&self, need: &Resources) -> Option<f64> {
         let mut free = self.free;
@@ -104,16 +104,19 @@
 struct Starts(BinaryHeap<Reverse<(u64, usize)>>);
 
 impl Starts {
-    fn of(lanes: &[Lane], spec: &JobSpec, usable: &[bool]) -> Starts {
+    fn of(timelines: &[Timeline], spec: &JobSpec, usable: &[bool]) -> Starts {
         let need = placement::need(spec);
-        let suits = |lane: &Lane| {
-            usable[lane.kind]
-                && (spec.spot || !lane.spot)
-                && spec.zone.as_ref().is_none_or(|z| *z == lane.zone)
+        let suits = |timeline: &Timeline| {
+            usable[timeline.kind]
+                && (spec.spot || !timeline.spot)
+                && spec.zone.as_ref().is_none_or(|z| *z == timeline.zone)
         };
-        let suited = lanes.iter().enumerate().filter(|(_, lane)| suits(lane));
+        let suited = timelines
+            .iter()
+            .enumerate()
+            .filter(|(_, timeline)| suits(timeline));
         let starts = suited
-            .filter_map(|(at, lane)| Some(Reverse((lane.start_of(&need)?.to_bits(), at))))
+            .filter_map(|(at, timeline)| Some(Reverse((timeline.start_of(&need)?.to_bits(), at))))
             .collect();
         Starts(starts)
     }
@@ -125,17 +128,17 @@
     }
 
     /// Gives the next task to the machine that would take it the soonest; false if there is none.
-    fn take(&mut self, lanes: &mut [Lane], from: f64, run: f64, need: &Resources) -> bool {
+    fn take(&mut self, timelines: &mut [Timeline], from: f64, run: f64, need: &Resources) -> bool {
         let Some(Reverse((start, at))) = self.0.pop() else {
             return false;
         };
-        lanes[at].take(f64::from_bits(start).max(from), run, need);
-        self.add(lanes, at, need);
+        timelines[at].take(f64::from_bits(start).max(from), run, need);
+        self.add(timelines, at, need);
         true
     }
 
-    fn add(&mut self, lanes: &[Lane], at: usize, need: &Resources) {
-        if let Some(next) = lanes[at].start_of(need) {
+    fn add(&mut self, timelines: &[Timeline], at: usize, need: &Resources) {
+        if let Some(next) = timelines[at].start_of(need) {
             self.0.push(Reverse((next.to_bits(), at)));
         }
     }
@@ -181,7 +184,7 @@
         if works.is_empty() {
             return;
         }
-        let mut lanes = self.lanes(now);
+        let mut timelines = self.timelines(now);
         let mut wanted: BTreeMap<Market, u64> = BTreeMap::new();
         let mut looked_at = 0;
         for work in works {
@@ -194,37 +197,37 @@
                 to_come,
             } = work;
             let need = placement::need(spec);
-            let usable = self.usable_kinds(spec, scarce);
-            let mut queue = Starts::of(&lanes, spec, &usable);
+            let usable = self.usable_types(spec, scarce);
+            let mut queue = Starts::of(&timelines, spec, &usable);
             let least_ready = self.least_ready(spec, &usable);
             // Kinds that are scarce for others, where only they keep a deadline.
             let more = if to_come {
                 None
             } else {
-                self.more_kinds(spec, &usable, run, due)
+                self.overflow_types(spec, &usable, run, due)
             };
             let mut spare = Starts::default();
             let mut spare_ready = f64::INFINITY;
             if let Some(more) = &more {
                 let only: Vec<bool> = more.iter().zip(&usable).map(|(m, u)| *m && !*u).collect();
-                spare = Starts::of(&lanes, spec, &only);
+                spare = Starts::of(&timelines, spec, &only);
                 spare_ready = self.least_ready(spec, &only);
             }
             // A service makes room for itself where lower priorities run.
-            let suits = |lane: &Lane| {
+            let suits = |timeline: &Timeline| {
                 spec.is_service()
-                    && lane.at <= from + MARGIN_S
-                    && usable[lane.kind]
-                    && (spec.spot || !lane.spot)
-                    && spec.zone.as_ref().is_none_or(|z| *z == lane.zone)
-                    && need.fits(&lane.for_services)
+                    && timeline.at <= from + MARGIN_S
+                    && usable[timeline.kind]
+                    && (spec.spot || !timeline.spot)
+                    && spec.zone.as_ref().is_none_or(|z| *z == timeline.zone)
+                    && need.fits(&timeline.for_services)
             };
             let mut waiting = waiting;
             while waiting > 0 {
-                let Some(lane) = lanes.iter_mut().find(|l| suits(l)) else {
+                let Some(timeline) = timelines.iter_mut().find(|l| suits(l)) else {
                     break;
                 };
-                lane.for_services.remove(&need);
+                timeline.for_services.remove(&need);
                 waiting -= 1;
             }
             let in_time = |start: f64| due.is_none_or(|due| start + run <= due);
@@ -235,7 +238,7 @@
                 }
                 let start = queue.soonest().max(from);
                 if !in_time(start) && in_time(spare.soonest()) {
-                    spare.take(&mut lanes, from, run, &need);
+                    spare.take(&mut timelines, from, run, &need);
                     continue;
                 }
                 let outlook = Outlook {
@@ -261,21 +264,21 @@
                         } else {
                             &mut spare
                         };
-                        let mut lane = self.new_lane(market);
-                        lane.take(lane.at.max(from), run, &need);
-                        lanes.push(lane);
-                        starts.add(&lanes, lanes.len() - 1, &need);
+                        let mut timeline = self.new_lane(market);
+                        timeline.take(timeline.at.max(from), run, &need);
+                        timelines.push(timeline);
+                        starts.add(&timelines, timelines.len() - 1, &need);
                         continue;
                     }
                 }
-                if !queue.take(&mut lanes, from, run, &need) {
+                if !queue.take(&mut timelines, from, run, &need) {
                     break;
                 }
             }
         }
         log::debug!(
             "forecast: {looked_at} tasks, {waiting_now} waiting now, on {} machines; {} more wanted",
-            lanes.len(),
+            timelines.len(),
             wanted.values().sum::<u64>()
         );
         for (market, count) in wanted {
@@ -292,7 +295,7 @@
         scarce: &[bool],
     ) -> Option<Work<'a>> {
         let window = ARRIVALS_FOR.as_secs_f64();
-        let horizon = self.least_ready(spec, &self.usable_kinds(spec, scarce));
+        let horizon = self.least_ready(spec, &self.usable_types(spec, scarce));
         let share = (horizon / window).min(1.0);
         let from = (window - age) * share;
         let run = self.expected_run_of(spec);
@@ -334,24 +337,24 @@
     }
 
     /// Machines that are here or coming, and when their room gets free.
-    fn lanes(&self, now: Time) -> Vec<Lane> {
-        let mut lanes = Vec::new();
+    fn timelines(&self, now: Time) -> Vec<Timeline> {
+        let mut timelines = Vec::new();
         for host in self.hosts.values() {
             let Some(kind) = host.kind else { continue };
             let Some(t) = self.types.get(kind) else {
                 continue;
             };
-            let at = match host.life {
-                Life::Up if matches!(host.cordon, None | Some(Cordon::Surplus)) => 0.0,
+            let at = match host.lifecycle {
+                HostLifecycle::Up if matches!(host.cordon, None | Some(Cordon::Surplus)) => 0.0,
                 // One that takes much longer than usual may never come.
-                Life::Expected => {
+                HostLifecycle::Expected => {
                     let age = now.since(host.rented_at).as_secs_f64();
                     if age > t.boot_s.0 * 1.7 {
                         continue;
                     }
                     (t.boot_s.0 - age).max(1.0)
                 }
-                Life::Up | Life::Silent | Life::Releasing => continue,
+                HostLifecycle::Up | HostLifecycle::Silent | HostLifecycle::Releasing => continue,
             };
             let mut ends: Vec<(f64, Resources)> = host
                 .bookings
@@ -371,7 +374,7 @@
                     for_services.remove(&booking.need);
                 }
             }
-            lanes.push(Lane {
+            timelines.push(Timeline {
                 for_services,
                 kind,
                 zone,
@@ -383,16 +386,16 @@
         }
         for open in self.fleet.rentals.values() {
             for _ in 0..open.rental.count {
-                lanes.push(self.new_lane(open.market.clone()));
+                timelines.push(self.new_lane(open.market.clone()));
             }
         }
-        lanes
+        timelines
     }
 
-    fn new_lane(&self, (kind, zone, spot): Market) -> Lane {
+    fn new_lane(&self, (kind, zone, spot): Market) -> Timeline {
         let t = &self.types[kind];
         let at = t.boot_s.0;
-        Lane {
+        Timeline {
             kind,
             zone,
             spot,
@@ -452,7 +455,7 @@
                     };
                     let cost = price * span.max(60.0) / sharing as f64;
                     let cost = if spec.is_service() {
-                        cost * self.haste(self.ready_after(spec, kind))
+                        cost * self.urgency_factor(self.ready_after(spec, kind))
                     } else {
                         cost
                     };
@@ -467,7 +470,7 @@
     }
 
     /// How much dearer a machine may be that is there sooner.
-    pub(super) fn haste(&self, ready: f64) -> f64 {
+    pub(super) fn urgency_factor(&self, ready: f64) -> f64 {
         1.0 + ready / HASTE_S
     }
 
--- a/src/coordination/hosts.rs
+++ b/src/coordination/hosts.rs
@@ -8,7 +8,7 @@
 use crate::types::{Attempt, HostName, JobId, Session, TaskId, Term, Tick, Time};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Life {
+pub enum HostLifecycle {
     /// Rented or listed, but its worker has not reported to this leader.
     Expected,
     /// Reports come.
@@ -33,13 +33,13 @@
 
 /// Whether what this leader says reaches the machine. Reports alone don't prove it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ear {
+pub enum Reachability {
     /// Nothing speaks against it.
-    Open,
+    Confirmed,
     /// A command got no answer, or it was silent: nothing new goes there until the next sign.
-    Doubted,
+    Unconfirmed,
     /// Its reports come, but answers and commands don't reach it.
-    Deaf { since: Time },
+    HalfOpen { since: Time },
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -54,7 +54,7 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StopWhy {
-    Withdrawn,
+    Cancelled,
     Drained,
     Preempted,
 }
@@ -98,7 +98,7 @@
     pub zone: String,
     pub spot: bool,
     pub address: Option<SocketAddr>,
-    pub life: Life,
+    pub lifecycle: HostLifecycle,
     pub cordon: Option<Cordon>,
     pub session: Session,
     pub tick: Tick,
@@ -128,9 +128,9 @@
     pub failures: u32,
     /// A direct command is on its way; the next one waits for its answer.
     pub commanding: bool,
-    pub ear: Ear,
+    pub reachability: Reachability,
     /// How many answers and commands in a row have shown no effect.
-    pub unheeded: u32,
+    pub without_effect: u32,
     /// The last report that does not count, as its worker had not seen our token.
     pub unfenced: (Session, Tick),
     /// No probe goes there before.
@@ -155,7 +155,7 @@
             zone: String::new(),
             spot: false,
             address: None,
-            life: Life::Expected,
+            lifecycle: HostLifecycle::Expected,
             cordon: None,
             session: Session(0),
             tick: Tick(0),
@@ -177,8 +177,8 @@
             failed_jobs: BTreeMap::new(),
             failures: 0,
             commanding: false,
-            ear: Ear::Open,
-            unheeded: 0,
+            reachability: Reachability::Confirmed,
+            without_effect: 0,
             unfenced: (Session(0), Tick(0)),
             probe_at: now,
             removed_at: None,
@@ -189,38 +189,38 @@
     }
 
     /// The one place where a machine's life changes.
-    pub fn enter(&mut self, life: Life) {
-        if self.life != life && self.life != Life::Releasing {
-            log::debug!("{}: {:?} -> {life:?}", self.name, self.life);
-            self.life = life;
+    pub fn enter(&mut self, life: HostLifecycle) {
+        if self.lifecycle != life && self.lifecycle != HostLifecycle::Releasing {
+            log::debug!("{}: {:?} -> {life:?}", self.name, self.lifecycle);
+            self.lifecycle = life;
         }
     }
 
     /// The one place where the machine's ear changes.
-    pub fn listen(&mut self, ear: Ear) {
-        if self.ear != ear {
-            log::debug!("{}: {:?} -> {ear:?}", self.name, self.ear);
-            self.ear = ear;
+    pub fn set_reachability(&mut self, reachability: Reachability) {
+        if self.reachability != reachability {
+            log::debug!("{}: {:?} -> {reachability:?}", self.name, self.reachability);
+            self.reachability = reachability;
         }
     }
 
     /// It did as it was told, so what is said comes through.
-    pub fn heeded(&mut self) {
-        self.unheeded = 0;
-        self.listen(Ear::Open);
+    pub fn took_effect(&mut self) {
+        self.without_effect = 0;
+        self.set_reachability(Reachability::Confirmed);
     }
 
     /// Something that was said shows no effect. A lost message or two prove nothing.
     pub fn ignored(&mut self, now: Time) {
-        self.unheeded += 1;
-        if matches!(self.ear, Ear::Deaf { .. }) {
+        self.without_effect += 1;
+        if matches!(self.reachability, Reachability::HalfOpen { .. }) {
             return;
         }
-        if self.unheeded >= DEAF_AFTER {
+        if self.without_effect >= DEAF_AFTER {
             log::info!("{}: reports, but does not hear", self.name);
-            self.listen(Ear::Deaf { since: now });
+            self.set_reachability(Reachability::HalfOpen { since: now });
         } else {
-            self.listen(Ear::Doubted);
+            self.set_reachability(Reachability::Unconfirmed);
         }
     }
 
--- a/src/coordination/jobs.rs
+++ b/src/coordination/jobs.rs
@@ -3,8 +3,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-use crate::bookkeeping::records::{ChunkRecord, JobRecord, OverRecord};
 use crate::protocol::users::{JobSpec, JobState, Priority};
+use crate::storage::records::{JobRecord, OverRecord, RunRecord};
 use crate::types::{Attempt, HostName, JobId, Session, Stamp, Time};
 
 /// What a task takes of its machine.
@@ -73,14 +73,14 @@
     /// All tasks are done; the final record is on its way.
     Finishing,
     /// Cancelled, or otherwise over in the records; bookings remain until they are proven ended.
-    Withdrawn,
+    Cancelled,
     /// Over with nothing booked; its run records are swept up.
-    Sweeping,
+    GarbageCollected,
 }
 
-/// A division of a job's run records, see [`crate::bookkeeping::division`].
+/// A split of a job's run records, see [`crate::storage::record_split`].
 #[derive(Clone, Debug, Default)]
-pub struct Division {
+pub struct RecordSplit {
     /// So many numbers the old records had.
     pub old_count: u32,
     /// New records that are written already, and up to which change; and those of the last step.
@@ -119,7 +119,7 @@
     pub changes: u64,
     pub written: u64,
     /// A lost answer left the record's version unknown; it must be read first.
-    pub unsure: bool,
+    pub version_unknown: bool,
 }
 
 impl Chunk {
@@ -131,7 +131,7 @@
             stamp,
             changes,
             written: 0,
-            unsure: false,
+            version_unknown: false,
         }
     }
 
@@ -152,7 +152,7 @@
     pub team: String,
     pub need: Resources,
     pub phase: JobPhase,
-    pub chunk_size: u32,
+    pub tasks_per_record: u32,
     pub chunks: Vec<Option<Box<Chunk>>>,
     /// Tasks from here on have never been touched.
     fresh: u32,
@@ -166,21 +166,21 @@
     pub ran: (f64, f64),
     pub failures: u32,
     pub failed_on: BTreeSet<HostName>,
-    pub withdrawn_at: Option<Time>,
+    pub cancelled_at: Option<Time>,
     /// Replicas of a service that don't run: since when, and why.
     pub gaps: BTreeMap<u32, (Time, &'static str)>,
-    /// Its run records are being divided into smaller ones.
-    pub division: Option<Division>,
-    /// Run records of a division that never came into force, and their versions.
+    /// Its run records are being split into smaller ones.
+    pub record_split: Option<RecordSplit>,
+    /// Run records of a split that never came into force, and their versions.
     pub beyond: BTreeMap<u32, Stamp>,
     /// It got done, and its final record still stands in the place of its description.
-    pub to_move: Option<OverRecord>,
+    pub to_archive: Option<OverRecord>,
 }
 
 impl Job {
     pub fn new(record: JobRecord, live: Stamp) -> Job {
         let JobRecord { spec, at_ms, chunk } = record;
-        let chunk_size = chunk.max(1);
+        let tasks_per_record = chunk.max(1);
         let total = spec.tasks as u32;
         Job {
             id: spec.id,
@@ -193,8 +193,10 @@
                 memory_gb: spec.memory_gb.0,
             },
             phase: JobPhase::Active,
-            chunk_size,
-            chunks: (0..total.div_ceil(chunk_size)).map(|_| None).collect(),
+            tasks_per_record,
+            chunks: (0..total.div_ceil(tasks_per_record))
+                .map(|_| None)
+                .collect(),
             fresh: 0,
             retry: BTreeSet::new(),
             total,
@@ -204,17 +206,17 @@
             ran: (0.0, 0.0),
             failures: 0,
             failed_on: BTreeSet::new(),
-            withdrawn_at: None,
+            cancelled_at: None,
             gaps: BTreeMap::new(),
-            division: None,
+            record_split: None,
             beyond: BTreeMap::new(),
-            to_move: None,
+            to_archive: None,
             spec: Some(Box::new(spec)),
         }
     }
 
     /// A job of which only run records are left: it was cancelled under an earlier leader.
-    pub fn orphan(id: JobId, record: &ChunkRecord, now: Time) -> Job {
+    pub fn orphan(id: JobId, record: &RunRecord, now: Time) -> Job {
         Job {
             id,
             spec: None,
@@ -226,8 +228,8 @@
                 gpus: record.gpus,
                 memory_gb: record.mem,
             },
-            phase: JobPhase::Withdrawn,
-            chunk_size: record.size.max(1),
+            phase: JobPhase::Cancelled,
+            tasks_per_record: record.size.max(1),
             chunks: Vec::new(),
             fresh: 0,
             retry: BTreeSet::new(),
@@ -238,21 +240,21 @@
             ran: (0.0, 0.0),
             failures: 0,
             failed_on: BTreeSet::new(),
-            withdrawn_at: Some(now),
+            cancelled_at: Some(now),
             gaps: BTreeMap::new(),
-            division: None,
+            record_split: None,
             beyond: BTreeMap::new(),
-            to_move: None,
+            to_archive: None,
         }
     }
 
     /// A job that got done under an earlier leader, whose records are not swept up yet.
     pub fn done_before(id: JobId, over: OverRecord, live: Stamp, now: Time) -> Job {
-        let mut job = Job::orphan(id, &ChunkRecord::default(), now);
-        job.phase = JobPhase::Sweeping;
-        job.withdrawn_at = None;
+        let mut job = Job::orphan(id, &RunRecord::default(), now);
+        job.phase = JobPhase::GarbageCollected;
+        job.cancelled_at = None;
         job.live = live;
-        job.to_move = Some(over);
+        job.to_archive = Some(over);
         job
     }
 
@@ -267,7 +269,7 @@
     /// Its final record is written, at that version.
     pub fn finished(&mut self, live: Stamp) {
         self.live = live;
-        self.to_move = Some(self.outcome());
+        self.to_archive = Some(self.outcome());
     }
 
     pub fn priority(&self) -> Priority {
@@ -278,8 +280,8 @@
     pub fn enter(&mut self, phase: JobPhase, now: Time) {
         log::debug!("{}: {:?} -> {phase:?}", self.id, self.phase);
         self.phase = phase;
-        if phase == JobPhase::Withdrawn {
-            self.withdrawn_at.get_or_insert(now);
+        if phase == JobPhase::Cancelled {
+            self.cancelled_at.get_or_insert(now);
         }
     }
 
@@ -306,21 +308,21 @@
     pub fn load(
         &mut self,
         number: u32,
-        record: &ChunkRecord,
+        record: &RunRecord,
         stamp: Stamp,
     ) -> Vec<(u32, Attempt, HostName, Session)> {
         let at = number as usize;
         let chunks = self.chunks.iter().flatten();
-        let divided = self.spec.is_none() && record.size != self.chunk_size;
-        if divided && chunks.count() > 0 || self.spec.is_some() && at >= self.chunks.len() {
-            // Part of a division that was broken off: what it holds stands in the larger records too,
+        let split = self.spec.is_none() && record.size != self.tasks_per_record;
+        if split && chunks.count() > 0 || self.spec.is_some() && at >= self.chunks.len() {
+            // Part of a split that was broken off: what it holds stands in the larger records too,
             // and those are in force.
             log::info!("{}: run record {number} is not in force", self.id);
             self.beyond.insert(number, stamp);
             return Vec::new();
         }
         if self.spec.is_none() {
-            self.chunk_size = record.size.max(1);
+            self.tasks_per_record = record.size.max(1);
         }
         if self.spec.is_none() && at >= self.chunks.len() && at < 100_000 {
             self.chunks.resize_with(at + 1, || None);
@@ -344,7 +346,7 @@
                 set(offset, TaskState::Done);
             }
         }
-        let first = number * self.chunk_size;
+        let first = number * self.tasks_per_record;
         let mut bookings = Vec::new();
         for (offset, attempt, host, session) in &record.booked {
             let (attempt, session) = (*attempt, *session);
@@ -389,23 +391,23 @@
             .map_or(0, |c| c + 1);
         for number in 0..tail as u32 {
             if self.chunks[number as usize].is_none() {
-                let first = number * self.chunk_size;
+                let first = number * self.tasks_per_record;
                 self.retry.extend(first..first + self.chunk_length(number));
             }
         }
-        self.fresh = (tail as u32 * self.chunk_size).min(self.total);
+        self.fresh = (tail as u32 * self.tasks_per_record).min(self.total);
     }
 
     fn chunk_length(&self, number: u32) -> u32 {
         if self.spec.is_none() {
-            return self.chunk_size;
+            return self.tasks_per_record;
         }
-        let first = number * self.chunk_size;
-        self.chunk_size.min(self.total.saturating_sub(first))
+        let first = number * self.tasks_per_record;
+        self.tasks_per_record.min(self.total.saturating_sub(first))
     }
 
     pub fn chunk_of(&self, index: u32) -> u32 {
-        index / self.chunk_size
+        index / self.tasks_per_record
     }
 
     pub fn waiting(&self) -> u32 {
@@ -434,7 +436,7 @@
 
     pub fn task(&self, index: u32) -> Option<&TaskState> {
         let chunk = self.chunks.get(self.chunk_of(index) as usize)?.as_ref()?;
-        chunk.tasks.get((index % self.chunk_size) as usize)
+        chunk.tasks.get((index % self.tasks_per_record) as usize)
     }
 
     pub fn chunk(&self, number: u32) -> Option<&Chunk> {
@@ -454,7 +456,9 @@
             let tasks = vec![TaskState::default(); length as usize];
             Box::new(Chunk::new(tasks, Stamp(0), 0))
         });
-        let task = chunk.tasks.get_mut((index % self.chunk_size) as usize)?;
+        let task = chunk
+            .tasks
+            .get_mut((index % self.tasks_per_record) as usize)?;
         match task {
             TaskState::Waiting { .. } if index == self.fresh => self.fresh += 1,
             TaskState::Waiting { .. } => {
@@ -505,16 +509,16 @@
         }
     }
 
-    pub fn record(&self, number: u32) -> Option<ChunkRecord> {
+    pub fn record(&self, number: u32) -> Option<RunRecord> {
         let chunk = self.chunk(number)?;
-        let mut record = ChunkRecord {
-            first: number * self.chunk_size,
-            size: self.chunk_size,
+        let mut record = RunRecord {
+            first: number * self.tasks_per_record,
+            size: self.tasks_per_record,
             team: self.team.clone(),
             cpus: self.need.cpus,
             gpus: self.need.gpus,
             mem: self.need.memory_gb,
-            ..ChunkRecord::default()
+            ..RunRecord::default()
         };
         for (offset, task) in chunk.tasks.iter().enumerate() {
             let offset = offset as u32;
--- a/src/coordination/leadership.rs
+++ b/src/coordination/leadership.rs
@@ -3,9 +3,9 @@
 
 use std::time::Duration;
 
-use crate::bookkeeping::records::{HolderRecord, TermRecord, HOLDER, TERM};
-use crate::bookkeeping::store::Outcome;
 use crate::protocol::state::{value, Change, Txn};
+use crate::storage::records::{HolderRecord, TermRecord, HOLDER, TERM};
+use crate::storage::store::Outcome;
 use crate::types::{LeaseId, Stamp, Term, Time};
 
 #[derive(Clone, Debug, PartialEq)]
@@ -29,13 +29,13 @@
     Read,
     Grant,
     Claim,
-    /// Of this lease: an answer may come when the office was lost and won again.
+    /// Of this lease: an answer may come when the duties was lost and won again.
     Renew(LeaseId),
     End,
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub enum Wish {
+pub enum LeadershipAction {
     /// Read the keys below `lead/`.
     Read,
     Grant(Duration),
@@ -43,7 +43,7 @@
     Renew(LeaseId),
     /// End the lease of a process that is surely dead, or our own that is not needed.
     End(LeaseId),
-    /// Give up the office in favour of a node that is better placed: end the lease, step down.
+    /// Give up the duties in favour of a node that is better placed: end the lease, step down.
     Resign(LeaseId),
     /// Begin to lead.
     Lead {
@@ -63,7 +63,7 @@
 /// Clocks of different machines drift apart by at most 0.05%; this is well beyond that.
 const DRIFT: f64 = 0.99;
 const READ_EVERY: Duration = Duration::from_millis(400);
-/// A node that gave up the office lets the others go first.
+/// A node that gave up the duties lets the others go first.
 const REST: Duration = Duration::from_secs(3);
 /// What the state service said of the leader counts for this long.
 const FRESH: Duration = Duration::from_millis(1500);
@@ -86,7 +86,7 @@
     next_read: Time,
     reading: Option<Time>,
     /// How long the key must have been free before this node claims it.
-    pub handicap: Duration,
+    pub campaign_delay: Duration,
     free_since: Option<Time>,
     /// When the state service last said that another node leads.
     confirmed_at: Option<Time>,
@@ -109,7 +109,7 @@
             renewing: false,
             next_read: Time::default(),
             reading: None,
-            handicap: Duration::ZERO,
+            campaign_delay: Duration::ZERO,
             free_since: None,
             confirmed_at: None,
             resigned_at: None,
@@ -161,7 +161,7 @@
         }
     }
 
-    pub fn tick(&mut self, now: Time) -> Option<Wish> {
+    pub fn tick(&mut self, now: Time) -> Option<LeadershipAction> {
         match self.role {
             Role::Leading { lease, .. } => {
                 if self.renewing || now < self.renew_at {
@@ -169,7 +169,7 @@
                 }
                 self.renewing = true;
                 self.renew_at = now.after(self.ttl / 3);
-                Some(Wish::Renew(lease))
+                Some(LeadershipAction::Renew(lease))
             }
             Role::Following => {
                 let pending = self.reading.is_some_and(|at| now < at.after(READ_LIMIT));
@@ -178,7 +178,7 @@
                 }
                 self.reading = Some(now);
                 self.schedule_read(now);
-                Some(Wish::Read)
+                Some(LeadershipAction::Read)
             }
             Role::Granting { .. } | Role::Claiming { .. } => None,
         }
@@ -191,7 +191,7 @@
     }
 
     /// Someone speaks of a term: a worker's report, a peer, the state service.
-    pub fn heard_of(&mut self, term: Term, leader: Option<&str>) -> Option<Wish> {
+    pub fn heard_of(&mut self, term: Term, leader: Option<&str>) -> Option<LeadershipAction> {
         if term < self.term {
             return None;
         }
@@ -209,8 +209,8 @@
         }
     }
 
-    /// Gives up the office, unless that was done a short while ago.
-    pub fn resign(&mut self, now: Time) -> Option<Wish> {
+    /// Gives up the duties, unless that was done a short while ago.
+    pub fn resign(&mut self, now: Time) -> Option<LeadershipAction> {
         let Role::Leading { lease, .. } = self.role else {
             return None;
         };
@@ -219,16 +219,16 @@
         }
         self.resigned_at = Some(now);
         self.step_down();
-        Some(Wish::Resign(lease))
+        Some(LeadershipAction::Resign(lease))
     }
 
-    /// Whether this node gave up the office a short while ago.
+    /// Whether this node gave up the duties a short while ago.
     pub fn transferred_leadership(&self, now: Time) -> bool {
         self.resigned_at.is_some_and(|at| now.since(at) < REST * 10)
     }
 
     /// Proof came that another leads.
-    pub fn step_down(&mut self) -> Wish {
+    pub fn step_down(&mut self) -> LeadershipAction {
         self.enter(Role::Following);
         // A read under way may still show our key; what the lease was good for ended here.
         self.valid_until = Time::default();
@@ -237,12 +237,17 @@
         }
         self.renewing = false;
         self.next_read = Time::default();
-        Wish::StepDown
+        LeadershipAction::StepDown
     }
 
     /// `sent` is when the read was sent: an answer that lay here for long, as this process stood
     /// still, tells how things were and not how they are.
-    pub fn on_read(&mut self, seen: Option<Seen>, sent: Time, now: Time) -> Option<Wish> {
+    pub fn on_read(
+        &mut self,
+        seen: Option<Seen>,
+        sent: Time,
+        now: Time,
+    ) -> Option<LeadershipAction> {
         self.reading = None;
         let seen = seen.filter(|_| now.since(sent) < READ_LIMIT)?;
         if self.role != Role::Following {
@@ -257,14 +262,14 @@
             }
             let since = *self.free_since.get_or_insert(now);
             let resting = self.resigned_at.is_some_and(|at| now.since(at) < REST);
-            if now.since(since) < self.handicap || resting {
+            if now.since(since) < self.campaign_delay || resting {
                 return None;
             }
             self.enter(Role::Granting {
                 term: Term(term.0 + 1),
                 term_stamp,
             });
-            return Some(Wish::Grant(self.ttl));
+            return Some(LeadershipAction::Grant(self.ttl));
         };
         self.free_since = None;
         if holder.node == self.node {
@@ -273,13 +278,13 @@
                 return Some(self.lead(holder.lease, holder.term, stamp, now));
             }
             // This node's earlier process: it is dead, or this one would not run.
-            return Some(Wish::End(holder.lease));
+            return Some(LeadershipAction::End(holder.lease));
         }
-        let wish = self.heard_of(holder.term, Some(&holder.node));
+        let action = self.heard_of(holder.term, Some(&holder.node));
         if holder.term == self.term {
             self.confirmed_at = Some(now);
         }
-        wish
+        action
     }
 
     /// The term and the leader that the state service confirmed a moment ago.
@@ -292,7 +297,7 @@
         leader.map(|leader| (self.term, leader))
     }
 
-    fn lead(&mut self, lease: LeaseId, term: Term, stamp: Stamp, now: Time) -> Wish {
+    fn lead(&mut self, lease: LeaseId, term: Term, stamp: Stamp, now: Time) -> LeadershipAction {
         self.term = term;
         self.leader = Some(self.node.clone());
         self.enter(Role::Leading { lease, term, stamp });
@@ -300,7 +305,7 @@
         self.renewing = false;
         self.renew_at = Time::default();
         self.valid_until = self.valid_until.max(now);
-        Wish::Lead { term, stamp }
+        LeadershipAction::Lead { term, stamp }
     }
 
     pub fn on_outcome(
@@ -309,13 +314,13 @@
         outcome: Outcome,
         sent: Time,
         now: Time,
-    ) -> Option<Wish> {
+    ) -> Option<LeadershipAction> {
         match (step, &self.role, outcome) {
             (Step::Grant, Role::Granting { term, term_stamp }, Outcome::Granted(lease)) => {
                 let (term, term_stamp) = (*term, *term_stamp);
                 self.valid_until = sent.after(self.ttl.mul_f64(DRIFT));
                 self.enter(Role::Claiming { lease, term });
-                Some(Wish::Claim(self.claim(lease, term, term_stamp)))
+                Some(LeadershipAction::Claim(self.claim(lease, term, term_stamp)))
             }
             (Step::Claim, Role::Claiming { lease, term }, Outcome::Applied(stamp)) => {
                 let (lease, term) = (*lease, *term);
@@ -325,7 +330,7 @@
                 let lease = *lease;
                 self.enter(Role::Following);
                 self.schedule_read(now);
-                Some(Wish::End(lease))
+                Some(LeadershipAction::End(lease))
             }
             (Step::Grant | Step::Claim, Role::Granting { .. } | Role::Claiming { .. }, _) => {
                 // Whatever became of it, the next read shows.
@@ -342,7 +347,7 @@
                     }
                     Outcome::LeaseGone => Some(self.step_down()),
                     _ => {
-                        // Three refusals in a row must not cost the office: it is asked again soon.
+                        // Three refusals in a row must not cost the duties: it is asked again soon.
                         self.renew_at = self.renew_at.min(now.after(RENEW_AGAIN));
                         None
                     }
--- a/src/coordination/lifecycle.rs
+++ b/src/coordination/lifecycle.rs
@@ -3,8 +3,8 @@
 use super::hosts::StopWhy;
 use super::jobs::{Job, JobPhase};
 use super::{Controller, Phase, BLIND_PART, MAX_CANCELLED, MAX_CLASSES};
-use crate::bookkeeping::ledger::Written;
-use crate::bookkeeping::records::{JobRecord, OverRecord};
+use crate::storage::records::{JobRecord, OverRecord};
+use crate::storage::write_batcher::Written;
 use crate::types::{HostName, JobId, Stamp, TaskId, Time};
 
 impl Controller {
@@ -12,9 +12,9 @@
     pub fn on_job(&mut self, record: JobRecord, live: Stamp) {
         let id = record.spec.id;
         if let Some(job) = self.jobs.get_mut(&id).filter(|j| j.spec.is_some()) {
-            if job.division.is_some() && record.chunk == job.chunk_size {
-                // The answer to the last step of its division was lost.
-                let chunks = self.ledger.division_in_force(job, live);
+            if job.record_split.is_some() && record.chunk == job.tasks_per_record {
+                // The answer to the last step of its split was lost.
+                let chunks = self.batcher.split_in_force(job, live);
                 let written = Written {
                     chunks,
                     ..Written::default()
@@ -60,10 +60,10 @@
         }
         if job.live != live {
             job.live = live;
-            job.to_move = Some(over);
-            job.enter(JobPhase::Sweeping, now);
+            job.to_archive = Some(over);
+            job.enter(JobPhase::GarbageCollected, now);
         }
-        self.ledger.sweep(id);
+        self.batcher.garbage_collect(id);
     }
 
     /// Some node told its user that the job is cancelled. The record that says so may not reach this
@@ -106,8 +106,8 @@
         if !matches!(job.phase, JobPhase::Active | JobPhase::Finishing) {
             return;
         }
-        log::debug!("{id}: withdrawn with {} tasks booked", job.booked);
-        job.enter(JobPhase::Withdrawn, now);
+        log::debug!("{id}: cancelled with {} tasks booked", job.booked);
+        job.enter(JobPhase::Cancelled, now);
         let booked: Vec<(HostName, TaskId)> = self
             .hosts
             .values()
@@ -115,7 +115,7 @@
             .filter(|(_, task)| task.job == id)
             .collect();
         for (host, task) in booked {
-            self.stop(&host, task, StopWhy::Withdrawn, now);
+            self.stop(&host, task, StopWhy::Cancelled, now);
         }
         // What was not written yet was ended just now, and no record of it will come.
         self.recording.retain(|(job, _), _| *job != id);
@@ -150,14 +150,14 @@
             return;
         };
         match job.phase {
-            // A division under way changes the record that the final one replaces.
-            JobPhase::Active if job.done == job.total && job.division.is_none() => {
+            // A split under way changes the record that the final one replaces.
+            JobPhase::Active if job.done == job.total && job.record_split.is_none() => {
                 job.enter(JobPhase::Finishing, now);
-                self.ledger.finish(id);
+                self.batcher.finish(id);
             }
-            JobPhase::Withdrawn if job.booked == 0 => {
-                job.enter(JobPhase::Sweeping, now);
-                self.ledger.sweep(id);
+            JobPhase::Cancelled if job.booked == 0 => {
+                job.enter(JobPhase::GarbageCollected, now);
+                self.batcher.garbage_collect(id);
             }
             _ => {}
         }
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -1,34 +1,34 @@
 //! What the leading controller decides. No input or output happens here: events and the time come
 //! in, actions go out, so that kept traces can be replayed.
 
+mod commands;
+mod failure_detector;
 pub mod fleet;
 mod forecast;
 pub mod hosts;
 pub mod jobs;
 pub mod leadership;
 mod lifecycle;
-mod orders;
 pub mod placement;
 mod preemption;
 mod reports;
 mod scaling;
 mod services;
-mod watch;
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use crate::bookkeeping::ledger::{Jobs, Ledger, Verdict, Written};
-use crate::bookkeeping::records::ChunkRecord;
 use crate::protocol::cloud::{MachineType, Rental};
 use crate::protocol::state::Txn;
 use crate::protocol::workers::{Order, Report};
 use crate::settings::{Service, Team, Tuning};
+use crate::storage::records::RunRecord;
+use crate::storage::write_batcher::{Jobs, Verdict, WriteBatcher, Written};
 use crate::types::{seconds, HostName, JobId, Session, Stamp, TaskId, Term, Tick, Time};
 
 use fleet::Fleet;
-use hosts::{Booking, BookingPhase, Host, Life, StopWhy};
+use hosts::{Booking, BookingPhase, Host, HostLifecycle, StopWhy};
 use jobs::{Job, JobPhase, Resources};
 
 /// What the leader wants done outside.
@@ -60,7 +60,7 @@
     Lost,
 }
 
-/// A worker has seen a higher token: another leader is in office.
+/// A worker has seen a higher token: another leader is in duties.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Deposed(pub Term);
 
@@ -78,13 +78,13 @@
 
 /// The settings that decisions depend on.
 #[derive(Clone, Debug)]
-pub struct Rulebook {
+pub struct Policy {
     pub report: Duration,
     pub lease: Duration,
     pub cancel: Duration,
     /// How far the cloud's list lags at the most.
     pub list_lag: Duration,
-    pub chunk_size: u32,
+    pub tasks_per_record: u32,
     /// Machines that may be asked at once whether they hear: each takes a socket for a while.
     pub probes: usize,
     /// Direct commands that may be under way at once, for the same reason; the others wait.
@@ -101,14 +101,14 @@
     pub tuning: Tuning,
 }
 
-impl Rulebook {
-    pub fn new(service: &Service, tuning: &Tuning) -> Rulebook {
-        Rulebook {
+impl Policy {
+    pub fn new(service: &Service, tuning: &Tuning) -> Policy {
+        Policy {
             report: service.workers.report(),
             lease: service.workers.lease(),
             cancel: service.workers.cancel(),
             list_lag: seconds(service.cloud.list_lag_s) * 2,
-            chunk_size: crate::bookkeeping::records::chunk_size(service.state.value_kb),
+            tasks_per_record: crate::storage::records::tasks_per_record(service.state.value_kb),
             probes: (service.resources.sockets / 20).max(2),
             commands: (service.resources.sockets / 16).max(4),
             max_value: (service.state.value_kb * 1024.0) as usize,
@@ -151,11 +151,11 @@
     /// Until when the own lease surely stands. It is looked at whenever something is begun, as the
     /// process may have stood still since it was last asked.
     pub valid_until: Time,
-    rules: Rulebook,
+    rules: Policy,
     pub types: Vec<MachineType>,
     pub hosts: BTreeMap<HostName, Host>,
     pub jobs: Jobs,
-    pub ledger: Ledger,
+    pub batcher: WriteBatcher,
     fleet: Fleet,
     /// Zones of which this node hears no other node: what is silent there is cut off.
     pub unheard_zones: Vec<String>,
@@ -214,13 +214,13 @@
     pub fn new(
         term: Term,
         holder: Stamp,
-        rules: Rulebook,
+        rules: Policy,
         types: Vec<MachineType>,
         now: Time,
     ) -> Self {
-        let mut ledger = Ledger::new(holder);
-        ledger.max_value = rules.max_value;
-        ledger.txn_ops = rules.txn_ops;
+        let mut batcher = WriteBatcher::new(holder);
+        batcher.max_value = rules.max_value;
+        batcher.txn_ops = rules.txn_ops;
         Controller {
             term,
             phase: Phase::Loading,
@@ -229,7 +229,7 @@
             types,
             hosts: BTreeMap::new(),
             jobs: BTreeMap::new(),
-            ledger,
+            batcher,
             fleet: Fleet::new(term),
             unheard_zones: Vec::new(),
             used: BTreeMap::new(),
@@ -265,10 +265,10 @@
     /// The process stood still for longer than its lease, while the world went on. What was heard
     /// before is old, and so is what comes in now: it waited here for as long. A machine is used
     /// again once it has been heard twice, or has answered a probe.
-    pub fn stood_still(&mut self) {
+    pub fn resumed_after_pause(&mut self) {
         for host in self.hosts.values_mut() {
-            if host.life == Life::Up {
-                host.enter(Life::Silent);
+            if host.lifecycle == HostLifecycle::Up {
+                host.enter(HostLifecycle::Silent);
             }
         }
     }
@@ -286,7 +286,7 @@
         &mut self,
         id: JobId,
         number: u32,
-        record: &ChunkRecord,
+        record: &RunRecord,
         stamp: Stamp,
         now: Time,
     ) {
@@ -295,7 +295,7 @@
             .entry(id)
             .or_insert_with(|| Job::orphan(id, record, now));
         let (need, team) = (job.need, job.team.clone());
-        let stop = (job.phase == JobPhase::Withdrawn).then_some(StopWhy::Withdrawn);
+        let stop = (job.phase == JobPhase::Cancelled).then_some(StopWhy::Cancelled);
         for (index, attempt, name, session) in job.load(number, record, stamp) {
             let task = TaskId { job: id, index };
             let host = self
@@ -343,19 +343,19 @@
         for host in self.hosts.values_mut() {
             // Only records speak for them; whether they are cut off or gone will show.
             host.heard_at = now;
-            host.enter(Life::Silent);
+            host.enter(HostLifecycle::Silent);
         }
     }
 
-    /// A record of the job has become too large: they are divided. What waits for one of them waits for
+    /// A record of the job has become too large: they are split. What waits for one of them waits for
     /// the new one that holds it.
-    fn divide(&mut self, id: JobId) {
+    fn split(&mut self, id: JobId) {
         let Some(job) = self.jobs.get_mut(&id) else {
             return;
         };
         // The last step writes the description too, which production may have left too large.
-        job.shorten_description(self.ledger.max_value, &self.types);
-        if !self.ledger.divide(job) {
+        job.shorten_description(self.batcher.max_value, &self.types);
+        if !self.batcher.split(job) {
             return;
         }
         let (of_job, others) = std::mem::take(&mut self.recording)
@@ -374,17 +374,17 @@
         if self.phase == Phase::Loading {
             return None;
         }
-        for id in self.ledger.take_too_large() {
-            self.divide(id);
+        for id in self.batcher.take_too_large() {
+            self.split(id);
         }
-        self.ledger.next_batch(&mut self.jobs, max_changes, spare)
+        self.batcher.next_batch(&mut self.jobs, max_changes, spare)
     }
 
     pub fn on_verdict(&mut self, verdict: Verdict, now: Time) -> Result<(), Deposed> {
         match verdict {
             Verdict::Written(written) => self.on_written(&written, now),
-            Verdict::Conflict { withdrawn } => {
-                for id in withdrawn {
+            Verdict::Conflict { cancelled } => {
+                for id in cancelled {
                     self.on_job_gone(id, now);
                 }
             }
@@ -447,7 +447,10 @@
         match self.phase {
             Phase::Loading => return,
             Phase::Gathering { until } => {
-                let all_up = self.hosts.values().all(|h| h.life == Life::Up);
+                let all_up = self
+                    .hosts
+                    .values()
+                    .all(|h| h.lifecycle == HostLifecycle::Up);
                 let round_over =
                     now >= until || (all_up && now.since(self.started_at) >= self.rules.report);
                 let nothing_known = self.hosts.is_empty()
@@ -520,7 +523,9 @@
         let mut reach = Reach::default();
         let mut zones: BTreeMap<&str, usize> = BTreeMap::new();
         for host in self.hosts.values() {
-            if host.zone.is_empty() || !matches!(host.life, Life::Up | Life::Silent) {
+            if host.zone.is_empty()
+                || !matches!(host.lifecycle, HostLifecycle::Up | HostLifecycle::Silent)
+            {
                 continue;
             }
             reach.known += 1;
@@ -548,8 +553,8 @@
             format!("it failed {} times", job.failures)
         } else if self.team_room(job) == 0 {
             format!("{} is at its limit", job.team)
-        } else if self.ledger.urgent() >= self.rules.records {
-            format!("{} records wait to be written", self.ledger.urgent())
+        } else if self.batcher.urgent() >= self.rules.records {
+            format!("{} records wait to be written", self.batcher.urgent())
         } else {
             let suits = |h: &&Host| {
                 let kind = h.kind.and_then(|k| self.types.get(k));
@@ -557,9 +562,9 @@
             };
             let count = |life| {
                 let hosts = self.hosts.values().filter(suits);
-                hosts.filter(|h| h.life == life).count()
+                hosts.filter(|h| h.lifecycle == life).count()
             };
-            let (up, expected) = (count(Life::Up), count(Life::Expected));
+            let (up, expected) = (count(HostLifecycle::Up), count(HostLifecycle::Expected));
             format!("no room on {up} machines that suit it, {expected} more expected")
         };
         Some(format!("{} waits for {waited} s: {why}", job.id))
@@ -567,7 +572,7 @@
 
     /// A line for the log that tells operators how things stand.
     pub fn summary(&self) -> String {
-        let count = |life| self.hosts.values().filter(|h| h.life == life).count();
+        let count = |life| self.hosts.values().filter(|h| h.lifecycle == life).count();
         let waiting: u64 = self.jobs.values().map(|j| u64::from(j.waiting())).sum();
         let booked: usize = self.hosts.values().map(|h| h.bookings.len()).sum();
         let fetching: usize = self
@@ -576,7 +581,11 @@
             .map(|h| h.bookings.values().filter(|b| b.started.is_none()).count())
             .sum();
         let (mut used, mut closed, mut all) = (0.0, 0.0, 0.0);
-        for host in self.hosts.values().filter(|h| h.life == Life::Up) {
+        for host in self
+            .hosts
+            .values()
+            .filter(|h| h.lifecycle == HostLifecycle::Up)
+        {
             let cpus = host
                 .kind
                 .and_then(|k| self.types.get(k))
@@ -590,10 +599,10 @@
         format!(
             "{} jobs, {waiting} tasks waiting, {booked} booked, {fetching} of them not started; {used} of {all} CPUs used, {closed} closed; machines: {} up, {} expected, {} silent, {} returning",
             self.jobs.len(),
-            count(Life::Up),
-            count(Life::Expected),
-            count(Life::Silent),
-            count(Life::Releasing),
+            count(HostLifecycle::Up),
+            count(HostLifecycle::Expected),
+            count(HostLifecycle::Silent),
+            count(HostLifecycle::Releasing),
         )
     }
 }
--- a/src/coordination/placement.rs
+++ b/src/coordination/placement.rs
@@ -6,7 +6,7 @@
 use std::cmp::Ordering;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 
-use super::hosts::{Booking, BookingPhase, Ear, Host, Life};
+use super::hosts::{Booking, BookingPhase, Host, HostLifecycle, Reachability};
 use super::jobs::{Job, JobPhase, Resources, TaskState};
 use super::{Controller, AVOID};
 use crate::protocol::cloud::MachineType;
@@ -239,7 +239,7 @@
         let here = self
             .hosts
             .values()
-            .filter(|h| matches!(h.life, Life::Up | Life::Expected));
+            .filter(|h| matches!(h.lifecycle, HostLifecycle::Up | HostLifecycle::Expected));
         let kinds = here.filter_map(|h| h.kind.and_then(|k| self.types.get(k)));
         kinds.map(|t| t.cpus.0).sum()
     }
@@ -330,13 +330,13 @@
             Priority::Critical
         };
         let records = self.rules.records * (1 + Priority::Low as usize - priority as usize);
-        if pass.now < job.not_before || self.ledger.is_held(job.id) {
+        if pass.now < job.not_before || self.batcher.is_held(job.id) {
             return;
         }
         let plain = spec.types.is_none() && spec.zone.is_none() && !spec.one_zone && !spec.spread;
-        let mut usable = self.usable_kinds(spec, scarce);
+        let mut usable = self.usable_types(spec, scarce);
         let due_in = job.due_ms().map(|due| (due - self.day_ms as f64) / 1000.0);
-        let mut more = self.more_kinds(spec, &usable, self.expected_run(job), due_in);
+        let mut more = self.overflow_types(spec, &usable, self.expected_run(job), due_in);
         let shape = (job.need, spec.spot, more.is_some());
         // A job like one that found no machine in this pass won't find one either.
         if plain && pass.full.contains(&shape) {
@@ -352,8 +352,8 @@
             };
             let task = TaskId { job: job.id, index };
             // A booking that waits long for its record would only hold the machine idle.
-            let queued = self.ledger.is_urgent(job.id, job.chunk_of(index));
-            if !queued && self.ledger.urgent() >= records {
+            let queued = self.batcher.is_urgent(job.id, job.chunk_of(index));
+            if !queued && self.batcher.urgent() >= records {
                 return;
             }
             let Some(best) = self.best_host(spec, task, &mut ranked, &siblings, pass) else {
@@ -367,7 +367,7 @@
                     return;
                 }
                 if !rank.patient {
-                    Self::hold_room(job, spec, &usable, pass);
+                    Self::reserve_room(job, spec, &usable, pass);
                 } else if plain {
                     pass.full.push(shape);
                 }
@@ -471,7 +471,7 @@
 
     /// A job that has waited too long finds no room, since smaller work takes whatever gets free:
     /// the machine where most is free takes nothing else until the job fits there.
-    fn hold_room(job: &Job, spec: &JobSpec, usable: &[bool], pass: &mut Pass) {
+    fn reserve_room(job: &Job, spec: &JobSpec, usable: &[bool], pass: &mut Pass) {
         let suits = |open: &Open| {
             usable.get(open.kind) == Some(&true)
                 && !open.held
@@ -526,7 +526,10 @@
 
     pub(super) fn is_open(&self, host: &Host, now: Time) -> bool {
         let fresh = now.since(host.heard_at) <= self.rules.report * 2;
-        host.life == Life::Up && host.cordon.is_none() && fresh && host.ear == Ear::Open
+        host.lifecycle == HostLifecycle::Up
+            && host.cordon.is_none()
+            && fresh
+            && host.reachability == Reachability::Confirmed
     }
 
     /// Types that some waiting or running work needs because no other type fits it.
@@ -555,7 +558,7 @@
     }
 
     /// For each machine type, whether the job's tasks may go there.
-    pub(super) fn usable_kinds(&self, spec: &JobSpec, scarce: &[bool]) -> Vec<bool> {
+    pub(super) fn usable_types(&self, spec: &JobSpec, scarce: &[bool]) -> Vec<bool> {
         let suits = |kind: usize| {
             type_suits(spec, &self.types[kind]) && !self.kept_for_others(spec, Some(kind), scarce)
         };
@@ -586,7 +589,7 @@
     /// it waited for another machine of its own kinds, and is in time if it starts now. Work that has
     /// no other kind keeps what is scarce if it has the same or a higher priority, or has waited
     /// for too long.
-    pub(super) fn more_kinds(
+    pub(super) fn overflow_types(
         &self,
         spec: &JobSpec,
         usable: &[bool],
@@ -656,7 +659,7 @@
             .entry(job.team.clone())
             .or_default()
             .add(&job.need);
-        self.ledger.changed(job.id, number, true);
+        self.batcher.changed(job.id, number, true);
         let recording = self.recording.entry((job.id, number)).or_default();
         recording.push((name.clone(), task));
     }
--- a/src/coordination/reports.rs
+++ b/src/coordination/reports.rs
@@ -3,7 +3,9 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-use super::hosts::{Booking, BookingPhase, Cordon, Ear, Host, Leftover, Life, StopWhy};
+use super::hosts::{
+    Booking, BookingPhase, Cordon, Host, HostLifecycle, Leftover, Reachability, StopWhy,
+};
 use super::jobs::{Job, JobPhase, TaskState, SETTLED};
 use super::{Controller, Deposed, Phase};
 use crate::protocol::users::JobSpec;
@@ -98,27 +100,27 @@
 
     fn update(&mut self, host: &mut Host, report: &Report, own: bool, now: Time) {
         // Heard of before in this term: a report after a silence may have been under way for long.
-        let back = host.up_at.is_some() && host.life == Life::Silent;
+        let back = host.up_at.is_some() && host.lifecycle == HostLifecycle::Silent;
         if host.up_at.is_none() {
             host.up_at = Some(now);
             host.idle_since = host.bookings.is_empty().then_some(now);
         }
         self.describe(host, report);
-        let before = host.ear;
+        let before = host.reachability;
         if host.token < report.token || !own {
-            host.heeded();
+            host.took_effect();
         } else if back {
-            host.listen(Ear::Doubted);
+            host.set_reachability(Reachability::Unconfirmed);
             host.probe_at = now;
-        } else if host.ear == Ear::Doubted {
-            host.listen(Ear::Open);
+        } else if host.reachability == Reachability::Unconfirmed {
+            host.set_reachability(Reachability::Confirmed);
         }
-        self.place_wanted |= host.ear != before;
+        self.place_wanted |= host.reachability != before;
         host.token = report.token;
         host.heard_at = now;
-        if host.life != Life::Up {
-            host.enter(Life::Up);
-            if host.cordon == Some(Cordon::Lost) && host.life == Life::Up {
+        if host.lifecycle != HostLifecycle::Up {
+            host.enter(HostLifecycle::Up);
+            if host.cordon == Some(Cordon::Lost) && host.lifecycle == HostLifecycle::Up {
                 host.cordon = None;
             }
             self.place_wanted = true;
@@ -140,7 +142,7 @@
     /// The worker killed and forgot all that earlier sessions held.
     fn new_session(&mut self, host: &mut Host, session: Session, own: bool, now: Time) {
         let heard = now.since(host.heard_at) < self.rules.report * 2;
-        if own && heard && host.session != Session(0) && host.life == Life::Up {
+        if own && heard && host.session != Session(0) && host.lifecycle == HostLifecycle::Up {
             // Its lease ran out although its reports were answered.
             host.ignored(now);
         }
@@ -183,7 +185,7 @@
                     self.image_arrived(host, task, now);
                 }
                 if told {
-                    host.heeded();
+                    host.took_effect();
                 }
             }
             (None, Reported::Ended) => {
@@ -350,7 +352,7 @@
         let mut change = 0;
         if let Some(number) = job.set_task(task.index, state) {
             change = job.chunk(number).map_or(0, |c| c.changes);
-            self.ledger.changed(task.job, number, false);
+            self.batcher.changed(task.job, number, false);
         }
         self.settle(task.job, now);
         change
@@ -407,7 +409,7 @@
             return;
         };
         let change = job.chunk(number).map_or(0, |c| c.changes);
-        self.ledger.changed(task.job, number, true);
+        self.batcher.changed(task.job, number, true);
         self.used.entry(job.team.clone()).or_default().add(&need);
         host.book(
             task,
--- a/src/coordination/scaling.rs
+++ b/src/coordination/scaling.rs
@@ -3,7 +3,7 @@
 use std::cmp::Ordering;
 use std::time::Duration;
 
-use super::hosts::{Cordon, Life};
+use super::hosts::{Cordon, HostLifecycle};
 use super::placement::capacity;
 use super::Controller;
 use crate::types::{seconds, HostName, Time};
@@ -25,7 +25,7 @@
             let mut order: Vec<(f64, f64, HostName, f64)> = self
                 .hosts
                 .values()
-                .filter(|h| h.life == Life::Up)
+                .filter(|h| h.lifecycle == HostLifecycle::Up)
                 .filter(|h| matches!(h.cordon, None | Some(Cordon::Surplus)))
                 .filter_map(|h| {
                     let kind = h.kind.filter(|k| scarce.get(*k) == Some(&group))?;
@@ -105,12 +105,12 @@
     pub(super) fn return_empty(&mut self, now: Time) {
         let mut returned = Vec::new();
         for host in self.hosts.values_mut() {
-            let empty = host.life == Life::Up && host.bookings.is_empty();
+            let empty = host.lifecycle == HostLifecycle::Up && host.bookings.is_empty();
             // What has been paid for anyway may stay.
             let paid = now.since(host.rented_at) < MIN_PAID;
             let closed = host.cordon.is_some_and(|c| c != Cordon::Notice);
             if empty && closed && !paid {
-                host.enter(Life::Releasing);
+                host.enter(HostLifecycle::Releasing);
                 returned.push(host.name.clone());
             }
         }
--- a/src/coordination/services.rs
+++ b/src/coordination/services.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-use super::hosts::{Cordon, Ear, Host, Life, StopWhy};
+use super::hosts::{Cordon, Host, HostLifecycle, Reachability, StopWhy};
 use super::jobs::{Job, JobPhase};
 use super::placement::{self, capacity};
 use super::Controller;
@@ -43,7 +43,7 @@
             }
         }
         for spec in self.fleet.lately(now).filter(|s| !s.spot) {
-            let ready = self.least_ready(spec, &self.usable_kinds(spec, &[]));
+            let ready = self.least_ready(spec, &self.usable_types(spec, &[]));
             let share = (ready / super::fleet::ARRIVALS_FOR.as_secs_f64()).min(1.0);
             demand += spec.tasks as f64 * spec.cpus.0 * share;
         }
@@ -61,11 +61,11 @@
         for host in self
             .hosts
             .values()
-            .filter(|h| !h.spot && h.life == Life::Up)
+            .filter(|h| !h.spot && h.lifecycle == HostLifecycle::Up)
         {
             if let Some(t) = host.kind.and_then(|k| self.types.get(k)) {
                 let cpus = t.cpus.0.max(0.1);
-                let price = t.price.0 / cpus * self.haste(t.boot_s.0);
+                let price = t.price.0 / cpus * self.urgency_factor(t.boot_s.0);
                 let idle = !self.holds_replicas(host);
                 order.push((idle, host.cordon.is_some(), price, cpus, &host.name));
             }
@@ -107,7 +107,9 @@
     fn room_for_services(&self) -> f64 {
         let cpus = |kind: usize| self.types.get(kind).map_or(0.0, |t| t.cpus.0);
         let here = self.hosts.values().filter(|h| {
-            !h.spot && h.life != Life::Releasing && matches!(h.cordon, None | Some(Cordon::Surplus))
+            !h.spot
+                && h.lifecycle != HostLifecycle::Releasing
+                && matches!(h.cordon, None | Some(Cordon::Surplus))
         });
         let room = here.map(|h| {
             let replicas = h.bookings.iter().filter(|(t, _)| self.is_service(**t));
@@ -131,7 +133,7 @@
         let cpus = |kind: usize| self.types[kind].cpus.0.max(0.1);
         let cost = |kind: &usize| {
             let t = &self.types[*kind];
-            t.price.0 / cpus(*kind) * self.haste(t.boot_s.0)
+            t.price.0 / cpus(*kind) * self.urgency_factor(t.boot_s.0)
         };
         let markets = (0..self.types.len()).filter_map(|kind| {
             let open = |zone: &&String| !self.is_closed(&(kind, (*zone).clone(), false), now);
@@ -164,9 +166,9 @@
             let kind = host.kind.filter(|k| usable.get(*k) == Some(&true));
             let whole = kind.and_then(|k| self.types.get(k)).map(capacity);
             host.cordon == Some(Cordon::Surplus)
-                && host.life == Life::Up
+                && host.lifecycle == HostLifecycle::Up
                 && now.since(host.heard_at) <= self.rules.report * 2
-                && host.ear == Ear::Open
+                && host.reachability == Reachability::Confirmed
                 && (spec.spot || !host.spot)
                 && spec.zone.as_ref().is_none_or(|z| *z == host.zone)
                 && whole.is_some_and(|w| job.need.fits(&w.minus(&host.used)))
@@ -188,7 +190,7 @@
         }
         let mut moves: Vec<(HostName, TaskId)> = Vec::new();
         for host in self.hosts.values() {
-            let leaving = host.gone_by.filter(|_| host.life == Life::Up);
+            let leaving = host.gone_by.filter(|_| host.lifecycle == HostLifecycle::Up);
             if let Some(by) = leaving {
                 let last = by.since(now) <= LAST_MOMENT;
                 let there = host.bookings.iter().filter(|(_, b)| b.stop.is_none());
@@ -215,7 +217,7 @@
     fn idle_replica(&self, now: Time) -> Option<(HostName, TaskId)> {
         let long = |at: Time| now.since(at) > IDLE_FOR;
         let host = self.hosts.values().find(|host| {
-            let idle = host.cordon == Some(Cordon::Surplus) && host.life == Life::Up;
+            let idle = host.cordon == Some(Cordon::Surplus) && host.lifecycle == HostLifecycle::Up;
             let idle = idle && host.surplus_since.is_some_and(long) && !host.bookings.is_empty();
             idle && host.bookings.iter().all(|(task, b)| {
                 b.stop.is_none() && self.is_service(*task) && self.has_room(*task, host, now)
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,14 +1,14 @@
 //! lichencrank: a cluster scheduler in which one leading controller places all tasks.
 //!
 //! The layers, from the outside in: [`transport`] moves bytes, [`protocol`] gives them types,
-//! [`coordination`] decides, [`bookkeeping`] keeps records in the state service, and [`node`]
+//! [`coordination`] decides, [`storage`] keeps records in the state service, and [`node`]
 //! ties them together into a running controller.
 
-pub mod bookkeeping;
 pub mod coordination;
 pub mod logging;
 pub mod node;
 pub mod protocol;
 pub mod settings;
+pub mod storage;
 pub mod transport;
 pub mod types;
--- a/src/node/front/mod.rs
+++ b/src/node/api/mod.rs
@@ -1,14 +1,12 @@
 //! Users' requests. Every node answers them from the state service: submissions and cancellations
 //! are conditional writes, answers are consistent reads, so no node gives an older answer.
 
-mod questions;
+mod status_queries;
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::time::Duration;
 
 use super::peer_messages;
-use crate::bookkeeping::records::{self, ChunkRecord, JobRecord, OverRecord};
-use crate::bookkeeping::store::{Ask, Class, Outcome};
 use crate::coordination::placement;
 use crate::protocol::cloud::MachineType;
 use crate::protocol::encode;
@@ -16,9 +14,11 @@
 use crate::protocol::state::{value, Change, Item, Txn};
 use crate::protocol::users::{self, JobSpec, JobState, JobStatus, Problem, Submission};
 use crate::settings::Team;
+use crate::storage::records::{self, JobRecord, OverRecord, RunRecord};
+use crate::storage::store::{Ask, Class, Outcome};
 use crate::transport::{ConnId, Response};
 use crate::types::{JobId, Stamp, Time};
-use questions::{Known, Listing};
+use status_queries::{Known, Listing};
 
 /// How long users wait for an answer, less the way back.
 const SUBMIT_LIMIT: Duration = Duration::from_millis(4200);
@@ -35,7 +35,7 @@
 const MAX_BATCH: usize = 40 * 1024;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct FrontId(u64);
+pub struct ApiRequestId(u64);
 
 /// Who asked: a user, or another node on a user's behalf.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -46,14 +46,14 @@
 
 /// What the user wants of a job.
 #[derive(Clone, Debug)]
-enum Want {
+enum Intent {
     Submit(Box<JobRecord>),
     /// A submission that can't be accepted, unless the job is known already.
     Repeat {
         otherwise: Response,
     },
     Poll,
-    Withdraw,
+    Cancel,
 }
 
 #[derive(Clone, Debug, PartialEq)]
@@ -65,9 +65,9 @@
     ReadingLive,
     ReadingCounts,
     ReadingOver,
-    Withdrawing,
+    Cancelling,
     /// It is cancelled in the records; the leader has to know before the user does.
-    Securing,
+    AwaitingLeader,
     /// The leader can't be asked, or does not have it in hand: perhaps nothing is booked any more.
     ReadingBookings,
     /// Another node, which the state service answers, has been asked.
@@ -77,7 +77,7 @@
 struct Open {
     client: Client,
     job: JobId,
-    want: Want,
+    intent: Intent,
     stage: Stage,
     until: Time,
     /// An answer of the state service was lost on the way, and it was asked again.
@@ -86,21 +86,21 @@
 
 /// Which request to the state service an outcome answers.
 #[derive(Clone, Debug)]
-pub enum FrontAsk {
-    One(FrontId),
-    Batch(Vec<FrontId>),
-    Comparison(Vec<FrontId>),
+pub enum ApiStateRequest {
+    One(ApiRequestId),
+    Batch(Vec<ApiRequestId>),
+    Comparison(Vec<ApiRequestId>),
     /// A page of all jobs that are not over.
     Listing,
 }
 
 /// What the front needs done.
-pub enum FrontAct {
-    Ask(Class, Ask, FrontAsk),
+pub enum ApiAction {
+    Ask(Class, Ask, ApiStateRequest),
     Respond(ConnId, Response),
-    Relay(FrontId, RelayedRequest),
+    Relay(ApiRequestId, RelayedRequest),
     /// A user is about to be told that the job is cancelled: see to it that the leader knows.
-    Secure(JobId),
+    InformLeader(JobId),
 }
 
 /// What the node knows beside the answers to the front's own requests.
@@ -113,24 +113,24 @@
     pub answers: bool,
 }
 
-pub struct Front {
+pub struct ApiServer {
     next: u64,
-    open: BTreeMap<FrontId, Open>,
-    queue: VecDeque<FrontId>,
+    open: BTreeMap<ApiRequestId, Open>,
+    queue: VecDeque<ApiRequestId>,
     in_flight: bool,
     /// Polls that wait for the next comparison, and whether one is under way.
-    comparisons: VecDeque<FrontId>,
+    comparisons: VecDeque<ApiRequestId>,
     comparing: bool,
     listing: Option<Listing>,
     known: HashMap<JobId, Known>,
     finals: HashMap<JobId, OverRecord>,
     finals_order: VecDeque<JobId>,
-    chunk_size: u32,
+    tasks_per_record: u32,
     max_value: usize,
     max_jobs: usize,
     max_compared: usize,
     teams: Vec<Team>,
-    acts: Vec<FrontAct>,
+    acts: Vec<ApiAction>,
     /// Jobs that users were told are cancelled, for the other nodes to know.
     cancelled: Vec<JobId>,
 }
@@ -144,9 +144,9 @@
     Response::later(503, 1)
 }
 
-impl Front {
-    pub fn new(teams: Vec<Team>, value_kb: f64, txn_ops: usize) -> Front {
-        Front {
+impl ApiServer {
+    pub fn new(teams: Vec<Team>, value_kb: f64, txn_ops: usize) -> ApiServer {
+        ApiServer {
             next: 0,
             open: BTreeMap::new(),
             queue: VecDeque::new(),
@@ -157,7 +157,7 @@
             known: HashMap::new(),
             finals: HashMap::new(),
             finals_order: VecDeque::new(),
-            chunk_size: records::chunk_size(value_kb),
+            tasks_per_record: records::tasks_per_record(value_kb),
             max_value: (value_kb * 1024.0) as usize,
             max_jobs: txn_ops.min(8),
             // Conditions may be four times as many as changes.
@@ -172,7 +172,7 @@
         std::mem::take(&mut self.cancelled)
     }
 
-    pub fn take_acts(&mut self) -> Vec<FrontAct> {
+    pub fn take_acts(&mut self) -> Vec<ApiAction> {
         std::mem::take(&mut self.acts)
     }
 
@@ -185,7 +185,7 @@
             };
             response = peer_messages::response(&relayed);
         }
-        self.acts.push(FrontAct::Respond(client.conn, response));
+        self.acts.push(ApiAction::Respond(client.conn, response));
     }
 
     fn status(state: JobState, id: JobId, done: u64, running: u64) -> Vec<u8> {
@@ -232,28 +232,28 @@
             Submission::Hopeless(wrong) => self.respond(client, problem(400, &wrong)),
             Submission::Bad(id, wrong) => {
                 let otherwise = problem(400, &wrong);
-                self.begin(client, id, Want::Repeat { otherwise }, now);
+                self.begin(client, id, Intent::Repeat { otherwise }, now);
             }
             Submission::Good(spec) => {
                 let id = spec.id;
-                let want = match self.can_ever_run(&spec, types) {
+                let intent = match self.can_ever_run(&spec, types) {
                     Some(Ok(())) => {
                         let mut record = JobRecord {
                             spec: *spec,
                             at_ms,
-                            chunk: self.chunk_size,
+                            chunk: self.tasks_per_record,
                         };
                         record.shorten(self.max_value, types);
-                        Want::Submit(Box::new(record))
+                        Intent::Submit(Box::new(record))
                     }
-                    Some(Err(why)) => Want::Repeat {
+                    Some(Err(why)) => Intent::Repeat {
                         otherwise: problem(422, why),
                     },
-                    None => Want::Repeat {
+                    None => Intent::Repeat {
                         otherwise: unavailable(),
                     },
                 };
-                self.begin(client, id, want, now);
+                self.begin(client, id, intent, now);
             }
         }
     }
@@ -289,19 +289,19 @@
 
     pub fn poll(&mut self, client: Client, id: &str, now: Time) {
         match JobId::parse(id) {
-            Some(id) => self.begin(client, id, Want::Poll, now),
+            Some(id) => self.begin(client, id, Intent::Poll, now),
             None => self.respond(client, problem(404, "no such job")),
         }
     }
 
-    pub fn withdraw(&mut self, client: Client, id: &str, now: Time) {
+    pub fn cancel(&mut self, client: Client, id: &str, now: Time) {
         match JobId::parse(id) {
-            Some(id) => self.begin(client, id, Want::Withdraw, now),
+            Some(id) => self.begin(client, id, Intent::Cancel, now),
             None => self.respond(client, problem(404, "no such job")),
         }
     }
 
-    fn begin(&mut self, client: Client, job: JobId, want: Want, now: Time) {
+    fn begin(&mut self, client: Client, job: JobId, intent: Intent, now: Time) {
         if let Some(over) = self.finals.get(&job).copied() {
             self.respond(client, Self::final_answer(job, over));
             return;
@@ -311,9 +311,9 @@
             return;
         }
         self.next += 1;
-        let id = FrontId(self.next);
-        let submits = matches!(want, Want::Submit(_));
-        let limit = if matches!(want, Want::Poll) {
+        let id = ApiRequestId(self.next);
+        let submits = matches!(intent, Intent::Submit(_));
+        let limit = if matches!(intent, Intent::Poll) {
             POLL_LIMIT
         } else {
             SUBMIT_LIMIT
@@ -324,7 +324,7 @@
             Open {
                 client,
                 job,
-                want,
+                intent,
                 stage: Stage::Queued,
                 until,
                 repeated: false,
@@ -341,13 +341,13 @@
     }
 
     /// The one place where a request changes its stage; each reading stage sends its read.
-    fn enter(&mut self, id: FrontId, stage: Stage) {
+    fn enter(&mut self, id: ApiRequestId, stage: Stage) {
         let Some(open) = self.open.get_mut(&id) else {
             return;
         };
         let job = open.job;
         open.stage = stage;
-        let class = if matches!(open.want, Want::Poll) {
+        let class = if matches!(open.intent, Intent::Poll) {
             Class::Read
         } else {
             Class::User
@@ -361,8 +361,8 @@
                 after: String::new(),
                 limit: BOOKINGS_PAGE,
             },
-            Stage::Securing => {
-                self.acts.push(FrontAct::Secure(job));
+            Stage::AwaitingLeader => {
+                self.acts.push(ApiAction::InformLeader(job));
                 return;
             }
             Stage::Queued => {
@@ -373,15 +373,16 @@
                 self.comparisons.push_back(id);
                 return;
             }
-            Stage::Withdrawing | Stage::Relaying => return,
+            Stage::Cancelling | Stage::Relaying => return,
         };
-        self.acts.push(FrontAct::Ask(class, ask, FrontAsk::One(id)));
+        self.acts
+            .push(ApiAction::Ask(class, ask, ApiStateRequest::One(id)));
     }
 
     /// The state service did not do what it was asked. Where the budget did not suffice, and once
     /// where an answer was lost that others got, the same is asked again; else perhaps another node
     /// has more luck.
-    fn unanswered(&mut self, id: FrontId, outcome: &Outcome, view: &View, now: Time) {
+    fn unanswered(&mut self, id: ApiRequestId, outcome: &Outcome, view: &View, now: Time) {
         let Some(open) = self.open.get_mut(&id) else {
             return;
         };
@@ -395,7 +396,7 @@
     }
 
     /// The same again, while there is time.
-    fn again(&mut self, id: FrontId, now: Time) {
+    fn again(&mut self, id: ApiRequestId, now: Time) {
         let Some(open) = self.open.get(&id) else {
             return;
         };
@@ -403,39 +404,39 @@
             return self.finish(id, unavailable());
         }
         let stage = match open.stage {
-            // What was withdrawn needs the version of its record.
-            Stage::Withdrawing => Stage::ReadingLive,
+            // What was cancelled needs the version of its record.
+            Stage::Cancelling => Stage::ReadingLive,
             ref other => other.clone(),
         };
         self.enter(id, stage);
     }
 
     /// The state service does not answer this node; perhaps it answers another.
-    fn relay(&mut self, id: FrontId) {
+    fn relay(&mut self, id: ApiRequestId) {
         let Some(open) = self.open.get(&id) else {
             return;
         };
         if open.client.relayed || open.stage == Stage::Relaying {
             return self.finish(id, unavailable());
         }
-        let relay = match &open.want {
-            Want::Submit(record) => RelayedRequest::Submit(encode(&record.spec)),
-            Want::Repeat { .. } | Want::Poll => RelayedRequest::Status(open.job.to_string()),
-            Want::Withdraw => RelayedRequest::Cancel(open.job.to_string()),
+        let relay = match &open.intent {
+            Intent::Submit(record) => RelayedRequest::Submit(encode(&record.spec)),
+            Intent::Repeat { .. } | Intent::Poll => RelayedRequest::Status(open.job.to_string()),
+            Intent::Cancel => RelayedRequest::Cancel(open.job.to_string()),
         };
         self.enter(id, Stage::Relaying);
-        self.acts.push(FrontAct::Relay(id, relay));
+        self.acts.push(ApiAction::Relay(id, relay));
     }
 
     /// What the other node said; `None` if it could not be asked, or did not answer.
-    pub fn on_relayed(&mut self, id: FrontId, relayed: Option<RelayedResponse>, now: Time) {
+    pub fn on_relayed(&mut self, id: ApiRequestId, relayed: Option<RelayedResponse>, now: Time) {
         let Some(open) = self.open.get(&id) else {
             return;
         };
         let relayed = relayed.filter(|_| now < open.until);
-        let response = match (relayed, &open.want) {
+        let response = match (relayed, &open.intent) {
             (None, _) => unavailable(),
-            (Some(RelayedResponse { status: 404, .. }), Want::Repeat { otherwise }) => {
+            (Some(RelayedResponse { status: 404, .. }), Intent::Repeat { otherwise }) => {
                 otherwise.clone()
             }
             (Some(relayed), _) => Response {
@@ -448,7 +449,7 @@
         self.finish(id, response);
     }
 
-    fn finish(&mut self, id: FrontId, response: Response) {
+    fn finish(&mut self, id: ApiRequestId, response: Response) {
         if let Some(open) = self.open.remove(&id) {
             self.respond(open.client, response);
         }
@@ -463,7 +464,7 @@
         }
     }
 
-    fn tell_progress(&mut self, id: FrontId, job: JobId, done: u64, running: u64) {
+    fn answer_progress(&mut self, id: ApiRequestId, job: JobId, done: u64, running: u64) {
         let response = self.standing(job, done, running);
         self.finish(id, response);
     }
@@ -488,7 +489,7 @@
             let Some(open) = self.open.get(&id) else {
                 continue;
             };
-            let Want::Submit(record) = &open.want else {
+            let Intent::Submit(record) = &open.intent else {
                 continue;
             };
             let size = serde_json::to_vec(record).map_or(usize::MAX, |v| v.len());
@@ -513,19 +514,22 @@
         if !ids.is_empty() {
             self.in_flight = true;
             let ask = Ask::Txn(txn);
-            self.acts
-                .push(FrontAct::Ask(Class::User, ask, FrontAsk::Batch(ids)));
+            self.acts.push(ApiAction::Ask(
+                Class::User,
+                ask,
+                ApiStateRequest::Batch(ids),
+            ));
         }
     }
 
     // ---- outcomes
 
-    pub fn on_outcome(&mut self, ask: FrontAsk, outcome: Outcome, view: &View, now: Time) {
+    pub fn on_outcome(&mut self, ask: ApiStateRequest, outcome: Outcome, view: &View, now: Time) {
         // What lay here while this process stood still is an old answer; nobody gets it any more.
         let asked = match &ask {
-            FrontAsk::Batch(ids) | FrontAsk::Comparison(ids) => &ids[..],
-            FrontAsk::One(id) => std::slice::from_ref(id),
-            FrontAsk::Listing => &[],
+            ApiStateRequest::Batch(ids) | ApiStateRequest::Comparison(ids) => &ids[..],
+            ApiStateRequest::One(id) => std::slice::from_ref(id),
+            ApiStateRequest::Listing => &[],
         };
         for id in asked {
             if self.open.get(id).is_some_and(|open| now >= open.until) {
@@ -533,14 +537,14 @@
             }
         }
         match ask {
-            FrontAsk::Batch(ids) => self.on_batch(ids, outcome, view, now),
-            FrontAsk::One(id) => self.on_one(id, outcome, view, now),
-            FrontAsk::Comparison(ids) => self.on_comparison(ids, outcome, view, now),
-            FrontAsk::Listing => self.on_listing(outcome, view, now),
+            ApiStateRequest::Batch(ids) => self.on_batch(ids, outcome, view, now),
+            ApiStateRequest::One(id) => self.on_one(id, outcome, view, now),
+            ApiStateRequest::Comparison(ids) => self.on_comparison(ids, outcome, view, now),
+            ApiStateRequest::Listing => self.on_listing(outcome, view, now),
         }
     }
 
-    fn on_batch(&mut self, ids: Vec<FrontId>, outcome: Outcome, view: &View, now: Time) {
+    fn on_batch(&mut self, ids: Vec<ApiRequestId>, outcome: Outcome, view: &View, now: Time) {
         self.in_flight = false;
         for id in ids {
             let Some(open) = self.open.get(&id) else {
@@ -570,12 +574,12 @@
         }
     }
 
-    fn on_one(&mut self, id: FrontId, outcome: Outcome, view: &View, now: Time) {
+    fn on_one(&mut self, id: ApiRequestId, outcome: Outcome, view: &View, now: Time) {
         let Some(open) = self.open.get(&id) else {
             return;
         };
         let job = open.job;
-        let withdraws = matches!(open.want, Want::Withdraw);
+        let cancels = matches!(open.intent, Intent::Cancel);
         match (open.stage.clone(), outcome) {
             (Stage::ReadingLive, Outcome::Item(Some(item))) => {
                 if let Some(over) = records::over_in_place(&item.value) {
@@ -584,17 +588,17 @@
                     return;
                 }
                 self.know(job, item.stamp);
-                if withdraws {
-                    self.send_withdrawal(id, job, item.stamp);
+                if cancels {
+                    self.send_cancellation(id, job, item.stamp);
                 } else if let Some((done, running)) = (view.counts)(job) {
-                    self.tell_progress(id, job, done, running);
+                    self.answer_progress(id, job, done, running);
                 } else {
                     self.enter(id, Stage::ReadingCounts);
                 }
             }
             (Stage::ReadingLive, Outcome::Item(None)) => self.enter(id, Stage::ReadingOver),
             (Stage::ReadingCounts, Outcome::Item(item)) => {
-                let record: Option<ChunkRecord> = item.and_then(|i| i.record());
+                let record: Option<RunRecord> = item.and_then(|i| i.record());
                 let (done, running) = record.map_or((0, 0), |r| {
                     (r.done_count() + r.rest.0, r.booked.len() as u64 + r.rest.1)
                 });
@@ -602,14 +606,14 @@
                     known.counts = (done, running);
                     known.counted = now;
                 }
-                self.tell_progress(id, job, done, running);
+                self.answer_progress(id, job, done, running);
             }
             (Stage::ReadingOver, Outcome::Item(Some(item))) => match item.record::<OverRecord>() {
                 Some(over) if over.state == JobState::Cancelled => {
-                    if withdraws {
+                    if cancels {
                         self.cancelled.push(job);
                     }
-                    self.enter(id, Stage::Securing);
+                    self.enter(id, Stage::AwaitingLeader);
                 }
                 Some(over) => {
                     self.remember(job, over);
@@ -619,51 +623,51 @@
             },
             // Neither live nor over: as that move is atomic and one-way, it was never accepted.
             (Stage::ReadingOver, Outcome::Item(None)) => self.never_accepted(id),
-            (Stage::Withdrawing, Outcome::Applied(_)) => {
+            (Stage::Cancelling, Outcome::Applied(_)) => {
                 self.cancelled.push(job);
-                self.enter(id, Stage::Securing);
+                self.enter(id, Stage::AwaitingLeader);
             }
             (Stage::ReadingBookings, Outcome::Page(page)) => {
                 let booked = |item: &Item| {
-                    let record: Option<ChunkRecord> = item.record();
+                    let record: Option<RunRecord> = item.record();
                     record.is_none_or(|r| !r.booked.is_empty())
                 };
                 if page.more || page.items.iter().any(booked) {
                     self.finish(id, unavailable());
                 } else {
-                    self.tell_cancelled(id, job);
+                    self.confirm_cancelled(id, job);
                 }
             }
-            // It was finished or withdrawn by another: look again.
-            (Stage::Withdrawing, Outcome::Conflict(_)) => {
+            // It was finished or cancelled by another: look again.
+            (Stage::Cancelling, Outcome::Conflict(_)) => {
                 self.enter(id, Stage::ReadingLive);
             }
             // That the job is not over is known; the counts are for display.
             (Stage::ReadingCounts, _) => {
                 let (done, running) = self.known.get(&job).map_or((0, 0), |k| k.counts);
-                self.tell_progress(id, job, done, running);
+                self.answer_progress(id, job, done, running);
             }
             (_, outcome) => self.unanswered(id, &outcome, view, now),
         }
     }
 
     /// The leader's word on a cancellation: whether it has it in hand.
-    pub fn on_secured(&mut self, job: JobId, secured: bool, now: Time) {
+    pub fn on_leader_answer(&mut self, job: JobId, acknowledged: bool, now: Time) {
         let waiting = self.open.iter();
-        let waiting = waiting.filter(|(_, o)| o.job == job && o.stage == Stage::Securing);
+        let waiting = waiting.filter(|(_, o)| o.job == job && o.stage == Stage::AwaitingLeader);
         for id in waiting.map(|(id, _)| *id).collect::<Vec<_>>() {
             let late = self.open.get(&id).is_some_and(|open| now >= open.until);
             if late {
                 self.finish(id, unavailable());
-            } else if secured {
-                self.tell_cancelled(id, job);
+            } else if acknowledged {
+                self.confirm_cancelled(id, job);
             } else {
                 self.enter(id, Stage::ReadingBookings);
             }
         }
     }
 
-    fn tell_cancelled(&mut self, id: FrontId, job: JobId) {
+    fn confirm_cancelled(&mut self, id: ApiRequestId, job: JobId) {
         let (state, tasks) = (JobState::Cancelled, 0);
         let over = OverRecord { state, tasks };
         self.remember(job, over);
@@ -679,7 +683,7 @@
         Response::new(200, Self::status(state, job, done, running))
     }
 
-    fn send_withdrawal(&mut self, id: FrontId, job: JobId, live: Stamp) {
+    fn send_cancellation(&mut self, id: ApiRequestId, job: JobId, live: Stamp) {
         let over = OverRecord {
             state: JobState::Cancelled,
             tasks: 0,
@@ -689,13 +693,13 @@
         txn.changes.push(Change::delete(records::live_key(job)));
         txn.changes
             .push(Change::put(records::over_key(job), value(&over)));
-        self.enter(id, Stage::Withdrawing);
+        self.enter(id, Stage::Cancelling);
         let ask = Ask::Txn(txn);
         self.acts
-            .push(FrontAct::Ask(Class::User, ask, FrontAsk::One(id)));
+            .push(ApiAction::Ask(Class::User, ask, ApiStateRequest::One(id)));
     }
 
-    fn never_accepted(&mut self, id: FrontId) {
+    fn never_accepted(&mut self, id: ApiRequestId) {
         let Some(open) = self.open.get(&id) else {
             return;
         };
@@ -703,17 +707,17 @@
             // It was accepted, here, while this was read.
             return self.enter(id, Stage::ReadingLive);
         }
-        match open.want.clone() {
-            Want::Repeat { otherwise } => self.finish(id, otherwise),
-            // It lost a race against a withdrawal's record that is not there: try once more.
-            Want::Submit(_) => self.enter(id, Stage::Queued),
-            Want::Poll | Want::Withdraw => self.finish(id, problem(404, "no such job")),
+        match open.intent.clone() {
+            Intent::Repeat { otherwise } => self.finish(id, otherwise),
+            // It lost a race against a cancellation's record that is not there: try once more.
+            Intent::Submit(_) => self.enter(id, Stage::Queued),
+            Intent::Poll | Intent::Cancel => self.finish(id, problem(404, "no such job")),
         }
     }
 
     /// Requests whose time is up get their answer while their users still wait for it.
     pub fn expire(&mut self, now: Time) {
-        let late: Vec<FrontId> = self
+        let late: Vec<ApiRequestId> = self
             .open
             .iter()
             .filter(|(_, open)| now >= open.until)
--- a/src/node/front/questions.rs
+++ b/src/node/api/status_queries.rs
@@ -4,10 +4,10 @@
 use std::collections::{BTreeSet, HashMap};
 use std::time::Duration;
 
-use super::{Front, FrontAct, FrontAsk, FrontId, Stage, View};
-use crate::bookkeeping::records::{self, parse_live, OverRecord};
-use crate::bookkeeping::store::{Ask, Class, Outcome};
+use super::{ApiAction, ApiRequestId, ApiServer, ApiStateRequest, Stage, View};
 use crate::protocol::state::{Condition, Txn};
+use crate::storage::records::{self, parse_live, OverRecord};
+use crate::storage::store::{Ask, Class, Outcome};
 use crate::types::{JobId, Stamp, Time};
 
 /// So many polls about jobs that this node does not know are answered by one read of all jobs.
@@ -31,12 +31,12 @@
 /// controller ended, its users come to the others all at once.
 #[derive(Default)]
 pub(super) struct Listing {
-    asked: Vec<FrontId>,
+    asked: Vec<ApiRequestId>,
     /// What the pages so far held; with the final state of those that got done.
     seen: HashMap<JobId, Option<OverRecord>>,
 }
 
-impl Front {
+impl ApiServer {
     /// A job that was not over at that version of its record.
     pub(super) fn know(&mut self, id: JobId, live: Stamp) {
         let counts = (0, 0);
@@ -56,7 +56,7 @@
     }
 
     /// Polls about jobs that this node does not know: a few are read one by one.
-    fn list_all(&mut self, unknown: Vec<FrontId>) {
+    fn list_all(&mut self, unknown: Vec<ApiRequestId>) {
         if unknown.len() < WORTH_LISTING && self.listing.is_none() {
             for id in unknown {
                 self.enter(id, Stage::ReadingLive);
@@ -80,7 +80,7 @@
             limit: LIST_PAGE,
         };
         self.acts
-            .push(FrontAct::Ask(Class::Read, ask, FrontAsk::Listing));
+            .push(ApiAction::Ask(Class::Read, ask, ApiStateRequest::Listing));
     }
 
     pub(super) fn on_listing(&mut self, outcome: Outcome, view: &View, now: Time) {
@@ -156,17 +156,17 @@
         self.list_all(unknown);
         if !ids.is_empty() {
             self.comparing = true;
-            self.acts.push(FrontAct::Ask(
+            self.acts.push(ApiAction::Ask(
                 Class::Read,
                 Ask::Txn(txn),
-                FrontAsk::Comparison(ids),
+                ApiStateRequest::Comparison(ids),
             ));
         }
     }
 
     pub(super) fn on_comparison(
         &mut self,
-        ids: Vec<FrontId>,
+        ids: Vec<ApiRequestId>,
         outcome: Outcome,
         view: &View,
         now: Time,
@@ -197,16 +197,16 @@
     }
 
     /// The job's record was there a moment ago; what remains is how its tasks stand.
-    fn still_live(&mut self, id: FrontId, job: JobId, view: &View, now: Time) {
+    fn still_live(&mut self, id: ApiRequestId, job: JobId, view: &View, now: Time) {
         if self.finals.contains_key(&job) {
-            return self.tell_progress(id, job, 0, 0);
+            return self.answer_progress(id, job, 0, 0);
         }
         let known = self.known.get(&job);
         let shown = known.map(|k| (k.counts, now.since(k.counted) < COUNTS_FOR));
         match ((view.counts)(job), shown) {
-            (Some((done, running)), _) => self.tell_progress(id, job, done, running),
+            (Some((done, running)), _) => self.answer_progress(id, job, done, running),
             (None, Some(((done, running), fresh))) if fresh || !view.spare => {
-                self.tell_progress(id, job, done, running);
+                self.answer_progress(id, job, done, running);
             }
             _ => self.enter(id, Stage::ReadingCounts),
         }
--- a/src/node/cancellations.rs
+++ b/src/node/cancellations.rs
@@ -1,5 +1,5 @@
 //! A cancellation is told to a user only once it can't be undone by whatever happens next: either no
-//! task of the job is booked any more, or the leader in office knows of it and is the only one whom the
+//! task of the job is booked any more, or the leader in duties knows of it and is the only one whom the
 //! workers that hold its tasks still obey. Whoever leads later reads it from the records.
 //!
 //! Without that, a node could confirm a cancellation and end before it told anybody; the leader, whom
@@ -7,7 +7,7 @@
 
 use std::time::Duration;
 
-use super::{peer_messages, Node, MAX_TOLD};
+use super::{peer_messages, Node, MAX_CANCELLATIONS};
 use crate::protocol::peers::{self, AcknowledgedJobs, CancelledJobs, RecentCancellation};
 use crate::protocol::workers::{stops, Order, Report};
 use crate::transport::{CallError, Network, Response};
@@ -21,7 +21,7 @@
 impl<N: Network> Node<N> {
     /// The latest cancellations, with what is left of their time: it only gets less on its way from
     /// node to node, so that none goes round for ever.
-    pub(super) fn cancelled_to_tell(&self) -> Vec<RecentCancellation> {
+    pub(super) fn recent_cancellations(&self) -> Vec<RecentCancellation> {
         let now = self.net.now();
         let recent = self
             .cancelled
@@ -32,7 +32,7 @@
             });
         let mut latest: Vec<RecentCancellation> = recent.collect();
         latest.sort_by_key(|cancelled| std::cmp::Reverse(cancelled.remaining_ms));
-        latest.truncate(MAX_TOLD);
+        latest.truncate(MAX_CANCELLATIONS);
         latest
     }
 
@@ -42,30 +42,30 @@
         let until = now.after(left);
         let known = self.cancelled.entry(job).or_insert(until);
         *known = until.max(*known);
-        if let Some(office) = &mut self.office {
-            office.controller.on_cancelled(job, now);
+        if let Some(duties) = &mut self.duties {
+            duties.controller.on_cancelled(job, now);
         }
     }
 
     /// Asks the leader whether it has the cancellation in hand.
-    pub(super) fn secure(&mut self, job: JobId) {
-        if self.office.is_some() {
-            let secured = self.has_in_hand(job);
+    pub(super) fn inform_leader(&mut self, job: JobId) {
+        if self.duties.is_some() {
+            let acknowledged = self.acknowledges(job);
             let now = self.net.now();
-            return self.front.on_secured(job, secured, now);
+            return self.api.on_leader_answer(job, acknowledged, now);
         }
-        self.to_secure.insert(job);
-        self.ask_to_secure();
+        self.to_acknowledge.insert(job);
+        self.send_cancelled_to_leader();
     }
 
-    fn ask_to_secure(&mut self) {
-        if self.securing.is_some() || self.to_secure.is_empty() {
+    fn send_cancelled_to_leader(&mut self) {
+        if self.acknowledging.is_some() || self.to_acknowledge.is_empty() {
             return;
         }
-        let mut jobs = std::mem::take(&mut self.to_secure);
+        let mut jobs = std::mem::take(&mut self.to_acknowledge);
         if jobs.len() > MAX_SECURED {
             let middle = jobs.iter().nth(MAX_SECURED).copied();
-            self.to_secure = middle.map(|m| jobs.split_off(&m)).unwrap_or_default();
+            self.to_acknowledge = middle.map(|m| jobs.split_off(&m)).unwrap_or_default();
         }
         let leader = self.leadership.leader.as_deref();
         let jobs: Vec<JobId> = jobs.into_iter().collect();
@@ -88,7 +88,7 @@
             ACKNOWLEDGE_TIMEOUT,
         );
         match call {
-            Some(call) => self.securing = Some((call, jobs)),
+            Some(call) => self.acknowledging = Some((call, jobs)),
             None => self.none_acknowledged(jobs),
         }
     }
@@ -96,45 +96,45 @@
     fn none_acknowledged(&mut self, jobs: Vec<JobId>) {
         let now = self.net.now();
         for job in jobs {
-            self.front.on_secured(job, false, now);
+            self.api.on_leader_answer(job, false, now);
         }
     }
 
-    pub(super) fn on_secured(&mut self, result: Result<Response, CallError>) {
-        let Some((_, jobs)) = self.securing.take() else {
+    pub(super) fn on_leader_answer(&mut self, result: Result<Response, CallError>) {
+        let Some((_, jobs)) = self.acknowledging.take() else {
             return;
         };
         let now = self.net.now();
         let answer = peer_messages::answer::<AcknowledgedJobs>(peers::CANCELLED_PATH, result);
-        let secured = answer.map_or(Vec::new(), |a| a.jobs);
+        let acknowledged = answer.map_or(Vec::new(), |a| a.jobs);
         for job in jobs {
-            let known = secured.contains(&job.0);
-            self.front.on_secured(job, known, now);
+            let known = acknowledged.contains(&job.0);
+            self.api.on_leader_answer(job, known, now);
         }
-        self.ask_to_secure();
+        self.send_cancelled_to_leader();
     }
 
     /// Another node has found these jobs cancelled in the records.
-    pub(super) fn on_told_cancelled(&mut self, body: &[u8]) -> Response {
+    pub(super) fn on_cancelled_by_peer(&mut self, body: &[u8]) -> Response {
         let told: CancelledJobs = match peers::decode(body) {
             Ok(told) => told,
             Err(error) => return peer_messages::refusal(peers::CANCELLED_PATH, &error),
         };
         let jobs = told.jobs.into_iter();
-        let jobs = jobs.filter(|job| self.has_in_hand(JobId(*job))).collect();
+        let jobs = jobs.filter(|job| self.acknowledges(JobId(*job))).collect();
         peer_messages::response(&AcknowledgedJobs { jobs })
     }
 
     /// Whether this node leads, surely so at this moment, and what it says of the cancelled job's tasks
     /// is all that is said to their workers. They are stopped in any case.
-    fn has_in_hand(&mut self, job: JobId) -> bool {
+    fn acknowledges(&mut self, job: JobId) -> bool {
         let now = self.net.now();
         let certain = self.leadership.is_certain(now);
-        let Some(office) = &mut self.office else {
+        let Some(duties) = &mut self.duties else {
             return false;
         };
-        office.controller.on_cancelled(job, now);
-        certain && office.has_loaded() && office.controller.alone_commands(job)
+        duties.controller.on_cancelled(job, now);
+        certain && duties.has_loaded() && duties.controller.alone_commands(job)
     }
 
     /// Stops for what the report shows of jobs that are known to be cancelled.
--- a/src/node/heartbeats.rs
+++ b/src/node/heartbeats.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use super::{peer_messages, Node, HEADROOM};
-use crate::bookkeeping::budget::share_of;
 use crate::protocol::peers::{self, Heartbeat, Spending};
+use crate::storage::budget::share_of;
 use crate::transport::{CallError, CallId, Network, Response};
 use crate::types::{JobId, Term, Time};
 
@@ -85,7 +85,7 @@
                 requests: self.spends.0.ceil() as u32,
                 changes: self.spends.1.ceil() as u32,
             },
-            cancelled: self.cancelled_to_tell(),
+            cancelled: self.recent_cancellations(),
         }
     }
 
@@ -143,8 +143,8 @@
             self.on_cancelled(JobId(cancelled.job), remaining.min(longest));
         }
         let term = Term(heartbeat.term);
-        let wish = self.leadership.heard_of(term, heartbeat.leader.as_deref());
-        self.grant(wish);
+        let action = self.leadership.heard_of(term, heartbeat.leader.as_deref());
+        self.grant(action);
     }
 
     /// A controller that falls silent shows in the logs of the others.
--- a/src/node/office.rs
+++ b/src/node/leader_duties.rs
@@ -5,21 +5,21 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use crate::bookkeeping::budget::Budget;
-use crate::bookkeeping::records;
-use crate::bookkeeping::store::{Ask, Class, Outcome};
 use crate::coordination::fleet::RentalResult;
 use crate::coordination::{Action, CommandResult, Controller, Deposed};
 use crate::protocol::cloud::{HostList, HostNames, ListedHost, MachineTypes, Rental, LIST_PAGE};
 use crate::protocol::state::{value, Change, Item, Page, Txn};
 use crate::protocol::workers::{Command, Order};
 use crate::protocol::{decode, encode};
+use crate::storage::budget::Budget;
+use crate::storage::records;
+use crate::storage::store::{Ask, Class, Outcome};
 use crate::transport::{CallError, CallId, Network, Response};
 use crate::types::{HostName, JobId, Session, Stamp, Time};
 
 /// Which request to the state service an outcome answers.
 #[derive(Clone, Debug)]
-pub enum OfficeAsk {
+pub enum LeaderRequest {
     Live { after: String },
     Runs { after: String },
     Watch,
@@ -30,7 +30,7 @@
 
 /// Which call to a worker or the cloud a reply answers.
 #[derive(Debug)]
-enum OfficeCall {
+enum LeaderCall {
     Command {
         host: HostName,
         session: Session,
@@ -58,18 +58,18 @@
 /// What the smallest step takes: a record and the first one of its job.
 const LEAST_BATCH: usize = 2;
 /// A transaction waits until the budget allows so many changes, if there are as many.
-const WORTH_BATCH: usize = 6;
+const FULL_BATCH: usize = 6;
 
 /// How often something is done, and whether it is being done.
-struct Chore {
+struct PeriodicTask {
     every: Duration,
     due: Time,
     busy: bool,
 }
 
-impl Chore {
-    fn new(every: Duration, now: Time) -> Chore {
-        Chore {
+impl PeriodicTask {
+    fn new(every: Duration, now: Time) -> PeriodicTask {
+        PeriodicTask {
             every,
             due: now,
             busy: false,
@@ -86,19 +86,19 @@
     }
 }
 
-pub struct Office {
+pub struct LeaderDuties {
     pub controller: Controller,
     cloud: SocketAddr,
     cloud_budget: Budget,
-    calls: HashMap<CallId, OfficeCall>,
-    wishes: Vec<(Class, Ask, Duration, OfficeAsk)>,
+    calls: HashMap<CallId, LeaderCall>,
+    pending: Vec<(Class, Ask, Duration, LeaderRequest)>,
     watch_from: Stamp,
     /// While the jobs are read again in full: those seen so far.
     seen: Option<BTreeSet<JobId>>,
     loaded: bool,
     listing: Vec<ListedHost>,
-    list: Chore,
-    types: Chore,
+    list: PeriodicTask,
+    types: PeriodicTask,
     types_written: bool,
     batch_interval: Duration,
     batch_at: Time,
@@ -108,7 +108,7 @@
     decide_at: Time,
 }
 
-impl Office {
+impl LeaderDuties {
     pub fn new(
         controller: Controller,
         cloud: SocketAddr,
@@ -116,19 +116,19 @@
         txn_ops: usize,
         batch_interval: Duration,
         now: Time,
-    ) -> Office {
-        let mut office = Office {
+    ) -> LeaderDuties {
+        let mut duties = LeaderDuties {
             controller,
             cloud,
             cloud_budget: Budget::new(cloud_rps * 0.8, cloud_rps),
             calls: HashMap::new(),
-            wishes: Vec::new(),
+            pending: Vec::new(),
             watch_from: Stamp(0),
             seen: Some(BTreeSet::new()),
             loaded: false,
             listing: Vec::new(),
-            list: Chore::new(LIST_EVERY, now),
-            types: Chore::new(TYPES_EVERY, now),
+            list: PeriodicTask::new(LIST_EVERY, now),
+            types: PeriodicTask::new(TYPES_EVERY, now),
             types_written: false,
             batch_interval,
             batch_at: now,
@@ -136,12 +136,12 @@
             waiting: Vec::new(),
             decide_at: now,
         };
-        office.read_live(String::new());
-        office
+        duties.read_live(String::new());
+        duties
     }
 
-    pub fn take_wishes(&mut self) -> Vec<(Class, Ask, Duration, OfficeAsk)> {
-        std::mem::take(&mut self.wishes)
+    pub fn take_pending(&mut self) -> Vec<(Class, Ask, Duration, LeaderRequest)> {
+        std::mem::take(&mut self.pending)
     }
 
     /// Whether all records have been read.
@@ -155,8 +155,12 @@
             after: after.clone(),
             limit: LOAD_PAGE,
         };
-        self.wishes
-            .push((Class::Booking, ask, LOAD_LIMIT, OfficeAsk::Live { after }));
+        self.pending.push((
+            Class::Booking,
+            ask,
+            LOAD_LIMIT,
+            LeaderRequest::Live { after },
+        ));
     }
 
     fn read_runs(&mut self, after: String) {
@@ -165,8 +169,12 @@
             after: after.clone(),
             limit: LOAD_PAGE,
         };
-        self.wishes
-            .push((Class::Booking, ask, LOAD_LIMIT, OfficeAsk::Runs { after }));
+        self.pending.push((
+            Class::Booking,
+            ask,
+            LOAD_LIMIT,
+            LeaderRequest::Runs { after },
+        ));
     }
 
     fn watch(&mut self) {
@@ -176,40 +184,40 @@
             after: self.watch_from,
             hold: WATCH_HOLD,
         };
-        self.wishes
-            .push((Class::Booking, ask, WATCH_SLACK, OfficeAsk::Watch));
+        self.pending
+            .push((Class::Booking, ask, WATCH_SLACK, LeaderRequest::Watch));
     }
 
     // ---- outcomes of the state service
 
     pub fn on_outcome(
         &mut self,
-        ask: OfficeAsk,
+        ask: LeaderRequest,
         outcome: Outcome,
         now: Time,
     ) -> Result<(), Deposed> {
         match ask {
-            OfficeAsk::Live { after } => match outcome {
+            LeaderRequest::Live { after } => match outcome {
                 Outcome::Page(page) => self.on_live_page(after.is_empty(), page, now),
                 _ => self.read_live(after),
             },
-            OfficeAsk::Runs { after } => match outcome {
+            LeaderRequest::Runs { after } => match outcome {
                 Outcome::Page(page) => self.on_run_page(page, now),
                 _ => self.read_runs(after),
             },
-            OfficeAsk::Watch => self.on_watch(outcome, now),
-            OfficeAsk::Batch => return self.on_batch(outcome, now),
-            OfficeAsk::Reread(job, chunk) => {
-                let Controller { ledger, jobs, .. } = &mut self.controller;
+            LeaderRequest::Watch => self.on_watch(outcome, now),
+            LeaderRequest::Batch => return self.on_batch(outcome, now),
+            LeaderRequest::Reread(job, chunk) => {
+                let Controller { batcher, jobs, .. } = &mut self.controller;
                 match outcome {
                     Outcome::Item(item) => {
                         let stamp = item.map_or(Stamp(0), |i| i.stamp);
-                        ledger.reread(jobs, job, chunk, stamp);
+                        batcher.reread(jobs, job, chunk, stamp);
                     }
-                    _ => ledger.still_unsure(job, chunk),
+                    _ => batcher.version_still_unknown(job, chunk),
                 }
             }
-            OfficeAsk::Types => self.types_written = matches!(outcome, Outcome::Applied(_)),
+            LeaderRequest::Types => self.types_written = matches!(outcome, Outcome::Applied(_)),
         }
         Ok(())
     }
@@ -302,20 +310,20 @@
     }
 
     fn on_batch(&mut self, outcome: Outcome, now: Time) -> Result<(), Deposed> {
-        let Controller { ledger, jobs, .. } = &mut self.controller;
+        let Controller { batcher, jobs, .. } = &mut self.controller;
         let verdict = match outcome {
-            Outcome::Applied(revision) => ledger.applied(jobs, revision, now),
-            Outcome::Conflict(failed) => ledger.conflict(jobs, &failed),
+            Outcome::Applied(revision) => batcher.applied(jobs, revision, now),
+            Outcome::Conflict(failed) => batcher.conflict(jobs, &failed),
             Outcome::Unknown => {
-                ledger.lost();
+                batcher.lost();
                 return Ok(());
             }
             Outcome::Invalid => {
-                ledger.invalid();
+                batcher.invalid();
                 return Ok(());
             }
             _ => {
-                ledger.refused();
+                batcher.refused();
                 return Ok(());
             }
         };
@@ -335,17 +343,17 @@
         if self.may_act(net) {
             self.commit(writes, now);
         }
-        for (job, chunk) in self.controller.ledger.take_unsure() {
+        for (job, chunk) in self.controller.batcher.take_version_unknown() {
             let ask = Ask::Get(records::run_key(job, chunk));
-            self.wishes.push((
+            self.pending.push((
                 Class::Booking,
                 ask,
                 BATCH_LIMIT,
-                OfficeAsk::Reread(job, chunk),
+                LeaderRequest::Reread(job, chunk),
             ));
         }
         if self.may_act(net) {
-            self.chores(net, now);
+            self.run_periodic_tasks(net, now);
         }
         let mut actions = std::mem::take(&mut self.waiting);
         actions.extend(self.controller.take_actions());
@@ -360,35 +368,39 @@
     }
 
     fn commit(&mut self, writes: &mut Budget, now: Time) {
-        let ledger = &self.controller.ledger;
-        if !ledger.is_idle() || now < self.batch_at {
+        let batcher = &self.controller.batcher;
+        if !batcher.is_idle() || now < self.batch_at {
             return;
         }
         let spare = writes.share(now) > SPARE;
-        if !ledger.has_urgent() && !spare {
+        if !batcher.has_urgent() && !spare {
             return;
         }
         // Many in one transaction where many wait: each is a request of its own.
         let affordable = writes.available(now).max(0.0) as usize;
         let most = affordable.min(self.txn_ops);
-        let (urgent, others) = ledger.backlog();
-        let worth = WORTH_BATCH.min(self.txn_ops);
+        let (urgent, others) = batcher.backlog();
+        let worth = FULL_BATCH.min(self.txn_ops);
         if most < (urgent + others).clamp(LEAST_BATCH, worth) {
             return;
         }
         if let Some(txn) = self.controller.next_batch(most, spare) {
             self.batch_at = now.after(self.batch_interval);
-            self.wishes
-                .push((Class::Booking, Ask::Txn(txn), BATCH_LIMIT, OfficeAsk::Batch));
+            self.pending.push((
+                Class::Booking,
+                Ask::Txn(txn),
+                BATCH_LIMIT,
+                LeaderRequest::Batch,
+            ));
         }
     }
 
-    fn chores(&mut self, net: &mut impl Network, now: Time) {
+    fn run_periodic_tasks(&mut self, net: &mut impl Network, now: Time) {
         if self.cloud_budget.available(now) < 2.0 {
             return;
         }
         if self.types.starts(now) {
-            self.ask_cloud(net, "GET", "/machine_types", &[], OfficeCall::Types, now);
+            self.ask_cloud(net, "GET", "/machine_types", &[], LeaderCall::Types, now);
         }
         if self.list.starts(now) {
             self.listing.clear();
@@ -402,7 +414,7 @@
         } else {
             format!("/hosts?after={after}&page={LIST_PAGE}")
         };
-        self.ask_cloud(net, "GET", &target, &[], OfficeCall::List, now);
+        self.ask_cloud(net, "GET", &target, &[], LeaderCall::List, now);
     }
 
     fn ask_cloud(
@@ -411,7 +423,7 @@
         method: &str,
         target: &str,
         body: &[u8],
-        what: OfficeCall,
+        what: LeaderCall,
         now: Time,
     ) {
         self.cloud_budget.spend(now, 1.0);
@@ -450,7 +462,7 @@
                 let call = net.call(to, "POST", "/commands", &body, COMMAND_LIMIT);
                 self.calls.insert(
                     call,
-                    OfficeCall::Command {
+                    LeaderCall::Command {
                         host,
                         session,
                         orders,
@@ -462,18 +474,18 @@
             }
             Action::Rent(rental) => {
                 let body = encode(&rental);
-                self.ask_cloud(net, "POST", "/hosts", &body, OfficeCall::Rent(rental), now);
+                self.ask_cloud(net, "POST", "/hosts", &body, LeaderCall::Rent(rental), now);
             }
             Action::Release(hosts) | Action::Remove(hosts) => {
                 let names = HostNames { hosts };
                 let body = encode(&names);
-                let what = OfficeCall::Release(names.hosts);
+                let what = LeaderCall::Release(names.hosts);
                 self.ask_cloud(net, "POST", "/hosts/release", &body, what, now);
             }
         }
     }
 
-    /// Takes the reply to one of the office's calls; `None` if it was not its call.
+    /// Takes the reply to one of the duties's calls; `None` if it was not its call.
     pub fn on_reply(
         &mut self,
         net: &mut impl Network,
@@ -488,7 +500,7 @@
             self.cloud_budget.back_off(now, Duration::from_millis(500));
         }
         match what {
-            OfficeCall::Command {
+            LeaderCall::Command {
                 host,
                 session,
                 orders,
@@ -498,16 +510,16 @@
                     .controller
                     .on_commanded(&host, session, &orders, result, now);
             }
-            OfficeCall::Rent(rental) => {
+            LeaderCall::Rent(rental) => {
                 self.controller
                     .on_rented(&rental.request, rental_result(result), now);
             }
-            OfficeCall::Release(names) => {
+            LeaderCall::Release(names) => {
                 let confirmed = matches!(&result, Ok(r) if r.status == 200);
                 self.controller.on_released(&names, confirmed, now);
             }
-            OfficeCall::List => self.on_list(net, result, now),
-            OfficeCall::Types => {
+            LeaderCall::List => self.on_list(net, result, now),
+            LeaderCall::Types => {
                 self.types.busy = false;
                 let types = result.ok().filter(|r| r.status == 200);
                 if let Some(types) = types.and_then(|r| decode::<MachineTypes>(&r.body).ok()) {
@@ -548,18 +560,22 @@
         let types = MachineTypes {
             types: self.controller.types.clone(),
         };
-        if records::size(&types) > self.controller.ledger.max_value {
+        if records::size(&types) > self.controller.batcher.max_value {
             // Nodes ask the cloud then.
             log::info!("the machine types are too large to be kept");
             self.types_written = true;
             return;
         }
         let mut txn = Txn::default();
-        txn.require(records::HOLDER.to_owned(), self.controller.ledger.holder());
+        txn.require(records::HOLDER.to_owned(), self.controller.batcher.holder());
         txn.changes
             .push(Change::put(records::TYPES.to_owned(), value(&types)));
-        self.wishes
-            .push((Class::Booking, Ask::Txn(txn), BATCH_LIMIT, OfficeAsk::Types));
+        self.pending.push((
+            Class::Booking,
+            Ask::Txn(txn),
+            BATCH_LIMIT,
+            LeaderRequest::Types,
+        ));
     }
 
     /// Tells of a job's tasks without a read, if this leader has it in its picture.
--- a/src/node/leader_locality.rs
+++ b/src/node/leader_locality.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use super::{Node, CALM, HANDICAP, WORKERS_FOR};
+use super::{Node, CAMPAIGN_DELAY, TRANSFER_AFTER, WORKERS_FOR};
 use crate::coordination::Reach;
 use crate::protocol::cloud::MachineType;
 use crate::transport::Network;
@@ -13,7 +13,7 @@
     /// Where the leader sits matters when zones are cut apart: workers that can't reach it lose
     /// their work. So nodes of the zone with the most machines go first, and a leader elsewhere, or
     /// one that most workers don't reach, makes room.
-    pub(super) fn consider_seat(&mut self, now: Time) {
+    pub(super) fn check_leader_locality(&mut self, now: Time) {
         self.workers.retain(|_, at| now.since(*at) < WORKERS_FOR);
         if self.home.is_none() {
             self.home = widest_zone(&self.types);
@@ -21,19 +21,19 @@
         let several = self.settings.settings.zones.len() > 1;
         let at_home = self.home.as_ref().is_none_or(|z| *z == self.settings.zone);
         let unsure = several && self.types.is_empty() && self.leadership.term == Term(0);
-        self.leadership.handicap = if unsure {
-            HANDICAP * 2
+        self.leadership.campaign_delay = if unsure {
+            CAMPAIGN_DELAY * 2
         } else if several && !at_home {
-            HANDICAP
+            CAMPAIGN_DELAY
         } else {
             Duration::ZERO
         };
         let unheard = self.unheard_zones(now);
-        let Some(office) = &mut self.office else {
+        let Some(duties) = &mut self.duties else {
             return;
         };
-        office.controller.unheard_zones = unheard;
-        let reach = office.controller.reach(now);
+        duties.controller.unheard_zones = unheard;
+        let reach = duties.controller.reach(now);
         if reach.home.is_some() {
             self.home.clone_from(&reach.home);
         }
@@ -51,7 +51,9 @@
         } else {
             self.better_since = None;
         }
-        let calm = self.better_since.is_some_and(|at| now.since(at) >= CALM);
+        let calm = self
+            .better_since
+            .is_some_and(|at| now.since(at) >= TRANSFER_AFTER);
         // Cut off from the home zone, its nodes can't be heard either; they will find the key free.
         // Unless one of our own zone has just tried that in vain.
         let in_vain = self
@@ -69,12 +71,12 @@
         let cut_off = reach.is_cut_off() && (away || at_better);
         if (calm || cut_off) && self.leadership.is_certain(now) {
             self.better_since = None;
-            let wish = self.leadership.resign(now);
-            if wish.is_some() {
+            let action = self.leadership.resign(now);
+            if action.is_some() {
                 let Reach { heard, known, .. } = reach;
                 log::info!("{heard} of {known} machines are heard here: making room");
             }
-            self.grant(wish);
+            self.grant(action);
         }
     }
 
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -1,41 +1,41 @@
 //! A running node: ties transport, records, leadership and decisions together.
 
+pub mod api;
 mod cancellations;
-pub mod front;
 mod heartbeats;
+mod leader_duties;
 mod leader_locality;
-mod office;
 mod peer_messages;
 
 use hdrhistogram::Histogram;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::time::{Duration, Instant};
 
-use crate::bookkeeping::records::{self, HolderRecord, TermRecord};
-use crate::bookkeeping::store::{Ask, AskId, Class, Outcome, Store};
-use crate::coordination::leadership::{Leadership, Seen, Step, Wish};
-use crate::coordination::{Controller, Deposed, Rulebook};
+use crate::coordination::leadership::{Leadership, LeadershipAction, Seen, Step};
+use crate::coordination::{Controller, Deposed, Policy};
 use crate::protocol::cloud::{MachineType, MachineTypes};
 use crate::protocol::peers::{self, RelayedRequest};
 use crate::protocol::state::Page;
 use crate::protocol::workers::{Answer, Elsewhere, Report};
 use crate::protocol::{decode, encode};
 use crate::settings::{Settings, Tuning};
+use crate::storage::records::{self, HolderRecord, TermRecord};
+use crate::storage::store::{Ask, Class, Outcome, StateRequestId, Store};
 use crate::transport::{CallId, ConnId, Door, Happening, Network, Request, Response, Transport};
 use crate::types::{seconds, HostName, JobId, Stamp, Term, Time};
-use front::{Client, Front, FrontAct, FrontAsk, FrontId, View};
+use api::{ApiAction, ApiRequestId, ApiServer, ApiStateRequest, Client, View};
 use heartbeats::PeerLink;
-use office::{Office, OfficeAsk};
+use leader_duties::{LeaderDuties, LeaderRequest};
 
 /// Whose request to the state service it was.
 enum Purpose {
     Lead(Step, Time),
-    Office(Term, OfficeAsk),
-    Front(FrontAsk),
+    LeaderDuties(Term, LeaderRequest),
+    ApiServer(ApiStateRequest),
     Types,
 }
 
-const TURN: Duration = Duration::from_millis(100);
+const LOOP_INTERVAL: Duration = Duration::from_millis(100);
 const LEAD_LIMIT: Duration = Duration::from_millis(1200);
 const RELAY_TIMEOUT: Duration = Duration::from_millis(1200);
 const TYPES_RETRY: Duration = Duration::from_secs(2);
@@ -43,15 +43,15 @@
 const STATE_LOST: Duration = Duration::from_millis(2500);
 /// How long a user's request is tried with it then, before another node is asked.
 const UNANSWERED_LIMIT: Duration = Duration::from_millis(450);
-const SEAT_EVERY: Duration = Duration::from_millis(500);
+const LOCALITY_INTERVAL: Duration = Duration::from_millis(500);
 /// How long nodes outside the zone with the most machines let the key lie.
-const HANDICAP: Duration = Duration::from_millis(900);
+const CAMPAIGN_DELAY: Duration = Duration::from_millis(900);
 /// How long a better placed peer must have been fit before the leader makes room.
-const CALM: Duration = Duration::from_secs(15);
+const TRANSFER_AFTER: Duration = Duration::from_secs(15);
 const WORKERS_FOR: Duration = Duration::from_secs(6);
 const MAX_WORKERS: usize = 10_000;
 /// Cancellations in one heartbeat.
-const MAX_TOLD: usize = 300;
+const MAX_CANCELLATIONS: usize = 300;
 const SUMMARY_EVERY: Duration = Duration::from_secs(10);
 /// What the nodes together leave of the budgets, for requests that are counted late.
 const HEADROOM: f64 = 0.92;
@@ -62,14 +62,14 @@
     net: N,
     store: Store,
     leadership: Leadership,
-    office: Option<Office>,
-    front: Front,
-    purposes: HashMap<AskId, Purpose>,
+    duties: Option<LeaderDuties>,
+    api: ApiServer,
+    purposes: HashMap<StateRequestId, Purpose>,
     peers: Vec<PeerLink>,
     types: Vec<MachineType>,
     types_due: Time,
     types_call: Option<CallId>,
-    relays: HashMap<CallId, FrontId>,
+    relays: HashMap<CallId, ApiRequestId>,
     /// The zone that holds the most machines, as far as this node has heard.
     home: Option<String>,
     /// What this node spends of the state service's budgets in a second, and what it had spent in
@@ -80,11 +80,11 @@
     /// Jobs that some node told its user were cancelled, and until when that is worth telling.
     cancelled: BTreeMap<JobId, Time>,
     /// Cancellations that the leader has to know before a user is told, and the call that asks it.
-    to_secure: BTreeSet<JobId>,
-    securing: Option<(CallId, Vec<JobId>)>,
+    to_acknowledge: BTreeSet<JobId>,
+    acknowledging: Option<(CallId, Vec<JobId>)>,
     /// Workers that reported here lately, and when.
     workers: BTreeMap<HostName, Time>,
-    seat_at: Time,
+    locality_at: Time,
     /// What was last said in the log about the state service.
     state_ok: bool,
     /// Since when a peer in the home zone has been fit to lead while this node does.
@@ -142,7 +142,7 @@
         let store = Store::new(service.state.rps * share, service.state.write_rps * share);
         let ttl = seconds(tuning.leader_lease_s);
         let leadership = Leadership::new(&settings.name, ttl, incarnation);
-        let front = Front::new(
+        let api = ApiServer::new(
             service.teams.clone(),
             service.state.value_kb,
             service.state.txn_ops,
@@ -165,8 +165,8 @@
             net,
             store,
             leadership,
-            office: None,
-            front,
+            duties: None,
+            api,
             purposes: HashMap::new(),
             peers,
             types: Vec::new(),
@@ -178,10 +178,10 @@
             spent: (0.0, 0.0),
             spent_at: Time::default(),
             cancelled: BTreeMap::new(),
-            to_secure: BTreeSet::new(),
-            securing: None,
+            to_acknowledge: BTreeSet::new(),
+            acknowledging: None,
             workers: BTreeMap::new(),
-            seat_at: Time::default(),
+            locality_at: Time::default(),
             state_ok: false,
             better_since: None,
             summary_at: Time::default(),
@@ -195,12 +195,13 @@
     /// When the node wants to move again, if nothing happens before.
     pub fn next_wake(&self) -> Time {
         let now = self.net.now();
-        now.after(TURN).min(self.leadership.next_wake().max(now))
+        now.after(LOOP_INTERVAL)
+            .min(self.leadership.next_wake().max(now))
     }
 
     /// Takes in what the outside did.
     pub fn on(&mut self, happening: Happening) {
-        self.mind_standstill();
+        self.detect_pause();
         match happening {
             Happening::Request {
                 conn,
@@ -213,14 +214,14 @@
 
     /// Does all that is due, and sends all that is ready.
     pub fn attend(&mut self) {
-        self.mind_standstill();
+        self.detect_pause();
         self.due();
         self.pump();
     }
 
     /// A process may be halted anywhere while its clock runs on. Nothing here takes as long as a
     /// leader's lease by itself.
-    fn mind_standstill(&mut self) {
+    fn detect_pause(&mut self) {
         let now = self.net.now();
         let gap = now.since(self.awake_at);
         self.awake_at = now;
@@ -228,8 +229,8 @@
             return;
         }
         log::info!("stood still for {gap:?}");
-        if let Some(office) = &mut self.office {
-            office.controller.stood_still();
+        if let Some(duties) = &mut self.duties {
+            duties.controller.resumed_after_pause();
         }
     }
 
@@ -247,8 +248,8 @@
             relayed: false,
         };
         let job = path.strip_prefix("/api/jobs/");
-        let withdrawn = job.and_then(|j| j.strip_suffix("/withdraw"));
-        match (method, path, job, withdrawn) {
+        let cancelled = job.and_then(|j| j.strip_suffix("/withdraw"));
+        match (method, path, job, cancelled) {
             ("GET", "/healthz", ..) => {
                 let healthy = self.is_healthy(now);
                 let response = if healthy {
@@ -263,7 +264,7 @@
                 self.net.respond(conn, &response);
             }
             ("POST", "/api/jobs", ..) => {
-                self.front.submit(
+                self.api.submit(
                     client,
                     &request.body,
                     &self.types,
@@ -271,8 +272,8 @@
                     now,
                 );
             }
-            ("POST", _, _, Some(id)) => self.front.withdraw(client, id, now),
-            ("GET", _, Some(id), None) if !id.contains('/') => self.front.poll(client, id, now),
+            ("POST", _, _, Some(id)) => self.api.cancel(client, id, now),
+            ("GET", _, Some(id), None) if !id.contains('/') => self.api.poll(client, id, now),
             (_, "/healthz" | "/agent/beat" | "/api/jobs", ..) | (_, _, _, Some(_)) => {
                 self.net.respond(conn, &Response::new(405, Vec::new()));
             }
@@ -291,15 +292,15 @@
         };
         let response = match (method, path) {
             ("POST", peers::HEARTBEAT_PATH) => self.on_heartbeat(body),
-            ("POST", peers::CANCELLED_PATH) => self.on_told_cancelled(body),
+            ("POST", peers::CANCELLED_PATH) => self.on_cancelled_by_peer(body),
             ("POST", peers::RELAY_PATH) => match peers::decode(body) {
                 Ok(RelayedRequest::Submit(job)) => {
-                    self.front
+                    self.api
                         .submit(client, &job, &self.types, self.net.time_of_day(), now);
                     return;
                 }
-                Ok(RelayedRequest::Status(id)) => return self.front.poll(client, &id, now),
-                Ok(RelayedRequest::Cancel(id)) => return self.front.withdraw(client, &id, now),
+                Ok(RelayedRequest::Status(id)) => return self.api.poll(client, &id, now),
+                Ok(RelayedRequest::Cancel(id)) => return self.api.cancel(client, &id, now),
                 Err(error) => peer_messages::refusal(path, &error),
             },
             _ => Response::new(404, Vec::new()),
@@ -308,14 +309,14 @@
     }
 
     /// Passes a user's request on to a node that the state service answers.
-    fn relay(&mut self, id: FrontId, relay: &RelayedRequest) {
+    fn relay(&mut self, id: ApiRequestId, relay: &RelayedRequest) {
         let now = self.net.now();
         let fit = self
             .peers
             .iter()
             .find(|p| p.recent_heartbeat(now).is_some_and(|h| h.state_ok));
         let Some(peer) = fit else {
-            return self.front.on_relayed(id, None, now);
+            return self.api.on_relayed(id, None, now);
         };
         let to = peer.addr;
         let call = peer_messages::send(&mut self.net, to, peers::RELAY_PATH, relay, RELAY_TIMEOUT);
@@ -323,7 +324,7 @@
             Some(call) => {
                 self.relays.insert(call, id);
             }
-            None => self.front.on_relayed(id, None, now),
+            None => self.api.on_relayed(id, None, now),
         }
     }
 
@@ -339,13 +340,13 @@
         if self.workers.len() < MAX_WORKERS {
             self.workers.insert(report.host.clone(), now);
         }
-        if let Some(office) = &mut self.office {
-            if office.controller.is_blind(now) {
+        if let Some(duties) = &mut self.duties {
+            if duties.controller.is_blind(now) {
                 return Response::later(503, 1);
             }
-            match office.controller.on_report(&report, now) {
+            match duties.controller.on_report(&report, now) {
                 Ok(orders) => {
-                    let token = office.controller.term;
+                    let token = duties.controller.term;
                     return Response::new(
                         200,
                         encode(&Answer {
@@ -357,10 +358,10 @@
                 Err(Deposed(term)) => self.deposed(term),
             }
         } else {
-            let wish = self.leadership.heard_of(report.token, None);
-            self.grant(wish);
+            let action = self.leadership.heard_of(report.token, None);
+            self.grant(action);
         }
-        if let Some(token) = self.stands_in(report.token, now) {
+        if let Some(token) = self.proxies_heartbeat(report.token, now) {
             let orders = &self.stops_of_cancelled(&report);
             return Response::new(200, encode(&Answer { token, orders }));
         }
@@ -372,7 +373,7 @@
     /// The token to answer a worker with on the leader's behalf: the state service has just said
     /// that it leads, but it can't be heard from here, so the worker could not reach it either and
     /// would lose its tasks with its lease. Nothing is started, only cancelled work is stopped.
-    fn stands_in(&self, seen: Term, now: Time) -> Option<Term> {
+    fn proxies_heartbeat(&self, seen: Term, now: Time) -> Option<Term> {
         let (term, leader) = self.leadership.confirmed(now)?;
         let at = self.settings.peers.iter().position(|p| p.name == leader)?;
         let unheard = !self.peers[at].is_reachable(now);
@@ -380,12 +381,12 @@
     }
 
     fn deposed(&mut self, term: Term) {
-        log::info!("deposed: term {term} is in office");
-        let mut wish = self.leadership.heard_of(term, None);
-        if wish.is_none() && self.leadership.is_leading() {
-            wish = Some(self.leadership.step_down());
+        log::info!("deposed: term {term} is in duties");
+        let mut action = self.leadership.heard_of(term, None);
+        if action.is_none() && self.leadership.is_leading() {
+            action = Some(self.leadership.step_down());
         }
-        self.grant(wish);
+        self.grant(action);
     }
 
     fn state_answers(&self, now: Time) -> bool {
@@ -409,12 +410,12 @@
         if let Some(at) = self.peers.iter().position(|p| p.awaits(call)) {
             return self.on_heartbeat_answer(at, result);
         }
-        if self.securing.as_ref().is_some_and(|(c, _)| *c == call) {
-            return self.on_secured(result);
+        if self.acknowledging.as_ref().is_some_and(|(c, _)| *c == call) {
+            return self.on_leader_answer(result);
         }
         if let Some(id) = self.relays.remove(&call) {
             let relayed = peer_messages::answer(peers::RELAY_PATH, result);
-            self.front.on_relayed(id, relayed, now);
+            self.api.on_relayed(id, relayed, now);
             return;
         }
         if self.types_call == Some(call) {
@@ -434,14 +435,14 @@
             }
             return;
         }
-        if let (Some(office), Some(result)) = (&mut self.office, result) {
-            if let Err(Deposed(term)) = office.on_reply(&mut self.net, call, result, now) {
+        if let (Some(duties), Some(result)) = (&mut self.duties, result) {
+            if let Err(Deposed(term)) = duties.on_reply(&mut self.net, call, result, now) {
                 self.deposed(term);
             }
         }
     }
 
-    fn on_outcome(&mut self, id: AskId, outcome: Outcome) {
+    fn on_outcome(&mut self, id: StateRequestId, outcome: Outcome) {
         let now = self.net.now();
         match self.purposes.remove(&id) {
             None => {}
@@ -450,32 +451,32 @@
                     Outcome::Page(page) => Some(read_lead(&page)),
                     _ => None,
                 };
-                let wish = self.leadership.on_read(seen, sent, now);
-                self.grant(wish);
+                let action = self.leadership.on_read(seen, sent, now);
+                self.grant(action);
             }
             Some(Purpose::Lead(step, sent)) => {
-                let wish = self.leadership.on_outcome(step, outcome, sent, now);
-                self.grant(wish);
+                let action = self.leadership.on_outcome(step, outcome, sent, now);
+                self.grant(action);
             }
-            Some(Purpose::Office(term, ask)) => {
+            Some(Purpose::LeaderDuties(term, ask)) => {
                 // What an earlier term of this process asked is of no interest any more.
-                if let Some(office) = self.office.as_mut().filter(|o| o.controller.term == term) {
-                    if let Err(Deposed(term)) = office.on_outcome(ask, outcome, now) {
+                if let Some(duties) = self.duties.as_mut().filter(|o| o.controller.term == term) {
+                    if let Err(Deposed(term)) = duties.on_outcome(ask, outcome, now) {
                         self.deposed(term);
                     }
                 }
             }
-            Some(Purpose::Front(ask)) => {
+            Some(Purpose::ApiServer(ask)) => {
                 // Without a lease that stands, what this node knows of tasks may be long past.
                 let certain = self.leadership.is_certain(now);
-                let office = self.office.as_ref().filter(|_| certain);
-                let counts = |job| office.and_then(|o| o.counts(job));
+                let duties = self.duties.as_ref().filter(|_| certain);
+                let counts = |job| duties.and_then(|o| o.counts(job));
                 let view = View {
                     counts: &counts,
                     spare: self.store.has_spare(now),
                     answers: self.state_answers(now),
                 };
-                self.front.on_outcome(ask, outcome, &view, now);
+                self.api.on_outcome(ask, outcome, &view, now);
             }
             Some(Purpose::Types) => {
                 if let Outcome::Item(Some(item)) = outcome {
@@ -500,11 +501,11 @@
 
     // ---- leadership
 
-    fn grant(&mut self, wish: Option<Wish>) {
+    fn grant(&mut self, action: Option<LeadershipAction>) {
         let now = self.net.now();
-        let Some(wish) = wish else { return };
-        let (step, ask) = match wish {
-            Wish::Read => {
+        let Some(action) = action else { return };
+        let (step, ask) = match action {
+            LeadershipAction::Read => {
                 let prefix = records::LEAD.to_owned();
                 (
                     Step::Read,
@@ -515,17 +516,17 @@
                     },
                 )
             }
-            Wish::Grant(ttl) => (Step::Grant, Ask::Grant(ttl)),
-            Wish::Claim(txn) => (Step::Claim, Ask::Txn(txn)),
-            Wish::Renew(lease) => (Step::Renew(lease), Ask::Extend(lease)),
-            Wish::End(lease) => (Step::End, Ask::End(lease)),
-            Wish::Resign(lease) => {
-                self.office = None;
+            LeadershipAction::Grant(ttl) => (Step::Grant, Ask::Grant(ttl)),
+            LeadershipAction::Claim(txn) => (Step::Claim, Ask::Txn(txn)),
+            LeadershipAction::Renew(lease) => (Step::Renew(lease), Ask::Extend(lease)),
+            LeadershipAction::End(lease) => (Step::End, Ask::End(lease)),
+            LeadershipAction::Resign(lease) => {
+                self.duties = None;
                 (Step::End, Ask::End(lease))
             }
-            Wish::Lead { term, stamp } => return self.take_office(term, stamp, now),
-            Wish::StepDown => {
-                self.office = None;
+            LeadershipAction::Lead { term, stamp } => return self.begin_leading(term, stamp, now),
+            LeadershipAction::StepDown => {
+                self.duties = None;
                 return;
             }
         };
@@ -533,11 +534,11 @@
         self.purposes.insert(id, Purpose::Lead(step, now));
     }
 
-    fn take_office(&mut self, term: Term, stamp: Stamp, now: Time) {
+    fn begin_leading(&mut self, term: Term, stamp: Stamp, now: Time) {
         let service = &self.settings.settings;
-        let rules = Rulebook::new(service, &self.tuning);
+        let rules = Policy::new(service, &self.tuning);
         let controller = Controller::new(term, stamp, rules, self.types.clone(), now);
-        self.office = Some(Office::new(
+        self.duties = Some(LeaderDuties::new(
             controller,
             self.settings.outside.cloud,
             service.cloud.rps,
@@ -545,9 +546,9 @@
             seconds(self.tuning.batch_interval_s),
             now,
         ));
-        if let Some(office) = &mut self.office {
+        if let Some(duties) = &mut self.duties {
             for job in self.cancelled.keys() {
-                office.controller.on_cancelled(*job, now);
+                duties.controller.on_cancelled(*job, now);
             }
         }
         // The others learn at once where workers belong.
@@ -560,12 +561,12 @@
 
     fn due(&mut self) {
         let now = self.net.now();
-        let wish = self.leadership.tick(now);
-        self.grant(wish);
+        let action = self.leadership.tick(now);
+        self.grant(action);
         self.send_heartbeats(now);
-        if let Some(office) = &self.office {
-            if !office.controller.types.is_empty() && self.types.is_empty() {
-                self.types = office.controller.types.clone();
+        if let Some(duties) = &self.duties {
+            if !duties.controller.types.is_empty() && self.types.is_empty() {
+                self.types = duties.controller.types.clone();
             }
         }
         if self.types.is_empty() && now >= self.types_due {
@@ -576,11 +577,11 @@
         }
         self.log_peer_reachability(now);
         self.share_budgets(now);
-        for job in self.front.take_cancelled() {
+        for job in self.api.take_cancelled() {
             self.on_cancelled(job, self.settings.settings.workers.cancel() * 2);
         }
         self.cancelled.retain(|_, until| *until > now);
-        self.front.expire(now);
+        self.api.expire(now);
         let answers = self.state_answers(now);
         if answers != self.state_ok {
             self.state_ok = answers;
@@ -591,27 +592,27 @@
             };
             log::info!("the state service {how}");
         }
-        if now >= self.seat_at {
-            self.seat_at = now.after(SEAT_EVERY);
-            self.consider_seat(now);
+        if now >= self.locality_at {
+            self.locality_at = now.after(LOCALITY_INTERVAL);
+            self.check_leader_locality(now);
         }
         if now >= self.summary_at {
             self.summary_at = now.after(SUMMARY_EVERY);
-            self.tell();
+            self.log_summary();
         }
     }
 
-    fn tell(&mut self) {
+    fn log_summary(&mut self) {
         let (waiting, oldest) = self.store.backlog(self.net.now());
         log::debug!("state service: {waiting} requests wait, the oldest for {oldest:?}");
         let (open, most) = self.net.sockets();
         log::debug!("sockets: {open} of {most}");
-        if let Some(office) = &self.office {
-            log::info!("{}", office.controller.summary());
-            if let Some(wait) = office.controller.longest_wait(self.net.now()) {
+        if let Some(duties) = &self.duties {
+            log::info!("{}", duties.controller.summary());
+            if let Some(wait) = duties.controller.longest_wait(self.net.now()) {
                 log::info!("{wait}");
             }
-            let (urgent, others) = office.controller.ledger.backlog();
+            let (urgent, others) = duties.controller.batcher.backlog();
             log::debug!("records to write: {urgent} urgent, {others} others");
         }
         if let Some(turns) = &mut self.turns {
@@ -629,13 +630,13 @@
     /// Sends all that is ready and allowed.
     fn pump(&mut self) {
         let now = self.net.now();
-        if let Some(office) = &mut self.office {
-            office.controller.valid_until = self.leadership.valid_until();
-            office.turn(&mut self.net, &mut self.store.writes, now);
-            let term = office.controller.term;
-            for (class, ask, limit, what) in office.take_wishes() {
+        if let Some(duties) = &mut self.duties {
+            duties.controller.valid_until = self.leadership.valid_until();
+            duties.turn(&mut self.net, &mut self.store.writes, now);
+            let term = duties.controller.term;
+            for (class, ask, limit, what) in duties.take_pending() {
                 let id = self.store.ask(now, class, ask, limit);
-                self.purposes.insert(id, Purpose::Office(term, what));
+                self.purposes.insert(id, Purpose::LeaderDuties(term, what));
             }
         }
         self.flush_front(now);
@@ -663,18 +664,18 @@
 
     /// Does what the front wants, until it wants nothing more.
     fn flush_front(&mut self, now: Time) {
-        self.front.pump();
+        self.api.pump();
         loop {
-            let acts = self.front.take_acts();
+            let acts = self.api.take_acts();
             if acts.is_empty() {
                 return;
             }
             for act in acts {
                 match act {
-                    FrontAct::Relay(id, relay) => self.relay(id, &relay),
-                    FrontAct::Secure(job) => self.secure(job),
-                    FrontAct::Respond(conn, response) => self.net.respond(conn, &response),
-                    FrontAct::Ask(class, ask, what) => {
+                    ApiAction::Relay(id, relay) => self.relay(id, &relay),
+                    ApiAction::InformLeader(job) => self.inform_leader(job),
+                    ApiAction::Respond(conn, response) => self.net.respond(conn, &response),
+                    ApiAction::Ask(class, ask, what) => {
                         // Where nothing is answered another node is asked without much ado.
                         let limit = if self.state_answers(now) {
                             self.store.patience()
@@ -682,7 +683,7 @@
                             UNANSWERED_LIMIT
                         };
                         let id = self.store.ask(now, class, ask, limit);
-                        self.purposes.insert(id, Purpose::Front(what));
+                        self.purposes.insert(id, Purpose::ApiServer(what));
                     }
                 }
             }
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -164,7 +164,7 @@
     pub sockets: usize,
 }
 
-/// What the largest step that can't be divided takes.
+/// What the largest step that can't be split takes.
 const LEAST_OPS: usize = 4;
 
 fn null_is_empty<'de, D, T>(d: D) -> Result<Vec<T>, D::Error>
--- a/src/bookkeeping/division.rs
+++ b/src/storage/record_split.rs
@@ -3,19 +3,19 @@
 //! The job's description says how many tasks a record holds, so it tells which records are in force.
 //! New records whose numbers lie beyond the old ones are written first, in as many steps as it takes;
 //! no leader reads them. The last step writes the description, with the new size, and all records whose
-//! numbers the old ones had, in one transaction. A division that is broken off before that leaves the
+//! numbers the old ones had, in one transaction. A split that is broken off before that leaves the
 //! old records in force, with every booking and attempt. Earlier versions of this program read both.
 
-use super::ledger::{Batch, Jobs, Ledger, MAX_BYTES};
 use super::records::{self, JobRecord};
-use crate::coordination::jobs::{Chunk, Division, Job, JobPhase, TaskState};
+use super::write_batcher::{Batch, Jobs, WriteBatcher, MAX_BYTES};
+use crate::coordination::jobs::{Chunk, Job, JobPhase, RecordSplit, TaskState};
 use crate::protocol::cloud::MachineType;
 use crate::protocol::state::{value, Change};
 use crate::types::{JobId, Stamp};
 
-/// What a division's transaction will mean once it is written.
+/// What a split's transaction will mean once it is written.
 #[derive(Debug)]
-pub struct Step {
+pub struct SplitStep {
     pub job: JobId,
     /// The records in it, and up to which change they hold.
     pub written: Vec<(u32, u64)>,
@@ -23,16 +23,20 @@
 }
 
 impl Job {
-    /// Begins to divide its records so that each holds `size` tasks at the most. What happens to its
-    /// tasks from here on is kept in memory and written once the division is in force.
-    pub fn divide(&mut self, size: u32) -> bool {
-        let unsure = self.chunks.iter().flatten().any(|c| c.unsure);
-        if self.division.is_some() || unsure || size >= self.chunk_size || self.spec.is_none() {
+    /// Begins to split its records so that each holds `size` tasks at the most. What happens to its
+    /// tasks from here on is kept in memory and written once the split is in force.
+    pub fn begin_split(&mut self, size: u32) -> bool {
+        let unsure = self.chunks.iter().flatten().any(|c| c.version_unknown);
+        if self.record_split.is_some()
+            || unsure
+            || size >= self.tasks_per_record
+            || self.spec.is_none()
+        {
             return false;
         }
         let old = std::mem::take(&mut self.chunks);
-        let old_size = self.chunk_size;
-        self.chunk_size = size;
+        let old_size = self.tasks_per_record;
+        self.tasks_per_record = size;
         // What waits for a change of an old record is satisfied by the new ones.
         let newest = old.iter().flatten().map(|c| c.changes).max();
         let changes = newest.unwrap_or(0) + 1;
@@ -53,16 +57,16 @@
             let needed = stamp != Stamp(0) || !chunk.is_untouched();
             self.chunks.push(needed.then(|| Box::new(chunk)));
         }
-        self.division = Some(Division {
+        self.record_split = Some(RecordSplit {
             old_count: old.len() as u32,
-            ..Division::default()
+            ..RecordSplit::default()
         });
         true
     }
 
-    /// The division is in force, by the description's version.
-    pub fn divided(&mut self, live: Stamp) -> Vec<u32> {
-        let Some(division) = self.division.take() else {
+    /// The split is in force, by the description's version.
+    pub fn finish_split(&mut self, live: Stamp) -> Vec<u32> {
+        let Some(split) = self.record_split.take() else {
             return Vec::new();
         };
         self.live = live;
@@ -70,11 +74,11 @@
         for (number, slot) in self.chunks.iter_mut().enumerate() {
             let number = number as u32;
             let Some(chunk) = slot else { continue };
-            if number < division.old_count {
+            if number < split.old_count {
                 chunk.stamp = live;
-                chunk.written = division.last.get(&number).copied().unwrap_or(0);
+                chunk.written = split.last.get(&number).copied().unwrap_or(0);
             } else {
-                chunk.written = division.prepared.get(&number).copied().unwrap_or(0);
+                chunk.written = split.prepared.get(&number).copied().unwrap_or(0);
             }
             if chunk.written < chunk.changes {
                 dirty.push(number);
@@ -100,7 +104,7 @@
         Some(JobRecord {
             spec,
             at_ms: self.at_ms,
-            chunk: self.chunk_size,
+            chunk: self.tasks_per_record,
         })
     }
 }
@@ -111,23 +115,23 @@
     numbers.filter(|n| job.chunk(*n).is_some()).collect()
 }
 
-impl Ledger {
-    /// Begins to divide the records of a job of which one is too large. `false`: it can't be done in
+impl WriteBatcher {
+    /// Begins to split the records of a job of which one is too large. `false`: it can't be done in
     /// transactions of this size, and the record waits until enough of its tasks have ended.
-    pub fn divide(&mut self, job: &mut Job) -> bool {
-        let small = records::chunk_size(self.max_value as f64 / 1024.0);
-        let size = if small < job.chunk_size {
+    pub fn split(&mut self, job: &mut Job) -> bool {
+        let small = records::tasks_per_record(self.max_value as f64 / 1024.0);
+        let size = if small < job.tasks_per_record {
             small
         } else {
-            (job.chunk_size / 2).max(1)
+            (job.tasks_per_record / 2).max(1)
         };
         // With the description the last step replaces all that have old numbers.
         let fits = job.chunks.len() < self.txn_ops
             && job.description_size() <= self.max_value
-            && job.divide(size);
+            && job.begin_split(size);
         if fits {
-            log::info!("{}: run records are divided into {size} tasks each", job.id);
-            self.dividing.insert(job.id);
+            log::info!("{}: run records are split into {size} tasks each", job.id);
+            self.splitting.insert(job.id);
         } else if self.held.insert(job.id) {
             log::info!(
                 "{}: a run record is too large to be written for now",
@@ -137,38 +141,38 @@
         fits
     }
 
-    /// Adds the next step of a division, if one is under way; it has the transaction to itself.
-    pub(super) fn add_division(&mut self, jobs: &mut Jobs, max: usize, batch: &mut Batch) {
-        for id in self.dividing.clone() {
-            let active = |j: &&mut Job| j.phase == JobPhase::Active && j.division.is_some();
+    /// Adds the next step of a split, if one is under way; it has the transaction to itself.
+    pub(super) fn add_split_step(&mut self, jobs: &mut Jobs, max: usize, batch: &mut Batch) {
+        for id in self.splitting.clone() {
+            let active = |j: &&mut Job| j.phase == JobPhase::Active && j.record_split.is_some();
             let Some(job) = jobs.get_mut(&id).filter(active) else {
-                self.dividing.remove(&id);
+                self.splitting.remove(&id);
                 continue;
             };
             if let Some(step) = Self::step(job, max, batch) {
                 if step.last {
-                    if let Some(division) = &mut job.division {
-                        division.last = step.written.iter().copied().collect();
+                    if let Some(split) = &mut job.record_split {
+                        split.last = step.written.iter().copied().collect();
                     }
                 }
-                batch.division = Some(step);
+                batch.split_step = Some(step);
                 return;
             }
         }
     }
 
-    fn step(job: &Job, max: usize, batch: &mut Batch) -> Option<Step> {
-        let division = job.division.as_ref()?;
-        let beyond = division.old_count..job.chunks.len() as u32;
-        let open = |n: &u32| job.chunk(*n).is_some() && !division.prepared.contains_key(n);
+    fn step(job: &Job, max: usize, batch: &mut Batch) -> Option<SplitStep> {
+        let split = job.record_split.as_ref()?;
+        let beyond = split.old_count..job.chunks.len() as u32;
+        let open = |n: &u32| job.chunk(*n).is_some() && !split.prepared.contains_key(n);
         let mut numbers: Vec<u32> = beyond.filter(open).collect();
         let last = numbers.is_empty();
         if last {
-            numbers = last_numbers(job, division.old_count);
+            numbers = last_numbers(job, split.old_count);
         }
         if numbers
             .iter()
-            .any(|n| job.chunk(*n).is_some_and(|c| c.unsure))
+            .any(|n| job.chunk(*n).is_some_and(|c| c.version_unknown))
         {
             // Their versions are being read.
             return None;
@@ -198,44 +202,44 @@
             written.push((number, chunk.changes));
         }
         let job = job.id;
-        Some(Step { job, written, last })
+        Some(SplitStep { job, written, last })
     }
 
-    /// A step of a division is written. Returns the records that count as written by it.
+    /// A step of a split is written. Returns the records that count as written by it.
     pub(super) fn step_applied(
         &mut self,
         jobs: &mut Jobs,
-        step: &Step,
+        step: &SplitStep,
         revision: Stamp,
     ) -> Vec<(JobId, u32)> {
         let Some(job) = jobs.get_mut(&step.job) else {
             return Vec::new();
         };
         if step.last {
-            return self.division_in_force(job, revision);
+            return self.split_in_force(job, revision);
         }
         for (number, changes) in &step.written {
             if let Some(chunk) = job.chunk_mut(*number) {
                 chunk.stamp = revision;
             }
-            if let Some(division) = &mut job.division {
-                division.prepared.insert(*number, *changes);
+            if let Some(split) = &mut job.record_split {
+                split.prepared.insert(*number, *changes);
             }
         }
         Vec::new()
     }
 
     /// The description says so, or the answer to the last step.
-    pub fn division_in_force(&mut self, job: &mut Job, live: Stamp) -> Vec<(JobId, u32)> {
-        if job.division.is_none() {
+    pub fn split_in_force(&mut self, job: &mut Job, live: Stamp) -> Vec<(JobId, u32)> {
+        if job.record_split.is_none() {
             return Vec::new();
         }
-        self.dividing.remove(&job.id);
+        self.splitting.remove(&job.id);
         self.held.remove(&job.id);
-        for number in job.divided(live) {
+        for number in job.finish_split(live) {
             self.changed(job.id, number, true);
         }
-        log::info!("{}: its run records are divided", job.id);
+        log::info!("{}: its run records are split", job.id);
         let numbers = job.chunks.iter().enumerate();
         let written = numbers.filter(|(_, c)| c.is_some());
         written.map(|(n, _)| (job.id, n as u32)).collect()
--- a/src/bookkeeping/records.rs
+++ b/src/storage/records.rs
@@ -106,7 +106,7 @@
 
 /// One run of a job's tasks. Short names, as the size of a value is limited.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct ChunkRecord {
+pub struct RunRecord {
     /// Index of the first task, and how many tasks the job's chunks hold.
     pub first: u32,
     pub size: u32,
@@ -131,7 +131,7 @@
 /// (offset, attempt, host, session)
 pub type BookedRecord = (u32, Attempt, HostName, Session);
 
-impl ChunkRecord {
+impl RunRecord {
     pub fn done_count(&self) -> u64 {
         self.done.iter().map(|(_, n)| u64::from(*n)).sum()
     }
@@ -151,7 +151,7 @@
 }
 
 /// How many tasks a chunk holds so that its record stays below the limit with machine names, attempts
-/// and sessions of usual length. One that does not is divided further.
-pub fn chunk_size(value_kb: f64) -> u32 {
+/// and sessions of usual length. One that does not is split further.
+pub fn tasks_per_record(value_kb: f64) -> u32 {
     ((value_kb * 1024.0 - 350.0) / 27.0).clamp(1.0, 256.0) as u32
 }
--- a/src/bookkeeping/store.rs
+++ b/src/storage/store.rs
@@ -61,10 +61,10 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct AskId(pub u64);
+pub struct StateRequestId(pub u64);
 
 struct Waiting {
-    id: AskId,
+    id: StateRequestId,
     ask: Ask,
     limit: Duration,
     until: Time,
@@ -72,7 +72,7 @@
 
 /// A request ready to be sent.
 pub struct Outgoing {
-    pub id: AskId,
+    pub id: StateRequestId,
     pub method: &'static str,
     pub target: String,
     pub body: Vec<u8>,
@@ -95,10 +95,10 @@
     queues: BTreeMap<Class, VecDeque<Waiting>>,
     requests: Budget,
     pub writes: Budget,
-    sent: HashMap<AskId, (Kind, Time)>,
+    sent: HashMap<StateRequestId, (Kind, Time)>,
     /// The longest that answers took lately, in milliseconds; it fades with each answer.
     slowest: f64,
-    calls: HashMap<CallId, AskId>,
+    calls: HashMap<CallId, StateRequestId>,
     /// When the service last answered properly.
     pub good_at: Option<Time>,
 }
@@ -148,9 +148,9 @@
 
     /// Queues a request. `limit` is how long an answer is awaited once it is sent; what can't be
     /// sent within that time is refused.
-    pub fn ask(&mut self, now: Time, class: Class, ask: Ask, limit: Duration) -> AskId {
+    pub fn ask(&mut self, now: Time, class: Class, ask: Ask, limit: Duration) -> StateRequestId {
         self.next += 1;
-        let id = AskId(self.next);
+        let id = StateRequestId(self.next);
         let until = now.after(limit);
         let waiting = Waiting {
             id,
@@ -167,7 +167,11 @@
     /// would leave polls unanswered for as long as it lasts.
     /// `may_book` says that the own lease stands at this moment: bookings that have waited here since
     /// it ran out are refused.
-    pub fn next_outgoing(&mut self, now: Time, may_book: bool) -> Option<Result<Outgoing, AskId>> {
+    pub fn next_outgoing(
+        &mut self,
+        now: Time,
+        may_book: bool,
+    ) -> Option<Result<Outgoing, StateRequestId>> {
         for (class, queue) in &mut self.queues {
             let void = |first: &Waiting| {
                 let books = *class == Class::Booking && matches!(first.ask, Ask::Txn(_));
@@ -276,7 +280,7 @@
         }
     }
 
-    pub fn sent_as(&mut self, id: AskId, call: CallId) {
+    pub fn sent_as(&mut self, id: StateRequestId, call: CallId) {
         self.calls.insert(call, id);
     }
 
@@ -290,7 +294,7 @@
         now: Time,
         call: CallId,
         result: Result<Response, CallError>,
-    ) -> Option<(AskId, Outcome)> {
+    ) -> Option<(StateRequestId, Outcome)> {
         let id = self.calls.remove(&call)?;
         let (kind, sent) = self.sent.remove(&id)?;
         self.took(now.since(sent), kind, result.is_ok());
--- a/src/bookkeeping/ledger.rs
+++ b/src/storage/write_batcher.rs
@@ -4,7 +4,7 @@
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-use super::division::Step;
+use super::record_split::SplitStep;
 use super::records::{self, FinalRecord};
 use crate::coordination::jobs::{Chunk, Job, JobPhase};
 use crate::protocol::state::{value, Change, Txn};
@@ -16,15 +16,15 @@
 #[derive(Debug)]
 pub(super) struct Batch {
     pub(super) txn: Txn,
-    pub(super) division: Option<Step>,
+    pub(super) split_step: Option<SplitStep>,
     chunks: Vec<(JobId, u32, u64)>,
     finished: Vec<JobId>,
-    moved: Vec<JobId>,
-    swept: Vec<(JobId, u32)>,
+    archived: Vec<JobId>,
+    garbage: Vec<(JobId, u32)>,
 }
 
 #[derive(Debug)]
-enum Flight {
+enum InFlight {
     /// Nothing is on its way.
     Idle,
     /// An answer is awaited.
@@ -45,7 +45,7 @@
     Written(Written),
     /// These jobs' records are gone: they were cancelled.
     Conflict {
-        withdrawn: Vec<JobId>,
+        cancelled: Vec<JobId>,
     },
     Deposed,
     Again,
@@ -57,42 +57,42 @@
 const LEAST_VALUE: usize = 400;
 pub(super) const MAX_BYTES: usize = 44 * 1024;
 
-pub struct Ledger {
+pub struct WriteBatcher {
     holder: Stamp,
     urgent: VecDeque<(JobId, u32)>,
     normal: VecDeque<(JobId, u32)>,
     queued: BTreeMap<(JobId, u32), bool>,
     finishing: BTreeSet<JobId>,
-    sweeping: BTreeSet<JobId>,
+    garbage: BTreeSet<JobId>,
     /// Records whose version must be read before they can be written again.
-    unsure: BTreeSet<(JobId, u32)>,
-    flight: Flight,
+    version_unknown: BTreeSet<(JobId, u32)>,
+    in_flight: InFlight,
     /// What a value and a transaction may hold at the most.
     pub max_value: usize,
     pub txn_ops: usize,
-    /// Jobs of which a record has become too large, those whose records are being divided, and those
+    /// Jobs of which a record has become too large, those whose records are being split, and those
     /// that wait until their record is small enough.
     too_large: BTreeSet<JobId>,
-    pub(super) dividing: BTreeSet<JobId>,
+    pub(super) splitting: BTreeSet<JobId>,
     pub(super) held: BTreeSet<JobId>,
 }
 
-impl Ledger {
+impl WriteBatcher {
     /// `holder` is the version of the leader's key, on which every write is conditional.
-    pub fn new(holder: Stamp) -> Ledger {
-        Ledger {
+    pub fn new(holder: Stamp) -> WriteBatcher {
+        WriteBatcher {
             holder,
             urgent: VecDeque::new(),
             normal: VecDeque::new(),
             queued: BTreeMap::new(),
             finishing: BTreeSet::new(),
-            sweeping: BTreeSet::new(),
-            unsure: BTreeSet::new(),
-            flight: Flight::Idle,
+            garbage: BTreeSet::new(),
+            version_unknown: BTreeSet::new(),
+            in_flight: InFlight::Idle,
             max_value: usize::MAX,
             txn_ops: usize::MAX,
             too_large: BTreeSet::new(),
-            dividing: BTreeSet::new(),
+            splitting: BTreeSet::new(),
             held: BTreeSet::new(),
         }
     }
@@ -104,7 +104,7 @@
 
     /// Nothing more is booked of a job while its records can't be written.
     pub fn is_held(&self, job: JobId) -> bool {
-        self.held.contains(&job) || self.dividing.contains(&job)
+        self.held.contains(&job) || self.splitting.contains(&job)
     }
 
     pub fn holder(&self) -> Stamp {
@@ -127,34 +127,36 @@
         self.finishing.insert(job);
     }
 
-    pub fn sweep(&mut self, job: JobId) {
-        self.sweeping.insert(job);
+    pub fn garbage_collect(&mut self, job: JobId) {
+        self.garbage.insert(job);
     }
 
     /// Takes the records whose versions have to be read.
-    pub fn take_unsure(&mut self) -> Vec<(JobId, u32)> {
-        std::mem::take(&mut self.unsure).into_iter().collect()
+    pub fn take_version_unknown(&mut self) -> Vec<(JobId, u32)> {
+        std::mem::take(&mut self.version_unknown)
+            .into_iter()
+            .collect()
     }
 
     /// A record's version is known again.
     pub fn reread(&mut self, jobs: &mut Jobs, job: JobId, chunk: u32, stamp: Stamp) {
         if let Some(c) = jobs.get_mut(&job).and_then(|j| j.chunk_mut(chunk)) {
             c.stamp = stamp;
-            c.unsure = false;
+            c.version_unknown = false;
             self.changed(job, chunk, true);
         }
     }
 
     /// The version could not be read; it has to be tried again.
-    pub fn still_unsure(&mut self, job: JobId, chunk: u32) {
-        self.unsure.insert((job, chunk));
+    pub fn version_still_unknown(&mut self, job: JobId, chunk: u32) {
+        self.version_unknown.insert((job, chunk));
     }
 
     pub fn has_urgent(&self) -> bool {
         !self.urgent.is_empty()
             || !self.finishing.is_empty()
-            || !self.dividing.is_empty()
-            || matches!(self.flight, Flight::Repeat(_))
+            || !self.splitting.is_empty()
+            || matches!(self.in_flight, InFlight::Repeat(_))
     }
 
     /// Records that something waits for.
@@ -173,50 +175,50 @@
     }
 
     pub fn is_idle(&self) -> bool {
-        !matches!(self.flight, Flight::Sent(_))
+        !matches!(self.in_flight, InFlight::Sent(_))
     }
 
     /// Puts together the next transaction of at most `max_changes`, if there is one to send. What
     /// nothing waits for goes along if the budget has some to spare.
     pub fn next_batch(&mut self, jobs: &mut Jobs, max_changes: usize, spare: bool) -> Option<Txn> {
-        match std::mem::replace(&mut self.flight, Flight::Idle) {
-            Flight::Sent(batch) => {
-                self.flight = Flight::Sent(batch);
+        match std::mem::replace(&mut self.in_flight, InFlight::Idle) {
+            InFlight::Sent(batch) => {
+                self.in_flight = InFlight::Sent(batch);
                 return None;
             }
-            Flight::Repeat(batch) => {
+            InFlight::Repeat(batch) => {
                 let txn = batch.txn.clone();
-                self.flight = Flight::Sent(batch);
+                self.in_flight = InFlight::Sent(batch);
                 return Some(txn);
             }
-            Flight::Idle => {}
+            InFlight::Idle => {}
         }
-        self.forget_swept(jobs);
+        self.forget_garbage_collected(jobs);
         let max_changes = max_changes.min(self.txn_ops);
         let mut batch = Batch {
             txn: Txn::default(),
-            division: None,
+            split_step: None,
             chunks: Vec::new(),
             finished: Vec::new(),
-            moved: Vec::new(),
-            swept: Vec::new(),
+            archived: Vec::new(),
+            garbage: Vec::new(),
         };
         batch.txn.require(records::HOLDER.to_owned(), self.holder);
         let mut bytes = 0;
-        self.add_division(jobs, max_changes, &mut batch);
-        if batch.division.is_none() {
+        self.add_split_step(jobs, max_changes, &mut batch);
+        if batch.split_step.is_none() {
             self.add_finished(jobs, max_changes, &mut batch, &mut bytes);
             self.sort_urgent(jobs);
             self.add_chunks(jobs, max_changes, spare, &mut batch, &mut bytes);
             if spare {
-                self.add_swept(jobs, max_changes, &mut batch);
+                self.add_garbage(jobs, max_changes, &mut batch);
             }
         }
         if batch.txn.changes.is_empty() {
             return None;
         }
         let txn = batch.txn.clone();
-        self.flight = Flight::Sent(batch);
+        self.in_flight = InFlight::Sent(batch);
         Some(txn)
     }
 
@@ -272,20 +274,20 @@
             };
             let Some(job) = jobs.get(&id) else { continue };
             // The record of a job that is over goes as a whole.
-            if matches!(job.phase, JobPhase::Finishing | JobPhase::Sweeping) {
+            if matches!(job.phase, JobPhase::Finishing | JobPhase::GarbageCollected) {
                 continue;
             }
-            if job.division.is_some() {
-                // All of it is written by the division, or after it.
+            if job.record_split.is_some() {
+                // All of it is written by the split, or after it.
                 later.push((id, number, urgent));
                 continue;
             }
-            if job.chunk(number).is_some_and(|c| c.unsure) {
+            if job.chunk(number).is_some_and(|c| c.version_unknown) {
                 // It comes back once its version is known.
                 continue;
             }
             // The first record also counts what the others hold.
-            let with_first = number != 0 && job.chunk(0).is_some_and(|c| !c.unsure);
+            let with_first = number != 0 && job.chunk(0).is_some_and(|c| !c.version_unknown);
             let numbers: &[u32] = if with_first { &[number, 0] } else { &[number] };
             if batch.txn.changes.len() + numbers.len() > max {
                 later.push((id, number, urgent));
@@ -303,7 +305,7 @@
                     continue;
                 };
                 // What a cancelled job never had written it needs no record of.
-                if job.phase == JobPhase::Withdrawn && chunk.stamp == Stamp(0) {
+                if job.phase == JobPhase::Cancelled && chunk.stamp == Stamp(0) {
                     continue;
                 }
                 let size = if record.surely_fits(self.max_value) {
@@ -335,22 +337,25 @@
         }
     }
 
-    fn add_swept(&mut self, jobs: &Jobs, max: usize, batch: &mut Batch) {
-        for id in self.sweeping.clone() {
-            let Some(job) = jobs.get(&id).filter(|j| j.phase == JobPhase::Sweeping) else {
-                self.sweeping.remove(&id);
+    fn add_garbage(&mut self, jobs: &Jobs, max: usize, batch: &mut Batch) {
+        for id in self.garbage.clone() {
+            let Some(job) = jobs
+                .get(&id)
+                .filter(|j| j.phase == JobPhase::GarbageCollected)
+            else {
+                self.garbage.remove(&id);
                 continue;
             };
-            if job.to_move.is_some() && !batch.moved.contains(&id) {
+            if job.to_archive.is_some() && !batch.archived.contains(&id) {
                 if batch.txn.changes.len() + 2 > max {
                     return;
                 }
-                let over = job.to_move;
+                let over = job.to_archive;
                 batch.txn.require(records::live_key(id), job.live);
                 let gone = Change::delete(records::live_key(id));
                 let kept = Change::put(records::over_key(id), value(&over));
                 batch.txn.changes.extend([gone, kept]);
-                batch.moved.push(id);
+                batch.archived.push(id);
             }
             let beyond = job.beyond.keys();
             for number in beyond.filter(|n| job.chunk(**n).is_none()) {
@@ -359,13 +364,13 @@
                 }
                 let gone = Change::delete(records::run_key(id, *number));
                 batch.txn.changes.push(gone);
-                batch.swept.push((id, *number));
+                batch.garbage.push((id, *number));
             }
             for (number, chunk) in job.chunks.iter().enumerate() {
                 let number = number as u32;
                 let known = chunk
                     .as_ref()
-                    .is_some_and(|c| c.stamp != Stamp(0) || c.unsure);
+                    .is_some_and(|c| c.stamp != Stamp(0) || c.version_unknown);
                 if known {
                     if batch.txn.changes.len() >= max {
                         return;
@@ -374,18 +379,18 @@
                         .txn
                         .changes
                         .push(Change::delete(records::run_key(id, number)));
-                    batch.swept.push((id, number));
+                    batch.garbage.push((id, number));
                 }
             }
         }
     }
 
     pub fn applied(&mut self, jobs: &mut Jobs, revision: Stamp, now: Time) -> Verdict {
-        let Flight::Sent(batch) = std::mem::replace(&mut self.flight, Flight::Idle) else {
+        let InFlight::Sent(batch) = std::mem::replace(&mut self.in_flight, InFlight::Idle) else {
             return Verdict::Again;
         };
         let mut written = Written::default();
-        if let Some(step) = &batch.division {
+        if let Some(step) = &batch.split_step {
             written.chunks = self.step_applied(jobs, step, revision);
         }
         for (id, number, changes) in batch.chunks {
@@ -395,7 +400,7 @@
                 written.chunks.push((id, number));
             }
         }
-        for (id, number) in batch.swept {
+        for (id, number) in batch.garbage {
             if let Some(job) = jobs.get_mut(&id) {
                 job.beyond.remove(&number);
             }
@@ -406,74 +411,74 @@
                 *slot = None;
             }
         }
-        for id in batch.moved {
+        for id in batch.archived {
             if let Some(job) = jobs.get_mut(&id) {
-                job.to_move = None;
+                job.to_archive = None;
             }
         }
         for id in batch.finished {
             if let Some(job) = jobs.get_mut(&id) {
                 job.finished(revision);
-                job.enter(JobPhase::Sweeping, now);
-                self.sweeping.insert(id);
+                job.enter(JobPhase::GarbageCollected, now);
+                self.garbage.insert(id);
                 written.finished.push(id);
             }
         }
-        self.forget_swept(jobs);
+        self.forget_garbage_collected(jobs);
         Verdict::Written(written)
     }
 
-    fn forget_swept(&mut self, jobs: &mut Jobs) {
+    fn forget_garbage_collected(&mut self, jobs: &mut Jobs) {
         let swept = |id: &JobId| {
             jobs.get(id).is_none_or(|j| {
-                let unwritten = |c: &Chunk| c.stamp == Stamp(0) && !c.unsure;
-                let moved = j.to_move.is_none();
-                j.phase == JobPhase::Sweeping
+                let unwritten = |c: &Chunk| c.stamp == Stamp(0) && !c.version_unknown;
+                let moved = j.to_archive.is_none();
+                j.phase == JobPhase::GarbageCollected
                     && moved
                     && j.beyond.is_empty()
                     && j.chunks.iter().flatten().all(|c| unwritten(c))
             })
         };
-        let gone: Vec<JobId> = self.sweeping.iter().copied().filter(swept).collect();
+        let gone: Vec<JobId> = self.garbage.iter().copied().filter(swept).collect();
         for id in gone {
-            self.sweeping.remove(&id);
+            self.garbage.remove(&id);
             jobs.remove(&id);
         }
     }
 
     /// Conditions failed: nothing was written, at least not now.
     pub fn conflict(&mut self, jobs: &mut Jobs, failed: &[String]) -> Verdict {
-        let Flight::Sent(batch) = std::mem::replace(&mut self.flight, Flight::Idle) else {
+        let InFlight::Sent(batch) = std::mem::replace(&mut self.in_flight, InFlight::Idle) else {
             return Verdict::Again;
         };
         if failed.iter().any(|key| key == records::HOLDER) {
             return Verdict::Deposed;
         }
-        let mut withdrawn = Vec::new();
+        let mut cancelled = Vec::new();
         for key in failed {
             if let Some(id) = records::parse_live(key) {
-                if batch.division.as_ref().is_some_and(|step| step.job == id) {
+                if batch.split_step.as_ref().is_some_and(|step| step.job == id) {
                     // Cancelled, or an earlier transaction, thought lost, was carried out: the watch
                     // says which.
                     continue;
                 }
-                if batch.moved.contains(&id) {
+                if batch.archived.contains(&id) {
                     // Only we move these: an earlier transaction, thought lost, was carried out.
                     if let Some(job) = jobs.get_mut(&id) {
-                        job.to_move = None;
+                        job.to_archive = None;
                     }
                 }
-                withdrawn.push(id);
+                cancelled.push(id);
             } else if let Some((id, number)) = records::parse_run(key) {
                 // Only we write these: an earlier transaction, thought lost, was carried out.
                 if let Some(chunk) = jobs.get_mut(&id).and_then(|j| j.chunk_mut(number)) {
-                    chunk.unsure = true;
-                    self.unsure.insert((id, number));
+                    chunk.version_unknown = true;
+                    self.version_unknown.insert((id, number));
                 }
             }
         }
         self.put_back(batch);
-        Verdict::Conflict { withdrawn }
+        Verdict::Conflict { cancelled }
     }
 
     fn put_back(&mut self, batch: Batch) {
@@ -481,20 +486,20 @@
             self.changed(id, number, true);
         }
         self.finishing.extend(batch.finished);
-        self.sweeping.extend(batch.moved);
-        self.sweeping.extend(batch.swept.iter().map(|(id, _)| *id));
+        self.garbage.extend(batch.archived);
+        self.garbage.extend(batch.garbage.iter().map(|(id, _)| *id));
     }
 
     /// Surely not carried out: its contents are gathered anew.
     pub fn refused(&mut self) {
-        if let Flight::Sent(batch) = std::mem::replace(&mut self.flight, Flight::Idle) {
+        if let InFlight::Sent(batch) = std::mem::replace(&mut self.in_flight, InFlight::Idle) {
             self.put_back(batch);
         }
     }
 
-    /// Refused for its size. It is divided, and what is too large by itself is known to be so.
+    /// Refused for its size. It is split, and what is too large by itself is known to be so.
     pub fn invalid(&mut self) {
-        let Flight::Sent(batch) = std::mem::replace(&mut self.flight, Flight::Idle) else {
+        let InFlight::Sent(batch) = std::mem::replace(&mut self.in_flight, InFlight::Idle) else {
             return;
         };
         let count = batch.txn.changes.len();
@@ -521,8 +526,8 @@
 
     /// No answer: it may be carried out at any time, so only the very same may follow.
     pub fn lost(&mut self) {
-        if let Flight::Sent(batch) = std::mem::replace(&mut self.flight, Flight::Idle) {
-            self.flight = Flight::Repeat(batch);
+        if let InFlight::Sent(batch) = std::mem::replace(&mut self.in_flight, InFlight::Idle) {
+            self.in_flight = InFlight::Repeat(batch);
         }
     }
 }
--- a/tests/front.rs
+++ b/tests/api.rs
@@ -4,28 +4,28 @@
 use std::time::Duration;
 
 use ciborium::Value;
-use lichencrank::bookkeeping::records::{
-    self, BookedRecord, ChunkRecord, FinalRecord, JobRecord, OverRecord,
-};
-use lichencrank::bookkeeping::store::{Ask, Outcome};
-use lichencrank::node::front::{Client, Front, FrontAct, FrontAsk, View};
+use lichencrank::node::api::{ApiAction, ApiServer, ApiStateRequest, Client, View};
 use lichencrank::protocol::cloud::MachineType;
 use lichencrank::protocol::state::{value, Change, Item, Page};
 use lichencrank::protocol::users::JobState;
 use lichencrank::protocol::{decode, encode, Amount};
 use lichencrank::settings::Team;
+use lichencrank::storage::records::{
+    self, BookedRecord, FinalRecord, JobRecord, OverRecord, RunRecord,
+};
+use lichencrank::storage::store::{Ask, Outcome};
 use lichencrank::transport::ConnId;
 use lichencrank::types::{Attempt, HostName, JobId, Session, Stamp, Time};
 
 /// A node's front, and what it asked and answered so far.
 struct Desk {
-    front: Front,
+    api: ApiServer,
     next: u64,
-    asked: Vec<(Ask, FrontAsk)>,
+    asked: Vec<(Ask, ApiStateRequest)>,
     answers: BTreeMap<u64, (u16, String)>,
     relays: usize,
     /// Cancelled jobs that the leader is asked to take in hand.
-    secured: Vec<JobId>,
+    acknowledged: Vec<JobId>,
     now: Time,
     spare: bool,
     answering: bool,
@@ -88,12 +88,12 @@
 impl Desk {
     fn new() -> Desk {
         Desk {
-            front: Front::new(vec![open_team()], 32.0, 24),
+            api: ApiServer::new(vec![open_team()], 32.0, 24),
             next: 0,
             asked: Vec::new(),
             answers: BTreeMap::new(),
             relays: 0,
-            secured: Vec::new(),
+            acknowledged: Vec::new(),
             now: Time(10_000),
             spare: false,
             answering: true,
@@ -111,11 +111,11 @@
     }
 
     fn pump(&mut self) {
-        self.front.pump();
-        for act in self.front.take_acts() {
+        self.api.pump();
+        for act in self.api.take_acts() {
             match act {
-                FrontAct::Ask(_, ask, what) => self.asked.push((ask, what)),
-                FrontAct::Respond(conn, response) => {
+                ApiAction::Ask(_, ask, what) => self.asked.push((ask, what)),
+                ApiAction::Respond(conn, response) => {
                     let fields: BTreeMap<String, Value> =
                         decode(&response.body).unwrap_or_default();
                     let told = fields.get("status").and_then(|s| s.as_text());
@@ -125,8 +125,8 @@
                     }
                     self.answers.insert(conn.serial, (response.status, told));
                 }
-                FrontAct::Relay(..) => self.relays += 1,
-                FrontAct::Secure(job) => self.secured.push(job),
+                ApiAction::Relay(..) => self.relays += 1,
+                ApiAction::InformLeader(job) => self.acknowledged.push(job),
             }
         }
     }
@@ -139,13 +139,13 @@
             spare: self.spare,
             answers: self.answering,
         };
-        self.front.on_outcome(what, outcome, &view, self.now);
+        self.api.on_outcome(what, outcome, &view, self.now);
         self.pump();
     }
 
     fn poll(&mut self, job: u64) -> u64 {
         let client = self.client();
-        self.front.poll(client, &name(job), self.now);
+        self.api.poll(client, &name(job), self.now);
         self.pump();
         client.conn.serial
     }
@@ -155,7 +155,7 @@
         for job in jobs {
             let client = self.client();
             let body = description(job);
-            self.front.submit(client, &body, &types(), 1000, self.now);
+            self.api.submit(client, &body, &types(), 1000, self.now);
             self.pump();
         }
         while !self.asked.is_empty() {
@@ -213,7 +213,7 @@
     let asked: Vec<u64> = (1..31)
         .map(|job| {
             let client = desk.client();
-            desk.front.poll(client, &name(job), desk.now);
+            desk.api.poll(client, &name(job), desk.now);
             client.conn.serial
         })
         .collect();
@@ -310,7 +310,7 @@
 fn a_lost_answer_is_asked_for_once_more() {
     let mut desk = Desk::new();
     let client = desk.client();
-    desk.front
+    desk.api
         .submit(client, &description(5), &types(), 1000, desk.now);
     desk.pump();
     desk.reply(Outcome::Unknown);
@@ -342,10 +342,10 @@
 }
 
 impl Desk {
-    /// A withdrawal, up to the point where the records say that the job is cancelled.
-    fn withdraw(&mut self, job: u64) -> u64 {
+    /// A cancellation, up to the point where the records say that the job is cancelled.
+    fn cancel(&mut self, job: u64) -> u64 {
         let client = self.client();
-        self.front.withdraw(client, &name(job), self.now);
+        self.api.cancel(client, &name(job), self.now);
         self.pump();
         self.reply(Outcome::Item(Some(Item {
             key: format!("live/{}", name(job)),
@@ -356,8 +356,9 @@
         client.conn.serial
     }
 
-    fn leader_says(&mut self, job: u64, secured: bool) {
-        self.front.on_secured(JobId(job), secured, self.now);
+    fn leader_says(&mut self, job: u64, acknowledged: bool) {
+        self.api
+            .on_leader_answer(JobId(job), acknowledged, self.now);
         self.pump();
     }
 }
@@ -369,9 +370,9 @@
 fn cancellations_are_told_once_the_leader_knows() {
     let mut desk = Desk::new();
     desk.accept(1..2, 7);
-    let user = desk.withdraw(1);
-    assert_eq!(desk.front.take_cancelled(), [JobId(1)]);
-    assert_eq!(desk.secured, [JobId(1)]);
+    let user = desk.cancel(1);
+    assert_eq!(desk.api.take_cancelled(), [JobId(1)]);
+    assert_eq!(desk.acknowledged, [JobId(1)]);
     assert!(!desk.answers.contains_key(&user));
     desk.leader_says(1, true);
     assert_eq!(desk.answers[&user], (200, "cancelled".into()));
@@ -386,14 +387,14 @@
 fn without_the_leader_only_what_is_not_booked_is_told_as_cancelled() {
     let mut desk = Desk::new();
     desk.accept(1..2, 7);
-    let user = desk.withdraw(1);
+    let user = desk.cancel(1);
     desk.leader_says(1, false);
     let bookings = |booked: Vec<BookedRecord>| {
         let items = vec![Item {
             key: "run/job-000001/00000".into(),
-            value: value(&ChunkRecord {
+            value: value(&RunRecord {
                 booked,
-                ..ChunkRecord::default()
+                ..RunRecord::default()
             }),
             stamp: Stamp(9),
         }];
@@ -443,7 +444,7 @@
     desk.accept(1..2, 7);
     let polled = desk.poll(1);
     let compared = desk.asked.remove(0);
-    desk.withdraw(1);
+    desk.cancel(1);
     desk.leader_says(1, true);
     desk.asked.push(compared);
     desk.reply(Outcome::Applied(Stamp(7)));
@@ -466,7 +467,7 @@
 #[test]
 fn a_long_description_is_shortened() {
     let mut desk = Desk::new();
-    desk.front = Front::new(vec![open_team()], 2.0, 5);
+    desk.api = ApiServer::new(vec![open_team()], 2.0, 5);
     let mut body: Value = decode(&description(1)).expect("a map");
     let unknown = (0..60).map(|n| Value::from(format!("{n:060}")));
     let mut allowed: Vec<Value> = unknown.collect();
@@ -475,7 +476,7 @@
     fields.push(("hosttypes".into(), Value::Array(allowed)));
     let client = desk.client();
     let body = encode(&body);
-    desk.front.submit(client, &body, &types(), 1000, desk.now);
+    desk.api.submit(client, &body, &types(), 1000, desk.now);
     desk.pump();
     let Ask::Txn(txn) = &desk.asked[0].0 else {
         panic!("{:?}", desk.asked[0].0);
@@ -503,7 +504,7 @@
             gpus: None,
             gpus_max: None,
         };
-        desk.front = Front::new(vec![team], 32.0, 24);
+        desk.api = ApiServer::new(vec![team], 32.0, 24);
         let mut body: Value = decode(&description(1)).expect("a map");
         for (name, value) in body.as_map_mut().expect("a map") {
             if name.as_text() == Some("shape") {
@@ -512,7 +513,7 @@
         }
         let client = desk.client();
         let body = encode(&body);
-        desk.front.submit(client, &body, &types(), 1000, desk.now);
+        desk.api.submit(client, &body, &types(), 1000, desk.now);
         desk.pump();
         // Whether it is known already is looked up first.
         if matches!(desk.asked[0].0, Ask::Get(_)) {
