--- a/tests/budget.rs
+++ b/tests/budget.rs
@@ -4,9 +4,9 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use lichencrank::bookkeeping::budget::share_of;
-use lichencrank::bookkeeping::store::{Ask, AskId, Class, Store};
 use lichencrank::protocol::state::{Change, Txn};
+use lichencrank::storage::budget::share_of;
+use lichencrank::storage::store::{Ask, Class, StateRequestId, Store};
 use lichencrank::transport::{CallError, CallId, Response};
 use lichencrank::types::{LeaseId, Time};
 
@@ -22,7 +22,7 @@
 /// class waited until it was sent, `None` for those refused.
 fn play(store: &mut Store, watched: Class, flood: &[(Class, usize)]) -> Vec<Option<u64>> {
     let limit = Duration::from_millis(1700);
-    let mut asked: BTreeMap<AskId, u64> = BTreeMap::new();
+    let mut asked: BTreeMap<StateRequestId, u64> = BTreeMap::new();
     let mut waits = Vec::new();
     for now in 0..10_000u64 {
         if now % 100 == 0 {
--- a/tests/cluster.rs
+++ b/tests/cluster.rs
@@ -314,14 +314,14 @@
     let mut checker = judge(|_| ());
     begun(&mut checker, 20, "m1", 0);
     checker.see(30, Fact::CancelAsked(1));
-    told(&mut checker, 40, Asked::Withdrawal, Said::Cancelled);
+    told(&mut checker, 40, Asked::Cancellation, Said::Cancelled);
     checker.pass(40_000);
     assert!(checker.broken.is_empty());
     checker.pass(40_041);
     objects(&checker, "ran_cancelled");
     let mut checker = judge(|_| ());
     checker.see(30, Fact::CancelAsked(1));
-    told(&mut checker, 40, Asked::Withdrawal, Said::Cancelled);
+    told(&mut checker, 40, Asked::Cancellation, Said::Cancelled);
     begun(&mut checker, 40_041, "m1", 0);
     objects(&checker, "ran_cancelled");
 }
@@ -377,7 +377,7 @@
 fn older_answers_are_seen() {
     let mut checker = judge(|_| ());
     checker.see(30, Fact::CancelAsked(1));
-    told(&mut checker, 40, Asked::Withdrawal, Said::Cancelled);
+    told(&mut checker, 40, Asked::Cancellation, Said::Cancelled);
     told(&mut checker, 50, Asked::Poll, Said::Open);
     objects(&checker, "went_back");
     let mut checker = judge(|_| ());
--- a/tests/leadership.rs
+++ b/tests/leadership.rs
@@ -2,9 +2,9 @@
 
 use std::time::Duration;
 
-use lichencrank::bookkeeping::records::HolderRecord;
-use lichencrank::bookkeeping::store::Outcome;
-use lichencrank::coordination::leadership::{Leadership, Role, Seen, Step, Wish};
+use lichencrank::coordination::leadership::{Leadership, LeadershipAction, Role, Seen, Step};
+use lichencrank::storage::records::HolderRecord;
+use lichencrank::storage::store::Outcome;
 use lichencrank::types::{LeaseId, Stamp, Term, Time};
 
 const TTL: Duration = Duration::from_secs(3);
@@ -33,20 +33,23 @@
     })
 }
 
-/// Brings a node into office for term 4 at time 0.
+/// Brings a node into duties for term 4 at time 0.
 fn leader() -> Leadership {
     let mut l = node("n0", 1);
     let now = Time(0);
-    assert_eq!(l.on_read(free(3), now, now), Some(Wish::Grant(TTL)));
+    assert_eq!(
+        l.on_read(free(3), now, now),
+        Some(LeadershipAction::Grant(TTL))
+    );
     let granted = Outcome::Granted(LeaseId(9));
     assert!(matches!(
         l.on_outcome(Step::Grant, granted, now, now),
-        Some(Wish::Claim(_))
+        Some(LeadershipAction::Claim(_))
     ));
     let won = l.on_outcome(Step::Claim, Outcome::Applied(Stamp(50)), now, now);
     assert_eq!(
         won,
-        Some(Wish::Lead {
+        Some(LeadershipAction::Lead {
             term: Term(4),
             stamp: Stamp(50)
         })
@@ -59,9 +62,9 @@
 fn the_claim_is_conditional_on_the_free_key_and_the_term() {
     let mut l = node("n0", 1);
     l.on_read(free(3), Time(0), Time(0));
-    let wish = l.on_outcome(Step::Grant, Outcome::Granted(LeaseId(9)), Time(0), Time(0));
-    let Some(Wish::Claim(txn)) = wish else {
-        panic!("{wish:?}")
+    let action = l.on_outcome(Step::Grant, Outcome::Granted(LeaseId(9)), Time(0), Time(0));
+    let Some(LeadershipAction::Claim(txn)) = action else {
+        panic!("{action:?}")
     };
     let conditions: Vec<(&str, u64)> = txn
         .conditions
@@ -76,7 +79,10 @@
 #[test]
 fn validity_counts_from_the_sending_of_the_renewal() {
     let mut l = leader();
-    assert_eq!(l.tick(Time(1000)), Some(Wish::Renew(LeaseId(9))));
+    assert_eq!(
+        l.tick(Time(1000)),
+        Some(LeadershipAction::Renew(LeaseId(9)))
+    );
     l.on_outcome(
         Step::Renew(LeaseId(9)),
         Outcome::Extended,
@@ -88,7 +94,7 @@
     assert!(l.is_leading());
 }
 
-/// An outage is not deposition: the leader stays in office, uncertain, until proof of a successor.
+/// An outage is not deposition: the leader stays in duties, uncertain, until proof of a successor.
 #[test]
 fn an_outage_leaves_the_leader_in_office_until_a_higher_term_shows() {
     let mut l = leader();
@@ -99,7 +105,10 @@
     }
     assert!(l.is_leading() && !l.is_certain(Time(60_000)));
     assert_eq!(l.heard_of(Term(4), None), None);
-    assert_eq!(l.heard_of(Term(5), Some("n1")), Some(Wish::StepDown));
+    assert_eq!(
+        l.heard_of(Term(5), Some("n1")),
+        Some(LeadershipAction::StepDown)
+    );
     assert_eq!(l.leader.as_deref(), Some("n1"));
 }
 
@@ -107,41 +116,44 @@
 fn a_lease_that_is_gone_ends_the_office() {
     let mut l = leader();
     l.tick(Time(1000));
-    let wish = l.on_outcome(
+    let action = l.on_outcome(
         Step::Renew(LeaseId(9)),
         Outcome::LeaseGone,
         Time(1000),
         Time(1010),
     );
-    assert_eq!(wish, Some(Wish::StepDown));
+    assert_eq!(action, Some(LeadershipAction::StepDown));
 }
 
-/// A restarted process must not take its dead predecessor's record for its own office, but may
+/// A restarted process must not take its dead predecessor's record for its own duties, but may
 /// end that lease at once.
 #[test]
 fn a_restarted_process_ends_its_predecessors_lease() {
     let mut l = node("n0", 2);
     assert_eq!(
         l.on_read(held_by("n0", 12345, 3), Time(0), Time(0)),
-        Some(Wish::End(LeaseId(7)))
+        Some(LeadershipAction::End(LeaseId(7)))
     );
     assert_eq!(l.role, Role::Following);
 }
 
 /// Back within a fraction of a second, in the middle of an election: the claim of the process before
-/// arrives late and wins the key. The new process must not take that for its own office; it ends
+/// arrives late and wins the key. The new process must not take that for its own duties; it ends
 /// both leases and wins the next election under a higher term.
 #[test]
 fn a_late_claim_of_the_process_before_is_undone() {
     let mut l = node("n0", 2);
-    assert_eq!(l.on_read(free(3), Time(0), Time(0)), Some(Wish::Grant(TTL)));
+    assert_eq!(
+        l.on_read(free(3), Time(0), Time(0)),
+        Some(LeadershipAction::Grant(TTL))
+    );
     let granted = Outcome::Granted(LeaseId(9));
     l.on_outcome(Step::Grant, granted, Time(0), Time(5));
     let lost = Outcome::Conflict(vec!["lead/holder".into()]);
-    let wish = l.on_outcome(Step::Claim, lost, Time(5), Time(10));
-    assert_eq!(wish, Some(Wish::End(LeaseId(9))));
-    let wish = l.on_read(held_by("n0", 12345, 4), Time(500), Time(500));
-    assert_eq!(wish, Some(Wish::End(LeaseId(7))));
+    let action = l.on_outcome(Step::Claim, lost, Time(5), Time(10));
+    assert_eq!(action, Some(LeadershipAction::End(LeaseId(9))));
+    let action = l.on_read(held_by("n0", 12345, 4), Time(500), Time(500));
+    assert_eq!(action, Some(LeadershipAction::End(LeaseId(7))));
     assert!(!l.is_leading());
     l.on_read(free(4), Time(900), Time(900));
     let next = Role::Granting {
@@ -156,9 +168,9 @@
 fn a_lost_claim_that_was_carried_out_is_recognised() {
     let mut l = node("n0", 3);
     l.on_read(free(3), Time(0), Time(0));
-    let wish = l.on_outcome(Step::Grant, Outcome::Granted(LeaseId(7)), Time(0), Time(0));
-    let Some(Wish::Claim(txn)) = wish else {
-        panic!("{wish:?}")
+    let action = l.on_outcome(Step::Grant, Outcome::Granted(LeaseId(7)), Time(0), Time(0));
+    let Some(LeadershipAction::Claim(txn)) = action else {
+        panic!("{action:?}")
     };
     l.on_outcome(Step::Claim, Outcome::Unknown, Time(0), Time(900));
     assert_eq!(l.role, Role::Following);
@@ -170,41 +182,47 @@
         holder: Some((holder, Stamp(44))),
         term: Some((Term(4), Stamp(44))),
     };
-    let wish = l.on_read(Some(seen), Time(1000), Time(1000));
+    let action = l.on_read(Some(seen), Time(1000), Time(1000));
     assert_eq!(
-        wish,
-        Some(Wish::Lead {
+        action,
+        Some(LeadershipAction::Lead {
             term: Term(4),
             stamp: Stamp(44)
         })
     );
     // Nobody knows any more when the lease was granted, so it has to be renewed before it counts.
     assert!(!l.is_certain(Time(3500)));
-    assert_eq!(l.tick(Time(1000)), Some(Wish::Renew(LeaseId(7))));
+    assert_eq!(
+        l.tick(Time(1000)),
+        Some(LeadershipAction::Renew(LeaseId(7)))
+    );
 }
 
 /// A leader that made room must not take the key straight back.
 #[test]
 fn a_leader_that_made_room_rests() {
     let mut l = leader();
-    assert_eq!(l.resign(Time(1000)), Some(Wish::Resign(LeaseId(9))));
+    assert_eq!(
+        l.resign(Time(1000)),
+        Some(LeadershipAction::Resign(LeaseId(9)))
+    );
     assert_eq!(l.on_read(free(4), Time(1100), Time(1100)), None);
     assert_eq!(
         l.on_read(free(4), Time(4100), Time(4100)),
-        Some(Wish::Grant(TTL))
+        Some(LeadershipAction::Grant(TTL))
     );
 }
 
-/// A node in the wrong zone lets the key lie for its handicap, no longer.
+/// A node in the wrong zone lets the key lie for its campaign_delay, no longer.
 #[test]
 fn a_handicap_delays_the_claim() {
     let mut l = node("n0", 1);
-    l.handicap = Duration::from_millis(900);
+    l.campaign_delay = Duration::from_millis(900);
     assert_eq!(l.on_read(free(3), Time(5000), Time(5000)), None);
     assert_eq!(l.on_read(free(3), Time(5400), Time(5400)), None);
     assert_eq!(
         l.on_read(free(3), Time(5900), Time(5900)),
-        Some(Wish::Grant(TTL))
+        Some(LeadershipAction::Grant(TTL))
     );
 }
 
@@ -231,11 +249,11 @@
 #[test]
 fn a_request_under_way_is_waited_for() {
     let mut l = node("n0", 1);
-    assert_eq!(l.tick(Time(1000)), Some(Wish::Read));
+    assert_eq!(l.tick(Time(1000)), Some(LeadershipAction::Read));
     let wake = l.next_wake();
     assert!(wake > Time(2000), "{wake:?}");
     assert_eq!(l.tick(Time(1900)), None);
-    assert_eq!(l.tick(wake), Some(Wish::Read));
+    assert_eq!(l.tick(wake), Some(LeadershipAction::Read));
     // Nothing is due in the midst of an election either, nor for a leader whose renewal is unanswered.
     l.on_read(free(3), wake, wake);
     assert!(l.next_wake() > wake);
@@ -243,7 +261,7 @@
     assert!(l.next_wake() > wake);
     let mut l = leader();
     let now = l.next_wake();
-    assert!(matches!(l.tick(now), Some(Wish::Renew(_))));
+    assert!(matches!(l.tick(now), Some(LeadershipAction::Renew(_))));
     assert!(l.next_wake() > now);
     l.on_outcome(
         Step::Renew(LeaseId(9)),
@@ -254,21 +272,27 @@
     assert!(l.next_wake() <= Time(now.0 + 1200));
 }
 
-/// In a storm of questions three renewals in a row were refused, and with them went the office. One
+/// In a storm of questions three renewals in a row were refused, and with them went the duties. One
 /// that was refused is asked again soon, not only when the next is due.
 #[test]
 fn a_refused_renewal_is_asked_again_soon() {
     let mut l = leader();
-    assert_eq!(l.tick(Time(1000)), Some(Wish::Renew(LeaseId(9))));
+    assert_eq!(
+        l.tick(Time(1000)),
+        Some(LeadershipAction::Renew(LeaseId(9)))
+    );
     let renewal = Step::Renew(LeaseId(9));
     l.on_outcome(renewal, Outcome::Busy, Time(1000), Time(1010));
     assert_eq!(l.tick(Time(1100)), None);
-    assert_eq!(l.tick(Time(1210)), Some(Wish::Renew(LeaseId(9))));
+    assert_eq!(
+        l.tick(Time(1210)),
+        Some(LeadershipAction::Renew(LeaseId(9)))
+    );
     l.on_outcome(renewal, Outcome::Extended, Time(1210), Time(1220));
     assert!(l.is_certain(Time(4000)));
 }
 
-/// The office was given up, and a read that was under way still shows our key: the lease that was
+/// The duties was given up, and a read that was under way still shows our key: the lease that was
 /// ended proves nothing until it is renewed, and answers about it don't count for the next one.
 #[test]
 fn what_an_ended_lease_was_good_for_ends_with_it() {
--- a/tests/placement.rs
+++ b/tests/placement.rs
@@ -5,15 +5,15 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-use lichencrank::bookkeeping::records::JobRecord;
 use lichencrank::coordination::jobs::Resources;
 use lichencrank::coordination::placement::{capacity, score};
-use lichencrank::coordination::{Controller, Rulebook};
+use lichencrank::coordination::{Controller, Policy};
 use lichencrank::protocol::cloud::MachineType;
 use lichencrank::protocol::users::{JobSpec, Priority, Shape};
 use lichencrank::protocol::workers::Report;
 use lichencrank::protocol::Amount;
 use lichencrank::settings::{Team, Tuning};
+use lichencrank::storage::records::JobRecord;
 use lichencrank::types::{HostName, JobId, Session, Stamp, Term, Tick, Time};
 
 const TERM: Term = Term(3);
@@ -46,13 +46,13 @@
     used: Resources,
 }
 
-fn rules() -> Rulebook {
-    Rulebook {
+fn rules() -> Policy {
+    Policy {
         report: Duration::from_secs(3),
         lease: Duration::from_secs(16),
         cancel: Duration::from_secs(40),
         list_lag: Duration::from_secs(10),
-        chunk_size: 16,
+        tasks_per_record: 16,
         probes: 4,
         commands: 1000,
         records: 10_000,
--- a/tests/division.rs
+++ b/tests/record_split.rs
@@ -1,4 +1,4 @@
-//! Run records that the version in production left larger than the limits of later allow are divided in
+//! Run records that the version in production left larger than the limits of later allow are split in
 //! steps. After each step a take-over, by either version, finds every booking and attempt.
 
 #[path = "standin/state.rs"]
@@ -10,15 +10,15 @@
 use std::time::Duration;
 
 use ciborium::Value;
-use lichencrank::bookkeeping::ledger::Verdict;
-use lichencrank::bookkeeping::records::{self, ChunkRecord, JobRecord};
-use lichencrank::coordination::{Controller, Rulebook};
+use lichencrank::coordination::{Controller, Policy};
 use lichencrank::protocol::cloud::MachineType;
 use lichencrank::protocol::state::value;
 use lichencrank::protocol::users::{JobSpec, Priority, Shape};
 use lichencrank::protocol::workers::{Cause, Report, TaskReport, TaskState};
 use lichencrank::protocol::Amount;
 use lichencrank::settings::{Team, Tuning};
+use lichencrank::storage::records::{self, JobRecord, RunRecord};
+use lichencrank::storage::write_batcher::Verdict;
 use lichencrank::types::{Attempt, HostName, JobId, Session, Stamp, TaskId, Term, Tick, Time};
 use state::{Limits, State};
 use values::{get, map, number, text};
@@ -81,13 +81,13 @@
     ];
     for number in 0..2 {
         let first = number * OLD_CHUNK;
-        let mut record = ChunkRecord {
+        let mut record = RunRecord {
             first,
             size: OLD_CHUNK,
             team: "open".into(),
             cpus: 1.0,
             mem: 1.0,
-            ..ChunkRecord::default()
+            ..RunRecord::default()
         };
         for offset in 0..240 {
             let attempt = Attempt(1 + u64::from(offset % 3));
@@ -109,13 +109,13 @@
     state
 }
 
-fn rules() -> Rulebook {
-    Rulebook {
+fn rules() -> Policy {
+    Policy {
         report: Duration::from_secs(3),
         lease: Duration::from_secs(16),
         cancel: Duration::from_secs(40),
         list_lag: Duration::from_secs(10),
-        chunk_size: records::chunk_size(2.0),
+        tasks_per_record: records::tasks_per_record(2.0),
         probes: 10,
         commands: 100,
         max_value: 2048,
@@ -167,7 +167,7 @@
     }
     for (key, data, stamp) in items(state, "run/") {
         let (job, number) = records::parse_run(&key).expect("a run record");
-        let record: ChunkRecord = data.deserialized().expect("a run record");
+        let record: RunRecord = data.deserialized().expect("a run record");
         controller.on_run_record(job, number, &record, Stamp(stamp), NOW);
     }
     controller.on_loaded(NOW);
@@ -199,7 +199,7 @@
         if number >= TASKS.div_ceil(description.chunk) {
             continue;
         }
-        let record: ChunkRecord = data.deserialized().expect("a run record");
+        let record: RunRecord = data.deserialized().expect("a run record");
         let first = number * description.chunk;
         for (offset, attempt) in record.tried {
             picture.insert(first + offset, (attempt.0, None));
@@ -244,7 +244,7 @@
 
 /// Writes the next batch, if there is one; nothing may ever be refused.
 fn step(controller: &mut Controller, state: &mut State) -> bool {
-    // A record that turns out too large is divided from the next batch on.
+    // A record that turns out too large is split from the next batch on.
     let batch = controller.next_batch(5, true);
     let batch = batch.or_else(|| controller.next_batch(5, true));
     let Some(txn) = batch else {
@@ -253,8 +253,8 @@
     let (status, answer) = state.txn(&value(&txn));
     assert_eq!(status, 200, "{answer:?}");
     let revision = Stamp(number(&answer, "ledgerRev"));
-    let Controller { ledger, jobs, .. } = controller;
-    let verdict = ledger.applied(jobs, revision, NOW);
+    let Controller { batcher, jobs, .. } = controller;
+    let verdict = batcher.applied(jobs, revision, NOW);
     assert!(matches!(verdict, Verdict::Written(_)));
     controller.on_verdict(verdict, NOW).expect("it leads");
     true
--- a/tests/service.rs
+++ b/tests/service.rs
@@ -120,7 +120,7 @@
     let mut world = World::start("cancels");
     let fronts: Vec<SocketAddr> = world.nodes.iter().map(|n| n.front).collect();
     submit(fronts[0], "job-000020", 5000);
-    let cancelled = eventually("the withdrawal is answered", || {
+    let cancelled = eventually("the cancellation is answered", || {
         let (status, body) = call(fronts[1], "POST", "/api/jobs/job-000020/withdraw", &[])?;
         (status == 200).then(|| text(&body, "status"))
     });
@@ -293,7 +293,7 @@
     finish(fronts[0], "job-000030");
     submit(fronts[1], "job-000031", 5000);
     let withdraw = || {
-        eventually("the withdrawal is answered", || {
+        eventually("the cancellation is answered", || {
             let (status, body) = call(fronts[1], "POST", "/api/jobs/job-000031/withdraw", &[])?;
             (status == 200).then(|| text(&body, "status"))
         })
--- a/tests/simulated/checker.rs
+++ b/tests/simulated/checker.rs
@@ -38,7 +38,7 @@
 pub enum Asked {
     Submission,
     Poll,
-    Withdrawal,
+    Cancellation,
 }
 
 #[derive(Clone, Debug)]
--- a/tests/simulated/mod.rs
+++ b/tests/simulated/mod.rs
@@ -323,7 +323,7 @@
         }
         if self.checker.broken.is_empty() {
             self.checker.close(script.until);
-            // Sweeping keeps up: what is over leaves nothing but its final state.
+            // GarbageCollected keeps up: what is over leaves nothing but its final state.
             let left = (self.state.count("run/"), self.state.count("live/"));
             if left != (0, 0) {
                 let what = format!("{} run records and {} jobs are not swept", left.0, left.1);
@@ -1030,8 +1030,8 @@
     fn command(&mut self, worker: &mut Worker, from: CallRef, body: &Value) {
         let now = self.now();
         let users = &self.users;
-        let heeded = worker.commanded(body, now, &|task| users.lookup(task));
-        let status = if heeded { 200 } else { 409 };
+        let took_effect = worker.commanded(body, now, &|task| users.lookup(task));
+        let status = if took_effect { 200 } else { 409 };
         let response = Response::new(status, encode(&worker.report(now)));
         self.deeds(worker);
         let when = now + self.latency();
--- a/tests/simulated/users.rs
+++ b/tests/simulated/users.rs
@@ -161,7 +161,7 @@
             return;
         };
         let body = user_job.body.clone();
-        if asked == Asked::Withdrawal && !user_job.cancels {
+        if asked == Asked::Cancellation && !user_job.cancels {
             user_job.cancels = true;
             self.checker.see(now, Fact::CancelAsked(job));
             if self.checker.running(job) > 0 {
@@ -172,7 +172,7 @@
         let (method, target, body) = match asked {
             Asked::Submission => ("POST", "/api/jobs".to_owned(), body),
             Asked::Poll => ("GET", format!("/api/jobs/{name}"), Vec::new()),
-            Asked::Withdrawal => ("POST", format!("/api/jobs/{name}/withdraw"), Vec::new()),
+            Asked::Cancellation => ("POST", format!("/api/jobs/{name}/withdraw"), Vec::new()),
         };
         let request = Request {
             method: method.into(),
@@ -248,7 +248,7 @@
         }
         if said == Said::Nothing {
             self.mark("unanswered");
-            if asked == Asked::Withdrawal {
+            if asked == Asked::Cancellation {
                 self.mark("unconfirmed");
             }
         }
@@ -267,7 +267,7 @@
             self.user_at(poll_at, job, Asked::Poll, None, true);
             if fickle {
                 let cancel_at = now + self.random.u64(0..8000);
-                self.user_at(cancel_at, job, Asked::Withdrawal, None, true);
+                self.user_at(cancel_at, job, Asked::Cancellation, None, true);
             }
         }
         if over {
@@ -297,7 +297,7 @@
             _ if said != Said::Nothing && said != Said::Unknown => {}
             // Called off without end, as only that makes it sure.
             Asked::Submission if now > first + TRY_MS => {}
-            Asked::Submission | Asked::Withdrawal => {
+            Asked::Submission | Asked::Cancellation => {
                 let step = Step::Ask {
                     job,
                     asked,
@@ -327,7 +327,7 @@
         }
         if self.random.f64() < 0.2 {
             let when = now + self.random.u64(0..20);
-            self.user_at(when, job, Asked::Withdrawal, None, true);
+            self.user_at(when, job, Asked::Cancellation, None, true);
         }
     }
 
@@ -348,7 +348,7 @@
         if self.chance(self.users.cancel_at_end) {
             self.mark("cancelled-at-its-end");
             let when = now + self.random.u64(0..300);
-            self.user_at(when, job, Asked::Withdrawal, None, true);
+            self.user_at(when, job, Asked::Cancellation, None, true);
             self.user_at(when, job, Asked::Submission, None, false);
             self.user_at(when + 3, job, Asked::Poll, None, false);
         }
@@ -426,7 +426,7 @@
         for id in running.into_iter().take(count) {
             let node = self.nodes(through).first().copied();
             let when = now + self.random.u64(0..200);
-            self.user_at(when, id, Asked::Withdrawal, node, true);
+            self.user_at(when, id, Asked::Cancellation, node, true);
             if hang_ms > 0 {
                 let prefix = format!("job-{id:06}/");
                 let holds = |p: &super::worker::Piece| p.task.starts_with(&prefix);
@@ -476,7 +476,7 @@
                         self.user_at(now + 10, id, Asked::Submission, None, false);
                     }
                     if self.users.jobs[&id].over {
-                        self.user_at(now + 20, id, Asked::Withdrawal, None, false);
+                        self.user_at(now + 20, id, Asked::Cancellation, None, false);
                     }
                 }
             }
--- a/tests/size.rs
+++ b/tests/size.rs
@@ -5,14 +5,14 @@
 use std::time::Duration;
 
 use ciborium::Value;
-use lichencrank::bookkeeping::records::{self, JobRecord};
-use lichencrank::coordination::{Action, CommandResult, Controller, Rulebook};
+use lichencrank::coordination::{Action, CommandResult, Controller, Policy};
 use lichencrank::protocol::cloud::MachineType;
 use lichencrank::protocol::state::{Change, Item, Txn};
 use lichencrank::protocol::users::{JobSpec, Priority, Shape};
 use lichencrank::protocol::workers::{Cause, Order, Report, TaskReport, TaskState};
 use lichencrank::protocol::Amount;
 use lichencrank::settings::{Team, Tuning};
+use lichencrank::storage::records::{self, JobRecord};
 use lichencrank::types::{Attempt, HostName, JobId, Session, Stamp, TaskId, Term, Tick, Time};
 
 const TASKS: u64 = 100_000;
@@ -35,13 +35,13 @@
     }]
 }
 
-fn rules() -> Rulebook {
-    Rulebook {
+fn rules() -> Policy {
+    Policy {
         report: Duration::from_secs(3),
         lease: Duration::from_secs(16),
         cancel: Duration::from_secs(40),
         list_lag: Duration::from_secs(10),
-        chunk_size: records::chunk_size(VALUE_KB),
+        tasks_per_record: records::tasks_per_record(VALUE_KB),
         probes: 10,
         commands: 100,
         records: 100,
@@ -88,7 +88,7 @@
             deadline_s: None,
         },
         at_ms: 0,
-        chunk: records::chunk_size(VALUE_KB),
+        chunk: records::tasks_per_record(VALUE_KB),
     }
 }
 
@@ -183,7 +183,7 @@
         stamp
     }
 
-    fn take_office(&mut self, term: Term, now: Time) -> Controller {
+    fn begin_leading(&mut self, term: Term, now: Time) -> Controller {
         let holder = (Value::Null, Stamp(term.0));
         self.items.insert(records::HOLDER.to_owned(), holder);
         let mut c = Controller::new(term, Stamp(term.0), rules(), types(), now);
@@ -221,7 +221,7 @@
         )],
     });
     let mut now = Time(0);
-    let mut c = kept.take_office(Term(3), now);
+    let mut c = kept.begin_leading(Term(3), now);
     assert_eq!(c.jobs[&JOB].live, live);
     let mut workers: BTreeMap<HostName, Worker> = (0..40)
         .map(|n| (HostName::new(&format!("vm-{n:03}")), Worker::default()))
@@ -236,7 +236,7 @@
         if rounds == 120 {
             // The leader ends in the middle, whatever it had under way.
             assert!(c.jobs[&JOB].done > 1000 && c.jobs[&JOB].booked > 0);
-            c = kept.take_office(Term(4), now);
+            c = kept.begin_leading(Term(4), now);
         }
         for (name, worker) in &mut workers {
             for ended in worker.tasks.values_mut() {
@@ -253,8 +253,8 @@
                 break;
             };
             let stamp = kept.apply(&txn);
-            let Controller { ledger, jobs, .. } = &mut c;
-            let verdict = ledger.applied(jobs, stamp, now);
+            let Controller { batcher, jobs, .. } = &mut c;
+            let verdict = batcher.applied(jobs, stamp, now);
             c.on_verdict(verdict, now).expect("its term");
             for action in c.take_actions() {
                 let Action::Command {
--- a/tests/traces.rs
+++ b/tests/traces.rs
@@ -9,15 +9,15 @@
 use std::fs;
 use std::path::Path;
 
-use lichencrank::bookkeeping::records::{ChunkRecord, JobRecord, OverRecord};
 use lichencrank::coordination::fleet::RentalResult;
-use lichencrank::coordination::{Action, CommandResult, Controller, Deposed, Rulebook};
+use lichencrank::coordination::{Action, CommandResult, Controller, Deposed, Policy};
 use lichencrank::protocol::cloud::{ListedHost, ListedStatus, MachineType};
 use lichencrank::protocol::state::Change;
 use lichencrank::protocol::users::{JobSpec, JobState, Priority, Shape};
 use lichencrank::protocol::workers::{Cause, Order, Report, TaskReport, TaskState};
 use lichencrank::protocol::Amount;
 use lichencrank::settings::{Team, Tuning};
+use lichencrank::storage::records::{JobRecord, OverRecord, RunRecord};
 use lichencrank::types::{Attempt, HostName, JobId, Session, Stamp, TaskId, Term, Tick, Time};
 use std::time::Duration;
 
@@ -49,13 +49,13 @@
     }
 }
 
-fn rules() -> Rulebook {
-    Rulebook {
+fn rules() -> Policy {
+    Policy {
         report: Duration::from_secs(3),
         lease: Duration::from_secs(16),
         cancel: Duration::from_secs(40),
         list_lag: Duration::from_secs(10),
-        chunk_size: 4,
+        tasks_per_record: 4,
         probes: 4,
         commands: 8,
         records: 100,
@@ -287,7 +287,7 @@
         };
         for change in &txn.changes {
             let line = match change {
-                Change::Put { key, value, .. } => match value.deserialized::<ChunkRecord>() {
+                Change::Put { key, value, .. } => match value.deserialized::<RunRecord>() {
                     Ok(r) => {
                         let booked: Vec<String> = r
                             .booked
@@ -310,17 +310,17 @@
             .collect();
         self.say(&format!("if {}", guards.join(" ")));
         let now = self.now;
-        let Controller { ledger, jobs, .. } = &mut self.controller;
+        let Controller { batcher, jobs, .. } = &mut self.controller;
         let verdict = match how {
             [] => {
                 self.stamp += 1;
-                ledger.applied(jobs, Stamp(self.stamp), now)
+                batcher.applied(jobs, Stamp(self.stamp), now)
             }
-            ["lost"] => return ledger.lost(),
-            ["refused"] => return ledger.refused(),
+            ["lost"] => return batcher.lost(),
+            ["refused"] => return batcher.refused(),
             ["conflict", keys @ ..] => {
                 let keys: Vec<String> = keys.iter().map(|k| (*k).to_owned()).collect();
-                ledger.conflict(jobs, &keys)
+                batcher.conflict(jobs, &keys)
             }
             other => panic!("write {other:?}?"),
         };
@@ -330,12 +330,12 @@
 
     fn run_record(&mut self, words: &[&str]) {
         // `record 7 0 stamp 9 booked 0#1@vm-1/1 ... done 2`
-        let mut record = ChunkRecord {
+        let mut record = RunRecord {
             size: 4,
             team: "open".into(),
             cpus: 2.0,
             mem: 2.0,
-            ..ChunkRecord::default()
+            ..RunRecord::default()
         };
         let at = words
             .iter()
@@ -416,9 +416,9 @@
             }
             "write" => self.write(&words[1..]),
             "reread" => {
-                for (job, chunk) in self.controller.ledger.take_unsure() {
-                    let Controller { ledger, jobs, .. } = &mut self.controller;
-                    ledger.reread(jobs, job, chunk, Stamp(words[1].parse().expect("a stamp")));
+                for (job, chunk) in self.controller.batcher.take_version_unknown() {
+                    let Controller { batcher, jobs, .. } = &mut self.controller;
+                    batcher.reread(jobs, job, chunk, Stamp(words[1].parse().expect("a stamp")));
                 }
             }
             "lease" => {
@@ -427,7 +427,7 @@
                     until => Time((until.parse::<f64>().expect("seconds") * 1000.0) as u64),
                 };
             }
-            "thaw" => self.controller.stood_still(),
+            "thaw" => self.controller.resumed_after_pause(),
             "tick" => self.controller.tick(now, now.0),
             "rented" => {
                 let result = match &words[2..] {
@@ -461,8 +461,9 @@
             }
             "machines" => {
                 let known = self.controller.hosts.values();
-                let known: Vec<String> =
-                    known.map(|h| format!("{} {:?}", h.name, h.life)).collect();
+                let known: Vec<String> = known
+                    .map(|h| format!("{} {:?}", h.name, h.lifecycle))
+                    .collect();
                 self.say(&known.join(", "));
             }
             "unheard" => {
--- a/tests/versions.rs
+++ b/tests/versions.rs
@@ -3,8 +3,6 @@
 
 use borsh::{BorshDeserialize, BorshSerialize};
 use ciborium::Value;
-use lichencrank::bookkeeping::records::{self, ChunkRecord, JobRecord};
-use lichencrank::bookkeeping::records::{FinalRecord, HolderRecord, OverRecord, TermRecord};
 use lichencrank::node::Node;
 use lichencrank::protocol::cloud::MachineTypes;
 use lichencrank::protocol::peers::{
@@ -14,6 +12,8 @@
 use lichencrank::protocol::state::value;
 use lichencrank::protocol::{decode, encode};
 use lichencrank::settings::{Settings, Tuning};
+use lichencrank::storage::records::{self, JobRecord, RunRecord};
+use lichencrank::storage::records::{FinalRecord, HolderRecord, OverRecord, TermRecord};
 use lichencrank::transport::{CallId, ConnId, Door, Happening, Network, Request, Response};
 use lichencrank::types::{Attempt, HostName, JobId, Session, Time};
 use serde::de::DeserializeOwned;
@@ -171,7 +171,7 @@
     let names = |d: &OldDescription| d.spec.keys().cloned().collect::<Vec<_>>();
     assert_eq!(names(&again), names(&before));
 
-    let run: ChunkRecord = stored(RUN).deserialized().expect("a run record");
+    let run: RunRecord = stored(RUN).deserialized().expect("a run record");
     let booked = (4, Attempt(2), HostName::new("vm-000231"), Session(1));
     assert_eq!(run.booked, [booked]);
     let again: OldChunk = value(&run).deserialized().expect("an old one");
@@ -280,7 +280,7 @@
             "holder" => drop(kept.record::<HolderRecord>()),
             "term" => drop(kept.record::<TermRecord>()),
             "run" => {
-                let record: ChunkRecord = kept.record();
+                let record: RunRecord = kept.record();
                 bookings += record.booked.len();
                 attempts += record.tried.len();
             }
@@ -368,7 +368,7 @@
         let at = random.usize(..changed.len());
         changed[at] = random.u8(..);
         drop(decode::<JobRecord>(&changed));
-        drop(decode::<ChunkRecord>(&changed));
+        drop(decode::<RunRecord>(&changed));
         drop(decode::<FinalRecord>(&changed));
         drop(decode::<HolderRecord>(&changed));
         drop(decode::<MachineTypes>(&changed));
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -1,10 +1,10 @@
 //! Tables for what comes over the wire: good, odd, and hostile.
 
 use ciborium::Value;
-use lichencrank::bookkeeping::records::JobRecord;
 use lichencrank::coordination::jobs::Job;
 use lichencrank::protocol::users::{read_submission, Submission};
 use lichencrank::protocol::{decode, encode, workers};
+use lichencrank::storage::records::JobRecord;
 use lichencrank::transport::http::{parse_request, parse_response, Malformed, Parsed, MAX_BODY};
 use lichencrank::types::{JobId, Stamp, TaskId};
 
