--- a/src/coordination/commands.rs
+++ b/src/coordination/commands.rs
@@ -4,7 +4,7 @@
 use super::jobs::JobPhase;
 use super::{Action, CommandResult, Controller, Deposed};
 use crate::protocol::workers::Order;
-use crate::types::{HostName, Session, Tick, Time};
+use crate::types::{HostName, Session, TaskId, Tick, Time};
 
 /// More ended attempts than this are cleared at once, as reports have to stay small.
 const MAX_KEPT: usize = 200;
@@ -12,6 +12,10 @@
 /// comes late, so that what ended can be cleared at once.
 const MANY_KEPT: usize = 60;
 
+/// A task may take longer to save than its description says, by this factor and so many seconds.
+const SAVE_FACTOR: f64 = 1.2;
+const SAVE_MARGIN_S: f64 = 1.0;
+
 impl Controller {
     /// What the worker should do now. In the answer to a report, `run` can't be executed late.
     pub(super) fn orders(
@@ -22,47 +26,24 @@
     ) -> Vec<Order> {
         let many = host.leftovers.len() > MANY_KEPT;
         let may_start = self.may_act(now) && (answer_to.is_some() || !many);
-        let crowded = host.leftovers.len() > MAX_KEPT;
-        let mut orders = Vec::new();
-        for (&(task, attempt), leftover) in &host.leftovers {
-            // Cleared too soon, a late copy of its `run` would start it anew.
-            if now < leftover.kept_until && !crowded {
-                continue;
-            }
-            let job = self.jobs.get(&task.job);
-            // Once its job is over in the records, nothing more is written of the task.
-            let over = job.is_none_or(|j| j.phase == JobPhase::GarbageCollected);
-            let chunk = job.and_then(|j| j.chunk(j.chunk_of(task.index)));
-            let written = over || chunk.is_none_or(|c| c.written >= leftover.change);
-            let finishing = job.is_some_and(|j| j.phase == JobPhase::Finishing);
-            let fenced = host.token == self.term && !host.is_unanswered(task, attempt);
-            if written && !finishing && fenced {
-                orders.push(Order::Clear { task, attempt });
-            }
-        }
+        let mut orders = self.clears(host, now);
         let grace_s = 0.0;
         orders.extend(host.strays.iter().map(|&(task, attempt)| Order::Stop {
             task,
             attempt,
             grace_s,
         }));
-        let jobs = &self.jobs;
         for (&task, booking) in &mut host.bookings {
             let attempt = booking.attempt;
             match (booking.stop, booking.phase) {
                 (Some(why), BookingPhase::Present) if !booking.saving => {
-                    let spec = jobs.get(&task.job).and_then(|j| j.spec.as_ref());
-                    let saves = why != StopWhy::Cancelled;
-                    let grace_s = spec
-                        .filter(|s| saves && s.checkpoint_s.0 > 0.0)
-                        .map_or(0.0, |s| s.save_s.0 * 1.2 + 1.0);
                     if let Some(tick) = answer_to {
                         booking.stop_told = tick;
                     }
                     orders.push(Order::Stop {
                         task,
                         attempt,
-                        grace_s,
+                        grace_s: self.grace_s(task, why),
                     });
                 }
                 (None, BookingPhase::Ordered) if booking.session == host.session && may_start => {
@@ -78,6 +59,38 @@
         orders
     }
 
+    /// The ended attempts that the worker may forget: their outcome is written, and no `run` of them
+    /// can come late.
+    fn clears(&self, host: &Host, now: Time) -> Vec<Order> {
+        let crowded = host.leftovers.len() > MAX_KEPT;
+        let mut orders = Vec::new();
+        for (&(task, attempt), leftover) in &host.leftovers {
+            // Cleared too soon, a late copy of its `run` would start it anew.
+            if now < leftover.kept_until && !crowded {
+                continue;
+            }
+            let job = self.jobs.get(&task.job);
+            // Once its job is over in the records, nothing more is written of the task.
+            let over = job.is_none_or(|j| j.phase == JobPhase::GarbageCollected);
+            let chunk = job.and_then(|j| j.chunk(j.chunk_of(task.index)));
+            let written = over || chunk.is_none_or(|c| c.written >= leftover.change);
+            let finishing = job.is_some_and(|j| j.phase == JobPhase::Finishing);
+            let fenced = host.token == self.term && !host.is_unanswered(task, attempt);
+            if written && !finishing && fenced {
+                orders.push(Order::Clear { task, attempt });
+            }
+        }
+        orders
+    }
+
+    /// How long a task that is stopped may take to save its progress.
+    fn grace_s(&self, task: TaskId, why: StopWhy) -> f64 {
+        let spec = self.jobs.get(&task.job).and_then(|j| j.spec.as_ref());
+        let saves = why != StopWhy::Cancelled;
+        spec.filter(|s| saves && s.checkpoint_s.0 > 0.0)
+            .map_or(0.0, |s| s.save_s.0 * SAVE_FACTOR + SAVE_MARGIN_S)
+    }
+
     /// Sends a worker its orders directly, so that a start need not wait for the next report.
     pub(super) fn command(&mut self, host: &mut Host, now: Time) {
         let fresh = now.since(host.heard_at) <= self.rules.report.mul_f64(1.6);
@@ -116,6 +129,7 @@
         });
     }
 
+    /// Takes in what became of a direct command.
     pub fn on_commanded(
         &mut self,
         name: &HostName,
--- a/src/coordination/fleet.rs
+++ b/src/coordination/fleet.rs
@@ -12,9 +12,12 @@
 /// A type, a zone, and whether it is a spot machine.
 pub type Market = (usize, String, bool);
 
+/// What became of a request to rent machines.
 #[derive(Debug, PartialEq)]
 pub enum RentalResult {
+    /// These were rented.
     Rented(Vec<HostName>),
+    /// The cloud has none of that type, zone and kind.
     NoCapacity,
     /// Surely not carried out.
     Refused,
@@ -30,6 +33,7 @@
     retry_at: Option<Time>,
 }
 
+/// What is rented and returned, and the demand that decides it.
 #[derive(Debug)]
 pub struct Fleet {
     term: Term,
@@ -85,6 +89,7 @@
 const RETRY_AFTER: Duration = Duration::from_secs(2);
 
 impl Fleet {
+    /// The fleet of a new leader.
     pub fn new(term: Term) -> Fleet {
         Fleet {
             term,
@@ -126,6 +131,7 @@
             .collect()
     }
 
+    /// Queues a machine to be returned.
     pub fn release(&mut self, name: HostName) {
         if !self.releasing.contains(&name) && !self.to_release.contains(&name) {
             self.to_release.push_back(name);
@@ -175,6 +181,7 @@
         self.actions.push(Action::Release(names));
     }
 
+    /// Takes in the answer to a return of machines.
     pub fn on_released(&mut self, names: &[HostName], confirmed: bool, now: Time) {
         for name in names {
             self.fleet.releasing.remove(name);
@@ -198,6 +205,7 @@
         }
     }
 
+    /// Takes in the answer to a request to rent machines.
     pub fn on_rented(&mut self, request: &str, result: RentalResult, now: Time) {
         let Some(mut open) = self.fleet.rentals.remove(request) else {
             return;
--- a/src/coordination/forecast.rs
+++ b/src/coordination/forecast.rs
@@ -5,7 +5,7 @@
 use std::collections::{BTreeMap, BinaryHeap};
 
 use super::fleet::{Market, ARRIVALS_FOR};
-use super::hosts::{Cordon, HostLifecycle};
+use super::hosts::{Cordon, Host, HostLifecycle};
 use super::jobs::Resources;
 use super::placement::{self, capacity};
 use super::Controller;
@@ -24,7 +24,13 @@
 /// How long work that may use spot machines waits for one before an ordinary one is rented.
 const ORDINARY_AFTER_S: f64 = 180.0;
 /// For a service a machine that takes this much longer to come is worth half as much.
-const HASTE_S: f64 = 60.0;
+const URGENCY_S: f64 = 60.0;
+/// The cloud charges a machine for so long at the least.
+const LEAST_CHARGED_S: f64 = 60.0;
+/// A machine that is not up after this many times its boot time may never come.
+const HOPELESS_BOOT: f64 = 1.7;
+/// How long a task runs on of whose job nothing is known.
+const UNKNOWN_REST_S: f64 = 30.0;
 /// Tasks that one forecast looks at.
 const MAX_FORECAST: u32 = 8000;
 /// Machines that one forecast may ask of a market; they go out in requests of [`MAX_RENTAL`].
@@ -55,6 +61,13 @@
     to_come: bool,
 }
 
+impl Work<'_> {
+    /// Whether a task that starts then keeps the deadline.
+    fn in_time(&self, start: f64) -> bool {
+        self.due.is_none_or(|due| start + self.run <= due)
+    }
+}
+
 /// A machine that is up or to come, as the forecast sees it; times are seconds from now.
 struct Timeline {
     kind: usize,
@@ -144,14 +157,110 @@
     }
 }
 
+/// A forecast while it is made.
+struct Forecast {
+    timelines: Vec<Timeline>,
+    /// Machines that have to be rented.
+    wanted: BTreeMap<Market, u64>,
+    /// Tasks looked at so far.
+    tasks: u32,
+    now: Time,
+}
+
+impl Forecast {
+    /// A service makes room for itself where lower priorities run: how many of its tasks start so.
+    fn preempted_for(&mut self, work: &Work, options: &Options) -> u64 {
+        let spec = work.spec;
+        if !spec.is_service() {
+            return 0;
+        }
+        let need = &options.need;
+        let suits = |timeline: &Timeline| {
+            timeline.at <= work.from + MARGIN_S
+                && options.usable[timeline.kind]
+                && (spec.spot || !timeline.spot)
+                && spec.zone.as_ref().is_none_or(|z| *z == timeline.zone)
+                && need.fits(&timeline.for_services)
+        };
+        let mut started = 0;
+        while started < work.tasks {
+            let Some(timeline) = self.timelines.iter_mut().find(|t| suits(t)) else {
+                break;
+            };
+            timeline.for_services.remove(need);
+            started += 1;
+        }
+        started
+    }
+
+    /// Counts one more machine of that market, unless enough are wanted there.
+    fn may_want(&mut self, market: &Market, controller: &Controller) -> bool {
+        // Where there was nothing lately, one request is enough to ask again.
+        let doubtful = controller.fleet.closed.contains_key(market);
+        let most = if doubtful { MAX_RENTAL } else { MAX_WANTED };
+        let wanted = self.wanted.entry(market.clone()).or_default();
+        let may = *wanted < most;
+        if may {
+            *wanted += 1;
+        }
+        may
+    }
+}
+
+/// Where the tasks of some work may start.
+struct Options {
+    need: Resources,
+    usable: Vec<bool>,
+    starts: Starts,
+    /// How soon a machine rented now could start a task.
+    least_ready: f64,
+    /// The scarce types too, if only they may keep the deadline; and the same of those alone.
+    overflow: Option<Vec<bool>>,
+    overflow_starts: Starts,
+    overflow_ready: f64,
+}
+
 impl Controller {
     /// Rents what waiting work needs beyond the machines that are here or coming. A forecast tells
     /// when each waiting task would start on those; only where that is too late, and a new machine
     /// would be sooner, one is rented.
     pub(super) fn rent(&mut self, scarce: &[bool], now: Time) {
-        let ranks = self.ranked();
+        let coming = self.fleet.coming(now);
+        let mut works = self.waiting_work(now);
+        let waiting_now: u64 = works.iter().map(|w| w.tasks).sum();
+        works.extend(self.all_work_to_come(&coming, scarce));
+        if works.is_empty() {
+            return;
+        }
+        let mut forecast = Forecast {
+            timelines: self.timelines(now),
+            wanted: BTreeMap::new(),
+            tasks: 0,
+            now,
+        };
+        for work in &works {
+            self.forecast_work(work, scarce, &mut forecast);
+        }
+        let Forecast {
+            timelines,
+            wanted,
+            tasks,
+            ..
+        } = forecast;
+        log::debug!(
+            "forecast: {tasks} tasks, {waiting_now} waiting now, on {} machines; {} more wanted",
+            timelines.len(),
+            wanted.values().sum::<u64>()
+        );
+        for (market, count) in wanted {
+            self.order(market, count, now);
+        }
+    }
+
+    /// The tasks that wait, in the order in which they are served.
+    fn waiting_work(&self, now: Time) -> Vec<Work<'_>> {
         let mut works = Vec::new();
-        for rank in ranks {
+        for rank in self.ranked() {
             let Some(job) = self.jobs.get(&rank.id) else {
                 continue;
             };
@@ -168,122 +277,140 @@
                 to_come: false,
             });
         }
-        let waiting_now: u64 = works.iter().map(|w| w.tasks).sum();
-        let coming = self.fleet.coming(now);
+        works
+    }
+
+    /// The work that is likely to come, from what came lately.
+    fn all_work_to_come<'a>(
+        &self,
+        coming: &'a [(f64, Box<JobSpec>)],
+        scarce: &[bool],
+    ) -> Vec<Work<'a>> {
         let mut came: BTreeMap<&str, f64> = BTreeMap::new();
-        for (_, spec) in &coming {
+        for (_, spec) in coming {
             *came.entry(&spec.class).or_default() += 1.0;
         }
-        works.extend(coming.iter().filter_map(|c| {
-            let count = came.get(c.1.class.as_str()).copied().unwrap_or(0.0);
+        let expected = coming.iter().filter_map(|arrival| {
+            let spec = &arrival.1;
+            let count = came.get(spec.class.as_str()).copied().unwrap_or(0.0);
             // A service can't wait to see whether it was chance.
-            let chance = if c.1.is_service() { 0.0 } else { CHANCE };
+            let chance = if spec.is_service() { 0.0 } else { CHANCE };
             let sure = 1.0 - chance / count.max(1.0).sqrt();
-            self.work_to_come(c, sure, scarce)
-        }));
-        if works.is_empty() {
-            return;
+            self.work_to_come(arrival, sure, scarce)
+        });
+        expected.collect()
+    }
+
+    /// Forecasts when the tasks of some work start, and what has to be rented for them.
+    fn forecast_work(&self, work: &Work, scarce: &[bool], forecast: &mut Forecast) {
+        let usable = self.usable_types(work.spec, scarce);
+        // Types that are scarce for others, where only they keep a deadline.
+        let overflow = if work.to_come {
+            None
+        } else {
+            self.overflow_types(work.spec, &usable, work.run, work.due)
+        };
+        let mut overflow_starts = Starts::default();
+        let mut overflow_ready = f64::INFINITY;
+        if let Some(overflow) = &overflow {
+            let both = overflow.iter().zip(&usable);
+            let only: Vec<bool> = both.map(|(more, usual)| *more && !*usual).collect();
+            overflow_starts = Starts::of(&forecast.timelines, work.spec, &only);
+            overflow_ready = self.least_ready(work.spec, &only);
         }
-        let mut timelines = self.timelines(now);
-        let mut wanted: BTreeMap<Market, u64> = BTreeMap::new();
-        let mut looked_at = 0;
-        for work in works {
-            let Work {
-                spec,
-                run,
-                due,
-                tasks: waiting,
-                from,
-                to_come,
-            } = work;
-            let need = placement::need(spec);
-            let usable = self.usable_types(spec, scarce);
-            let mut queue = Starts::of(&timelines, spec, &usable);
-            let least_ready = self.least_ready(spec, &usable);
-            // Kinds that are scarce for others, where only they keep a deadline.
-            let more = if to_come {
-                None
-            } else {
-                self.overflow_types(spec, &usable, run, due)
-            };
-            let mut spare = Starts::default();
-            let mut spare_ready = f64::INFINITY;
-            if let Some(more) = &more {
-                let only: Vec<bool> = more.iter().zip(&usable).map(|(m, u)| *m && !*u).collect();
-                spare = Starts::of(&timelines, spec, &only);
-                spare_ready = self.least_ready(spec, &only);
+        let mut options = Options {
+            need: placement::need(work.spec),
+            starts: Starts::of(&forecast.timelines, work.spec, &usable),
+            least_ready: self.least_ready(work.spec, &usable),
+            usable,
+            overflow,
+            overflow_starts,
+            overflow_ready,
+        };
+        let waiting = work.tasks - forecast.preempted_for(work, &options);
+        for left in (1..=waiting).rev() {
+            forecast.tasks += 1;
+            if forecast.tasks > MAX_FORECAST
+                || !self.forecast_task(work, left, &mut options, forecast)
+            {
+                break;
             }
-            // A service makes room for itself where lower priorities run.
-            let suits = |timeline: &Timeline| {
-                spec.is_service()
-                    && timeline.at <= from + MARGIN_S
-                    && usable[timeline.kind]
-                    && (spec.spot || !timeline.spot)
-                    && spec.zone.as_ref().is_none_or(|z| *z == timeline.zone)
-                    && need.fits(&timeline.for_services)
-            };
-            let mut waiting = waiting;
-            while waiting > 0 {
-                let Some(timeline) = timelines.iter_mut().find(|l| suits(l)) else {
-                    break;
-                };
-                timeline.for_services.remove(&need);
-                waiting -= 1;
+        }
+    }
+
+    /// Finds the start of the next task, of which so many are left with it. `false`: neither the
+    /// machines that there are nor any that is worth renting can take it.
+    fn forecast_task(
+        &self,
+        work: &Work,
+        left: u64,
+        options: &mut Options,
+        forecast: &mut Forecast,
+    ) -> bool {
+        let (from, run) = (work.from, work.run);
+        let start = options.starts.soonest().max(from);
+        if !work.in_time(start) && work.in_time(options.overflow_starts.soonest()) {
+            let starts = &mut options.overflow_starts;
+            starts.take(&mut forecast.timelines, from, run, &options.need);
+            return true;
+        }
+        let market = self.market_for(work, start, left, options, forecast);
+        match market {
+            Some(market) if forecast.may_want(&market, self) => {
+                self.add_rented(market, work, options, forecast);
+                true
             }
-            let in_time = |start: f64| due.is_none_or(|due| start + run <= due);
-            for left in (1..=waiting).rev() {
-                looked_at += 1;
-                if looked_at > MAX_FORECAST {
-                    break;
-                }
-                let start = queue.soonest().max(from);
-                if !in_time(start) && in_time(spare.soonest()) {
-                    spare.take(&mut timelines, from, run, &need);
-                    continue;
-                }
-                let outlook = Outlook {
-                    start,
-                    run,
-                    due,
-                    left,
-                };
-                let hurried = more.as_ref();
-                let hurried = hurried.filter(|_| !in_time(start) && in_time(spare_ready));
-                let hopeful = start > least_ready || hurried.is_some();
-                let kinds = hurried.unwrap_or(&usable);
-                let market = hopeful.then(|| self.worth_renting(spec, &outlook, kinds, now));
-                if let Some(market) = market.flatten() {
-                    // Where there was nothing lately, one request is enough to ask again.
-                    let doubtful = self.fleet.closed.contains_key(&market);
-                    let most = if doubtful { MAX_RENTAL } else { MAX_WANTED };
-                    let open = wanted.entry(market.clone()).or_default();
-                    if *open < most {
-                        *open += 1;
-                        let starts = if usable[market.0] {
-                            &mut queue
-                        } else {
-                            &mut spare
-                        };
-                        let mut timeline = self.new_lane(market);
-                        timeline.take(timeline.at.max(from), run, &need);
-                        timelines.push(timeline);
-                        starts.add(&timelines, timelines.len() - 1, &need);
-                        continue;
-                    }
-                }
-                if !queue.take(&mut timelines, from, run, &need) {
-                    break;
-                }
+            _ => {
+                let starts = &mut options.starts;
+                starts.take(&mut forecast.timelines, from, run, &options.need)
             }
         }
-        log::debug!(
-            "forecast: {looked_at} tasks, {waiting_now} waiting now, on {} machines; {} more wanted",
-            timelines.len(),
-            wanted.values().sum::<u64>()
-        );
-        for (market, count) in wanted {
-            self.order(market, count, now);
+    }
+
+    /// Where a machine is to be rented for a task that would start then on those there are, if
+    /// anywhere.
+    fn market_for(
+        &self,
+        work: &Work,
+        start: f64,
+        left: u64,
+        options: &Options,
+        forecast: &Forecast,
+    ) -> Option<Market> {
+        let hurried = options.overflow.as_ref();
+        let hurried =
+            hurried.filter(|_| !work.in_time(start) && work.in_time(options.overflow_ready));
+        if start <= options.least_ready && hurried.is_none() {
+            return None;
         }
+        let outlook = Outlook {
+            start,
+            run: work.run,
+            due: work.due,
+            left,
+        };
+        let types = hurried.unwrap_or(&options.usable);
+        self.worth_renting(work.spec, &outlook, types, forecast.now)
+    }
+
+    /// Counts a machine that is rented for the task, which starts on it.
+    fn add_rented(
+        &self,
+        market: Market,
+        work: &Work,
+        options: &mut Options,
+        forecast: &mut Forecast,
+    ) {
+        let starts = if options.usable[market.0] {
+            &mut options.starts
+        } else {
+            &mut options.overflow_starts
+        };
+        let mut timeline = self.new_timeline(market);
+        timeline.take(timeline.at.max(work.from), work.run, &options.need);
+        forecast.timelines.push(timeline);
+        let newest = forecast.timelines.len() - 1;
+        starts.add(&forecast.timelines, newest, &options.need);
     }
 
     /// What will wait by the time that a machine rented now is ready, if the coming while is like
@@ -338,61 +465,58 @@
 
     /// Machines that are here or coming, and when their room gets free.
     fn timelines(&self, now: Time) -> Vec<Timeline> {
-        let mut timelines = Vec::new();
-        for host in self.hosts.values() {
-            let Some(kind) = host.kind else { continue };
-            let Some(t) = self.types.get(kind) else {
-                continue;
-            };
-            let at = match host.lifecycle {
-                HostLifecycle::Up if matches!(host.cordon, None | Some(Cordon::Surplus)) => 0.0,
+        let hosts = self.hosts.values();
+        let mut timelines: Vec<Timeline> = hosts.filter_map(|h| self.timeline(h, now)).collect();
+        for open in self.fleet.rentals.values() {
+            for _ in 0..open.rental.count {
+                timelines.push(self.new_timeline(open.market.clone()));
+            }
+        }
+        timelines
+    }
+
+    /// The timeline of a machine, unless nothing can be expected of it.
+    fn timeline(&self, host: &Host, now: Time) -> Option<Timeline> {
+        let kind = host.kind?;
+        let machine_type = self.types.get(kind)?;
+        let at = match host.lifecycle {
+            HostLifecycle::Up if matches!(host.cordon, None | Some(Cordon::Surplus)) => 0.0,
+            HostLifecycle::Expected => {
+                let boot = machine_type.boot_s.0;
+                let age = now.since(host.rented_at).as_secs_f64();
                 // One that takes much longer than usual may never come.
-                HostLifecycle::Expected => {
-                    let age = now.since(host.rented_at).as_secs_f64();
-                    if age > t.boot_s.0 * 1.7 {
-                        continue;
-                    }
-                    (t.boot_s.0 - age).max(1.0)
-                }
-                HostLifecycle::Up | HostLifecycle::Silent | HostLifecycle::Releasing => continue,
-            };
-            let mut ends: Vec<(f64, Resources)> = host
-                .bookings
-                .iter()
-                .map(|(task, booking)| {
-                    let job = self.jobs.get(&task.job);
-                    let rest = job.map_or(30.0, |j| self.expected_rest(j, booking.started, now));
-                    (rest, booking.need)
-                })
-                .collect();
-            ends.sort_by(|a, b| a.0.total_cmp(&b.0));
-            let (zone, spot) = (host.zone.clone(), host.spot);
-            let free = capacity(t).minus(&host.used);
-            let mut for_services = capacity(t);
-            for (task, booking) in &host.bookings {
-                if self.is_service(*task) {
-                    for_services.remove(&booking.need);
+                if age > boot * HOPELESS_BOOT {
+                    return None;
                 }
+                (boot - age).max(1.0)
             }
-            timelines.push(Timeline {
-                for_services,
-                kind,
-                zone,
-                spot,
-                at,
-                free,
-                ends,
+            HostLifecycle::Up | HostLifecycle::Silent | HostLifecycle::Releasing => return None,
+        };
+        let mut ends = Vec::new();
+        let mut for_services = capacity(machine_type);
+        for (task, booking) in &host.bookings {
+            let job = self.jobs.get(&task.job);
+            let rest = job.map_or(UNKNOWN_REST_S, |j| {
+                self.expected_rest(j, booking.started, now)
             });
-        }
-        for open in self.fleet.rentals.values() {
-            for _ in 0..open.rental.count {
-                timelines.push(self.new_lane(open.market.clone()));
+            ends.push((rest, booking.need));
+            if self.is_service(*task) {
+                for_services.remove(&booking.need);
             }
         }
-        timelines
+        ends.sort_by(|a, b| a.0.total_cmp(&b.0));
+        Some(Timeline {
+            kind,
+            zone: host.zone.clone(),
+            spot: host.spot,
+            at,
+            for_services,
+            free: capacity(machine_type).minus(&host.used),
+            ends,
+        })
     }
 
-    fn new_lane(&self, (kind, zone, spot): Market) -> Timeline {
+    fn new_timeline(&self, (kind, zone, spot): Market) -> Timeline {
         let t = &self.types[kind];
         let at = t.boot_s.0;
         Timeline {
@@ -447,17 +571,13 @@
                         continue;
                     }
                     let price = if spot { t.spot_price.0 } else { t.price.0 };
+                    let machine = price * span.max(LEAST_CHARGED_S);
                     // What a service leaves of a machine others use; that it is there soon counts more.
-                    let sharing = if spec.is_service() {
-                        fits
-                    } else {
-                        fits.min(outlook.left)
-                    };
-                    let cost = price * span.max(60.0) / sharing as f64;
                     let cost = if spec.is_service() {
-                        cost * self.urgency_factor(self.ready_after(spec, kind))
+                        let ready = self.ready_after(spec, kind);
+                        machine / fits as f64 * self.urgency_factor(ready)
                     } else {
-                        cost
+                        machine / fits.min(outlook.left) as f64
                     };
                     let cost = if in_time { cost } else { cost * LATE_FACTOR };
                     if best.as_ref().is_none_or(|(c, _)| cost < *c) {
@@ -471,7 +591,7 @@
 
     /// How much dearer a machine may be that is there sooner.
     pub(super) fn urgency_factor(&self, ready: f64) -> f64 {
-        1.0 + ready / HASTE_S
+        1.0 + ready / URGENCY_S
     }
 
     /// How long a machine rented now takes until a task of the job can start on it.
--- a/src/coordination/hosts.rs
+++ b/src/coordination/hosts.rs
@@ -7,6 +7,7 @@
 use crate::protocol::workers::{Report, TaskReport, TaskState as Reported};
 use crate::types::{Attempt, HostName, JobId, Session, TaskId, Term, Tick, Time};
 
+/// Where a machine is in its life.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HostLifecycle {
     /// Rented or listed, but its worker has not reported to this leader.
@@ -19,6 +20,7 @@
     Releasing,
 }
 
+/// Why nothing new is placed on a machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Cordon {
     /// Not needed for the work there is; opened again if that grows.
@@ -39,9 +41,13 @@
     /// A command got no answer, or it was silent: nothing new goes there until the next sign.
     Unconfirmed,
     /// Its reports come, but answers and commands don't reach it.
-    HalfOpen { since: Time },
+    HalfOpen {
+        /// When that was found.
+        since: Time,
+    },
 }
 
+/// How far a booking is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BookingPhase {
     /// The booking is not known to be written; no `run` may leave.
@@ -52,18 +58,27 @@
     Present,
 }
 
+/// Why a task is to be stopped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StopWhy {
+    /// Its job was cancelled.
     Cancelled,
+    /// Its machine is about to go.
     Drained,
+    /// Work of a higher priority needs the room.
     Preempted,
 }
 
+/// A task's place on a machine, from before its start until it is proven to have ended.
 #[derive(Clone, Debug)]
 pub struct Booking {
+    /// Which attempt at the task.
     pub attempt: Attempt,
+    /// Session of the worker for which it was booked.
     pub session: Session,
+    /// What the task takes.
     pub need: Resources,
+    /// How far it is.
     pub phase: BookingPhase,
     /// The change of its chunk that holds the booking.
     pub change: u64,
@@ -75,10 +90,15 @@
     pub answered: Tick,
     /// The last report in whose answer `stop` went out.
     pub stop_told: Tick,
+    /// It is to be stopped, and why.
     pub stop: Option<StopWhy>,
+    /// The worker said that it saves its progress.
     pub saving: bool,
+    /// The worker said that it waits for its image.
     pub fetching: bool,
+    /// When it was booked, or read from the records.
     pub since: Time,
+    /// When it was first seen to run.
     pub started: Option<Time>,
 }
 
@@ -91,26 +111,42 @@
     pub kept_until: Time,
 }
 
+/// A machine as the leader knows it.
 #[derive(Debug)]
 pub struct Host {
+    /// Its name.
     pub name: HostName,
+    /// Index of its type, once that is known.
     pub kind: Option<usize>,
+    /// Its zone.
     pub zone: String,
+    /// Whether it is a spot machine.
     pub spot: bool,
+    /// Address for direct commands, once it has reported.
     pub address: Option<SocketAddr>,
+    /// Where it is in its life.
     pub lifecycle: HostLifecycle,
+    /// Why nothing new is placed there, if so.
     pub cordon: Option<Cordon>,
+    /// Session of its worker.
     pub session: Session,
+    /// Tick of the newest message of that session.
     pub tick: Tick,
     /// The highest token its worker has seen, by its own word.
     pub token: Term,
     /// When this leader first knew of it, and when it last heard from it.
     pub known_at: Time,
+    /// When this leader last heard from it.
     pub heard_at: Time,
+    /// When it was rented, or first seen.
     pub rented_at: Time,
+    /// When its first report came.
     pub up_at: Option<Time>,
+    /// When the cloud takes it away, if it gave notice.
     pub gone_by: Option<Time>,
+    /// Tasks that are booked there.
     pub bookings: BTreeMap<TaskId, Booking>,
+    /// Ended attempts that its worker still reports.
     pub leftovers: BTreeMap<(TaskId, Attempt), Leftover>,
     /// Images that are likely there, the most recently used last, and their sizes.
     pub images: Vec<(String, f64)>,
@@ -122,12 +158,17 @@
     pub strays: BTreeSet<(TaskId, Attempt)>,
     /// Direct `run`s without an answer: each may still be executed, even minutes from now.
     pub unanswered: BTreeMap<(TaskId, Attempt), u32>,
+    /// What its bookings take.
     pub used: Resources,
+    /// Since when it has had no booking.
     pub idle_since: Option<Time>,
+    /// Jobs whose tasks failed there, and when.
     pub failed_jobs: BTreeMap<JobId, Time>,
+    /// Failures in a row.
     pub failures: u32,
     /// A direct command is on its way; the next one waits for its answer.
     pub commanding: bool,
+    /// Whether commands are known to reach it.
     pub reachability: Reachability,
     /// How many answers and commands in a row have shown no effect.
     pub without_effect: u32,
@@ -139,6 +180,7 @@
     pub removed_at: Option<Time>,
     /// The cloud's list has named it, and the last one doesn't any more.
     pub listed: bool,
+    /// The cloud's list once named it, and does no more.
     pub unlisted: bool,
     /// When the cloud's list first called it running.
     pub running_since: Option<Time>,
@@ -148,6 +190,7 @@
 const DEAF_AFTER: u32 = 3;
 
 impl Host {
+    /// A machine of which only the name is known.
     pub fn new(name: HostName, now: Time) -> Host {
         Host {
             name,
@@ -253,6 +296,7 @@
         }
     }
 
+    /// Whether the image is likely there.
     pub fn holds_image(&self, image: &str) -> bool {
         self.images.iter().any(|(name, _)| name == image)
     }
@@ -262,12 +306,14 @@
         (report.session, report.tick) > (self.session, self.tick)
     }
 
+    /// Books a task.
     pub fn book(&mut self, task: TaskId, booking: Booking) {
         self.used.add(&booking.need);
         self.idle_since = None;
         self.bookings.insert(task, booking);
     }
 
+    /// Ends a booking.
     pub fn unbook(&mut self, task: TaskId, now: Time) -> Option<Booking> {
         let booking = self.bookings.remove(&task)?;
         self.used.remove(&booking.need);
@@ -278,6 +324,7 @@
         Some(booking)
     }
 
+    /// Whether a direct `run` of the attempt has no answer.
     pub fn is_unanswered(&self, task: TaskId, attempt: Attempt) -> bool {
         self.unanswered.contains_key(&(task, attempt))
     }
--- a/src/coordination/jobs.rs
+++ b/src/coordination/jobs.rs
@@ -10,8 +10,11 @@
 /// What a task takes of its machine.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Resources {
+    /// CPUs.
     pub cpus: f64,
+    /// GPUs.
     pub gpus: f64,
+    /// Memory in GB.
     pub memory_gb: f64,
 }
 
@@ -19,24 +22,28 @@
 const SLACK: f64 = 1e-6;
 
 impl Resources {
+    /// Whether it fits into that room.
     pub fn fits(&self, room: &Resources) -> bool {
         self.cpus <= room.cpus + SLACK
             && self.gpus <= room.gpus + SLACK
             && self.memory_gb <= room.memory_gb + SLACK
     }
 
+    /// Adds to it.
     pub fn add(&mut self, other: &Resources) {
         self.cpus += other.cpus;
         self.gpus += other.gpus;
         self.memory_gb += other.memory_gb;
     }
 
+    /// Takes from it; nothing goes below zero.
     pub fn remove(&mut self, other: &Resources) {
         self.cpus = (self.cpus - other.cpus).max(0.0);
         self.gpus = (self.gpus - other.gpus).max(0.0);
         self.memory_gb = (self.memory_gb - other.memory_gb).max(0.0);
     }
 
+    /// What is left of it without the other.
     pub fn minus(&self, other: &Resources) -> Resources {
         let mut rest = *self;
         rest.remove(other);
@@ -66,6 +73,7 @@
 /// No job waits longer than this after a failure.
 const LONGEST_PAUSE: Duration = Duration::from_secs(30);
 
+/// Where a job is in its life.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum JobPhase {
     /// Accepted; its tasks are placed as they can be.
@@ -85,6 +93,7 @@
     pub old_count: u32,
     /// New records that are written already, and up to which change; and those of the last step.
     pub prepared: BTreeMap<u32, u64>,
+    /// Records that the last step writes, and up to which change.
     pub last: BTreeMap<u32, u64>,
 }
 
@@ -94,22 +103,31 @@
     }
 }
 
+/// State of one task.
 #[derive(Clone, Debug, PartialEq)]
 pub enum TaskState {
     /// Not placed; attempts up to `last` were used.
     Waiting {
+        /// The last attempt that was used; 0 if none was.
         last: Attempt,
     },
+    /// It has a place on a machine.
     Booked {
+        /// The machine.
         host: HostName,
+        /// Which attempt it is.
         attempt: Attempt,
+        /// Session of the worker.
         session: Session,
     },
+    /// It completed. Final.
     Done,
 }
 
+/// The tasks that share a run record.
 #[derive(Debug)]
 pub struct Chunk {
+    /// States of the tasks.
     pub tasks: Vec<TaskState>,
     /// How many of them are booked.
     booked: u32,
@@ -117,12 +135,14 @@
     pub stamp: Stamp,
     /// Counts changes, and says up to which one the record is known to be written.
     pub changes: u64,
+    /// The last change that is known to be written.
     pub written: u64,
     /// A lost answer left the record's version unknown; it must be read first.
     pub version_unknown: bool,
 }
 
 impl Chunk {
+    /// Tasks whose record has that version and holds that change.
     pub fn new(tasks: Vec<TaskState>, stamp: Stamp, changes: u64) -> Chunk {
         let is_booked = |t: &&TaskState| matches!(t, TaskState::Booked { .. });
         Chunk {
@@ -141,31 +161,45 @@
     }
 }
 
+/// A job as the leader knows it.
 #[derive(Debug)]
 pub struct Job {
+    /// Its id.
     pub id: JobId,
     /// Gone once a job is over: then only `need` and `team` are left, from the run records.
     pub spec: Option<Box<JobSpec>>,
     /// Version of the job's record, which orders the arrivals.
     pub live: Stamp,
+    /// Time of day of its submission, in milliseconds.
     pub at_ms: u64,
+    /// Team whose limit applies.
     pub team: String,
+    /// What each task takes.
     pub need: Resources,
+    /// Where it is in its life.
     pub phase: JobPhase,
+    /// How many tasks share a run record.
     pub tasks_per_record: u32,
+    /// Its run records; `None` while nothing of one was ever booked.
     pub chunks: Vec<Option<Box<Chunk>>>,
     /// Tasks from here on have never been touched.
     fresh: u32,
     retry: BTreeSet<u32>,
+    /// How many tasks it has.
     pub total: u32,
+    /// How many are done.
     pub done: u32,
+    /// How many are booked.
     pub booked: u32,
     /// Its tasks wait until then, after failures.
     pub not_before: Time,
     /// How long its finished tasks ran, in all, and how many they are.
     pub ran: (f64, f64),
+    /// Failures since a task last ran well.
     pub failures: u32,
+    /// Machines on which a task failed.
     pub failed_on: BTreeSet<HostName>,
+    /// When its cancellation became known here.
     pub cancelled_at: Option<Time>,
     /// Replicas of a service that don't run: since when, and why.
     pub gaps: BTreeMap<u32, (Time, &'static str)>,
@@ -178,6 +212,7 @@
 }
 
 impl Job {
+    /// A job of which nothing is booked.
     pub fn new(record: JobRecord, live: Stamp) -> Job {
         let JobRecord { spec, at_ms, chunk } = record;
         let tasks_per_record = chunk.max(1);
@@ -272,6 +307,7 @@
         self.to_archive = Some(self.outcome());
     }
 
+    /// Its priority; normal where only run records are left.
     pub fn priority(&self) -> Priority {
         self.spec.as_ref().map_or(Priority::Normal, |s| s.priority)
     }
@@ -331,48 +367,25 @@
             log::error!("{}: run record {number} lies beyond the job", self.id);
             return Vec::new();
         }
-        let length = self.chunk_length(number);
-        let mut tasks = vec![TaskState::Waiting { last: Attempt(0) }; length as usize];
-        let mut set = |offset: u32, state: TaskState| {
-            if let Some(task) = tasks.get_mut(offset as usize) {
-                *task = state;
-            }
-        };
-        for (offset, last) in &record.tried {
-            set(*offset, TaskState::Waiting { last: *last });
-        }
-        for (first, count) in &record.done {
-            for offset in *first..first.saturating_add(*count).min(length) {
-                set(offset, TaskState::Done);
-            }
-        }
+        let tasks = task_states(record, self.chunk_length(number));
         let first = number * self.tasks_per_record;
         let mut bookings = Vec::new();
-        for (offset, attempt, host, session) in &record.booked {
-            let (attempt, session) = (*attempt, *session);
-            if *offset < length {
-                set(
-                    *offset,
-                    TaskState::Booked {
-                        host: host.clone(),
-                        attempt,
-                        session,
-                    },
-                );
-                bookings.push((first + offset, attempt, host.clone(), session));
-            }
-        }
-        let mut booked = 0;
-        for (offset, task) in tasks.iter().enumerate() {
+        for (index, task) in (first..).zip(&tasks) {
             match task {
                 TaskState::Waiting { .. } => {
-                    self.retry.insert(first + offset as u32);
+                    self.retry.insert(index);
+                }
+                TaskState::Booked {
+                    host,
+                    attempt,
+                    session,
+                } => {
+                    self.booked += 1;
+                    bookings.push((index, *attempt, host.clone(), *session));
                 }
-                TaskState::Booked { .. } => booked += 1,
                 TaskState::Done => self.done += 1,
             }
         }
-        self.booked += booked;
         self.chunks[at] = Some(Box::new(Chunk::new(tasks, stamp, 0)));
         bookings
     }
@@ -406,10 +419,12 @@
         self.tasks_per_record.min(self.total.saturating_sub(first))
     }
 
+    /// Number of the run record that holds the task.
     pub fn chunk_of(&self, index: u32) -> u32 {
         index / self.tasks_per_record
     }
 
+    /// How many tasks wait.
     pub fn waiting(&self) -> u32 {
         if self.phase == JobPhase::Active {
             self.retry.len() as u32 + (self.total - self.fresh)
@@ -429,20 +444,24 @@
         }
     }
 
+    /// The waiting task that is placed next.
     pub fn first_waiting(&self) -> Option<u32> {
         let fresh = (self.fresh < self.total).then_some(self.fresh);
         self.retry.first().copied().or(fresh)
     }
 
+    /// State of a task; `None` if nothing of its record was ever booked.
     pub fn task(&self, index: u32) -> Option<&TaskState> {
         let chunk = self.chunks.get(self.chunk_of(index) as usize)?.as_ref()?;
         chunk.tasks.get((index % self.tasks_per_record) as usize)
     }
 
+    /// The tasks of a run record.
     pub fn chunk(&self, number: u32) -> Option<&Chunk> {
         self.chunks.get(number as usize)?.as_deref()
     }
 
+    /// The tasks of a run record.
     pub fn chunk_mut(&mut self, number: u32) -> Option<&mut Chunk> {
         self.chunks.get_mut(number as usize)?.as_deref_mut()
     }
@@ -501,6 +520,7 @@
         })
     }
 
+    /// The last attempt at a task.
     pub fn last_attempt(&self, index: u32) -> Attempt {
         match self.task(index) {
             Some(TaskState::Waiting { last }) => *last,
@@ -509,6 +529,7 @@
         }
     }
 
+    /// A run record as it is to be written.
     pub fn record(&self, number: u32) -> Option<RunRecord> {
         let chunk = self.chunk(number)?;
         let mut record = RunRecord {
@@ -550,6 +571,7 @@
         Some(record)
     }
 
+    /// The owner's estimate of a task's run time, in seconds.
     pub fn estimate(&self) -> f64 {
         self.spec.as_ref().map_or(30.0, |s| s.estimate_s.0.max(1.0))
     }
@@ -583,3 +605,30 @@
         self.done == 0 && self.failed_on.len() >= 3
     }
 }
+
+/// The tasks of a run record that holds so many.
+fn task_states(record: &RunRecord, length: u32) -> Vec<TaskState> {
+    let mut tasks = vec![TaskState::default(); length as usize];
+    let mut set = |offset: u32, state: TaskState| {
+        if let Some(task) = tasks.get_mut(offset as usize) {
+            *task = state;
+        }
+    };
+    for (offset, last) in &record.tried {
+        set(*offset, TaskState::Waiting { last: *last });
+    }
+    for (first, count) in &record.done {
+        for offset in *first..first.saturating_add(*count).min(length) {
+            set(offset, TaskState::Done);
+        }
+    }
+    for (offset, attempt, host, session) in &record.booked {
+        let booked = TaskState::Booked {
+            host: host.clone(),
+            attempt: *attempt,
+            session: *session,
+        };
+        set(*offset, booked);
+    }
+    tasks
+}
--- a/src/coordination/leadership.rs
+++ b/src/coordination/leadership.rs
@@ -8,17 +8,32 @@
 use crate::storage::store::Outcome;
 use crate::types::{LeaseId, Stamp, Term, Time};
 
+/// Where this controller is in the election.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Role {
     /// Someone else leads, or nobody does yet.
     Following,
     /// The key is free; a lease to hang it on is being asked for.
-    Granting { term: Term, term_stamp: Stamp },
+    Granting {
+        /// The term to be won.
+        term: Term,
+        /// Version of the highest term's key.
+        term_stamp: Stamp,
+    },
     /// The transaction that wins the key is on its way.
-    Claiming { lease: LeaseId, term: Term },
+    Claiming {
+        /// Its lease.
+        lease: LeaseId,
+        /// The term to be won.
+        term: Term,
+    },
+    /// Leads, as far as it knows.
     Leading {
+        /// Its lease.
         lease: LeaseId,
+        /// Its term, the fencing token.
         term: Term,
+        /// Version of the leader's key.
         stamp: Stamp,
     },
 }
@@ -26,44 +41,57 @@
 /// Which request of the election an outcome belongs to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Step {
+    /// Reads who leads.
     Read,
+    /// Asks for a lease.
     Grant,
+    /// Takes the leader's key and raises the term, in one transaction.
     Claim,
-    /// Of this lease: an answer may come when the duties was lost and won again.
+    /// Of this lease: an answer may come when the leadership was lost and won again.
     Renew(LeaseId),
+    /// Ends a lease.
     End,
 }
 
+/// What the election needs done.
 #[derive(Clone, Debug, PartialEq)]
 pub enum LeadershipAction {
     /// Read the keys below `lead/`.
     Read,
+    /// Ask for a lease of that length.
     Grant(Duration),
+    /// Send this claim.
     Claim(Txn),
+    /// Renew the lease.
     Renew(LeaseId),
     /// End the lease of a process that is surely dead, or our own that is not needed.
     End(LeaseId),
-    /// Give up the duties in favour of a node that is better placed: end the lease, step down.
+    /// Transfer the leadership in favour of a node that is better placed: end the lease, step down.
     Resign(LeaseId),
     /// Begin to lead.
     Lead {
+        /// Term that was won.
         term: Term,
+        /// Version of the leader's key.
         stamp: Stamp,
     },
+    /// Stop leading.
     StepDown,
 }
 
 /// What a read of the keys below `lead/` showed.
 #[derive(Clone, Debug, Default)]
 pub struct Seen {
+    /// The leader's key and its version, if it exists.
     pub holder: Option<(HolderRecord, Stamp)>,
+    /// The highest term and its version.
     pub term: Option<(Term, Stamp)>,
 }
 
 /// Clocks of different machines drift apart by at most 0.05%; this is well beyond that.
 const DRIFT: f64 = 0.99;
 const READ_EVERY: Duration = Duration::from_millis(400);
-/// A node that gave up the duties lets the others go first.
+/// A node that transferred the leadership lets the others go first.
 const REST: Duration = Duration::from_secs(3);
 /// What the state service said of the leader counts for this long.
 const FRESH: Duration = Duration::from_millis(1500);
@@ -71,13 +99,16 @@
 /// A renewal that was refused, or got no answer, is tried again after this.
 const RENEW_AGAIN: Duration = Duration::from_millis(200);
 
+/// The election, as one controller takes part in it.
 pub struct Leadership {
     node: String,
     incarnation: u64,
     ttl: Duration,
+    /// Where this controller is.
     pub role: Role,
     /// The highest term seen anywhere, and who leads it, if known.
     pub term: Term,
+    /// Who leads, by the last word heard.
     pub leader: Option<String>,
     valid_until: Time,
     /// When the lease is to be renewed next.
@@ -95,6 +126,7 @@
 }
 
 impl Leadership {
+    /// A controller that knows nothing yet. `seed` tells this process from others of its name.
     pub fn new(node: &str, ttl: Duration, seed: u64) -> Leadership {
         let mut random = fastrand::Rng::with_seed(seed);
         Leadership {
@@ -125,6 +157,7 @@
         }
     }
 
+    /// Whether this controller leads, as far as it knows.
     pub fn is_leading(&self) -> bool {
         matches!(self.role, Role::Leading { .. })
     }
@@ -161,6 +194,7 @@
         }
     }
 
+    /// What is due by time alone.
     pub fn tick(&mut self, now: Time) -> Option<LeadershipAction> {
         match self.role {
             Role::Leading { lease, .. } => {
@@ -209,7 +243,7 @@
         }
     }
 
-    /// Gives up the duties, unless that was done a short while ago.
+    /// Transfers the leadership, unless that was done a short while ago.
     pub fn resign(&mut self, now: Time) -> Option<LeadershipAction> {
         let Role::Leading { lease, .. } = self.role else {
             return None;
@@ -222,7 +256,7 @@
         Some(LeadershipAction::Resign(lease))
     }
 
-    /// Whether this node gave up the duties a short while ago.
+    /// Whether this node transferred the leadership a short while ago.
     pub fn transferred_leadership(&self, now: Time) -> bool {
         self.resigned_at.is_some_and(|at| now.since(at) < REST * 10)
     }
@@ -308,6 +342,7 @@
         LeadershipAction::Lead { term, stamp }
     }
 
+    /// Takes in the outcome of one of the election's requests.
     pub fn on_outcome(
         &mut self,
         step: Step,
@@ -347,7 +382,7 @@
                     }
                     Outcome::LeaseGone => Some(self.step_down()),
                     _ => {
-                        // Three refusals in a row must not cost the duties: it is asked again soon.
+                        // Three refusals in a row must not cost the leadership: it is asked again soon.
                         self.renew_at = self.renew_at.min(now.after(RENEW_AGAIN));
                         None
                     }
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -34,13 +34,20 @@
 /// What the leader wants done outside.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
+    /// Send a worker commands.
     Command {
+        /// Its machine.
         host: HostName,
+        /// Where to send them.
         to: SocketAddr,
+        /// Session that they are meant for.
         session: Session,
+        /// The commands.
         orders: Vec<Order>,
     },
+    /// Rent machines.
     Rent(Rental),
+    /// Return machines, as they are not needed.
     Release(Vec<HostName>),
     /// The same, and so pressing that it goes out without a lease too: these machines hold cancelled
     /// work whose time is nearly up. Another leader could lose no more by it than a machine.
@@ -60,10 +67,11 @@
     Lost,
 }
 
-/// A worker has seen a higher token: another leader is in duties.
+/// A worker has seen a higher token: another controller leads.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Deposed(pub Term);
 
+/// How far a leader's picture is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
     /// Records are being read.
@@ -71,19 +79,25 @@
     /// One report round passes, so that the picture is whole before machines are judged; work goes
     /// only to those that have reported.
     Gathering {
+        /// When the round of reports is over at the latest.
         until: Time,
     },
+    /// The picture is complete: work is placed.
     Placing,
 }
 
 /// The settings that decisions depend on.
 #[derive(Clone, Debug)]
 pub struct Policy {
+    /// Interval of reports.
     pub report: Duration,
+    /// Lease of workers.
     pub lease: Duration,
+    /// Time for cancellations.
     pub cancel: Duration,
     /// How far the cloud's list lags at the most.
     pub list_lag: Duration,
+    /// How many tasks share a run record.
     pub tasks_per_record: u32,
     /// Machines that may be asked at once whether they hear: each takes a socket for a while.
     pub probes: usize,
@@ -91,17 +105,21 @@
     pub commands: usize,
     /// What a value and a transaction may hold at the most.
     pub max_value: usize,
+    /// Changes that a transaction may hold.
     pub txn_ops: usize,
     /// Records of the lowest priority that may wait for being written; each higher one may have as
     /// many again. What is booked beyond that would only hold machines idle.
     pub records: usize,
+    /// Teams with their guarantees and limits.
     pub teams: Vec<Team>,
     /// Classes that are to begin within so many seconds.
     pub hurried: Vec<(String, f64)>,
+    /// What operators have tuned.
     pub tuning: Tuning,
 }
 
 impl Policy {
+    /// The policy that follows from the settings.
     pub fn new(service: &Service, tuning: &Tuning) -> Policy {
         Policy {
             report: service.workers.report(),
@@ -120,18 +138,23 @@
         }
     }
 
+    /// A machine without a report for longer counts as silent.
     pub fn silent_limit(&self) -> Duration {
         self.report.mul_f64(self.tuning.silent_reports)
     }
 
+    /// The team of that name.
     pub fn team(&self, name: &str) -> Option<&Team> {
         self.teams.iter().find(|t| t.name == name)
     }
 }
 
+/// How many machines the leader hears.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Reach {
+    /// Machines that reported lately.
     pub heard: usize,
+    /// Machines that are up or silent.
     pub known: usize,
     /// The zone that holds the most machines.
     pub home: Option<String>,
@@ -146,15 +169,21 @@
 
 /// The picture and the decisions of one term.
 pub struct Controller {
+    /// The leader's term.
     pub term: Term,
+    /// How far its picture is.
     pub phase: Phase,
     /// Until when the own lease surely stands. It is looked at whenever something is begun, as the
     /// process may have stood still since it was last asked.
     pub valid_until: Time,
     rules: Policy,
+    /// The machine types.
     pub types: Vec<MachineType>,
+    /// The machines by name.
     pub hosts: BTreeMap<HostName, Host>,
+    /// The jobs by id.
     pub jobs: Jobs,
+    /// Writes what changes.
     pub batcher: WriteBatcher,
     fleet: Fleet,
     /// Zones of which this node hears no other node: what is silent there is cut off.
@@ -211,6 +240,7 @@
 const AVOID: Duration = Duration::from_secs(20);
 
 impl Controller {
+    /// A leader that has read nothing yet. `holder` is the version of its key.
     pub fn new(
         term: Term,
         holder: Stamp,
@@ -253,6 +283,7 @@
         }
     }
 
+    /// Takes what is to be done outside.
     pub fn take_actions(&mut self) -> Vec<Action> {
         std::mem::take(&mut self.actions)
     }
@@ -282,6 +313,7 @@
 
     // ---- records
 
+    /// Takes in a run record while the records are read.
     pub fn on_run_record(
         &mut self,
         id: JobId,
@@ -370,6 +402,7 @@
         }
     }
 
+    /// Puts together the next transaction of at most so many changes.
     pub fn next_batch(&mut self, max_changes: usize, spare: bool) -> Option<Txn> {
         if self.phase == Phase::Loading {
             return None;
@@ -380,6 +413,7 @@
         self.batcher.next_batch(&mut self.jobs, max_changes, spare)
     }
 
+    /// Takes in what became of a batch.
     pub fn on_verdict(&mut self, verdict: Verdict, now: Time) -> Result<(), Deposed> {
         match verdict {
             Verdict::Written(written) => self.on_written(&written, now),
@@ -504,6 +538,7 @@
         self.place_wanted = true;
     }
 
+    /// Takes in the machine types.
     pub fn on_types(&mut self, types: Vec<MachineType>) {
         if types == self.types {
             return;
--- a/src/coordination/placement.rs
+++ b/src/coordination/placement.rs
@@ -22,6 +22,7 @@
 const GPU_WEIGHT: f64 = 20.0;
 const UTILIZATION_WEIGHT: f64 = 5.0;
 
+/// What an empty machine of the type has.
 pub fn capacity(kind: &MachineType) -> Resources {
     Resources {
         cpus: kind.cpus.0,
@@ -59,6 +60,7 @@
     allowed && zone && need(spec).fits(&capacity(kind))
 }
 
+/// What a task of the job takes.
 pub fn need(spec: &JobSpec) -> Resources {
     Resources {
         cpus: spec.cpus.0,
@@ -102,12 +104,21 @@
 /// What one pass over the waiting tasks keeps.
 struct Pass {
     open: Vec<Open>,
-    /// What found no machine, whether it may use spot machines, and whether scarce ones too.
-    full: Vec<(Resources, bool, bool)>,
+    /// What found no machine.
+    full: Vec<TaskShape>,
     left: u64,
     now: Time,
 }
 
+/// What matters for whether some machine has room.
+#[derive(Clone, Copy, PartialEq)]
+struct TaskShape {
+    need: Resources,
+    spot: bool,
+    /// It may use types that are scarce for others.
+    overflows: bool,
+}
+
 /// A machine's place among those that may take a task: without a sibling task first, then, for a
 /// service, where its image is there the soonest, then by score, then by name.
 #[derive(PartialEq)]
@@ -146,7 +157,9 @@
 pub struct Rank {
     /// Nothing of it has begun for longer than any job should wait; `true` sorts last.
     pub patient: bool,
+    /// Its team has used up its guarantee.
     pub borrowing: bool,
+    /// Its priority.
     pub priority: Priority,
     /// It can't meet its deadline any more, so it lets those go first that can, for a while.
     pub late: bool,
@@ -155,7 +168,9 @@
     /// For work of the lowest priority that is due at no time: about how much is left to do, in
     /// powers of two, so that what is done soon does not wait for what takes for ever.
     pub work: u32,
+    /// Orders jobs by their arrival.
     pub arrival: Stamp,
+    /// The job.
     pub id: JobId,
 }
 
@@ -337,7 +352,11 @@
         let mut usable = self.usable_types(spec, scarce);
         let due_in = job.due_ms().map(|due| (due - self.day_ms as f64) / 1000.0);
         let mut more = self.overflow_types(spec, &usable, self.expected_run(job), due_in);
-        let shape = (job.need, spec.spot, more.is_some());
+        let shape = TaskShape {
+            need: job.need,
+            spot: spec.spot,
+            overflows: more.is_some(),
+        };
         // A job like one that found no machine in this pass won't find one either.
         if plain && pass.full.contains(&shape) {
             return;
@@ -362,32 +381,60 @@
                     ranked = self.eligible(job, spec, &usable, pass);
                     continue;
                 }
-                if spec.is_service() && self.reopen_for(job, spec, &usable, pass.now) {
-                    self.place_wanted = true;
-                    return;
-                }
-                if !rank.patient {
-                    Self::reserve_room(job, spec, &usable, pass);
-                } else if plain {
-                    pass.full.push(shape);
-                }
-                self.preempt(job, spec, &usable, pass.now);
-                return;
+                let full = (plain && rank.patient).then_some(shape);
+                return self.make_room(job, spec, rank, &usable, full, pass);
             };
-            let open = &mut pass.open[best];
-            open.used.add(&job.need);
-            if job.need.fits(&open.free()) {
-                let fetch = self.fetch_steps(spec, &open.name);
-                ranked.push(open.ranked(best, false, fetch, job.need.gpus > 0.0));
-            }
-            *siblings.entry(open.zone.clone()).or_default() += 1;
-            let name = open.name.clone();
-            self.book(job, task, &name, pass.now);
+            let zone = pass.open[best].zone.clone();
+            *siblings.entry(zone).or_default() += 1;
+            self.book_on(job, spec, task, best, &mut ranked, pass);
             room -= 1;
-            pass.left -= 1;
         }
     }
 
+    /// Books the task on that machine, which stays among those that may take another one if it has
+    /// room for it.
+    fn book_on(
+        &mut self,
+        job: &mut Job,
+        spec: &JobSpec,
+        task: TaskId,
+        best: usize,
+        ranked: &mut BinaryHeap<Ranked>,
+        pass: &mut Pass,
+    ) {
+        let open = &mut pass.open[best];
+        open.used.add(&job.need);
+        if job.need.fits(&open.free()) {
+            let fetch = self.fetch_steps(spec, &open.name);
+            ranked.push(open.ranked(best, false, fetch, job.need.gpus > 0.0));
+        }
+        let name = open.name.clone();
+        self.book(job, task, &name, pass.now);
+        pass.left -= 1;
+    }
+
+    /// No machine has room for the next task of the job. `full` is noted so that jobs like it are not
+    /// tried in this pass.
+    fn make_room(
+        &mut self,
+        job: &Job,
+        spec: &JobSpec,
+        rank: &Rank,
+        usable: &[bool],
+        full: Option<TaskShape>,
+        pass: &mut Pass,
+    ) {
+        if spec.is_service() && self.reopen_for(job, spec, usable, pass.now) {
+            self.place_wanted = true;
+            return;
+        }
+        if !rank.patient {
+            Self::reserve_room(job, spec, usable, pass);
+        }
+        pass.full.extend(full);
+        self.preempt(job, spec, usable, pass.now);
+    }
+
     /// The machines that may take a task of the job, the best on top.
     fn eligible(
         &self,
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -4,6 +4,15 @@
 //! [`coordination`] decides, [`storage`] keeps records in the state service, and [`node`]
 //! ties them together into a running controller.
 
+#![deny(
+    missing_docs,
+    unreachable_pub,
+    clippy::too_many_arguments,
+    clippy::too_many_lines,
+    clippy::type_complexity,
+    clippy::unwrap_used
+)]
+
 pub mod coordination;
 pub mod logging;
 pub mod node;
--- a/src/node/api/mod.rs
+++ b/src/node/api/mod.rs
@@ -11,7 +11,7 @@
 use crate::protocol::cloud::MachineType;
 use crate::protocol::encode;
 use crate::protocol::peers::{RelayedRequest, RelayedResponse};
-use crate::protocol::state::{value, Change, Item, Txn};
+use crate::protocol::state::{value, Change, Item, Page, Txn};
 use crate::protocol::users::{self, JobSpec, JobState, JobStatus, Problem, Submission};
 use crate::settings::Team;
 use crate::storage::records::{self, JobRecord, OverRecord, RunRecord};
@@ -34,13 +34,16 @@
 /// The most bytes of submissions in one transaction.
 const MAX_BATCH: usize = 40 * 1024;
 
+/// Identifies a request of a user.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ApiRequestId(u64);
 
 /// Who asked: a user, or another node on a user's behalf.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Client {
+    /// Connection that waits for the answer.
     pub conn: ConnId,
+    /// Another controller asks on a user's behalf.
     pub relayed: bool,
 }
 
@@ -87,8 +90,11 @@
 /// Which request to the state service an outcome answers.
 #[derive(Clone, Debug)]
 pub enum ApiStateRequest {
+    /// The outcome is for one request.
     One(ApiRequestId),
+    /// Submissions that share a transaction.
     Batch(Vec<ApiRequestId>),
+    /// Status queries that share a comparison.
     Comparison(Vec<ApiRequestId>),
     /// A page of all jobs that are not over.
     Listing,
@@ -96,8 +102,11 @@
 
 /// What the front needs done.
 pub enum ApiAction {
+    /// Ask the state service.
     Ask(Class, Ask, ApiStateRequest),
+    /// Answer a request.
     Respond(ConnId, Response),
+    /// Pass a request on to another controller.
     Relay(ApiRequestId, RelayedRequest),
     /// A user is about to be told that the job is cancelled: see to it that the leader knows.
     InformLeader(JobId),
@@ -113,6 +122,7 @@
     pub answers: bool,
 }
 
+/// Serves the users' requests of one controller.
 pub struct ApiServer {
     next: u64,
     open: BTreeMap<ApiRequestId, Open>,
@@ -145,6 +155,7 @@
 }
 
 impl ApiServer {
+    /// A server within these limits of the state service.
     pub fn new(teams: Vec<Team>, value_kb: f64, txn_ops: usize) -> ApiServer {
         ApiServer {
             next: 0,
@@ -168,10 +179,12 @@
         }
     }
 
+    /// Takes the jobs that were cancelled through this controller.
     pub fn take_cancelled(&mut self) -> Vec<JobId> {
         std::mem::take(&mut self.cancelled)
     }
 
+    /// Takes what is to be done outside.
     pub fn take_acts(&mut self) -> Vec<ApiAction> {
         std::mem::take(&mut self.acts)
     }
@@ -220,6 +233,7 @@
 
     // ---- requests
 
+    /// Takes in a submission; `at_ms` is the time of day.
     pub fn submit(
         &mut self,
         client: Client,
@@ -287,6 +301,7 @@
         }
     }
 
+    /// Takes in a status query.
     pub fn poll(&mut self, client: Client, id: &str, now: Time) {
         match JobId::parse(id) {
             Some(id) => self.begin(client, id, Intent::Poll, now),
@@ -294,6 +309,7 @@
         }
     }
 
+    /// Takes in a cancellation.
     pub fn cancel(&mut self, client: Client, id: &str, now: Time) {
         match JobId::parse(id) {
             Some(id) => self.begin(client, id, Intent::Cancel, now),
@@ -524,6 +540,7 @@
 
     // ---- outcomes
 
+    /// Takes in the outcome of a request to the state service.
     pub fn on_outcome(&mut self, ask: ApiStateRequest, outcome: Outcome, view: &View, now: Time) {
         // What lay here while this process stood still is an old answer; nobody gets it any more.
         let asked = match &ask {
@@ -578,66 +595,21 @@
         let Some(open) = self.open.get(&id) else {
             return;
         };
-        let job = open.job;
-        let cancels = matches!(open.intent, Intent::Cancel);
-        match (open.stage.clone(), outcome) {
+        let (job, stage) = (open.job, open.stage.clone());
+        match (stage, outcome) {
             (Stage::ReadingLive, Outcome::Item(Some(item))) => {
-                if let Some(over) = records::over_in_place(&item.value) {
-                    self.remember(job, over);
-                    self.finish(id, Self::final_answer(job, over));
-                    return;
-                }
-                self.know(job, item.stamp);
-                if cancels {
-                    self.send_cancellation(id, job, item.stamp);
-                } else if let Some((done, running)) = (view.counts)(job) {
-                    self.answer_progress(id, job, done, running);
-                } else {
-                    self.enter(id, Stage::ReadingCounts);
-                }
+                self.on_live_record(id, job, &item, view);
             }
             (Stage::ReadingLive, Outcome::Item(None)) => self.enter(id, Stage::ReadingOver),
-            (Stage::ReadingCounts, Outcome::Item(item)) => {
-                let record: Option<RunRecord> = item.and_then(|i| i.record());
-                let (done, running) = record.map_or((0, 0), |r| {
-                    (r.done_count() + r.rest.0, r.booked.len() as u64 + r.rest.1)
-                });
-                if let Some(known) = self.known.get_mut(&job) {
-                    known.counts = (done, running);
-                    known.counted = now;
-                }
-                self.answer_progress(id, job, done, running);
-            }
-            (Stage::ReadingOver, Outcome::Item(Some(item))) => match item.record::<OverRecord>() {
-                Some(over) if over.state == JobState::Cancelled => {
-                    if cancels {
-                        self.cancelled.push(job);
-                    }
-                    self.enter(id, Stage::AwaitingLeader);
-                }
-                Some(over) => {
-                    self.remember(job, over);
-                    self.finish(id, Self::final_answer(job, over));
-                }
-                None => self.finish(id, unavailable()),
-            },
+            (Stage::ReadingCounts, Outcome::Item(item)) => self.on_counts(id, job, item, now),
+            (Stage::ReadingOver, Outcome::Item(Some(item))) => self.on_final_record(id, job, &item),
             // Neither live nor over: as that move is atomic and one-way, it was never accepted.
             (Stage::ReadingOver, Outcome::Item(None)) => self.never_accepted(id),
             (Stage::Cancelling, Outcome::Applied(_)) => {
                 self.cancelled.push(job);
                 self.enter(id, Stage::AwaitingLeader);
             }
-            (Stage::ReadingBookings, Outcome::Page(page)) => {
-                let booked = |item: &Item| {
-                    let record: Option<RunRecord> = item.record();
-                    record.is_none_or(|r| !r.booked.is_empty())
-                };
-                if page.more || page.items.iter().any(booked) {
-                    self.finish(id, unavailable());
-                } else {
-                    self.confirm_cancelled(id, job);
-                }
-            }
+            (Stage::ReadingBookings, Outcome::Page(page)) => self.on_bookings(id, job, &page),
             // It was finished or cancelled by another: look again.
             (Stage::Cancelling, Outcome::Conflict(_)) => {
                 self.enter(id, Stage::ReadingLive);
@@ -651,6 +623,70 @@
         }
     }
 
+    fn cancels(&self, id: ApiRequestId) -> bool {
+        let open = self.open.get(&id);
+        open.is_some_and(|open| matches!(open.intent, Intent::Cancel))
+    }
+
+    /// The job's record is where it stands until the job is over, or shows that it got done.
+    fn on_live_record(&mut self, id: ApiRequestId, job: JobId, item: &Item, view: &View) {
+        if let Some(over) = records::over_in_place(&item.value) {
+            self.remember(job, over);
+            self.finish(id, Self::final_answer(job, over));
+            return;
+        }
+        self.know(job, item.stamp);
+        if self.cancels(id) {
+            self.send_cancellation(id, job, item.stamp);
+        } else if let Some((done, running)) = (view.counts)(job) {
+            self.answer_progress(id, job, done, running);
+        } else {
+            self.enter(id, Stage::ReadingCounts);
+        }
+    }
+
+    /// The first run record, which counts the tasks of all.
+    fn on_counts(&mut self, id: ApiRequestId, job: JobId, item: Option<Item>, now: Time) {
+        let record: Option<RunRecord> = item.and_then(|i| i.record());
+        let (done, running) = record.map_or((0, 0), |r| {
+            (r.done_count() + r.rest.0, r.booked.len() as u64 + r.rest.1)
+        });
+        if let Some(known) = self.known.get_mut(&job) {
+            known.counts = (done, running);
+            known.counted = now;
+        }
+        self.answer_progress(id, job, done, running);
+    }
+
+    fn on_final_record(&mut self, id: ApiRequestId, job: JobId, item: &Item) {
+        match item.record::<OverRecord>() {
+            Some(over) if over.state == JobState::Cancelled => {
+                if self.cancels(id) {
+                    self.cancelled.push(job);
+                }
+                self.enter(id, Stage::AwaitingLeader);
+            }
+            Some(over) => {
+                self.remember(job, over);
+                self.finish(id, Self::final_answer(job, over));
+            }
+            None => self.finish(id, unavailable()),
+        }
+    }
+
+    /// The run records of a cancelled job, read after the cancellation.
+    fn on_bookings(&mut self, id: ApiRequestId, job: JobId, page: &Page) {
+        let booked = |item: &Item| {
+            let record: Option<RunRecord> = item.record();
+            record.is_none_or(|r| !r.booked.is_empty())
+        };
+        if page.more || page.items.iter().any(booked) {
+            self.finish(id, unavailable());
+        } else {
+            self.confirm_cancelled(id, job);
+        }
+    }
+
     /// The leader's word on a cancellation: whether it has it in hand.
     pub fn on_leader_answer(&mut self, job: JobId, acknowledged: bool, now: Time) {
         let waiting = self.open.iter();
--- a/src/node/cancellations.rs
+++ b/src/node/cancellations.rs
@@ -1,5 +1,5 @@
 //! A cancellation is told to a user only once it can't be undone by whatever happens next: either no
-//! task of the job is booked any more, or the leader in duties knows of it and is the only one whom the
+//! task of the job is booked any more, or the leader knows of it and is the only one whom the
 //! workers that hold its tasks still obey. Whoever leads later reads it from the records.
 //!
 //! Without that, a node could confirm a cancellation and end before it told anybody; the leader, whom
--- a/src/node/leader_duties.rs
+++ b/src/node/leader_duties.rs
@@ -19,7 +19,7 @@
 
 /// Which request to the state service an outcome answers.
 #[derive(Clone, Debug)]
-pub enum LeaderRequest {
+pub(super) enum LeaderRequest {
     Live { after: String },
     Runs { after: String },
     Watch,
@@ -86,7 +86,7 @@
     }
 }
 
-pub struct LeaderDuties {
+pub(super) struct LeaderDuties {
     pub controller: Controller,
     cloud: SocketAddr,
     cloud_budget: Budget,
@@ -109,7 +109,7 @@
 }
 
 impl LeaderDuties {
-    pub fn new(
+    pub(super) fn new(
         controller: Controller,
         cloud: SocketAddr,
         cloud_rps: f64,
@@ -140,12 +140,12 @@
         duties
     }
 
-    pub fn take_pending(&mut self) -> Vec<(Class, Ask, Duration, LeaderRequest)> {
+    pub(super) fn take_pending(&mut self) -> Vec<(Class, Ask, Duration, LeaderRequest)> {
         std::mem::take(&mut self.pending)
     }
 
     /// Whether all records have been read.
-    pub fn has_loaded(&self) -> bool {
+    pub(super) fn has_loaded(&self) -> bool {
         self.loaded
     }
 
@@ -190,7 +190,7 @@
 
     // ---- outcomes of the state service
 
-    pub fn on_outcome(
+    pub(super) fn on_outcome(
         &mut self,
         ask: LeaderRequest,
         outcome: Outcome,
@@ -333,7 +333,7 @@
     // ---- time
 
     /// Everything that is due: decisions, the next batch, calls to workers and the cloud.
-    pub fn turn(&mut self, net: &mut impl Network, writes: &mut Budget, now: Time) {
+    pub(super) fn turn(&mut self, net: &mut impl Network, writes: &mut Budget, now: Time) {
         if now >= self.decide_at {
             self.controller.tick(now, net.time_of_day());
             // However much there is to decide, reports and users get most of the time.
@@ -485,8 +485,8 @@
         }
     }
 
-    /// Takes the reply to one of the duties's calls; `None` if it was not its call.
-    pub fn on_reply(
+    /// Takes the reply to one of the calls made here.
+    pub(super) fn on_reply(
         &mut self,
         net: &mut impl Network,
         call: CallId,
@@ -579,7 +579,7 @@
     }
 
     /// Tells of a job's tasks without a read, if this leader has it in its picture.
-    pub fn counts(&self, job: JobId) -> Option<(u64, u64)> {
+    pub(super) fn counts(&self, job: JobId) -> Option<(u64, u64)> {
         let job = self.controller.jobs.get(&job).filter(|_| self.loaded)?;
         Some((u64::from(job.done), u64::from(job.booked)))
     }
--- a/src/node/leader_locality.rs
+++ b/src/node/leader_locality.rs
@@ -18,16 +18,7 @@
         if self.home.is_none() {
             self.home = widest_zone(&self.types);
         }
-        let several = self.settings.settings.zones.len() > 1;
-        let at_home = self.home.as_ref().is_none_or(|z| *z == self.settings.zone);
-        let unsure = several && self.types.is_empty() && self.leadership.term == Term(0);
-        self.leadership.campaign_delay = if unsure {
-            CAMPAIGN_DELAY * 2
-        } else if several && !at_home {
-            CAMPAIGN_DELAY
-        } else {
-            Duration::ZERO
-        };
+        self.leadership.campaign_delay = self.campaign_delay();
         let unheard = self.unheard_zones(now);
         let Some(duties) = &mut self.duties else {
             return;
@@ -37,16 +28,8 @@
         if reach.home.is_some() {
             self.home.clone_from(&reach.home);
         }
-        let mut peers = self.settings.peers.iter().zip(&self.peers);
-        let at_better = peers.any(|(named, peer)| {
-            peer.recent_heartbeat(now).is_some_and(|h| {
-                let hears_more = h.workers as usize > reach.heard && !h.transferred_leadership;
-                let hears_more = hears_more && reach.is_cut_off();
-                let at_home = several && !at_home && Some(&named.zone) == self.home.as_ref();
-                h.state_ok && (hears_more || at_home)
-            })
-        });
-        if at_better {
+        let better_placed = self.has_better_placed_peer(&reach, now);
+        if better_placed {
             self.better_since.get_or_insert(now);
         } else {
             self.better_since = None;
@@ -56,28 +39,66 @@
             .is_some_and(|at| now.since(at) >= TRANSFER_AFTER);
         // Cut off from the home zone, its nodes can't be heard either; they will find the key free.
         // Unless one of our own zone has just tried that in vain.
-        let in_vain = self
-            .settings
-            .peers
-            .iter()
-            .zip(&self.peers)
-            .any(|(named, peer)| {
-                let transferred_leadership = peer
-                    .last_heartbeat()
-                    .is_some_and(|h| h.transferred_leadership);
-                named.zone == self.settings.zone && transferred_leadership
-            });
-        let away = several && !at_home && !in_vain;
-        let cut_off = reach.is_cut_off() && (away || at_better);
+        let away = !self.is_at_home() && !self.transferred_in_vain();
+        let cut_off = reach.is_cut_off() && (away || better_placed);
         if (calm || cut_off) && self.leadership.is_certain(now) {
-            self.better_since = None;
-            let action = self.leadership.resign(now);
-            if action.is_some() {
-                let Reach { heard, known, .. } = reach;
-                log::info!("{heard} of {known} machines are heard here: making room");
-            }
-            self.grant(action);
+            self.transfer_leadership(&reach, now);
+        }
+    }
+
+    /// Whether this node is in the zone with the most machines, or there is but one zone.
+    fn is_at_home(&self) -> bool {
+        let several = self.settings.settings.zones.len() > 1;
+        !several || self.home.as_ref().is_none_or(|z| *z == self.settings.zone)
+    }
+
+    /// How long this node lets a free key lie before it takes it.
+    fn campaign_delay(&self) -> Duration {
+        let several = self.settings.settings.zones.len() > 1;
+        let nothing_known = self.types.is_empty() && self.leadership.term == Term(0);
+        if several && nothing_known {
+            CAMPAIGN_DELAY * 2
+        } else if !self.is_at_home() {
+            CAMPAIGN_DELAY
+        } else {
+            Duration::ZERO
+        }
+    }
+
+    /// Whether a peer that the state service answers is at home while this node is not, or hears more
+    /// workers than this one, which most of them don't reach.
+    fn has_better_placed_peer(&self, reach: &Reach, now: Time) -> bool {
+        let away = !self.is_at_home();
+        let mut peers = self.settings.peers.iter().zip(&self.peers);
+        peers.any(|(named, peer)| {
+            peer.recent_heartbeat(now).is_some_and(|h| {
+                let hears_more = h.workers as usize > reach.heard && !h.transferred_leadership;
+                let hears_more = hears_more && reach.is_cut_off();
+                let at_home = away && Some(&named.zone) == self.home.as_ref();
+                h.state_ok && (hears_more || at_home)
+            })
+        })
+    }
+
+    /// Whether a peer of this zone has just transferred the leadership away.
+    fn transferred_in_vain(&self) -> bool {
+        let mut peers = self.settings.peers.iter().zip(&self.peers);
+        peers.any(|(named, peer)| {
+            named.zone == self.settings.zone
+                && peer
+                    .last_heartbeat()
+                    .is_some_and(|h| h.transferred_leadership)
+        })
+    }
+
+    fn transfer_leadership(&mut self, reach: &Reach, now: Time) {
+        self.better_since = None;
+        let action = self.leadership.resign(now);
+        if action.is_some() {
+            let Reach { heard, known, .. } = reach;
+            log::info!("{heard} of {known} machines are heard here: leadership is transferred");
         }
+        self.grant(action);
     }
 
     /// Zones of which no node can be heard.
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -56,6 +56,7 @@
 /// What the nodes together leave of the budgets, for requests that are counted late.
 const HEADROOM: f64 = 0.92;
 
+/// One controller: all that runs in a process.
 pub struct Node<N> {
     settings: Settings,
     tuning: Tuning,
@@ -96,6 +97,7 @@
 }
 
 impl Node<Transport> {
+    /// Opens the addresses of the settings.
     pub fn open(settings: Settings, tuning: Tuning) -> Result<Node<Transport>, String> {
         let sockets = settings.settings.resources.sockets;
         let mut transport = Transport::new(sockets).map_err(|e| format!("event loop: {e}"))?;
@@ -132,14 +134,7 @@
     /// `incarnation` tells this process from others of the same name, before and after it.
     pub fn new(settings: Settings, tuning: Tuning, net: N, incarnation: u64) -> Node<N> {
         let service = &settings.settings;
-        let nodes = settings.peers.len() as f64 + 1.0;
-        // Bursts: the leader spends the most, but any node may lead, and users reach all of them.
-        let share = if nodes > 1.0 {
-            HEADROOM * 0.5
-        } else {
-            HEADROOM
-        };
-        let store = Store::new(service.state.rps * share, service.state.write_rps * share);
+        let store = new_store(&settings);
         let ttl = seconds(tuning.leader_lease_s);
         let leadership = Leadership::new(&settings.name, ttl, incarnation);
         let api = ApiServer::new(
@@ -152,9 +147,6 @@
             .iter()
             .map(|p| PeerLink::new(p.addr))
             .collect();
-        let turns = log::log_enabled!(log::Level::Debug)
-            .then(|| Histogram::new_with_bounds(1, 60_000_000, 2).ok())
-            .flatten();
         log::info!(
             "{} in {} listens on {}",
             settings.name,
@@ -186,7 +178,7 @@
             better_since: None,
             summary_at: Time::default(),
             awake_at: Time::default(),
-            turns,
+            turns: turn_histogram(),
             settings,
             tuning,
         }
@@ -381,7 +373,7 @@
     }
 
     fn deposed(&mut self, term: Term) {
-        log::info!("deposed: term {term} is in duties");
+        log::info!("deposed: term {term} leads");
         let mut action = self.leadership.heard_of(term, None);
         if action.is_none() && self.leadership.is_leading() {
             action = Some(self.leadership.step_down());
@@ -691,6 +683,27 @@
     }
 }
 
+/// Before peers tell what they spend, each node takes half of the rate limits: the leader spends the
+/// most, but any node may lead, and users reach all of them.
+fn new_store(settings: &Settings) -> Store {
+    let state = &settings.settings.state;
+    let share = if settings.peers.is_empty() {
+        HEADROOM
+    } else {
+        HEADROOM * 0.5
+    };
+    Store::new(state.rps * share, state.write_rps * share)
+}
+
+/// How long turns of the event loop take, in microseconds; kept at the debug level only.
+fn turn_histogram() -> Option<Histogram<u64>> {
+    const LONGEST_US: u64 = 60_000_000;
+    let wanted = log::log_enabled!(log::Level::Debug);
+    wanted
+        .then(|| Histogram::new_with_bounds(1, LONGEST_US, 2).ok())
+        .flatten()
+}
+
 fn read_lead(page: &Page) -> Seen {
     let mut seen = Seen::default();
     for item in &page.items {
--- a/src/protocol/users.rs
+++ b/src/protocol/users.rs
@@ -5,25 +5,33 @@
 use super::{decode, Amount};
 use crate::types::JobId;
 
+/// Tasks that one job may have.
 pub const MAX_TASKS: u64 = 100_000;
 /// Names are kept with the job's record, whose size is limited.
 const MAX_NAME: usize = 200;
 const MAX_TYPES: usize = 64;
 
+/// Priority of a job, the highest first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Priority {
+    /// May preempt everything below.
     #[serde(rename = "critical")]
     Critical,
+    /// Above normal work.
     #[serde(rename = "high")]
     High,
+    /// Ordinary work.
     #[serde(rename = "normal")]
     Normal,
+    /// Uses what is idle.
     #[serde(rename = "best_effort")]
     Low,
 }
 
+/// What kind of tasks a job has.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Shape {
+    /// Independent tasks that each run to completion.
     #[serde(rename = "sweep")]
     Array,
     /// Its tasks are replicas that run until the job is cancelled.
@@ -34,47 +42,68 @@
 /// A job as its user describes it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct JobSpec {
+    /// Id that its user chose.
     #[serde(rename = "ref")]
     pub id: JobId,
+    /// Class of jobs that it belongs to.
     #[serde(rename = "jobclass")]
     pub class: String,
+    /// Team whose guarantee and limit apply.
     #[serde(rename = "crew")]
     pub team: String,
+    /// What kind of tasks it has.
     pub shape: Shape,
+    /// Its priority.
     #[serde(rename = "urgency")]
     pub priority: Priority,
+    /// How many tasks.
     #[serde(rename = "pieces")]
     pub tasks: u64,
+    /// CPUs of each task.
     pub cpus: Amount,
+    /// GPUs of each task.
     #[serde(rename = "cards")]
     pub gpus: Amount,
+    /// Memory of each task in GB.
     #[serde(rename = "ramGb")]
     pub memory_gb: Amount,
+    /// Image that a machine needs to start a task.
     #[serde(rename = "bundle")]
     pub image: String,
+    /// Size of the image in GB.
     #[serde(rename = "imageGb")]
     pub image_gb: Amount,
+    /// Allowed machine types; `None`: any.
     #[serde(rename = "hosttypes", default, skip_serializing_if = "Option::is_none")]
     pub types: Option<Vec<String>>,
+    /// The only allowed zone, if there is one.
     #[serde(rename = "hall", default, skip_serializing_if = "Option::is_none")]
     pub zone: Option<String>,
+    /// All tasks have to be in the same zone.
     #[serde(rename = "samePlace")]
     pub one_zone: bool,
+    /// At most half of the tasks, rounded up, may be in one zone.
     #[serde(rename = "apart")]
     pub spread: bool,
+    /// It may use spot machines.
     #[serde(rename = "loaners")]
     pub spot: bool,
+    /// The owner's estimate of a task's run time, in seconds.
     #[serde(rename = "guessS")]
     pub estimate_s: Amount,
+    /// Progress in seconds after which a task saves a checkpoint; 0: it never saves.
     #[serde(rename = "snapshotS")]
     pub checkpoint_s: Amount,
+    /// Seconds that a task needs to save when it is stopped.
     #[serde(rename = "stashS")]
     pub save_s: Amount,
+    /// Seconds from submission until it should be complete.
     #[serde(rename = "dueS", default, skip_serializing_if = "Option::is_none")]
     pub deadline_s: Option<Amount>,
 }
 
 impl JobSpec {
+    /// Whether its tasks are replicas without an end.
     pub fn is_service(&self) -> bool {
         self.shape == Shape::Service
     }
@@ -90,12 +119,15 @@
 /// What a submitted body turned out to be.
 #[derive(Debug, PartialEq)]
 pub enum Submission {
+    /// A well-formed job.
     Good(Box<JobSpec>),
     /// Malformed, but it names a job, which may be known already.
     Bad(JobId, String),
+    /// Malformed, and it names no job.
     Hopeless(String),
 }
 
+/// Reads and checks a submitted body.
 pub fn read_submission(body: &[u8]) -> Submission {
     let wrong = match decode::<JobSpec>(body) {
         Ok(spec) => match check(&spec) {
@@ -157,29 +189,41 @@
     Ok(())
 }
 
+/// State of a job as users see it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum JobState {
+    /// No task runs.
     #[serde(rename = "queued")]
     Queued,
+    /// Some task runs.
     #[serde(rename = "running")]
     Running,
+    /// All tasks are done. Final.
     #[serde(rename = "done")]
     Done,
+    /// Its user cancelled it. Final.
     #[serde(rename = "cancelled")]
     Cancelled,
 }
 
+/// Answer to a status query.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub struct JobStatus {
+    /// Id of the job.
     #[serde(rename = "ref")]
     pub id: JobId,
+    /// Its state.
     #[serde(rename = "status")]
     pub state: JobState,
+    /// Tasks that are done, for display.
     pub done: u64,
+    /// Tasks that run, for display.
     pub running: u64,
 }
 
+/// Body of an answer that refuses a request.
 #[derive(Debug, Serialize)]
 pub struct Problem<'a> {
+    /// Why, for people.
     pub error: &'a str,
 }
--- a/src/protocol/workers.rs
+++ b/src/protocol/workers.rs
@@ -5,47 +5,68 @@
 use super::{null_is_empty, Amount};
 use crate::types::{Attempt, HostName, JobId, Session, TaskId, Term, Tick};
 
+/// A worker's report.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Report {
+    /// Name of its machine.
     pub host: HostName,
+    /// Address for direct commands.
     pub address: String,
+    /// Machine type.
     #[serde(rename = "hosttype")]
     pub kind: String,
+    /// Zone.
     #[serde(rename = "hall")]
     pub zone: String,
+    /// Whether it is a spot machine.
     #[serde(rename = "loaners")]
     pub spot: bool,
+    /// Session of the worker; a new one begins when its lease expires.
     #[serde(rename = "tenure")]
     pub session: Session,
+    /// Orders messages within a session.
     pub tick: Tick,
+    /// Highest token that the worker has seen.
     #[serde(rename = "baton")]
     pub token: Term,
+    /// Seconds until the cloud takes the machine away, if it gave notice.
     #[serde(rename = "warningS", default)]
     pub notice_s: Option<Amount>,
+    /// All tasks on the machine, with ended ones that were not cleared.
     #[serde(rename = "pieces", default, deserialize_with = "null_is_empty")]
     pub tasks: Vec<TaskReport>,
 }
 
+/// A task as its worker sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 pub struct TaskReport {
+    /// The task.
     #[serde(rename = "piece")]
     pub task: TaskId,
+    /// Which attempt at it.
     #[serde(rename = "try")]
     pub attempt: Attempt,
+    /// Its state.
     #[serde(rename = "status")]
     pub state: TaskState,
+    /// Why it ended.
     #[serde(default)]
     pub cause: Option<Cause>,
 }
 
+/// State of a task on its machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 pub enum TaskState {
+    /// Waits for its image.
     #[serde(rename = "fetching")]
     Fetching,
+    /// Runs.
     #[serde(rename = "running")]
     Running,
+    /// Was told to stop and saves its progress.
     #[serde(rename = "flushing")]
     Saving,
+    /// Is over.
     #[serde(rename = "ended")]
     Ended,
     /// A state of a later protocol: the task is there, that much is sure.
@@ -53,18 +74,25 @@
     Other,
 }
 
+/// Why a task ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 pub enum Cause {
+    /// It completed.
     #[serde(rename = "done")]
     Done,
+    /// It was stopped by command.
     #[serde(rename = "halted")]
     Stopped,
+    /// It failed.
     #[serde(rename = "error")]
     Error,
+    /// Start refused: not enough free resources.
     #[serde(rename = "no_room")]
     NoRoom,
+    /// Start refused: the task is here under another attempt.
     #[serde(rename = "in_use")]
     InUse,
+    /// Start refused: no such job or task.
     #[serde(rename = "no_such")]
     NoSuch,
     /// Whatever a later protocol calls it, it is no success.
@@ -72,29 +100,40 @@
     Other,
 }
 
+/// A command to a worker. Each may be repeated.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 #[serde(tag = "verb")]
 pub enum Order {
+    /// Starts a task, unless the worker knows the attempt.
     #[serde(rename = "run")]
     Run {
+        /// The task.
         #[serde(rename = "piece")]
         task: TaskId,
+        /// The attempt.
         #[serde(rename = "try")]
         attempt: Attempt,
     },
+    /// Stops a task.
     #[serde(rename = "stop")]
     Stop {
+        /// The task.
         #[serde(rename = "piece")]
         task: TaskId,
+        /// The attempt.
         #[serde(rename = "try")]
         attempt: Attempt,
+        /// Seconds that it may take to save.
         #[serde(rename = "windDownS")]
         grace_s: f64,
     },
+    /// Makes the worker forget an ended attempt.
     #[serde(rename = "clear")]
     Clear {
+        /// The task.
         #[serde(rename = "piece")]
         task: TaskId,
+        /// The attempt.
         #[serde(rename = "try")]
         attempt: Attempt,
     },
@@ -103,24 +142,30 @@
 /// The answer to a report.
 #[derive(Debug, Serialize)]
 pub struct Answer<'a> {
+    /// The leader's term.
     #[serde(rename = "baton")]
     pub token: Term,
+    /// What the worker is to do.
     pub orders: &'a [Order],
 }
 
 /// Orders sent straight to a worker.
 #[derive(Debug, Serialize)]
 pub struct Command<'a> {
+    /// The leader's term.
     #[serde(rename = "baton")]
     pub token: Term,
+    /// Session that the commands are meant for.
     #[serde(rename = "tenure")]
     pub session: Session,
+    /// What the worker is to do.
     pub orders: &'a [Order],
 }
 
 /// Sends a worker to another node.
 #[derive(Debug, Serialize)]
 pub struct Elsewhere<'a> {
+    /// The controller that leads, if it is known.
     #[serde(rename = "foreman", skip_serializing_if = "Option::is_none")]
     pub leader: Option<&'a str>,
 }
--- a/src/storage/budget.rs
+++ b/src/storage/budget.rs
@@ -3,6 +3,7 @@
 use crate::types::Time;
 use std::time::Duration;
 
+/// A token bucket that may be overdrawn, and then refills first.
 #[derive(Debug)]
 pub struct Budget {
     rate: f64,
@@ -15,6 +16,7 @@
 }
 
 impl Budget {
+    /// A full bucket of that rate a second and that size.
     pub fn new(rate: f64, burst: f64) -> Budget {
         let burst = burst.max(1.0);
         Budget {
@@ -33,6 +35,7 @@
         self.rate = rate;
     }
 
+    /// All that was ever spent.
     pub fn spent(&self) -> f64 {
         self.spent
     }
--- a/src/storage/record_split.rs
+++ b/src/storage/record_split.rs
@@ -16,9 +16,11 @@
 /// What a split's transaction will mean once it is written.
 #[derive(Debug)]
 pub struct SplitStep {
+    /// Job whose records are split.
     pub job: JobId,
     /// The records in it, and up to which change they hold.
     pub written: Vec<(u32, u64)>,
+    /// It is the step that brings the split into force.
     pub last: bool,
 }
 
--- a/src/storage/records.rs
+++ b/src/storage/records.rs
@@ -15,40 +15,54 @@
 use crate::protocol::users::{JobSpec, JobState};
 use crate::types::{Attempt, HostName, JobId, LeaseId, Session, Term};
 
+/// Prefix of jobs that are not over, and of final states that are not archived yet.
 pub const LIVE: &str = "live/";
+/// Prefix of run records.
 pub const RUN: &str = "run/";
+/// Prefix of the keys about leadership.
 pub const LEAD: &str = "lead/";
+/// Key of the leader; it hangs on the leader's lease.
 pub const HOLDER: &str = "lead/holder";
+/// Key of the highest term.
 pub const TERM: &str = "lead/term";
+/// Key of the machine types.
 pub const TYPES: &str = "types";
 
+/// Key of a job that is not over.
 pub fn live_key(job: JobId) -> String {
     format!("{LIVE}{job}")
 }
 
+/// Key of a job's archived final state.
 pub fn over_key(job: JobId) -> String {
     format!("over/{job}")
 }
 
+/// Prefix of a job's run records.
 pub fn run_prefix(job: JobId) -> String {
     format!("{RUN}{job}/")
 }
 
+/// Key of a job's run record of that number.
 pub fn run_key(job: JobId, chunk: u32) -> String {
     format!("{RUN}{job}/{chunk:05}")
 }
 
+/// The job of a key below [`LIVE`].
 pub fn parse_live(key: &str) -> Option<JobId> {
     JobId::parse(key.strip_prefix(LIVE)?)
 }
 
+/// The job and the number of a key below [`RUN`].
 pub fn parse_run(key: &str) -> Option<(JobId, u32)> {
     let (job, chunk) = key.strip_prefix(RUN)?.split_once('/')?;
     Some((JobId::parse(job)?, chunk.parse().ok()?))
 }
 
+/// An accepted job.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct JobRecord {
+    /// As its user described it.
     pub spec: JobSpec,
     /// Time of day of the submission, in milliseconds.
     pub at_ms: u64,
@@ -69,9 +83,12 @@
     }
 }
 
+/// The final state of a job.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub struct OverRecord {
+    /// Done or cancelled.
     pub state: JobState,
+    /// How many tasks it had, if it is done.
     pub tasks: u64,
 }
 
@@ -79,6 +96,7 @@
 /// and can wait until the budget has some to spare.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub struct FinalRecord {
+    /// The final state.
     pub over: OverRecord,
 }
 
@@ -90,17 +108,23 @@
     over.deserialized().ok()
 }
 
+/// Who leads.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct HolderRecord {
+    /// Name of the controller.
     pub node: String,
     /// Random for every start of a process: the same node after a restart is another holder.
     pub incarnation: u64,
+    /// The lease that the key hangs on.
     pub lease: LeaseId,
+    /// The leader's term.
     pub term: Term,
 }
 
+/// The highest term that was ever won.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub struct TermRecord {
+    /// The term.
     pub term: Term,
 }
 
@@ -109,15 +133,20 @@
 pub struct RunRecord {
     /// Index of the first task, and how many tasks the job's chunks hold.
     pub first: u32,
+    /// How many tasks a record of this job holds.
     pub size: u32,
     /// What each task takes and from whose limit, as a cancelled job's description is gone.
     pub team: String,
+    /// CPUs of a task.
     pub cpus: f64,
+    /// GPUs of a task.
     pub gpus: f64,
+    /// Memory of a task in GB.
     pub mem: f64,
     /// Finished tasks as (offset, how many).
     #[serde(default)]
     pub done: Vec<(u32, u32)>,
+    /// Tasks that are booked on a machine.
     #[serde(default)]
     pub booked: Vec<BookedRecord>,
     /// Waiting tasks that were tried: (offset, last attempt).
@@ -132,10 +161,16 @@
 pub type BookedRecord = (u32, Attempt, HostName, Session);
 
 impl RunRecord {
+    /// How many tasks are done.
     pub fn done_count(&self) -> u64 {
         self.done.iter().map(|(_, n)| u64::from(*n)).sum()
     }
 
+    /// About its size, with machine names, attempts and sessions of usual length.
+    pub fn usual_size(&self) -> usize {
+        200 + self.booked.len() * 48 + self.tried.len() * 14 + self.done.len() * 12
+    }
+
     /// Whether the record surely is no larger than that; where this does not say so, it is measured.
     pub fn surely_fits(&self, most: usize) -> bool {
         // Numbers of up to 20 digits where there may be such, commas and brackets.
--- a/src/storage/store.rs
+++ b/src/storage/store.rs
@@ -12,41 +12,67 @@
 /// Who goes first when the budget is short.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Class {
+    /// Elections and renewals, which all else depends on.
     Lease,
+    /// What users wait for.
     User,
+    /// The leader's records.
     Booking,
+    /// Status queries.
     Read,
 }
 
+/// A request to the state service.
 #[derive(Clone, Debug)]
 pub enum Ask {
+    /// Reads a key.
     Get(String),
+    /// Reads a page of keys.
     List {
+        /// Prefix of the keys.
         prefix: String,
+        /// Begins behind this key.
         after: String,
+        /// Most items.
         limit: u32,
     },
+    /// Carries out a transaction.
     Txn(Txn),
+    /// Asks for a lease of that length.
     Grant(Duration),
+    /// Renews a lease.
     Extend(LeaseId),
+    /// Ends a lease.
     End(LeaseId),
+    /// Waits for changes.
     Watch {
+        /// Prefix of the keys.
         prefix: String,
+        /// Revision after which changes count.
         after: Stamp,
+        /// How long to wait.
         hold: Duration,
     },
 }
 
+/// What became of a request.
 #[derive(Debug)]
 pub enum Outcome {
+    /// The key's item; `None` if it does not exist.
     Item(Option<Item>),
+    /// A page of keys.
     Page(Page),
+    /// The transaction was carried out at that revision.
     Applied(Stamp),
+    /// The versions of these keys differ from the conditions.
     Conflict(Vec<String>),
+    /// The lease.
     Granted(LeaseId),
+    /// The lease was renewed or ended.
     Extended,
     /// The lease is no more.
     LeaseGone,
+    /// Changes that a watch brought.
     News(News),
     /// The watch began too far back.
     TooOld,
@@ -60,6 +86,7 @@
     Invalid,
 }
 
+/// Identifies a request to the state service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct StateRequestId(pub u64);
 
@@ -72,10 +99,15 @@
 
 /// A request ready to be sent.
 pub struct Outgoing {
+    /// The request.
     pub id: StateRequestId,
+    /// HTTP method.
     pub method: &'static str,
+    /// HTTP target.
     pub target: String,
+    /// HTTP body.
     pub body: Vec<u8>,
+    /// How long its answer is awaited.
     pub limit: Duration,
 }
 
@@ -89,11 +121,13 @@
     Watch,
 }
 
+/// Queues requests to the state service and reads their answers.
 pub struct Store {
     next: u64,
     turn: u32,
     queues: BTreeMap<Class, VecDeque<Waiting>>,
     requests: Budget,
+    /// The budget of puts and deletes.
     pub writes: Budget,
     sent: HashMap<StateRequestId, (Kind, Time)>,
     /// The longest that answers took lately, in milliseconds; it fades with each answer.
@@ -115,6 +149,73 @@
 /// A 429 means that the nodes together spend too much.
 const PAUSE: Duration = Duration::from_millis(200);
 
+/// A request as it goes out.
+struct Rendered {
+    kind: Kind,
+    method: &'static str,
+    target: String,
+    body: Vec<u8>,
+}
+
+impl Ask {
+    fn render(&self) -> Rendered {
+        match self {
+            Ask::Get(key) => Rendered::bare(Kind::Get, "GET", format!("/kv/{key}")),
+            Ask::List {
+                prefix,
+                after,
+                limit,
+            } => {
+                let mut target = format!("/kv?prefix={prefix}&page={limit}");
+                if !after.is_empty() {
+                    target.push_str("&after=");
+                    target.push_str(after);
+                }
+                Rendered::bare(Kind::List, "GET", target)
+            }
+            Ask::Txn(txn) => Rendered::post(Kind::Txn, "/txn", encode(txn)),
+            Ask::Grant(ttl) => {
+                let ttl_ms = ttl.as_millis() as u64;
+                Rendered::post(Kind::Grant, "/grants", encode(&Grant { ttl_ms }))
+            }
+            Ask::Extend(lease) => {
+                Rendered::bare(Kind::Lease, "POST", format!("/grants/{lease}/extend"))
+            }
+            Ask::End(lease) => Rendered::bare(Kind::Lease, "DELETE", format!("/grants/{lease}")),
+            Ask::Watch {
+                prefix,
+                after,
+                hold,
+            } => {
+                let hold_ms = hold.as_millis();
+                let target = format!("/changes?prefix={prefix}&after={after}&holdMs={hold_ms}");
+                Rendered::bare(Kind::Watch, "GET", target)
+            }
+        }
+    }
+}
+
+impl Rendered {
+    /// Without a body.
+    fn bare(kind: Kind, method: &'static str, target: String) -> Rendered {
+        Rendered {
+            kind,
+            method,
+            target,
+            body: Vec::new(),
+        }
+    }
+
+    fn post(kind: Kind, target: &str, body: Vec<u8>) -> Rendered {
+        Rendered {
+            kind,
+            method: "POST",
+            target: target.to_owned(),
+            body,
+        }
+    }
+}
+
 impl Store {
     /// `rps` and `write_rps` are this node's share of the budgets.
     pub fn new(rps: f64, write_rps: f64) -> Store {
@@ -136,6 +237,7 @@
         (self.requests.spent(), self.writes.spent())
     }
 
+    /// Sets this controller's share of the rate limits.
     pub fn set_rates(&mut self, now: Time, rps: f64, write_rps: f64) {
         self.requests.set_rate(now, rps);
         self.writes.set_rate(now, write_rps);
@@ -226,64 +328,32 @@
     }
 
     fn render(&mut self, waiting: Waiting, now: Time) -> Outgoing {
-        let mut limit = waiting.limit;
-        let (kind, method, target, body) = match &waiting.ask {
-            Ask::Get(key) => (Kind::Get, "GET", format!("/kv/{key}"), Vec::new()),
-            Ask::List {
-                prefix,
-                after,
-                limit,
-            } => {
-                let mut target = format!("/kv?prefix={prefix}&page={limit}");
-                if !after.is_empty() {
-                    target.push_str("&after=");
-                    target.push_str(after);
-                }
-                (Kind::List, "GET", target, Vec::new())
-            }
-            Ask::Txn(txn) => (Kind::Txn, "POST", "/txn".to_owned(), encode(txn)),
-            Ask::Grant(ttl) => {
-                let ttl_ms = ttl.as_millis() as u64;
-                let body = encode(&Grant { ttl_ms });
-                (Kind::Grant, "POST", "/grants".to_owned(), body)
-            }
-            Ask::Extend(lease) => (
-                Kind::Lease,
-                "POST",
-                format!("/grants/{lease}/extend"),
-                Vec::new(),
-            ),
-            Ask::End(lease) => (
-                Kind::Lease,
-                "DELETE",
-                format!("/grants/{lease}"),
-                Vec::new(),
-            ),
-            Ask::Watch {
-                prefix,
-                after,
-                hold,
-            } => {
-                limit += *hold;
-                let hold_ms = hold.as_millis();
-                let target = format!("/changes?prefix={prefix}&after={after}&holdMs={hold_ms}");
-                (Kind::Watch, "GET", target, Vec::new())
-            }
+        let held = match &waiting.ask {
+            Ask::Watch { hold, .. } => *hold,
+            _ => Duration::ZERO,
         };
+        let Rendered {
+            kind,
+            method,
+            target,
+            body,
+        } = waiting.ask.render();
         self.sent.insert(waiting.id, (kind, now));
         Outgoing {
             id: waiting.id,
             method,
             target,
             body,
-            limit,
+            limit: waiting.limit + held,
         }
     }
 
+    /// Notes the call that carries a request.
     pub fn sent_as(&mut self, id: StateRequestId, call: CallId) {
         self.calls.insert(call, id);
     }
 
+    /// Whether the call carries one of the requests.
     pub fn is_own(&self, call: CallId) -> bool {
         self.calls.contains_key(&call)
     }
--- a/src/storage/write_batcher.rs
+++ b/src/storage/write_batcher.rs
@@ -10,6 +10,7 @@
 use crate::protocol::state::{value, Change, Txn};
 use crate::types::{JobId, Stamp, Time};
 
+/// The jobs of a leader.
 pub type Jobs = BTreeMap<JobId, Job>;
 
 /// A transaction on its way, and what it will mean once it is written.
@@ -23,6 +24,17 @@
     garbage: Vec<(JobId, u32)>,
 }
 
+/// A run record that waits to be written.
+struct QueuedRecord {
+    id: JobId,
+    number: u32,
+    /// Something waits for it.
+    urgent: bool,
+}
+
+/// A record exceeds what a value may hold.
+struct TooLarge;
+
 #[derive(Debug)]
 enum InFlight {
     /// Nothing is on its way.
@@ -33,21 +45,28 @@
     Repeat(Batch),
 }
 
+/// What a batch has written.
 #[derive(Debug, Default, PartialEq)]
 pub struct Written {
     /// Chunks that changed from unwritten to written.
     pub chunks: Vec<(JobId, u32)>,
+    /// Jobs whose final state is written.
     pub finished: Vec<JobId>,
 }
 
+/// What the answer to a batch means.
 #[derive(Debug, PartialEq)]
 pub enum Verdict {
+    /// It was carried out.
     Written(Written),
     /// These jobs' records are gone: they were cancelled.
     Conflict {
+        /// Jobs that were cancelled.
         cancelled: Vec<JobId>,
     },
+    /// This controller leads no more.
     Deposed,
+    /// Nothing was decided; the batch is put together anew.
     Again,
 }
 
@@ -57,6 +76,7 @@
 const LEAST_VALUE: usize = 400;
 pub(super) const MAX_BYTES: usize = 44 * 1024;
 
+/// Gathers what changed and writes it in one transaction after the other.
 pub struct WriteBatcher {
     holder: Stamp,
     urgent: VecDeque<(JobId, u32)>,
@@ -69,6 +89,7 @@
     in_flight: InFlight,
     /// What a value and a transaction may hold at the most.
     pub max_value: usize,
+    /// Changes that a transaction may hold.
     pub txn_ops: usize,
     /// Jobs of which a record has become too large, those whose records are being split, and those
     /// that wait until their record is small enough.
@@ -107,6 +128,7 @@
         self.held.contains(&job) || self.splitting.contains(&job)
     }
 
+    /// The version of the leader's key.
     pub fn holder(&self) -> Stamp {
         self.holder
     }
@@ -123,10 +145,12 @@
         }
     }
 
+    /// A job is done: its final state has to be written.
     pub fn finish(&mut self, job: JobId) {
         self.finishing.insert(job);
     }
 
+    /// A job is over: its run records have to be deleted.
     pub fn garbage_collect(&mut self, job: JobId) {
         self.garbage.insert(job);
     }
@@ -152,6 +176,7 @@
         self.version_unknown.insert((job, chunk));
     }
 
+    /// Whether something waits for a record to be written.
     pub fn has_urgent(&self) -> bool {
         !self.urgent.is_empty()
             || !self.finishing.is_empty()
@@ -174,6 +199,7 @@
         (self.urgent(), self.normal.len())
     }
 
+    /// Whether no answer is awaited.
     pub fn is_idle(&self) -> bool {
         !matches!(self.in_flight, InFlight::Sent(_))
     }
@@ -209,7 +235,7 @@
         if batch.split_step.is_none() {
             self.add_finished(jobs, max_changes, &mut batch, &mut bytes);
             self.sort_urgent(jobs);
-            self.add_chunks(jobs, max_changes, spare, &mut batch, &mut bytes);
+            self.add_run_records(jobs, max_changes, spare, &mut batch, &mut bytes);
             if spare {
                 self.add_garbage(jobs, max_changes, &mut batch);
             }
@@ -251,7 +277,8 @@
         }
     }
 
-    fn add_chunks(
+    /// Adds run records that changed, the urgent ones first.
+    fn add_run_records(
         &mut self,
         jobs: &Jobs,
         max: usize,
@@ -261,17 +288,10 @@
     ) {
         let mut later = Vec::new();
         while batch.txn.changes.len() < max && *bytes < MAX_BYTES {
-            let urgent = self.urgent.pop_front();
-            let next = match urgent {
-                None if spare => self.normal.pop_front(),
-                other => other,
-            };
-            let Some((id, number)) = next else {
+            let Some(queued) = self.next_queued(spare) else {
                 break;
             };
-            let Some(urgent) = self.queued.remove(&(id, number)) else {
-                continue;
-            };
+            let QueuedRecord { id, number, .. } = queued;
             let Some(job) = jobs.get(&id) else { continue };
             // The record of a job that is over goes as a whole.
             if matches!(job.phase, JobPhase::Finishing | JobPhase::GarbageCollected) {
@@ -279,7 +299,7 @@
             }
             if job.record_split.is_some() {
                 // All of it is written by the split, or after it.
-                later.push((id, number, urgent));
+                later.push(queued);
                 continue;
             }
             if job.chunk(number).is_some_and(|c| c.version_unknown) {
@@ -290,51 +310,80 @@
             let with_first = number != 0 && job.chunk(0).is_some_and(|c| !c.version_unknown);
             let numbers: &[u32] = if with_first { &[number, 0] } else { &[number] };
             if batch.txn.changes.len() + numbers.len() > max {
-                later.push((id, number, urgent));
+                later.push(queued);
                 break;
             }
             for number in numbers.iter().copied() {
-                if batch
-                    .chunks
-                    .iter()
-                    .any(|(j, n, _)| (*j, *n) == (id, number))
-                {
-                    continue;
-                }
-                let (Some(chunk), Some(record)) = (job.chunk(number), job.record(number)) else {
-                    continue;
-                };
-                // What a cancelled job never had written it needs no record of.
-                if job.phase == JobPhase::Cancelled && chunk.stamp == Stamp(0) {
-                    continue;
-                }
-                let size = if record.surely_fits(self.max_value) {
-                    200 + record.booked.len() * 48
-                        + record.tried.len() * 14
-                        + record.done.len() * 12
-                } else {
-                    records::size(&record)
-                };
-                if size > self.max_value {
-                    self.too_large.insert(id);
-                    later.push((id, number, false));
-                    continue;
-                }
-                self.held.remove(&id);
-                *bytes += size;
-                if job.phase == JobPhase::Active {
-                    // Nothing is booked after a cancellation.
-                    batch.txn.require(records::live_key(id), job.live);
+                if let Err(TooLarge) = self.add_run_record(job, number, batch, bytes) {
+                    later.push(QueuedRecord {
+                        id,
+                        number,
+                        urgent: false,
+                    });
                 }
-                batch.txn.require(records::run_key(id, number), chunk.stamp);
-                let key = records::run_key(id, number);
-                batch.txn.changes.push(Change::put(key, value(&record)));
-                batch.chunks.push((id, number, chunk.changes));
             }
         }
-        for (id, number, urgent) in later {
-            self.changed(id, number, urgent);
+        for queued in later {
+            self.changed(queued.id, queued.number, queued.urgent);
+        }
+    }
+
+    /// Takes the next record out of the queues.
+    fn next_queued(&mut self, spare: bool) -> Option<QueuedRecord> {
+        loop {
+            let urgent = self.urgent.pop_front();
+            let next = match urgent {
+                None if spare => self.normal.pop_front(),
+                other => other,
+            };
+            let (id, number) = next?;
+            // One that became urgent stands in both queues.
+            if let Some(urgent) = self.queued.remove(&(id, number)) {
+                return Some(QueuedRecord { id, number, urgent });
+            }
+        }
+    }
+
+    /// Adds one record, unless it is in the batch already or nothing has to be written of it.
+    fn add_run_record(
+        &mut self,
+        job: &Job,
+        number: u32,
+        batch: &mut Batch,
+        bytes: &mut usize,
+    ) -> Result<(), TooLarge> {
+        let id = job.id;
+        let mut added = batch.chunks.iter();
+        if added.any(|(job, at, _)| (*job, *at) == (id, number)) {
+            return Ok(());
+        }
+        let (Some(chunk), Some(record)) = (job.chunk(number), job.record(number)) else {
+            return Ok(());
+        };
+        // What a cancelled job never had written it needs no record of.
+        if job.phase == JobPhase::Cancelled && chunk.stamp == Stamp(0) {
+            return Ok(());
+        }
+        let size = if record.surely_fits(self.max_value) {
+            record.usual_size()
+        } else {
+            records::size(&record)
+        };
+        if size > self.max_value {
+            self.too_large.insert(id);
+            return Err(TooLarge);
+        }
+        self.held.remove(&id);
+        *bytes += size;
+        if job.phase == JobPhase::Active {
+            // Nothing is booked after a cancellation.
+            batch.txn.require(records::live_key(id), job.live);
         }
+        let key = records::run_key(id, number);
+        batch.txn.require(key.clone(), chunk.stamp);
+        batch.txn.changes.push(Change::put(key, value(&record)));
+        batch.chunks.push((id, number, chunk.changes));
+        Ok(())
     }
 
     fn add_garbage(&mut self, jobs: &Jobs, max: usize, batch: &mut Batch) {
@@ -385,6 +434,7 @@
         }
     }
 
+    /// The transaction under way was carried out at that revision.
     pub fn applied(&mut self, jobs: &mut Jobs, revision: Stamp, now: Time) -> Verdict {
         let InFlight::Sent(batch) = std::mem::replace(&mut self.in_flight, InFlight::Idle) else {
             return Verdict::Again;
--- a/src/transport/client.rs
+++ b/src/transport/client.rs
@@ -10,6 +10,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CallId(pub u64);
 
+/// Why a call has no response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallError {
     /// No byte of the request left this process: it was surely not carried out.
@@ -21,7 +22,7 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Phase {
+pub(super) enum Phase {
     Connecting,
     /// A request is being written or its response awaited.
     Busy,
@@ -30,7 +31,7 @@
     Closed,
 }
 
-pub struct ClientConn {
+pub(super) struct ClientConn {
     stream: TcpStream,
     pub to: SocketAddr,
     pub call: CallId,
@@ -43,7 +44,11 @@
 const READ_STEP: usize = 16 * 1024;
 
 impl ClientConn {
-    pub fn connect(to: SocketAddr, call: CallId, request: Vec<u8>) -> std::io::Result<ClientConn> {
+    pub(super) fn connect(
+        to: SocketAddr,
+        call: CallId,
+        request: Vec<u8>,
+    ) -> std::io::Result<ClientConn> {
         let stream = TcpStream::connect(to)?;
         Ok(ClientConn {
             stream,
@@ -56,7 +61,7 @@
         })
     }
 
-    pub fn stream(&mut self) -> &mut TcpStream {
+    pub(super) fn stream(&mut self) -> &mut TcpStream {
         &mut self.stream
     }
 
@@ -70,7 +75,11 @@
     }
 
     /// Starts the next call on a kept connection.
-    pub fn reuse(&mut self, call: CallId, request: Vec<u8>) -> Option<Result<Response, CallError>> {
+    pub(super) fn reuse(
+        &mut self,
+        call: CallId,
+        request: Vec<u8>,
+    ) -> Option<Result<Response, CallError>> {
         self.call = call;
         self.output = request;
         self.written = 0;
@@ -79,7 +88,7 @@
     }
 
     /// Ends the connection and says what that means for the call on it, if there is one.
-    pub fn fail(&mut self) -> Option<Result<Response, CallError>> {
+    pub(super) fn fail(&mut self) -> Option<Result<Response, CallError>> {
         let error = match self.phase {
             Phase::Connecting => Some(CallError::NotSent),
             Phase::Busy if self.written == 0 => Some(CallError::NotSent),
@@ -90,7 +99,11 @@
         error.map(Err)
     }
 
-    pub fn ready(&mut self, readable: bool, writable: bool) -> Option<Result<Response, CallError>> {
+    pub(super) fn ready(
+        &mut self,
+        readable: bool,
+        writable: bool,
+    ) -> Option<Result<Response, CallError>> {
         if self.phase == Phase::Connecting {
             if !writable {
                 return None;
--- a/src/transport/event_loop.rs
+++ b/src/transport/event_loop.rs
@@ -19,12 +19,18 @@
 pub enum Happening {
     /// `door` tells which of the listening addresses it came through.
     Request {
+        /// Connection that waits for the response.
         conn: ConnId,
+        /// Address that it came through.
         door: Door,
+        /// The request.
         request: Request,
     },
+    /// A call has its outcome.
     Reply {
+        /// The call.
         call: CallId,
+        /// Its response, or why there is none.
         result: Result<Response, CallError>,
     },
 }
@@ -69,6 +75,7 @@
 /// Accepts at one wake-up, so that a flood can't keep other work waiting.
 const ACCEPTS: usize = 64;
 
+/// Sockets, timers and HTTP on one event loop.
 pub struct Transport {
     poll: Poll,
     events: Events,
@@ -85,6 +92,7 @@
 }
 
 impl Transport {
+    /// Opens an event loop that holds at most so many sockets.
     pub fn new(max_sockets: usize) -> std::io::Result<Transport> {
         Ok(Transport {
             poll: Poll::new()?,
@@ -102,6 +110,7 @@
         })
     }
 
+    /// Listens on an address.
     pub fn listen(&mut self, at: SocketAddr, door: Door) -> std::io::Result<()> {
         let mut listener = TcpListener::bind(at)?;
         let entry = self.sockets.vacant_entry();
@@ -148,6 +157,7 @@
         Ok(())
     }
 
+    /// The next thing that happened, if any.
     pub fn happened(&mut self) -> Option<Happening> {
         self.happened.pop_front()
     }
--- a/src/transport/http.rs
+++ b/src/transport/http.rs
@@ -7,24 +7,34 @@
 /// Responses from the state service have no size limit of their own; this one bounds memory.
 const MAX_REPLY: usize = 4 * 1024 * 1024;
 
+/// A parsed request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Request {
+    /// HTTP method.
     pub method: String,
+    /// HTTP target.
     pub target: String,
+    /// Body.
     pub body: Vec<u8>,
+    /// The sender closes the connection after the response.
     pub close: bool,
 }
 
+/// A response.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Response {
+    /// HTTP status.
     pub status: u16,
+    /// Body.
     pub body: Vec<u8>,
+    /// Seconds for the `Retry-After` header.
     pub retry_after: Option<u32>,
     /// Set on parsed responses: the peer wants the connection closed.
     pub close: bool,
 }
 
 impl Response {
+    /// A response without `Retry-After`.
     pub fn new(status: u16, body: Vec<u8>) -> Response {
         Response {
             status,
@@ -47,6 +57,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Malformed(pub u16);
 
+/// How far parsing came.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Parsed<T> {
     /// More bytes are needed.
--- a/src/transport/server.rs
+++ b/src/transport/server.rs
@@ -10,12 +10,14 @@
 /// Names one accepted connection for as long as the process lives; slots are reused, ids are not.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ConnId {
+    /// Place of the connection in its table.
     pub slot: usize,
+    /// Tells connections in the same place apart.
     pub serial: u64,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Phase {
+pub(super) enum Phase {
     /// Waiting for a request or in the middle of reading one.
     Reading,
     /// A request is with the service, which has not answered yet.
@@ -27,7 +29,7 @@
     Closed,
 }
 
-pub struct ServerConn {
+pub(super) struct ServerConn {
     stream: TcpStream,
     pub id: ConnId,
     pub door: Door,
@@ -48,7 +50,7 @@
 const MAX_INPUT: usize = http::MAX_BODY + 16 * 1024;
 
 impl ServerConn {
-    pub fn new(stream: TcpStream, id: ConnId, door: Door, now: Time) -> ServerConn {
+    pub(super) fn new(stream: TcpStream, id: ConnId, door: Door, now: Time) -> ServerConn {
         ServerConn {
             stream,
             id,
@@ -64,12 +66,12 @@
         }
     }
 
-    pub fn stream(&mut self) -> &mut TcpStream {
+    pub(super) fn stream(&mut self) -> &mut TcpStream {
         &mut self.stream
     }
 
     /// Waiting for the next request with none of it read.
-    pub fn is_idle(&self) -> bool {
+    pub(super) fn is_idle(&self) -> bool {
         self.phase == Phase::Reading && self.input.is_empty()
     }
 
@@ -83,7 +85,7 @@
     }
 
     /// Reads what has come and returns a request once one is whole.
-    pub fn readable(&mut self, now: Time) -> Option<Request> {
+    pub(super) fn readable(&mut self, now: Time) -> Option<Request> {
         if matches!(self.phase, Phase::Reading | Phase::Draining) {
             self.fill(now);
         }
@@ -153,7 +155,7 @@
     }
 
     /// Sends the response; returns the next request if it has come already.
-    pub fn respond(&mut self, response: &Response, now: Time) -> Option<Request> {
+    pub(super) fn respond(&mut self, response: &Response, now: Time) -> Option<Request> {
         if self.phase != Phase::Serving {
             return None;
         }
@@ -164,7 +166,7 @@
         self.writable(now)
     }
 
-    pub fn writable(&mut self, now: Time) -> Option<Request> {
+    pub(super) fn writable(&mut self, now: Time) -> Option<Request> {
         if self.phase != Phase::Writing {
             return None;
         }
--- a/src/transport/timers.rs
+++ b/src/transport/timers.rs
@@ -5,6 +5,7 @@
 
 use crate::types::Time;
 
+/// Keys with the time at which each is due.
 #[derive(Debug)]
 pub struct Timers<K: Ord> {
     heap: BinaryHeap<Reverse<(Time, K)>>,
@@ -19,10 +20,12 @@
 }
 
 impl<K: Ord> Timers<K> {
+    /// Sets the time of a key.
     pub fn set(&mut self, at: Time, key: K) {
         self.heap.push(Reverse((at, key)));
     }
 
+    /// The first time at which a key is due.
     pub fn next(&self) -> Option<Time> {
         self.heap.peek().map(|Reverse((at, _))| *at)
     }
--- a/src/types.rs
+++ b/src/types.rs
@@ -52,6 +52,7 @@
 pub struct Time(pub u64);
 
 impl Time {
+    /// This time plus a span.
     pub fn after(self, span: Duration) -> Time {
         Time(self.0.saturating_add(span.as_millis() as u64))
     }
@@ -72,6 +73,7 @@
 pub struct JobId(pub u64);
 
 impl JobId {
+    /// Reads an id; `None` if it is not in its one canonical form.
     pub fn parse(text: &str) -> Option<JobId> {
         let digits = text.strip_prefix("job-")?;
         let plain = digits.bytes().all(|b| b.is_ascii_digit());
@@ -93,11 +95,14 @@
 /// One task of a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TaskId {
+    /// The job.
     pub job: JobId,
+    /// Number of the task, from 0.
     pub index: u32,
 }
 
 impl TaskId {
+    /// Reads a name such as `job-000412/3`.
     pub fn parse(text: &str) -> Option<TaskId> {
         let (job, index) = text.split_once('/')?;
         let index = index.parse().ok()?;
@@ -137,10 +142,12 @@
 pub struct HostName(Arc<str>);
 
 impl HostName {
+    /// A machine's name from its text.
     pub fn new(name: &str) -> HostName {
         HostName(name.into())
     }
 
+    /// The name as text.
     pub fn as_str(&self) -> &str {
         &self.0
     }
--- a/tests/upgrade/tests/rollout.rs
+++ b/tests/upgrade/tests/rollout.rs
@@ -160,16 +160,20 @@
 }
 
 fn play(name: &str) {
+    play_from(name, &EARLIER);
+}
+
+fn play_from(name: &str, versions: &[(&str, Launch)]) {
     let level = std::env::var("LOG_LEVEL").ok();
     lichencrank::logging::start(level.as_deref().or(Some("off")));
     let file = format!("{}/scenarios/{name}.scenario", env!("CARGO_MANIFEST_DIR"));
     let text = std::fs::read_to_string(&file).unwrap_or_else(|e| panic!("{file}: {e}"));
     let script = Script::parse(&text);
     let mut broken = Vec::new();
-    for (version, launch) in EARLIER {
+    for (version, launch) in versions {
         let launcher = Launcher {
             first: Version::Earlier,
-            launch,
+            launch: *launch,
         };
         for seed in seeds() {
             let mut world = World::new(script.site.clone(), seed, launcher);
@@ -220,3 +224,9 @@
 fn broken_off() {
     play("broken_off");
 }
+
+/// The first version does not know services.
+#[test]
+fn broken_off_with_services() {
+    play_from("broken_off_with_services", &EARLIER[1..]);
+}
