--- a/src/coordination/forecast.rs
+++ b/src/coordination/forecast.rs
@@ -6,8 +6,8 @@
 
 use super::fleet::{Market, ARRIVALS_FOR};
 use super::hosts::{Cordon, Host, HostLifecycle};
-use super::jobs::Resources;
 use super::placement::{self, capacity};
+use super::resources::Resources;
 use super::Controller;
 use crate::protocol::cloud::MAX_RENTAL;
 use crate::protocol::users::{JobSpec, Priority};
--- a/src/coordination/hosts.rs
+++ b/src/coordination/hosts.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-use super::jobs::Resources;
+use super::resources::Resources;
 use crate::protocol::workers::{Report, TaskReport, TaskState as Reported};
 use crate::types::{Attempt, HostName, JobId, Session, TaskId, Term, Tick, Time};
 
--- a/src/coordination/jobs.rs
+++ b/src/coordination/jobs/mod.rs
@@ -1,71 +1,15 @@
 //! Jobs as the leader knows them: which tasks wait, which are booked where, which are done.
 
+mod run_records;
+
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
+use super::resources::Resources;
 use crate::protocol::users::{JobSpec, JobState, Priority};
 use crate::storage::records::{JobRecord, OverRecord, RunRecord};
 use crate::types::{Attempt, HostName, JobId, Session, Stamp, Time};
 
-/// What a task takes of its machine.
-#[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Resources {
-    /// CPUs.
-    pub cpus: f64,
-    /// GPUs.
-    pub gpus: f64,
-    /// Memory in GB.
-    pub memory_gb: f64,
-}
-
-/// Sums of decimals are not exact; this much is forgiven.
-const SLACK: f64 = 1e-6;
-
-impl Resources {
-    /// Whether it fits into that room.
-    pub fn fits(&self, room: &Resources) -> bool {
-        self.cpus <= room.cpus + SLACK
-            && self.gpus <= room.gpus + SLACK
-            && self.memory_gb <= room.memory_gb + SLACK
-    }
-
-    /// Adds to it.
-    pub fn add(&mut self, other: &Resources) {
-        self.cpus += other.cpus;
-        self.gpus += other.gpus;
-        self.memory_gb += other.memory_gb;
-    }
-
-    /// Takes from it; nothing goes below zero.
-    pub fn remove(&mut self, other: &Resources) {
-        self.cpus = (self.cpus - other.cpus).max(0.0);
-        self.gpus = (self.gpus - other.gpus).max(0.0);
-        self.memory_gb = (self.memory_gb - other.memory_gb).max(0.0);
-    }
-
-    /// What is left of it without the other.
-    pub fn minus(&self, other: &Resources) -> Resources {
-        let mut rest = *self;
-        rest.remove(other);
-        rest
-    }
-
-    /// How many of `self` fit into `room`.
-    pub fn times_in(&self, room: &Resources) -> u64 {
-        let times = |need: f64, have: f64| {
-            if need > 0.0 {
-                (have + SLACK) / need
-            } else {
-                1e6
-            }
-        };
-        let least = times(self.cpus, room.cpus)
-            .min(times(self.gpus, room.gpus))
-            .min(times(self.memory_gb, room.memory_gb));
-        least.max(0.0) as u64
-    }
-}
-
 /// A replica that has run for so long is well.
 pub const SETTLED: Duration = Duration::from_secs(20);
 /// A replica that ended before is started again after this, and after twice as long each time.
@@ -340,77 +284,6 @@
         self.not_before = now.after(pause.min(LONGEST_PAUSE));
     }
 
-    /// Takes in a run record; returns the bookings it holds.
-    pub fn load(
-        &mut self,
-        number: u32,
-        record: &RunRecord,
-        stamp: Stamp,
-    ) -> Vec<(u32, Attempt, HostName, Session)> {
-        let at = number as usize;
-        let chunks = self.chunks.iter().flatten();
-        let split = self.spec.is_none() && record.size != self.tasks_per_record;
-        if split && chunks.count() > 0 || self.spec.is_some() && at >= self.chunks.len() {
-            // Part of a split that was broken off: what it holds stands in the larger records too,
-            // and those are in force.
-            log::info!("{}: run record {number} is not in force", self.id);
-            self.beyond.insert(number, stamp);
-            return Vec::new();
-        }
-        if self.spec.is_none() {
-            self.tasks_per_record = record.size.max(1);
-        }
-        if self.spec.is_none() && at >= self.chunks.len() && at < 100_000 {
-            self.chunks.resize_with(at + 1, || None);
-        }
-        if at >= self.chunks.len() {
-            log::error!("{}: run record {number} lies beyond the job", self.id);
-            return Vec::new();
-        }
-        let tasks = task_states(record, self.chunk_length(number));
-        let first = number * self.tasks_per_record;
-        let mut bookings = Vec::new();
-        for (index, task) in (first..).zip(&tasks) {
-            match task {
-                TaskState::Waiting { .. } => {
-                    self.retry.insert(index);
-                }
-                TaskState::Booked {
-                    host,
-                    attempt,
-                    session,
-                } => {
-                    self.booked += 1;
-                    bookings.push((index, *attempt, host.clone(), *session));
-                }
-                TaskState::Done => self.done += 1,
-            }
-        }
-        self.chunks[at] = Some(Box::new(Chunk::new(tasks, stamp, 0)));
-        bookings
-    }
-
-    /// After all run records are in: chunks without one hold untouched tasks.
-    pub fn loaded(&mut self) {
-        if self.phase != JobPhase::Active {
-            self.retry.clear();
-            return;
-        }
-        // The untouched ones at the end stay a range; gaps before them are rare.
-        let tail = self
-            .chunks
-            .iter()
-            .rposition(Option::is_some)
-            .map_or(0, |c| c + 1);
-        for number in 0..tail as u32 {
-            if self.chunks[number as usize].is_none() {
-                let first = number * self.tasks_per_record;
-                self.retry.extend(first..first + self.chunk_length(number));
-            }
-        }
-        self.fresh = (tail as u32 * self.tasks_per_record).min(self.total);
-    }
-
     fn chunk_length(&self, number: u32) -> u32 {
         if self.spec.is_none() {
             return self.tasks_per_record;
@@ -529,48 +402,6 @@
         }
     }
 
-    /// A run record as it is to be written.
-    pub fn record(&self, number: u32) -> Option<RunRecord> {
-        let chunk = self.chunk(number)?;
-        let mut record = RunRecord {
-            first: number * self.tasks_per_record,
-            size: self.tasks_per_record,
-            team: self.team.clone(),
-            cpus: self.need.cpus,
-            gpus: self.need.gpus,
-            mem: self.need.memory_gb,
-            ..RunRecord::default()
-        };
-        for (offset, task) in chunk.tasks.iter().enumerate() {
-            let offset = offset as u32;
-            match task {
-                TaskState::Waiting { last: Attempt(0) } => {}
-                TaskState::Waiting { last } => record.tried.push((offset, *last)),
-                TaskState::Booked {
-                    host,
-                    attempt,
-                    session,
-                } => {
-                    record
-                        .booked
-                        .push((offset, *attempt, host.clone(), *session));
-                }
-                TaskState::Done => match record.done.last_mut() {
-                    Some((first, count)) if *first + *count == offset => *count += 1,
-                    _ => record.done.push((offset, 1)),
-                },
-            }
-        }
-        if number == 0 && self.chunks.len() > 1 {
-            let booked = record.booked.len() as u64;
-            record.rest = (
-                u64::from(self.done) - record.done_count(),
-                u64::from(self.booked) - booked,
-            );
-        }
-        Some(record)
-    }
-
     /// The owner's estimate of a task's run time, in seconds.
     pub fn estimate(&self) -> f64 {
         self.spec.as_ref().map_or(30.0, |s| s.estimate_s.0.max(1.0))
@@ -605,30 +436,3 @@
         self.done == 0 && self.failed_on.len() >= 3
     }
 }
-
-/// The tasks of a run record that holds so many.
-fn task_states(record: &RunRecord, length: u32) -> Vec<TaskState> {
-    let mut tasks = vec![TaskState::default(); length as usize];
-    let mut set = |offset: u32, state: TaskState| {
-        if let Some(task) = tasks.get_mut(offset as usize) {
-            *task = state;
-        }
-    };
-    for (offset, last) in &record.tried {
-        set(*offset, TaskState::Waiting { last: *last });
-    }
-    for (first, count) in &record.done {
-        for offset in *first..first.saturating_add(*count).min(length) {
-            set(offset, TaskState::Done);
-        }
-    }
-    for (offset, attempt, host, session) in &record.booked {
-        let booked = TaskState::Booked {
-            host: host.clone(),
-            attempt: *attempt,
-            session: *session,
-        };
-        set(*offset, booked);
-    }
-    tasks
-}
--- /dev/null
+++ b/src/coordination/jobs/run_records.rs
@@ -0,0 +1,145 @@
+//! A job's run records: what is read from them after an election, and what is written of the job.
+
+use super::*;
+
+impl Job {
+    /// Takes in a run record; returns the bookings it holds.
+    pub fn load(
+        &mut self,
+        number: u32,
+        record: &RunRecord,
+        stamp: Stamp,
+    ) -> Vec<(u32, Attempt, HostName, Session)> {
+        let at = number as usize;
+        let chunks = self.chunks.iter().flatten();
+        let split = self.spec.is_none() && record.size != self.tasks_per_record;
+        if split && chunks.count() > 0 || self.spec.is_some() && at >= self.chunks.len() {
+            // Part of a split that was broken off: what it holds stands in the larger records too,
+            // and those are in force.
+            log::info!("{}: run record {number} is not in force", self.id);
+            self.beyond.insert(number, stamp);
+            return Vec::new();
+        }
+        if self.spec.is_none() {
+            self.tasks_per_record = record.size.max(1);
+        }
+        if self.spec.is_none() && at >= self.chunks.len() && at < 100_000 {
+            self.chunks.resize_with(at + 1, || None);
+        }
+        if at >= self.chunks.len() {
+            log::error!("{}: run record {number} lies beyond the job", self.id);
+            return Vec::new();
+        }
+        let tasks = task_states(record, self.chunk_length(number));
+        let first = number * self.tasks_per_record;
+        let mut bookings = Vec::new();
+        for (index, task) in (first..).zip(&tasks) {
+            match task {
+                TaskState::Waiting { .. } => {
+                    self.retry.insert(index);
+                }
+                TaskState::Booked {
+                    host,
+                    attempt,
+                    session,
+                } => {
+                    self.booked += 1;
+                    bookings.push((index, *attempt, host.clone(), *session));
+                }
+                TaskState::Done => self.done += 1,
+            }
+        }
+        self.chunks[at] = Some(Box::new(Chunk::new(tasks, stamp, 0)));
+        bookings
+    }
+
+    /// After all run records are in: chunks without one hold untouched tasks.
+    pub fn loaded(&mut self) {
+        if self.phase != JobPhase::Active {
+            self.retry.clear();
+            return;
+        }
+        // The untouched ones at the end stay a range; gaps before them are rare.
+        let tail = self
+            .chunks
+            .iter()
+            .rposition(Option::is_some)
+            .map_or(0, |c| c + 1);
+        for number in 0..tail as u32 {
+            if self.chunks[number as usize].is_none() {
+                let first = number * self.tasks_per_record;
+                self.retry.extend(first..first + self.chunk_length(number));
+            }
+        }
+        self.fresh = (tail as u32 * self.tasks_per_record).min(self.total);
+    }
+
+    /// A run record as it is to be written.
+    pub fn record(&self, number: u32) -> Option<RunRecord> {
+        let chunk = self.chunk(number)?;
+        let mut record = RunRecord {
+            first: number * self.tasks_per_record,
+            size: self.tasks_per_record,
+            team: self.team.clone(),
+            cpus: self.need.cpus,
+            gpus: self.need.gpus,
+            mem: self.need.memory_gb,
+            ..RunRecord::default()
+        };
+        for (offset, task) in chunk.tasks.iter().enumerate() {
+            let offset = offset as u32;
+            match task {
+                TaskState::Waiting { last: Attempt(0) } => {}
+                TaskState::Waiting { last } => record.tried.push((offset, *last)),
+                TaskState::Booked {
+                    host,
+                    attempt,
+                    session,
+                } => {
+                    record
+                        .booked
+                        .push((offset, *attempt, host.clone(), *session));
+                }
+                TaskState::Done => match record.done.last_mut() {
+                    Some((first, count)) if *first + *count == offset => *count += 1,
+                    _ => record.done.push((offset, 1)),
+                },
+            }
+        }
+        if number == 0 && self.chunks.len() > 1 {
+            let booked = record.booked.len() as u64;
+            record.rest = (
+                u64::from(self.done) - record.done_count(),
+                u64::from(self.booked) - booked,
+            );
+        }
+        Some(record)
+    }
+}
+
+/// The tasks of a run record that holds so many.
+fn task_states(record: &RunRecord, length: u32) -> Vec<TaskState> {
+    let mut tasks = vec![TaskState::default(); length as usize];
+    let mut set = |offset: u32, state: TaskState| {
+        if let Some(task) = tasks.get_mut(offset as usize) {
+            *task = state;
+        }
+    };
+    for (offset, last) in &record.tried {
+        set(*offset, TaskState::Waiting { last: *last });
+    }
+    for (first, count) in &record.done {
+        for offset in *first..first.saturating_add(*count).min(length) {
+            set(offset, TaskState::Done);
+        }
+    }
+    for (offset, attempt, host, session) in &record.booked {
+        let booked = TaskState::Booked {
+            host: host.clone(),
+            attempt: *attempt,
+            session: *session,
+        };
+        set(*offset, booked);
+    }
+    tasks
+}
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -10,10 +10,18 @@
 pub mod leadership;
 mod lifecycle;
 pub mod placement;
+mod policy;
 mod preemption;
+pub mod ranking;
 mod reports;
+pub mod resources;
 mod scaling;
 mod services;
+mod summary;
+mod type_eligibility;
+
+pub use policy::Policy;
+pub use summary::Reach;
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
@@ -29,7 +37,8 @@
 
 use fleet::Fleet;
 use hosts::{Booking, BookingPhase, Host, HostLifecycle, StopWhy};
-use jobs::{Job, JobPhase, Resources};
+use jobs::{Job, JobPhase};
+use resources::Resources;
 
 /// What the leader wants done outside.
 #[derive(Clone, Debug, PartialEq)]
@@ -86,87 +95,6 @@
     Placing,
 }
 
-/// The settings that decisions depend on.
-#[derive(Clone, Debug)]
-pub struct Policy {
-    /// Interval of reports.
-    pub report: Duration,
-    /// Lease of workers.
-    pub lease: Duration,
-    /// Time for cancellations.
-    pub cancel: Duration,
-    /// How far the cloud's list lags at the most.
-    pub list_lag: Duration,
-    /// How many tasks share a run record.
-    pub tasks_per_record: u32,
-    /// Machines that may be asked at once whether they hear: each takes a socket for a while.
-    pub probes: usize,
-    /// Direct commands that may be under way at once, for the same reason; the others wait.
-    pub commands: usize,
-    /// What a value and a transaction may hold at the most.
-    pub max_value: usize,
-    /// Changes that a transaction may hold.
-    pub txn_ops: usize,
-    /// Records of the lowest priority that may wait for being written; each higher one may have as
-    /// many again. What is booked beyond that would only hold machines idle.
-    pub records: usize,
-    /// Teams with their guarantees and limits.
-    pub teams: Vec<Team>,
-    /// Classes that are to begin within so many seconds.
-    pub hurried: Vec<(String, f64)>,
-    /// What operators have tuned.
-    pub tuning: Tuning,
-}
-
-impl Policy {
-    /// The policy that follows from the settings.
-    pub fn new(service: &Service, tuning: &Tuning) -> Policy {
-        Policy {
-            report: service.workers.report(),
-            lease: service.workers.lease(),
-            cancel: service.workers.cancel(),
-            list_lag: seconds(service.cloud.list_lag_s) * 2,
-            tasks_per_record: crate::storage::records::tasks_per_record(service.state.value_kb),
-            probes: (service.resources.sockets / 20).max(2),
-            commands: (service.resources.sockets / 16).max(4),
-            max_value: (service.state.value_kb * 1024.0) as usize,
-            txn_ops: service.state.txn_ops,
-            records: (service.state.write_rps / 2.0).max(4.0) as usize,
-            teams: service.teams.clone(),
-            hurried: service.hurried(),
-            tuning: tuning.clone(),
-        }
-    }
-
-    /// A machine without a report for longer counts as silent.
-    pub fn silent_limit(&self) -> Duration {
-        self.report.mul_f64(self.tuning.silent_reports)
-    }
-
-    /// The team of that name.
-    pub fn team(&self, name: &str) -> Option<&Team> {
-        self.teams.iter().find(|t| t.name == name)
-    }
-}
-
-/// How many machines the leader hears.
-#[derive(Clone, Debug, Default, PartialEq)]
-pub struct Reach {
-    /// Machines that reported lately.
-    pub heard: usize,
-    /// Machines that are up or silent.
-    pub known: usize,
-    /// The zone that holds the most machines.
-    pub home: Option<String>,
-}
-
-impl Reach {
-    /// More than half of the machines are out of earshot.
-    pub fn is_cut_off(&self) -> bool {
-        self.known >= 3 && self.heard * 2 < self.known
-    }
-}
-
 /// The picture and the decisions of one term.
 pub struct Controller {
     /// The leader's term.
@@ -551,93 +479,4 @@
         self.types = types;
         self.place_wanted = true;
     }
-
-    /// How many of the machines that were up this leader still hears, and where most of them are.
-    pub fn reach(&self, now: Time) -> Reach {
-        let late = self.rules.report.mul_f64(1.8);
-        let mut reach = Reach::default();
-        let mut zones: BTreeMap<&str, usize> = BTreeMap::new();
-        for host in self.hosts.values() {
-            if host.zone.is_empty()
-                || !matches!(host.lifecycle, HostLifecycle::Up | HostLifecycle::Silent)
-            {
-                continue;
-            }
-            reach.known += 1;
-            reach.heard += usize::from(now.since(host.heard_at) <= late);
-            *zones.entry(&host.zone).or_default() += 1;
-        }
-        reach.home = zones
-            .iter()
-            .max_by_key(|(_, count)| **count)
-            .map(|(zone, _)| (*zone).to_owned());
-        reach
-    }
-
-    /// Which job has waited the longest for its first start, and why, for operators.
-    pub fn longest_wait(&self, now: Time) -> Option<String> {
-        let unbegun = |j: &&Job| j.waiting() > 0 && j.booked == 0 && j.done == 0;
-        let job = self.jobs.values().filter(unbegun).min_by_key(|j| j.at_ms)?;
-        let spec = job.spec.as_ref()?;
-        let waited = self.day_ms.saturating_sub(job.at_ms) / 1000;
-        let why = if !self.may_act(now) {
-            "the state service does not answer here".to_owned()
-        } else if matches!(self.phase, Phase::Loading | Phase::Gathering { .. }) {
-            "a new leader is making its picture".to_owned()
-        } else if job.suspect() || now < job.not_before {
-            format!("it failed {} times", job.failures)
-        } else if self.team_room(job) == 0 {
-            format!("{} is at its limit", job.team)
-        } else if self.batcher.urgent() >= self.rules.records {
-            format!("{} records wait to be written", self.batcher.urgent())
-        } else {
-            let suits = |h: &&Host| {
-                let kind = h.kind.and_then(|k| self.types.get(k));
-                kind.is_some_and(|t| placement::type_suits(spec, t)) && (spec.spot || !h.spot)
-            };
-            let count = |life| {
-                let hosts = self.hosts.values().filter(suits);
-                hosts.filter(|h| h.lifecycle == life).count()
-            };
-            let (up, expected) = (count(HostLifecycle::Up), count(HostLifecycle::Expected));
-            format!("no room on {up} machines that suit it, {expected} more expected")
-        };
-        Some(format!("{} waits for {waited} s: {why}", job.id))
-    }
-
-    /// A line for the log that tells operators how things stand.
-    pub fn summary(&self) -> String {
-        let count = |life| self.hosts.values().filter(|h| h.lifecycle == life).count();
-        let waiting: u64 = self.jobs.values().map(|j| u64::from(j.waiting())).sum();
-        let booked: usize = self.hosts.values().map(|h| h.bookings.len()).sum();
-        let fetching: usize = self
-            .hosts
-            .values()
-            .map(|h| h.bookings.values().filter(|b| b.started.is_none()).count())
-            .sum();
-        let (mut used, mut closed, mut all) = (0.0, 0.0, 0.0);
-        for host in self
-            .hosts
-            .values()
-            .filter(|h| h.lifecycle == HostLifecycle::Up)
-        {
-            let cpus = host
-                .kind
-                .and_then(|k| self.types.get(k))
-                .map_or(0.0, |t| t.cpus.0);
-            used += host.used.cpus;
-            all += cpus;
-            if host.cordon.is_some() {
-                closed += cpus - host.used.cpus;
-            }
-        }
-        format!(
-            "{} jobs, {waiting} tasks waiting, {booked} booked, {fetching} of them not started; {used} of {all} CPUs used, {closed} closed; machines: {} up, {} expected, {} silent, {} returning",
-            self.jobs.len(),
-            count(HostLifecycle::Up),
-            count(HostLifecycle::Expected),
-            count(HostLifecycle::Silent),
-            count(HostLifecycle::Releasing),
-        )
-    }
 }
--- a/src/coordination/placement.rs
+++ b/src/coordination/placement.rs
@@ -7,16 +7,18 @@
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 
 use super::hosts::{Booking, BookingPhase, Host, HostLifecycle, Reachability};
-use super::jobs::{Job, JobPhase, Resources, TaskState};
+use super::jobs::{Job, TaskState};
+use super::ranking::Rank;
+use super::resources::Resources;
 use super::{Controller, AVOID};
 use crate::protocol::cloud::MachineType;
 use crate::protocol::users::{JobSpec, Priority};
-use crate::types::{seconds, Attempt, HostName, JobId, Stamp, TaskId, Tick, Time};
+use crate::types::{Attempt, HostName, JobId, TaskId, Tick, Time};
 
 /// Tasks booked in one pass; the rest waits for the next, so that a pass never takes long.
 const MAX_BOOKINGS: u64 = 400;
 /// Jobs that waited too long and go before all others at one time.
-const MAX_LIFTED: usize = 8;
+pub(super) const MAX_LIFTED: usize = 8;
 const MEMORY_WEIGHT: f64 = 25.0;
 const CPU_WEIGHT: f64 = 25.0;
 const GPU_WEIGHT: f64 = 20.0;
@@ -149,131 +151,7 @@
     }
 }
 
-/// Jobs in the order in which they are served: those that have waited too long for a first start
-/// go first, whatever they are, so that nothing starves; then those within their team's guarantee don't wait for
-/// work that others run on borrowed machines; then priority; then those that can still be in time,
-/// or have been late for long; then the earlier deadline; then arrival.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Rank {
-    /// Nothing of it has begun for longer than any job should wait; `true` sorts last.
-    pub patient: bool,
-    /// Its team has used up its guarantee.
-    pub borrowing: bool,
-    /// Its priority.
-    pub priority: Priority,
-    /// It can't meet its deadline any more, so it lets those go first that can, for a while.
-    pub late: bool,
-    /// When it is due, in milliseconds of the day; those without a deadline come last.
-    pub due: u64,
-    /// For work of the lowest priority that is due at no time: about how much is left to do, in
-    /// powers of two, so that what is done soon does not wait for what takes for ever.
-    pub work: u32,
-    /// Orders jobs by their arrival.
-    pub arrival: Stamp,
-    /// The job.
-    pub id: JobId,
-}
-
-impl Rank {
-    /// Among those that have waited too long only their arrival counts.
-    fn starving(self) -> Rank {
-        Rank {
-            patient: false,
-            borrowing: false,
-            priority: Priority::Critical,
-            late: false,
-            due: 0,
-            work: 0,
-            ..self
-        }
-    }
-}
-
 impl Controller {
-    /// All jobs with waiting tasks, in the order in which they are served.
-    pub(super) fn ranked(&self) -> Vec<Rank> {
-        let cpus = self.cpus_to_be();
-        let starve_after = seconds(self.rules.tuning.starve_after_s);
-        let mut by_arrival: Vec<&Job> = self
-            .jobs
-            .values()
-            .filter(|j| j.phase == JobPhase::Active)
-            .collect();
-        by_arrival.sort_by_key(|j| j.live);
-        let mut claimed: BTreeMap<&str, (f64, f64)> = BTreeMap::new();
-        let mut ranks = Vec::new();
-        let mut lifted = 0;
-        for job in by_arrival {
-            let Some(spec) = &job.spec else { continue };
-            let guaranteed = self
-                .rules
-                .team(&job.team)
-                .map_or((0.0, 0.0), |t| t.guaranteed());
-            let claimed = claimed.entry(&job.team).or_default();
-            let open = f64::from(job.total - job.done);
-            claimed.0 += open * job.need.cpus;
-            claimed.1 += open * job.need.gpus;
-            let within =
-                claimed.0 <= guaranteed.0 && (claimed.1 <= guaranteed.1 || job.need.gpus == 0.0);
-            if job.waiting() > 0 {
-                let waited = seconds((self.day_ms.saturating_sub(job.at_ms)) as f64 / 1000.0);
-                let aged = waited >= starve_after;
-                let begun = job.booked > 0 || job.done > 0;
-                let rank = Rank {
-                    patient: true,
-                    borrowing: !within,
-                    priority: spec.priority,
-                    late: waited < starve_after * 2
-                        && job.is_late(self.expected_run(job), cpus, self.day_ms),
-                    due: job.due_ms().map_or(u64::MAX, |due| due as u64),
-                    work: self.work_class(job, spec),
-                    arrival: job.live,
-                    id: job.id,
-                };
-                // A few at a time, the oldest first: in bulk they would pass all urgent work.
-                let starving = aged && !begun && lifted < MAX_LIFTED;
-                lifted += usize::from(starving);
-                ranks.push(if starving { rank.starving() } else { rank });
-            }
-        }
-        ranks.sort();
-        ranks
-    }
-
-    fn work_class(&self, job: &Job, spec: &JobSpec) -> u32 {
-        if spec.priority != Priority::Low || spec.deadline_s.is_some() {
-            return 0;
-        }
-        let open = f64::from(job.total - job.done);
-        let work = open * job.need.cpus.max(0.1) * self.expected_run(job);
-        work.max(1.0).log2() as u32
-    }
-
-    /// CPUs of all machines that are here or coming.
-    fn cpus_to_be(&self) -> f64 {
-        let here = self
-            .hosts
-            .values()
-            .filter(|h| matches!(h.lifecycle, HostLifecycle::Up | HostLifecycle::Expected));
-        let kinds = here.filter_map(|h| h.kind.and_then(|k| self.types.get(k)));
-        kinds.map(|t| t.cpus.0).sum()
-    }
-
-    /// How many more tasks of this size the team may have booked.
-    pub(super) fn team_room(&self, job: &Job) -> u64 {
-        let Some(team) = self.rules.team(&job.team) else {
-            return 0;
-        };
-        let (cpus, gpus) = team.limits();
-        let used = self.used.get(&job.team).copied().unwrap_or_default();
-        let room = Resources {
-            cpus: (cpus - used.cpus).max(0.0),
-            gpus: (gpus - used.gpus).max(0.0),
-            memory_gb: f64::INFINITY,
-        };
-        job.need.times_in(&room)
-    }
-
     /// One pass over the waiting tasks.
     pub(super) fn place(&mut self, now: Time) {
         let ranks = self.ranked();
@@ -579,93 +457,6 @@
             && host.reachability == Reachability::Confirmed
     }
 
-    /// Types that some waiting or running work needs because no other type fits it.
-    pub(super) fn scarce_types(&self) -> Vec<bool> {
-        let mut scarce = vec![false; self.types.len()];
-        for job in self.jobs.values().filter(|j| j.phase == JobPhase::Active) {
-            let Some(spec) = &job.spec else { continue };
-            let suited: Vec<usize> = self.suited(spec);
-            if let [only] = suited[..] {
-                scarce[only] = true;
-            }
-        }
-        for only in self.fleet.remembered_scarce() {
-            if let Some(s) = scarce.get_mut(*only) {
-                *s = true;
-            }
-        }
-        scarce
-    }
-
-    pub(super) fn suited(&self, spec: &JobSpec) -> Vec<usize> {
-        let all = self.types.iter().enumerate();
-        all.filter(|(_, t)| type_suits(spec, t))
-            .map(|(i, _)| i)
-            .collect()
-    }
-
-    /// For each machine type, whether the job's tasks may go there.
-    pub(super) fn usable_types(&self, spec: &JobSpec, scarce: &[bool]) -> Vec<bool> {
-        let suits = |kind: usize| {
-            type_suits(spec, &self.types[kind]) && !self.kept_for_others(spec, Some(kind), scarce)
-        };
-        (0..self.types.len()).map(suits).collect()
-    }
-
-    /// The exception to eligibility: work that fits another type stays off a type that other work
-    /// can't do without, as headroom would otherwise fill the large machines with small tasks.
-    pub(super) fn kept_for_others(
-        &self,
-        spec: &JobSpec,
-        kind: Option<usize>,
-        scarce: &[bool],
-    ) -> bool {
-        let Some(kind) = kind.filter(|k| scarce.get(*k) == Some(&true)) else {
-            return false;
-        };
-        // A service takes little and can't wait.
-        if spec.is_service() {
-            return false;
-        }
-        self.suited(spec)
-            .iter()
-            .any(|k| *k != kind && scarce.get(*k) == Some(&false))
-    }
-
-    /// All kinds that suit urgent work, if that is the only way to its deadline: it would be late if
-    /// it waited for another machine of its own kinds, and is in time if it starts now. Work that has
-    /// no other kind keeps what is scarce if it has the same or a higher priority, or has waited
-    /// for too long.
-    pub(super) fn overflow_types(
-        &self,
-        spec: &JobSpec,
-        usable: &[bool],
-        run: f64,
-        due_in: Option<f64>,
-    ) -> Option<Vec<bool>> {
-        let due_in = due_in?;
-        let hurried = run <= due_in && self.least_ready(spec, usable) + run > due_in;
-        if !hurried {
-            return None;
-        }
-        // As with late work, which gives way no longer after twice that time.
-        let starve_after_ms = self.rules.tuning.starve_after_s * 2000.0;
-        let outranks = |kind: usize| {
-            let mut others = self.jobs.values().filter(|j| j.waiting() > 0);
-            others.all(|j| {
-                let starves = self.day_ms.saturating_sub(j.at_ms) as f64 >= starve_after_ms;
-                let other = j.spec.as_ref();
-                other.is_none_or(|o| {
-                    o.priority > spec.priority && !starves || self.suited(o) != [kind]
-                })
-            })
-        };
-        let more =
-            |kind: usize| usable[kind] || type_suits(spec, &self.types[kind]) && outranks(kind);
-        let more: Vec<bool> = (0..self.types.len()).map(more).collect();
-        (more != usable).then_some(more)
-    }
-
     /// Books a task: recorded first, run later.
     fn book(&mut self, job: &mut Job, task: TaskId, name: &HostName, now: Time) {
         let Some(host) = self.hosts.get_mut(name) else {
--- /dev/null
+++ b/src/coordination/policy.rs
@@ -0,0 +1,66 @@
+//! What follows from the settings for every decision.
+
+use super::*;
+
+/// The settings that decisions depend on.
+#[derive(Clone, Debug)]
+pub struct Policy {
+    /// Interval of reports.
+    pub report: Duration,
+    /// Lease of workers.
+    pub lease: Duration,
+    /// Time for cancellations.
+    pub cancel: Duration,
+    /// How far the cloud's list lags at the most.
+    pub list_lag: Duration,
+    /// How many tasks share a run record.
+    pub tasks_per_record: u32,
+    /// Machines that may be asked at once whether they hear: each takes a socket for a while.
+    pub probes: usize,
+    /// Direct commands that may be under way at once, for the same reason; the others wait.
+    pub commands: usize,
+    /// What a value and a transaction may hold at the most.
+    pub max_value: usize,
+    /// Changes that a transaction may hold.
+    pub txn_ops: usize,
+    /// Records of the lowest priority that may wait for being written; each higher one may have as
+    /// many again. What is booked beyond that would only hold machines idle.
+    pub records: usize,
+    /// Teams with their guarantees and limits.
+    pub teams: Vec<Team>,
+    /// Classes that are to begin within so many seconds.
+    pub hurried: Vec<(String, f64)>,
+    /// What operators have tuned.
+    pub tuning: Tuning,
+}
+
+impl Policy {
+    /// The policy that follows from the settings.
+    pub fn new(service: &Service, tuning: &Tuning) -> Policy {
+        Policy {
+            report: service.workers.report(),
+            lease: service.workers.lease(),
+            cancel: service.workers.cancel(),
+            list_lag: seconds(service.cloud.list_lag_s) * 2,
+            tasks_per_record: crate::storage::records::tasks_per_record(service.state.value_kb),
+            probes: (service.resources.sockets / 20).max(2),
+            commands: (service.resources.sockets / 16).max(4),
+            max_value: (service.state.value_kb * 1024.0) as usize,
+            txn_ops: service.state.txn_ops,
+            records: (service.state.write_rps / 2.0).max(4.0) as usize,
+            teams: service.teams.clone(),
+            hurried: service.hurried(),
+            tuning: tuning.clone(),
+        }
+    }
+
+    /// A machine without a report for longer counts as silent.
+    pub fn silent_limit(&self) -> Duration {
+        self.report.mul_f64(self.tuning.silent_reports)
+    }
+
+    /// The team of that name.
+    pub fn team(&self, name: &str) -> Option<&Team> {
+        self.teams.iter().find(|t| t.name == name)
+    }
+}
--- a/src/coordination/preemption.rs
+++ b/src/coordination/preemption.rs
@@ -4,8 +4,9 @@
 use std::time::Duration;
 
 use super::hosts::{Booking, Host, StopWhy};
-use super::jobs::{Job, Resources};
+use super::jobs::Job;
 use super::placement::capacity;
+use super::resources::Resources;
 use super::Controller;
 use crate::protocol::users::{JobSpec, Priority};
 use crate::types::{seconds, HostName, TaskId, Time};
--- /dev/null
+++ b/src/coordination/ranking.rs
@@ -0,0 +1,137 @@
+//! The order in which waiting jobs are served, and how much of a team's limit is left.
+
+use std::collections::BTreeMap;
+
+use super::hosts::HostLifecycle;
+use super::jobs::{Job, JobPhase};
+use super::placement::MAX_LIFTED;
+use super::resources::Resources;
+use super::Controller;
+use crate::protocol::users::{JobSpec, Priority};
+use crate::types::{seconds, JobId, Stamp};
+
+/// Jobs in the order in which they are served: those that have waited too long for a first start
+/// go first, whatever they are, so that nothing starves; then those within their team's guarantee don't wait for
+/// work that others run on borrowed machines; then priority; then those that can still be in time,
+/// or have been late for long; then the earlier deadline; then arrival.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct Rank {
+    /// Nothing of it has begun for longer than any job should wait; `true` sorts last.
+    pub patient: bool,
+    /// Its team has used up its guarantee.
+    pub borrowing: bool,
+    /// Its priority.
+    pub priority: Priority,
+    /// It can't meet its deadline any more, so it lets those go first that can, for a while.
+    pub late: bool,
+    /// When it is due, in milliseconds of the day; those without a deadline come last.
+    pub due: u64,
+    /// For work of the lowest priority that is due at no time: about how much is left to do, in
+    /// powers of two, so that what is done soon does not wait for what takes for ever.
+    pub work: u32,
+    /// Orders jobs by their arrival.
+    pub arrival: Stamp,
+    /// The job.
+    pub id: JobId,
+}
+
+impl Rank {
+    /// Among those that have waited too long only their arrival counts.
+    fn starving(self) -> Rank {
+        Rank {
+            patient: false,
+            borrowing: false,
+            priority: Priority::Critical,
+            late: false,
+            due: 0,
+            work: 0,
+            ..self
+        }
+    }
+}
+
+impl Controller {
+    /// All jobs with waiting tasks, in the order in which they are served.
+    pub(super) fn ranked(&self) -> Vec<Rank> {
+        let cpus = self.cpus_to_be();
+        let starve_after = seconds(self.rules.tuning.starve_after_s);
+        let mut by_arrival: Vec<&Job> = self
+            .jobs
+            .values()
+            .filter(|j| j.phase == JobPhase::Active)
+            .collect();
+        by_arrival.sort_by_key(|j| j.live);
+        let mut claimed: BTreeMap<&str, (f64, f64)> = BTreeMap::new();
+        let mut ranks = Vec::new();
+        let mut lifted = 0;
+        for job in by_arrival {
+            let Some(spec) = &job.spec else { continue };
+            let guaranteed = self
+                .rules
+                .team(&job.team)
+                .map_or((0.0, 0.0), |t| t.guaranteed());
+            let claimed = claimed.entry(&job.team).or_default();
+            let open = f64::from(job.total - job.done);
+            claimed.0 += open * job.need.cpus;
+            claimed.1 += open * job.need.gpus;
+            let within =
+                claimed.0 <= guaranteed.0 && (claimed.1 <= guaranteed.1 || job.need.gpus == 0.0);
+            if job.waiting() > 0 {
+                let waited = seconds((self.day_ms.saturating_sub(job.at_ms)) as f64 / 1000.0);
+                let aged = waited >= starve_after;
+                let begun = job.booked > 0 || job.done > 0;
+                let rank = Rank {
+                    patient: true,
+                    borrowing: !within,
+                    priority: spec.priority,
+                    late: waited < starve_after * 2
+                        && job.is_late(self.expected_run(job), cpus, self.day_ms),
+                    due: job.due_ms().map_or(u64::MAX, |due| due as u64),
+                    work: self.work_class(job, spec),
+                    arrival: job.live,
+                    id: job.id,
+                };
+                // A few at a time, the oldest first: in bulk they would pass all urgent work.
+                let starving = aged && !begun && lifted < MAX_LIFTED;
+                lifted += usize::from(starving);
+                ranks.push(if starving { rank.starving() } else { rank });
+            }
+        }
+        ranks.sort();
+        ranks
+    }
+
+    fn work_class(&self, job: &Job, spec: &JobSpec) -> u32 {
+        if spec.priority != Priority::Low || spec.deadline_s.is_some() {
+            return 0;
+        }
+        let open = f64::from(job.total - job.done);
+        let work = open * job.need.cpus.max(0.1) * self.expected_run(job);
+        work.max(1.0).log2() as u32
+    }
+
+    /// CPUs of all machines that are here or coming.
+    fn cpus_to_be(&self) -> f64 {
+        let here = self
+            .hosts
+            .values()
+            .filter(|h| matches!(h.lifecycle, HostLifecycle::Up | HostLifecycle::Expected));
+        let kinds = here.filter_map(|h| h.kind.and_then(|k| self.types.get(k)));
+        kinds.map(|t| t.cpus.0).sum()
+    }
+
+    /// How many more tasks of this size the team may have booked.
+    pub(super) fn team_room(&self, job: &Job) -> u64 {
+        let Some(team) = self.rules.team(&job.team) else {
+            return 0;
+        };
+        let (cpus, gpus) = team.limits();
+        let used = self.used.get(&job.team).copied().unwrap_or_default();
+        let room = Resources {
+            cpus: (cpus - used.cpus).max(0.0),
+            gpus: (gpus - used.gpus).max(0.0),
+            memory_gb: f64::INFINITY,
+        };
+        job.need.times_in(&room)
+    }
+}
--- /dev/null
+++ b/src/coordination/type_eligibility.rs
@@ -0,0 +1,95 @@
+//! Which machine types the tasks of a job may use, with regard to work that has no other type.
+
+use super::jobs::JobPhase;
+use super::placement::type_suits;
+use super::Controller;
+use crate::protocol::users::JobSpec;
+
+impl Controller {
+    /// Types that some waiting or running work needs because no other type fits it.
+    pub(super) fn scarce_types(&self) -> Vec<bool> {
+        let mut scarce = vec![false; self.types.len()];
+        for job in self.jobs.values().filter(|j| j.phase == JobPhase::Active) {
+            let Some(spec) = &job.spec else { continue };
+            let suited: Vec<usize> = self.suited(spec);
+            if let [only] = suited[..] {
+                scarce[only] = true;
+            }
+        }
+        for only in self.fleet.remembered_scarce() {
+            if let Some(s) = scarce.get_mut(*only) {
+                *s = true;
+            }
+        }
+        scarce
+    }
+
+    pub(super) fn suited(&self, spec: &JobSpec) -> Vec<usize> {
+        let all = self.types.iter().enumerate();
+        all.filter(|(_, t)| type_suits(spec, t))
+            .map(|(i, _)| i)
+            .collect()
+    }
+
+    /// For each machine type, whether the job's tasks may go there.
+    pub(super) fn usable_types(&self, spec: &JobSpec, scarce: &[bool]) -> Vec<bool> {
+        let suits = |kind: usize| {
+            type_suits(spec, &self.types[kind]) && !self.kept_for_others(spec, Some(kind), scarce)
+        };
+        (0..self.types.len()).map(suits).collect()
+    }
+
+    /// The exception to eligibility: work that fits another type stays off a type that other work
+    /// can't do without, as headroom would otherwise fill the large machines with small tasks.
+    pub(super) fn kept_for_others(
+        &self,
+        spec: &JobSpec,
+        kind: Option<usize>,
+        scarce: &[bool],
+    ) -> bool {
+        let Some(kind) = kind.filter(|k| scarce.get(*k) == Some(&true)) else {
+            return false;
+        };
+        // A service takes little and can't wait.
+        if spec.is_service() {
+            return false;
+        }
+        self.suited(spec)
+            .iter()
+            .any(|k| *k != kind && scarce.get(*k) == Some(&false))
+    }
+
+    /// All kinds that suit urgent work, if that is the only way to its deadline: it would be late if
+    /// it waited for another machine of its own kinds, and is in time if it starts now. Work that has
+    /// no other kind keeps what is scarce if it has the same or a higher priority, or has waited
+    /// for too long.
+    pub(super) fn overflow_types(
+        &self,
+        spec: &JobSpec,
+        usable: &[bool],
+        run: f64,
+        due_in: Option<f64>,
+    ) -> Option<Vec<bool>> {
+        let due_in = due_in?;
+        let hurried = run <= due_in && self.least_ready(spec, usable) + run > due_in;
+        if !hurried {
+            return None;
+        }
+        // As with late work, which gives way no longer after twice that time.
+        let starve_after_ms = self.rules.tuning.starve_after_s * 2000.0;
+        let outranks = |kind: usize| {
+            let mut others = self.jobs.values().filter(|j| j.waiting() > 0);
+            others.all(|j| {
+                let starves = self.day_ms.saturating_sub(j.at_ms) as f64 >= starve_after_ms;
+                let other = j.spec.as_ref();
+                other.is_none_or(|o| {
+                    o.priority > spec.priority && !starves || self.suited(o) != [kind]
+                })
+            })
+        };
+        let more =
+            |kind: usize| usable[kind] || type_suits(spec, &self.types[kind]) && outranks(kind);
+        let more: Vec<bool> = (0..self.types.len()).map(more).collect();
+        (more != usable).then_some(more)
+    }
+}
--- /dev/null
+++ b/src/node/leader_duties/cloud.rs
@@ -0,0 +1,120 @@
+//! Calls to the cloud: machine types, the list of machines, renting and returning.
+
+use super::*;
+
+impl LeaderDuties {
+    pub(super) fn run_periodic_tasks(&mut self, net: &mut impl Network, now: Time) {
+        if self.cloud_budget.available(now) < 2.0 {
+            return;
+        }
+        if self.types.starts(now) {
+            self.ask_cloud(net, "GET", "/machine_types", &[], LeaderCall::Types, now);
+        }
+        if self.list.starts(now) {
+            self.listing.clear();
+            self.list_page(net, "", now);
+        }
+    }
+
+    pub(super) fn list_page(&mut self, net: &mut impl Network, after: &str, now: Time) {
+        let target = if after.is_empty() {
+            format!("/hosts?page={LIST_PAGE}")
+        } else {
+            format!("/hosts?after={after}&page={LIST_PAGE}")
+        };
+        self.ask_cloud(net, "GET", &target, &[], LeaderCall::List, now);
+    }
+
+    pub(super) fn ask_cloud(
+        &mut self,
+        net: &mut impl Network,
+        method: &str,
+        target: &str,
+        body: &[u8],
+        what: LeaderCall,
+        now: Time,
+    ) {
+        self.cloud_budget.spend(now, 1.0);
+        let call = net.call(self.cloud, method, target, body, CLOUD_LIMIT);
+        self.calls.insert(call, what);
+    }
+
+    pub(super) fn may_ask_cloud(&mut self, net: &impl Network, action: &Action, now: Time) -> bool {
+        let pressing = matches!(action, Action::Remove(_));
+        self.cloud_budget.available(now) >= 1.0 && (pressing || self.may_act(net))
+    }
+
+    pub(super) fn on_list(
+        &mut self,
+        net: &mut impl Network,
+        result: Result<Response, CallError>,
+        now: Time,
+    ) {
+        let page = result
+            .ok()
+            .filter(|r| r.status == 200)
+            .and_then(|r| decode::<HostList>(&r.body).ok());
+        let Some(page) = page else {
+            self.list.busy = false;
+            return;
+        };
+        let more = page.truncated;
+        self.listing.extend(page.hosts);
+        let last = self.listing.last().map(|h| h.name.clone());
+        if let Some(last) = last.filter(|_| more) {
+            self.list_page(net, last.as_str(), now);
+            return;
+        }
+        self.list.busy = false;
+        let listed = std::mem::take(&mut self.listing);
+        self.controller.on_listed(&listed, now);
+    }
+
+    /// Keeps the types for restarts during an outage of the cloud, once a term.
+    pub(super) fn write_types(&mut self) {
+        if self.types_written || self.controller.types.is_empty() {
+            return;
+        }
+        let types = MachineTypes {
+            types: self.controller.types.clone(),
+        };
+        if records::size(&types) > self.controller.batcher.max_value {
+            // Nodes ask the cloud then.
+            log::info!("the machine types are too large to be kept");
+            self.types_written = true;
+            return;
+        }
+        let mut txn = Txn::default();
+        txn.require(records::HOLDER.to_owned(), self.controller.batcher.holder());
+        txn.changes
+            .push(Change::put(records::TYPES.to_owned(), value(&types)));
+        self.pending.push((
+            Class::Booking,
+            Ask::Txn(txn),
+            BATCH_LIMIT,
+            LeaderRequest::Types,
+        ));
+    }
+}
+
+pub(super) fn rental_result(result: Result<Response, CallError>) -> RentalResult {
+    match result {
+        Ok(r) if r.status == 200 => match decode::<HostNames>(&r.body) {
+            Ok(names) => RentalResult::Rented(names.hosts),
+            Err(_) => RentalResult::Unknown,
+        },
+        Ok(r) if r.status == 503 && !is_trouble(&r.body) => RentalResult::NoCapacity,
+        Ok(r) if matches!(r.status, 400 | 429 | 503) => RentalResult::Refused,
+        Ok(_) | Err(CallError::Lost) => RentalResult::Unknown,
+        Err(CallError::NotSent | CallError::NoSocket) => RentalResult::Refused,
+    }
+}
+
+/// An outage also answers 503, with another word.
+pub(super) fn is_trouble(body: &[u8]) -> bool {
+    #[derive(serde::Deserialize)]
+    struct Why {
+        error: String,
+    }
+    decode::<Why>(body).map_or(true, |w| w.error != "no capacity")
+}
--- /dev/null
+++ b/src/node/leader_duties/loading.rs
@@ -0,0 +1,175 @@
+//! Reading the records after an election, and following their changes.
+
+use super::*;
+
+impl LeaderDuties {
+    pub(super) fn read_live(&mut self, after: String) {
+        self.read_page(records::LIVE, after, |after| LeaderRequest::Live { after });
+    }
+
+    fn read_runs(&mut self, after: String) {
+        self.read_page(records::RUN, after, |after| LeaderRequest::Runs { after });
+    }
+
+    /// Reads the next page of all records below a prefix.
+    fn read_page(&mut self, prefix: &str, after: String, what: fn(String) -> LeaderRequest) {
+        let ask = Ask::List {
+            prefix: prefix.to_owned(),
+            after: after.clone(),
+            limit: LOAD_PAGE,
+        };
+        self.pending
+            .push((Class::Booking, ask, LOAD_LIMIT, what(after)));
+    }
+
+    pub(super) fn watch(&mut self) {
+        let prefix = records::LIVE.to_owned();
+        let ask = Ask::Watch {
+            prefix,
+            after: self.watch_from,
+            hold: WATCH_HOLD,
+        };
+        self.pending
+            .push((Class::Booking, ask, WATCH_SLACK, LeaderRequest::Watch));
+    }
+
+    pub(in crate::node) fn on_outcome(
+        &mut self,
+        ask: LeaderRequest,
+        outcome: Outcome,
+        now: Time,
+    ) -> Result<(), Deposed> {
+        match ask {
+            LeaderRequest::Live { after } => match outcome {
+                Outcome::Page(page) => self.on_live_page(after.is_empty(), page, now),
+                _ => self.read_live(after),
+            },
+            LeaderRequest::Runs { after } => match outcome {
+                Outcome::Page(page) => self.on_run_page(page, now),
+                _ => self.read_runs(after),
+            },
+            LeaderRequest::Watch => self.on_watch(outcome, now),
+            LeaderRequest::Batch => return self.on_batch(outcome, now),
+            LeaderRequest::Reread(job, chunk) => {
+                let Controller { batcher, jobs, .. } = &mut self.controller;
+                match outcome {
+                    Outcome::Item(item) => {
+                        let stamp = item.map_or(Stamp(0), |i| i.stamp);
+                        batcher.reread(jobs, job, chunk, stamp);
+                    }
+                    _ => batcher.version_still_unknown(job, chunk),
+                }
+            }
+            LeaderRequest::Types => self.types_written = matches!(outcome, Outcome::Applied(_)),
+        }
+        Ok(())
+    }
+
+    pub(super) fn take_job(&mut self, item: &Item) {
+        let Some(id) = records::parse_live(&item.key) else {
+            return;
+        };
+        if let Some(seen) = &mut self.seen {
+            seen.insert(id);
+        }
+        if let Some(over) = records::over_in_place(&item.value) {
+            self.controller.on_final(id, over, item.stamp);
+        } else if let Some(record) = item.record() {
+            self.controller.on_job(record, item.stamp);
+        }
+    }
+
+    pub(super) fn on_live_page(&mut self, first: bool, page: Page, now: Time) {
+        if first {
+            // Whatever changes from here on is news; the later pages may show some of it already.
+            self.watch_from = page.revision;
+            self.seen = Some(BTreeSet::new());
+        }
+        for item in &page.items {
+            self.take_job(item);
+        }
+        if let Some(last) = page.items.last().filter(|_| page.more) {
+            self.read_live(last.key.clone());
+            return;
+        }
+        let seen = self.seen.take().unwrap_or_default();
+        if self.loaded {
+            let gone: Vec<JobId> = self
+                .controller
+                .jobs
+                .keys()
+                .copied()
+                .filter(|id| !seen.contains(id))
+                .collect();
+            for id in gone {
+                self.controller.on_job_gone(id, now);
+            }
+            self.watch();
+        } else {
+            self.read_runs(String::new());
+        }
+    }
+
+    pub(super) fn on_run_page(&mut self, page: Page, now: Time) {
+        for item in &page.items {
+            let Some((job, chunk)) = records::parse_run(&item.key) else {
+                continue;
+            };
+            if let Some(record) = item.record() {
+                self.controller
+                    .on_run_record(job, chunk, &record, item.stamp, now);
+            }
+        }
+        if let Some(last) = page.items.last().filter(|_| page.more) {
+            self.read_runs(last.key.clone());
+            return;
+        }
+        self.loaded = true;
+        self.controller.on_loaded(now);
+        log::info!("records read: {}", self.controller.summary());
+        self.watch();
+    }
+
+    pub(super) fn on_watch(&mut self, outcome: Outcome, now: Time) {
+        match outcome {
+            Outcome::News(news) => {
+                self.watch_from = self.watch_from.max(news.revision);
+                for event in news.events {
+                    if let (Some(key), Some(value)) = (event.put, event.value) {
+                        self.take_job(&Item {
+                            key,
+                            value,
+                            stamp: event.stamp,
+                        });
+                    } else if let Some(id) = event.delete.as_deref().and_then(records::parse_live) {
+                        self.controller.on_job_gone(id, now);
+                    }
+                }
+                self.watch();
+            }
+            Outcome::TooOld => self.read_live(String::new()),
+            _ => self.watch(),
+        }
+    }
+
+    pub(super) fn on_batch(&mut self, outcome: Outcome, now: Time) -> Result<(), Deposed> {
+        let Controller { batcher, jobs, .. } = &mut self.controller;
+        let verdict = match outcome {
+            Outcome::Applied(revision) => batcher.applied(jobs, revision, now),
+            Outcome::Conflict(failed) => batcher.conflict(jobs, &failed),
+            Outcome::Unknown => {
+                batcher.lost();
+                return Ok(());
+            }
+            Outcome::Invalid => {
+                batcher.invalid();
+                return Ok(());
+            }
+            _ => {
+                batcher.refused();
+                return Ok(());
+            }
+        };
+        self.controller.on_verdict(verdict, now)
+    }
+}
--- a/src/node/leader_duties.rs
+++ b/src/node/leader_duties/mod.rs
@@ -1,6 +1,11 @@
 //! The leader's duties towards the outside: reading the records, watching for jobs, writing
 //! batches, and talking to the cloud and to workers.
 
+mod cloud;
+mod loading;
+
+use cloud::rental_result;
+
 use std::collections::{BTreeSet, HashMap};
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -149,187 +154,6 @@
         self.loaded
     }
 
-    fn read_live(&mut self, after: String) {
-        let ask = Ask::List {
-            prefix: records::LIVE.to_owned(),
-            after: after.clone(),
-            limit: LOAD_PAGE,
-        };
-        self.pending.push((
-            Class::Booking,
-            ask,
-            LOAD_LIMIT,
-            LeaderRequest::Live { after },
-        ));
-    }
-
-    fn read_runs(&mut self, after: String) {
-        let ask = Ask::List {
-            prefix: records::RUN.to_owned(),
-            after: after.clone(),
-            limit: LOAD_PAGE,
-        };
-        self.pending.push((
-            Class::Booking,
-            ask,
-            LOAD_LIMIT,
-            LeaderRequest::Runs { after },
-        ));
-    }
-
-    fn watch(&mut self) {
-        let prefix = records::LIVE.to_owned();
-        let ask = Ask::Watch {
-            prefix,
-            after: self.watch_from,
-            hold: WATCH_HOLD,
-        };
-        self.pending
-            .push((Class::Booking, ask, WATCH_SLACK, LeaderRequest::Watch));
-    }
-
-    // ---- outcomes of the state service
-
-    pub(super) fn on_outcome(
-        &mut self,
-        ask: LeaderRequest,
-        outcome: Outcome,
-        now: Time,
-    ) -> Result<(), Deposed> {
-        match ask {
-            LeaderRequest::Live { after } => match outcome {
-                Outcome::Page(page) => self.on_live_page(after.is_empty(), page, now),
-                _ => self.read_live(after),
-            },
-            LeaderRequest::Runs { after } => match outcome {
-                Outcome::Page(page) => self.on_run_page(page, now),
-                _ => self.read_runs(after),
-            },
-            LeaderRequest::Watch => self.on_watch(outcome, now),
-            LeaderRequest::Batch => return self.on_batch(outcome, now),
-            LeaderRequest::Reread(job, chunk) => {
-                let Controller { batcher, jobs, .. } = &mut self.controller;
-                match outcome {
-                    Outcome::Item(item) => {
-                        let stamp = item.map_or(Stamp(0), |i| i.stamp);
-                        batcher.reread(jobs, job, chunk, stamp);
-                    }
-                    _ => batcher.version_still_unknown(job, chunk),
-                }
-            }
-            LeaderRequest::Types => self.types_written = matches!(outcome, Outcome::Applied(_)),
-        }
-        Ok(())
-    }
-
-    fn take_job(&mut self, item: &Item) {
-        let Some(id) = records::parse_live(&item.key) else {
-            return;
-        };
-        if let Some(seen) = &mut self.seen {
-            seen.insert(id);
-        }
-        if let Some(over) = records::over_in_place(&item.value) {
-            self.controller.on_final(id, over, item.stamp);
-        } else if let Some(record) = item.record() {
-            self.controller.on_job(record, item.stamp);
-        }
-    }
-
-    fn on_live_page(&mut self, first: bool, page: Page, now: Time) {
-        if first {
-            // Whatever changes from here on is news; the later pages may show some of it already.
-            self.watch_from = page.revision;
-            self.seen = Some(BTreeSet::new());
-        }
-        for item in &page.items {
-            self.take_job(item);
-        }
-        if let Some(last) = page.items.last().filter(|_| page.more) {
-            self.read_live(last.key.clone());
-            return;
-        }
-        let seen = self.seen.take().unwrap_or_default();
-        if self.loaded {
-            let gone: Vec<JobId> = self
-                .controller
-                .jobs
-                .keys()
-                .copied()
-                .filter(|id| !seen.contains(id))
-                .collect();
-            for id in gone {
-                self.controller.on_job_gone(id, now);
-            }
-            self.watch();
-        } else {
-            self.read_runs(String::new());
-        }
-    }
-
-    fn on_run_page(&mut self, page: Page, now: Time) {
-        for item in &page.items {
-            let Some((job, chunk)) = records::parse_run(&item.key) else {
-                continue;
-            };
-            if let Some(record) = item.record() {
-                self.controller
-                    .on_run_record(job, chunk, &record, item.stamp, now);
-            }
-        }
-        if let Some(last) = page.items.last().filter(|_| page.more) {
-            self.read_runs(last.key.clone());
-            return;
-        }
-        self.loaded = true;
-        self.controller.on_loaded(now);
-        log::info!("records read: {}", self.controller.summary());
-        self.watch();
-    }
-
-    fn on_watch(&mut self, outcome: Outcome, now: Time) {
-        match outcome {
-            Outcome::News(news) => {
-                self.watch_from = self.watch_from.max(news.revision);
-                for event in news.events {
-                    if let (Some(key), Some(value)) = (event.put, event.value) {
-                        self.take_job(&Item {
-                            key,
-                            value,
-                            stamp: event.stamp,
-                        });
-                    } else if let Some(id) = event.delete.as_deref().and_then(records::parse_live) {
-                        self.controller.on_job_gone(id, now);
-                    }
-                }
-                self.watch();
-            }
-            Outcome::TooOld => self.read_live(String::new()),
-            _ => self.watch(),
-        }
-    }
-
-    fn on_batch(&mut self, outcome: Outcome, now: Time) -> Result<(), Deposed> {
-        let Controller { batcher, jobs, .. } = &mut self.controller;
-        let verdict = match outcome {
-            Outcome::Applied(revision) => batcher.applied(jobs, revision, now),
-            Outcome::Conflict(failed) => batcher.conflict(jobs, &failed),
-            Outcome::Unknown => {
-                batcher.lost();
-                return Ok(());
-            }
-            Outcome::Invalid => {
-                batcher.invalid();
-                return Ok(());
-            }
-            _ => {
-                batcher.refused();
-                return Ok(());
-            }
-        };
-        self.controller.on_verdict(verdict, now)
-    }
-
     // ---- time
 
     /// Everything that is due: decisions, the next batch, calls to workers and the cloud.
@@ -395,47 +219,6 @@
         }
     }
 
-    fn run_periodic_tasks(&mut self, net: &mut impl Network, now: Time) {
-        if self.cloud_budget.available(now) < 2.0 {
-            return;
-        }
-        if self.types.starts(now) {
-            self.ask_cloud(net, "GET", "/machine_types", &[], LeaderCall::Types, now);
-        }
-        if self.list.starts(now) {
-            self.listing.clear();
-            self.list_page(net, "", now);
-        }
-    }
-
-    fn list_page(&mut self, net: &mut impl Network, after: &str, now: Time) {
-        let target = if after.is_empty() {
-            format!("/hosts?page={LIST_PAGE}")
-        } else {
-            format!("/hosts?after={after}&page={LIST_PAGE}")
-        };
-        self.ask_cloud(net, "GET", &target, &[], LeaderCall::List, now);
-    }
-
-    fn ask_cloud(
-        &mut self,
-        net: &mut impl Network,
-        method: &str,
-        target: &str,
-        body: &[u8],
-        what: LeaderCall,
-        now: Time,
-    ) {
-        self.cloud_budget.spend(now, 1.0);
-        let call = net.call(self.cloud, method, target, body, CLOUD_LIMIT);
-        self.calls.insert(call, what);
-    }
-
-    fn may_ask_cloud(&mut self, net: &impl Network, action: &Action, now: Time) -> bool {
-        let pressing = matches!(action, Action::Remove(_));
-        self.cloud_budget.available(now) >= 1.0 && (pressing || self.may_act(net))
-    }
-
     fn act(&mut self, net: &mut impl Network, action: Action, now: Time) {
         match action {
             Action::Command {
@@ -531,53 +314,6 @@
         Ok(())
     }
 
-    fn on_list(&mut self, net: &mut impl Network, result: Result<Response, CallError>, now: Time) {
-        let page = result
-            .ok()
-            .filter(|r| r.status == 200)
-            .and_then(|r| decode::<HostList>(&r.body).ok());
-        let Some(page) = page else {
-            self.list.busy = false;
-            return;
-        };
-        let more = page.truncated;
-        self.listing.extend(page.hosts);
-        let last = self.listing.last().map(|h| h.name.clone());
-        if let Some(last) = last.filter(|_| more) {
-            self.list_page(net, last.as_str(), now);
-            return;
-        }
-        self.list.busy = false;
-        let listed = std::mem::take(&mut self.listing);
-        self.controller.on_listed(&listed, now);
-    }
-
-    /// Keeps the types for restarts during an outage of the cloud, once a term.
-    fn write_types(&mut self) {
-        if self.types_written || self.controller.types.is_empty() {
-            return;
-        }
-        let types = MachineTypes {
-            types: self.controller.types.clone(),
-        };
-        if records::size(&types) > self.controller.batcher.max_value {
-            // Nodes ask the cloud then.
-            log::info!("the machine types are too large to be kept");
-            self.types_written = true;
-            return;
-        }
-        let mut txn = Txn::default();
-        txn.require(records::HOLDER.to_owned(), self.controller.batcher.holder());
-        txn.changes
-            .push(Change::put(records::TYPES.to_owned(), value(&types)));
-        self.pending.push((
-            Class::Booking,
-            Ask::Txn(txn),
-            BATCH_LIMIT,
-            LeaderRequest::Types,
-        ));
-    }
-
     /// Tells of a job's tasks without a read, if this leader has it in its picture.
     pub(super) fn counts(&self, job: JobId) -> Option<(u64, u64)> {
         let job = self.controller.jobs.get(&job).filter(|_| self.loaded)?;
@@ -597,25 +333,3 @@
         Err(CallError::NoSocket) => CommandResult::HeldBack,
     }
 }
-
-fn rental_result(result: Result<Response, CallError>) -> RentalResult {
-    match result {
-        Ok(r) if r.status == 200 => match decode::<HostNames>(&r.body) {
-            Ok(names) => RentalResult::Rented(names.hosts),
-            Err(_) => RentalResult::Unknown,
-        },
-        Ok(r) if r.status == 503 && !is_trouble(&r.body) => RentalResult::NoCapacity,
-        Ok(r) if matches!(r.status, 400 | 429 | 503) => RentalResult::Refused,
-        Ok(_) | Err(CallError::Lost) => RentalResult::Unknown,
-        Err(CallError::NotSent | CallError::NoSocket) => RentalResult::Refused,
-    }
-}
-
-/// An outage also answers 503, with another word.
-fn is_trouble(body: &[u8]) -> bool {
-    #[derive(serde::Deserialize)]
-    struct Why {
-        error: String,
-    }
-    decode::<Why>(body).map_or(true, |w| w.error != "no capacity")
-}
--- /dev/null
+++ b/src/node/periodic.rs
@@ -0,0 +1,136 @@
+//! What is due by time, and sending what is ready.
+
+use super::*;
+
+impl<N: Network> Node<N> {
+    pub(super) fn due(&mut self) {
+        let now = self.net.now();
+        let action = self.leadership.tick(now);
+        self.grant(action);
+        self.send_heartbeats(now);
+        if let Some(duties) = &self.duties {
+            if !duties.controller.types.is_empty() && self.types.is_empty() {
+                self.types = duties.controller.types.clone();
+            }
+        }
+        if self.types.is_empty() && now >= self.types_due {
+            self.types_due = now.after(TYPES_RETRY);
+            let ask = Ask::Get(records::TYPES.to_owned());
+            let id = self.store.ask(now, Class::Booking, ask, LEAD_LIMIT);
+            self.purposes.insert(id, Purpose::Types);
+        }
+        self.log_peer_reachability(now);
+        self.share_budgets(now);
+        for job in self.api.take_cancelled() {
+            self.on_cancelled(job, self.settings.settings.workers.cancel() * 2);
+        }
+        self.cancelled.retain(|_, until| *until > now);
+        self.api.expire(now);
+        let answers = self.state_answers(now);
+        if answers != self.state_ok {
+            self.state_ok = answers;
+            let how = if answers {
+                "answers"
+            } else {
+                "does not answer"
+            };
+            log::info!("the state service {how}");
+        }
+        if now >= self.locality_at {
+            self.locality_at = now.after(LOCALITY_INTERVAL);
+            self.check_leader_locality(now);
+        }
+        if now >= self.summary_at {
+            self.summary_at = now.after(SUMMARY_EVERY);
+            self.log_summary();
+        }
+    }
+
+    pub(super) fn log_summary(&mut self) {
+        let (waiting, oldest) = self.store.backlog(self.net.now());
+        log::debug!("state service: {waiting} requests wait, the oldest for {oldest:?}");
+        let (open, most) = self.net.sockets();
+        log::debug!("sockets: {open} of {most}");
+        if let Some(duties) = &self.duties {
+            log::info!("{}", duties.controller.summary());
+            if let Some(wait) = duties.controller.longest_wait(self.net.now()) {
+                log::info!("{wait}");
+            }
+            let (urgent, others) = duties.controller.batcher.backlog();
+            log::debug!("records to write: {urgent} urgent, {others} others");
+        }
+        if let Some(turns) = &mut self.turns {
+            log::debug!(
+                "turns: {}, half within {} us, 99% within {} us, at most {} us",
+                turns.len(),
+                turns.value_at_quantile(0.5),
+                turns.value_at_quantile(0.99),
+                turns.max()
+            );
+            turns.reset();
+        }
+    }
+
+    /// Sends all that is ready and allowed.
+    pub(super) fn pump(&mut self) {
+        let now = self.net.now();
+        if let Some(duties) = &mut self.duties {
+            duties.controller.valid_until = self.leadership.valid_until();
+            duties.turn(&mut self.net, &mut self.store.writes, now);
+            let term = duties.controller.term;
+            for (class, ask, limit, what) in duties.take_pending() {
+                let id = self.store.ask(now, class, ask, limit);
+                self.purposes.insert(id, Purpose::LeaderDuties(term, what));
+            }
+        }
+        self.flush_front(now);
+        loop {
+            let now = self.net.now();
+            let may_book = self.leadership.is_certain(now);
+            let Some(next) = self.store.next_outgoing(now, may_book) else {
+                return;
+            };
+            match next {
+                Ok(out) => {
+                    let state = self.settings.outside.state;
+                    let call = self
+                        .net
+                        .call(state, out.method, &out.target, &out.body, out.limit);
+                    self.store.sent_as(out.id, call);
+                }
+                Err(id) => {
+                    self.on_outcome(id, Outcome::Busy);
+                    self.flush_front(now);
+                }
+            }
+        }
+    }
+
+    /// Does what the front wants, until it wants nothing more.
+    pub(super) fn flush_front(&mut self, now: Time) {
+        self.api.pump();
+        loop {
+            let acts = self.api.take_acts();
+            if acts.is_empty() {
+                return;
+            }
+            for act in acts {
+                match act {
+                    ApiAction::Relay(id, relay) => self.relay(id, &relay),
+                    ApiAction::InformLeader(job) => self.inform_leader(job),
+                    ApiAction::Respond(conn, response) => self.net.respond(conn, &response),
+                    ApiAction::Ask(class, ask, what) => {
+                        // Where nothing is answered another node is asked without much ado.
+                        let limit = if self.state_answers(now) {
+                            self.store.patience()
+                        } else {
+                            UNANSWERED_LIMIT
+                        };
+                        let id = self.store.ask(now, class, ask, limit);
+                        self.purposes.insert(id, Purpose::ApiServer(what));
+                    }
+                }
+            }
+        }
+    }
+}
