--- a/src/coordination/failure_detector.rs
+++ b/src/coordination/failure_detector.rs
@@ -15,19 +15,21 @@
 /// The cloud is asked for that again after this.
 const REMOVE_AGAIN: Duration = Duration::from_secs(2);
 
+/// A worker whose controller does not answer is heard again at the latest so long after its report was
+/// due: it waits 4 s for the answer and 1 s before it tries the next one, which may send it on.
+const LONGEST_RETRY: Duration = Duration::from_millis(6500);
+/// Reports come at the latest after this many intervals.
+const LATEST_REPORT: f64 = 1.25;
+
 impl Controller {
     pub(super) fn watch_hosts(&mut self, now: Time, may_act: bool) {
-        let limit = self.rules.silent_limit();
         // In a cut the first machine is past the limit while the others are merely late: all that
         // missed a report count, or each would be given up alone, one after the other.
         let late = self.rules.report.mul_f64(1.8);
         let mut by_zone: BTreeMap<String, (usize, usize)> = BTreeMap::new();
         let mut everywhere = (0, 0);
-        for host in self.hosts.values_mut() {
-            if host.lifecycle == HostLifecycle::Up && now.since(host.heard_at) > limit {
-                log::info!("{}: silent", host.name);
-                host.enter(HostLifecycle::Silent);
-            }
+        self.note_silence(now);
+        for host in self.hosts.values() {
             if matches!(host.lifecycle, HostLifecycle::Up | HostLifecycle::Silent) {
                 let deaf = matches!(host.reachability, Reachability::HalfOpen { .. });
                 let gone = usize::from(deaf || now.since(host.heard_at) > late);
@@ -71,6 +73,28 @@
         }
     }
 
+    fn note_silence(&mut self, now: Time) {
+        let limits = self.hosts.values().map(|host| self.silence_limit(host));
+        let limits: Vec<Duration> = limits.collect();
+        for (host, limit) in self.hosts.values_mut().zip(limits) {
+            if host.lifecycle == HostLifecycle::Up && now.since(host.heard_at) > limit {
+                log::info!("{}: silent", host.name);
+                host.enter(HostLifecycle::Silent);
+            }
+        }
+    }
+
+    /// How long a machine may be silent before it is given up. Replicas are missed at every moment:
+    /// one that holds some is given up as soon as a healthy worker would have been heard.
+    fn silence_limit(&self, host: &Host) -> Duration {
+        let usual = self.rules.silent_limit();
+        if self.holds_replicas(host) {
+            usual.min(self.rules.report.mul_f64(LATEST_REPORT) + LONGEST_RETRY)
+        } else {
+            usual
+        }
+    }
+
     /// Cancelled work whose time is nearly up goes with its machine, whether or not this leader has
     /// its lease: in an outage nobody else could do it.
     fn remove_overdue(&mut self, now: Time) {
@@ -142,7 +166,7 @@
         by_zone: &BTreeMap<String, (usize, usize)>,
         now: Time,
     ) -> bool {
-        let limit = self.rules.silent_limit();
+        let limit = self.silence_limit(host);
         let silent_for = now.since(host.heard_at);
         // Many at once are cut off rather than broken: they come back, later.
         let (silent, all) = by_zone.get(&host.zone).copied().unwrap_or_default();
