--- a/tests/simulated/mod.rs
+++ b/tests/simulated/mod.rs
@@ -10,6 +10,7 @@
 pub mod script;
 #[path = "../standin/state.rs"]
 mod state;
+mod troubles;
 mod users;
 #[path = "../standin/values.rs"]
 mod values;
--- a/tests/simulated/users.rs
+++ b/tests/simulated/users.rs
@@ -5,10 +5,10 @@
 use lichencrank::transport::{Door, Request, Response};
 use std::collections::BTreeMap;
 
-use super::checker::{Asked, Fact, Job, Said};
-use super::script::{Deed, Ill, Shape, Who};
+use super::checker::{Asked, Fact, Said};
+use super::script::Shape;
 use super::values::{map, text};
-use super::{Cut, Event, Origin, Side, World};
+use super::{Event, Origin, Side, World};
 
 pub enum Step {
     Ask {
@@ -30,28 +30,28 @@
     first: Option<u64>,
 }
 
-struct UserJob {
-    body: Vec<u8>,
-    tasks: u32,
-    cpus: f64,
-    run_ms: u64,
-    done: u32,
-    odd: bool,
-    accepted: bool,
-    over: bool,
-    cancels: bool,
+pub(super) struct UserJob {
+    pub(super) body: Vec<u8>,
+    pub(super) tasks: u32,
+    pub(super) cpus: f64,
+    pub(super) run_ms: u64,
+    pub(super) done: u32,
+    pub(super) odd: bool,
+    pub(super) accepted: bool,
+    pub(super) over: bool,
+    pub(super) cancels: bool,
     /// Cancelled a while after it was accepted.
-    fickle: bool,
+    pub(super) fickle: bool,
 }
 
 #[derive(Default)]
 pub struct Users {
-    jobs: BTreeMap<u64, UserJob>,
+    pub(super) jobs: BTreeMap<u64, UserJob>,
     asks: BTreeMap<u64, Ask>,
     next_ask: u64,
-    next_job: u64,
-    looks: u64,
-    cancel_at_end: (f64, u64),
+    pub(super) next_job: u64,
+    pub(super) looks: u64,
+    pub(super) cancel_at_end: (f64, u64),
 }
 
 /// The job and the task of a name such as `job-000001/2`.
@@ -73,7 +73,7 @@
 const POLL_MS: u64 = 2000;
 const TRY_MS: u64 = 60_000;
 
-fn body(id: u64, shape: &Shape, odd: u64) -> Vec<u8> {
+pub(super) fn body(id: u64, shape: &Shape, odd: u64) -> Vec<u8> {
     let zone = shape.zone.as_deref().map_or(Value::Null, Value::from);
     let cpus = if odd == 1 { 4000.0 } else { shape.cpus };
     let mut fields = vec![
@@ -129,7 +129,14 @@
         }
     }
 
-    fn user_at(&mut self, time: u64, job: u64, asked: Asked, node: Option<usize>, again: bool) {
+    pub(super) fn user_at(
+        &mut self,
+        time: u64,
+        job: u64,
+        asked: Asked,
+        node: Option<usize>,
+        again: bool,
+    ) {
         let first = again.then_some(time);
         let step = Step::Ask {
             job,
@@ -353,237 +360,4 @@
             self.user_at(when + 3, job, Asked::Poll, None, false);
         }
     }
-
-    // ---- what cases do
-
-    fn submit(&mut self, shape: &Shape, cancelled: f64, at: u64, odd: u64) {
-        self.users.next_job += 1;
-        let id = self.users.next_job;
-        let fickle = self.random.f64() < cancelled;
-        let run_ms = if shape.service {
-            shape.replicas_end_ms.unwrap_or(u64::MAX / 4)
-        } else {
-            (shape.run_ms as f64 * (0.8 + 0.4 * self.random.f64())) as u64
-        };
-        let job = UserJob {
-            body: body(id, shape, odd),
-            tasks: shape.tasks,
-            cpus: shape.cpus,
-            run_ms,
-            done: 0,
-            odd: odd > 0,
-            accepted: false,
-            over: false,
-            cancels: false,
-            fickle,
-        };
-        self.users.jobs.insert(id, job);
-        let now = self.now();
-        let known = Job {
-            team: shape.team.clone(),
-            tasks: shape.tasks,
-            cpus: shape.cpus,
-            zone: shape.zone.clone(),
-            one_zone: shape.one_zone,
-            spread: shape.spread,
-            spot: !shape.ordinary,
-            service: shape.service,
-            ends_everywhere: shape.replicas_end_ms.is_some(),
-            odd: odd > 0,
-        };
-        self.checker.see(now, Fact::Submitted(id, known));
-        self.user_at(at, id, Asked::Submission, None, true);
-    }
-
-    fn nodes(&mut self, who: Who) -> Vec<usize> {
-        let leader = self.leader.unwrap_or(0);
-        let others: Vec<usize> = (0..self.slots.len()).filter(|n| *n != leader).collect();
-        match who {
-            Who::Leader => vec![leader],
-            Who::Other => {
-                let at = self.random.usize(0..others.len().max(1));
-                others.get(at).copied().into_iter().collect()
-            }
-            Who::Others => others,
-            Who::Confirmer => self.confirmer.into_iter().collect(),
-            Who::All => (0..self.slots.len()).collect(),
-        }
-    }
-
-    fn cancel(&mut self, count: usize, through: Who, any: bool, hang_ms: u64) {
-        let now = self.now();
-        let open = self
-            .users
-            .jobs
-            .iter()
-            .filter(|(_, j)| !j.cancels && !j.over);
-        let ids: Vec<u64> = open.map(|(id, _)| *id).collect();
-        let mut running: Vec<u64> = ids
-            .into_iter()
-            .filter(|id| any || self.checker.running(*id) > 0)
-            .collect();
-        self.random.shuffle(&mut running);
-        for id in running.into_iter().take(count) {
-            let node = self.nodes(through).first().copied();
-            let when = now + self.random.u64(0..200);
-            self.user_at(when, id, Asked::Cancellation, node, true);
-            if hang_ms > 0 {
-                let prefix = format!("job-{id:06}/");
-                let holds = |p: &super::worker::Piece| p.task.starts_with(&prefix);
-                let hosts = self.workers.values_mut();
-                for host in hosts.filter(|w| w.pieces.iter().any(holds)) {
-                    host.hangs = now + hang_ms;
-                }
-            }
-        }
-    }
-
-    pub(super) fn carry_out(&mut self, deed: Deed) {
-        let now = self.now();
-        match deed {
-            Deed::Submit {
-                count,
-                every_ms,
-                shape,
-                cancelled,
-            } => {
-                for n in 0..count {
-                    let at = now + n * every_ms + self.random.u64(0..100);
-                    self.submit(&shape, cancelled, at, 0);
-                }
-            }
-            Deed::Odd(count) => {
-                let shape = Shape {
-                    tasks: 1,
-                    cpus: 1.0,
-                    run_ms: 1000,
-                    team: "t1".into(),
-                    urgency: "normal".into(),
-                    zone: None,
-                    one_zone: false,
-                    spread: false,
-                    service: false,
-                    replicas_end_ms: None,
-                    ordinary: false,
-                };
-                for n in 0..count {
-                    self.submit(&shape, 0.0, now + n * 50, 1 + n % 2);
-                }
-                let open: Vec<u64> = self.users.jobs.keys().copied().collect();
-                for id in open {
-                    let job = &self.users.jobs[&id];
-                    if !job.odd && job.accepted {
-                        self.user_at(now + 10, id, Asked::Submission, None, false);
-                    }
-                    if self.users.jobs[&id].over {
-                        self.user_at(now + 20, id, Asked::Cancellation, None, false);
-                    }
-                }
-            }
-            Deed::Cancel {
-                count,
-                through,
-                any,
-                hang_ms,
-            } => self.cancel(count, through, any, hang_ms),
-            Deed::Refuse(who, for_ms) => {
-                for node in self.nodes(who) {
-                    self.troubles.refused.push((node, now + for_ms));
-                }
-            }
-            Deed::Outage(for_ms) => self.troubles.outage = now + for_ms,
-            Deed::Slow(most, for_ms) => self.troubles.slow = (most, now + for_ms),
-            Deed::LostAnswers(share, for_ms) => {
-                self.troubles.lost_answers = (share, now + for_ms);
-            }
-            Deed::LateWrites(share, for_ms) => self.troubles.late_writes = (share, now + for_ms),
-            Deed::Cut {
-                who,
-                sides,
-                for_ms,
-                holds,
-            } => {
-                for node in self.nodes(who) {
-                    let (sides, until) = (sides.clone(), now + for_ms);
-                    self.troubles.cuts.push(Cut {
-                        node,
-                        sides,
-                        until,
-                        holds,
-                    });
-                }
-            }
-            Deed::Kill(who, back) => {
-                for node in self.nodes(who) {
-                    self.kill(node, Some(back));
-                }
-            }
-            Deed::Halt(who, for_ms) => {
-                for node in self.nodes(who) {
-                    self.slots[node].halted = now + for_ms;
-                }
-            }
-            Deed::CloudAway(for_ms) => self.troubles.cloud_away = now + for_ms,
-            Deed::Machines {
-                ill,
-                share,
-                zone,
-                for_ms,
-            } => self.machines_ail(ill, share, zone.as_deref(), now + for_ms),
-            Deed::LateReports(share, for_ms) => {
-                self.troubles.late_reports = (share, now + for_ms);
-            }
-            Deed::KeepReports(for_ms) => self.troubles.reports_for_next = now + for_ms,
-            Deed::Upgrade(every_ms, order) => self.schedule_upgrade(every_ms, &order),
-            Deed::RollBack(every_ms) => self.schedule_roll_back(every_ms),
-            Deed::LimitsFall => {
-                if let Some((kb, txn_ops, rps)) = self.site.next {
-                    let value_bytes = (kb * 1024.0) as usize;
-                    self.state.limits = super::Limits {
-                        value_bytes,
-                        txn_ops,
-                    };
-                    self.writes = super::Bucket::new(rps);
-                }
-            }
-            Deed::EndReplicas(share, fails) => {
-                let why = if fails { "error" } else { "done" };
-                for worker in self.workers.values_mut() {
-                    let ended = worker.end_replicas(why, share, &mut self.random);
-                    for _ in 0..ended {
-                        self.marks.entry("replica-ended").or_default().push(now);
-                    }
-                }
-            }
-            Deed::Looks(for_ms) => self.users.looks = now + for_ms,
-            Deed::CancelAtEnd(share, for_ms) => self.users.cancel_at_end = (share, now + for_ms),
-            Deed::Boot(boot_ms) => self.cloud.boot_ms = Some(boot_ms),
-            Deed::ZonesApart(for_ms) => self.troubles.zones_apart = now + for_ms,
-            Deed::ZoneCut(zone, for_ms) => self.troubles.zone_cut = (zone, now + for_ms),
-        }
-    }
-
-    fn machines_ail(&mut self, ill: Ill, share: f64, zone: Option<&str>, until: u64) {
-        let names: Vec<String> = self.workers.keys().cloned().collect();
-        for name in names {
-            let Some(worker) = self.workers.get_mut(&name) else {
-                continue;
-            };
-            if zone.is_some_and(|z| z != worker.zone) || self.random.f64() >= share {
-                continue;
-            }
-            match ill {
-                Ill::Hang => worker.hangs = until,
-                Ill::Deaf => worker.deaf = until,
-                Ill::Mute => worker.mute = until,
-                Ill::Cut => worker.cut = until,
-                Ill::Die => self.gone(&name),
-                Ill::Notice => {
-                    worker.give_notice(until);
-                    self.mark("notice");
-                }
-                Ill::Sick => worker.sick = until,
-            }
-        }
-    }
 }
