--- a/tests/simulated/mod.rs
+++ b/tests/simulated/mod.rs
@@ -6,6 +6,7 @@
 mod cloud;
 pub mod displacement;
 mod embedder;
+mod fingerprint;
 pub mod network;
 pub mod process;
 mod rollout;
@@ -26,6 +27,7 @@
 use checker::{Checker, Fact, Rules};
 use cloud::Cloud;
 use displacement::Displacement;
+use fingerprint::Fingerprint;
 use lichencrank_testkit::state_service::{self, hold_ms, Limits, StateService};
 use lichencrank_testkit::values::{self, get, number, text};
 use network::{Call, Out, SimNet};
@@ -206,6 +208,7 @@
     /// The node that confirmed a cancellation last.
     confirmer: Option<usize>,
     history: Vec<String>,
+    fingerprint: Fingerprint,
     said: (usize, u64),
 }
 
@@ -252,6 +255,7 @@
             launcher,
             confirmer: None,
             history: Vec::new(),
+            fingerprint: Fingerprint::default(),
             said: (0, 0),
             clock,
             site,
@@ -392,12 +396,18 @@
         }
         let from = self.history.len().saturating_sub(150);
         Err(format!(
-            "{}\n{}",
+            "{}\n{}\nfingerprint of the run: {:016x}",
             self.history[from..].join("\n"),
-            self.checker.broken.join("\n")
+            self.checker.broken.join("\n"),
+            self.fingerprint()
         ))
     }
 
+    /// The hash of every message that a node has sent or received.
+    pub fn fingerprint(&self) -> u64 {
+        self.fingerprint.value()
+    }
+
     fn happen(&mut self, event: Event, script: &Script) {
         match event {
             Event::Wake(node, life) => {
@@ -503,9 +513,11 @@
             self.said = (at, now);
         }
         for held in std::mem::take(&mut slot.backlog) {
+            self.fingerprint.received(now, at, &held);
             node.on(held);
         }
         if let Some(happening) = happening {
+            self.fingerprint.received(now, at, &happening);
             node.on(happening);
         }
         node.attend();
@@ -514,6 +526,7 @@
         let (wake, out) = (slot.wake, slot.out.take());
         self.at(wake, Event::Wake(at, life));
         for sent in out {
+            self.fingerprint.sent(now, at, &sent);
             match sent {
                 Out::Respond(conn, response) => self.respond(at, life, conn, response),
                 Out::Call(call) => self.call((at, life, call.id), call),
