--- a/src/node/api/mod.rs
+++ b/src/node/api/mod.rs
@@ -153,7 +153,7 @@
 
 /// The service can't say now; the user is told at once when to come back.
 fn unavailable() -> Response {
-    Response::later(503, 1)
+    Response::retry_later(503, 1)
 }
 
 impl ApiServer {
--- a/src/node/api/requests.rs
+++ b/src/node/api/requests.rs
@@ -93,7 +93,7 @@
             return;
         }
         if self.open.len() >= MAX_OPEN {
-            self.respond(client, Response::later(503, 2));
+            self.respond(client, Response::retry_later(503, 2));
             return;
         }
         self.next += 1;
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -25,7 +25,9 @@
 use crate::settings::{Settings, Tuning};
 use crate::storage::records::{self, HolderRecord, TermRecord};
 use crate::storage::store::{Class, Outcome, StateRequest, StateRequestId, Store};
-use crate::transport::{CallId, ConnId, Door, Happening, Network, Request, Response, Transport};
+use crate::transport::{
+    CallId, ConnId, ListenerKind, Network, Request, Response, Transport, TransportEvent,
+};
 use crate::types::{seconds, HostName, JobId, Term, Time, Version};
 use api::{ApiAction, ApiRequestId, ApiServer, ApiStateRequest, Client, View};
 use heartbeats::PeerLink;
@@ -110,13 +112,13 @@
     ) -> Result<Node<Transport>, String> {
         let sockets = settings.settings.resources.sockets;
         let mut transport = Transport::new(sockets).map_err(|e| format!("event loop: {e}"))?;
-        for (at, door) in [
-            (settings.front, Door::Front),
-            (settings.internal, Door::Internal),
+        for (address, listener) in [
+            (settings.front, ListenerKind::Public),
+            (settings.internal, ListenerKind::Internal),
         ] {
             transport
-                .listen(at, door)
-                .map_err(|e| format!("listening on {at}: {e}"))?;
+                .listen(address, listener)
+                .map_err(|e| format!("listening on {address}: {e}"))?;
         }
         let mut node = Node::new(settings, tuning, transport, fastrand::u64(..));
         node.switch_on(features);
@@ -127,13 +129,13 @@
     pub fn turn(&mut self) -> Result<(), String> {
         let until = self.next_wake();
         self.net
-            .wait(until)
+            .wait_for_events(until)
             .map_err(|e| format!("event loop: {e}"))?;
         let started = self.turns.is_some().then(Instant::now);
-        while let Some(happening) = self.net.happened() {
-            self.on(happening);
+        while let Some(event) = self.net.next_event() {
+            self.handle_event(event);
         }
-        self.attend();
+        self.run_due_work();
         if let (Some(turns), Some(started)) = (&mut self.turns, started) {
             turns.saturating_record(started.elapsed().as_micros() as u64);
         }
@@ -208,20 +210,20 @@
     }
 
     /// Takes in what the outside did.
-    pub fn on(&mut self, happening: Happening) {
+    pub fn handle_event(&mut self, event: TransportEvent) {
         self.detect_pause();
-        match happening {
-            Happening::Request {
+        match event {
+            TransportEvent::Request {
                 conn,
-                door,
+                listener,
                 request,
-            } => self.on_request(conn, door, request),
-            Happening::Reply { call, result } => self.on_reply(call, result),
+            } => self.on_request(conn, listener, request),
+            TransportEvent::Reply { call, result } => self.on_reply(call, result),
         }
     }
 
     /// Does all that is due, and sends all that is ready.
-    pub fn attend(&mut self) {
+    pub fn run_due_work(&mut self) {
         self.detect_pause();
         self.due();
         self.pump();
--- a/src/node/periodic.rs
+++ b/src/node/periodic.rs
@@ -51,8 +51,8 @@
     pub(super) fn log_summary(&mut self) {
         let (waiting, oldest) = self.store.backlog(self.net.now());
         tracing::debug!("state service: {waiting} requests wait, the oldest for {oldest:?}");
-        let (open, most) = self.net.sockets();
-        tracing::debug!("sockets: {open} of {most}");
+        let sockets = self.net.socket_usage();
+        tracing::debug!("sockets: {} of {}", sockets.open, sockets.max);
         if let Some(duties) = &self.duties {
             tracing::info!("{}", duties.controller.summary());
             if let Some(wait) = duties.controller.longest_wait(self.net.now()) {
--- a/src/node/requests.rs
+++ b/src/node/requests.rs
@@ -3,11 +3,11 @@
 use super::*;
 
 impl<N: Network> Node<N> {
-    pub(super) fn on_request(&mut self, conn: ConnId, door: Door, request: Request) {
+    pub(super) fn on_request(&mut self, conn: ConnId, listener: ListenerKind, request: Request) {
         let now = self.net.now();
         let path = request.target.split('?').next().unwrap_or("");
         let method = request.method.as_str();
-        if door == Door::Internal {
+        if listener == ListenerKind::Internal {
             return self.on_peer_request(conn, method, path, &request.body);
         }
         let client = Client {
@@ -22,7 +22,7 @@
                 let response = if healthy {
                     Response::new(200, Vec::new())
                 } else {
-                    Response::later(503, 1)
+                    Response::retry_later(503, 1)
                 };
                 self.net.respond(conn, &response);
             }
@@ -118,7 +118,7 @@
         self.note_worker(&report.host, now);
         if let Some(duties) = &mut self.duties {
             if duties.controller.is_blind(now) {
-                return Response::later(503, 1);
+                return Response::retry_later(503, 1);
             }
             match duties.controller.on_report(&report, now) {
                 Ok(orders) => {
--- a/src/transport/event_loop.rs
+++ b/src/transport/event_loop.rs
@@ -11,18 +11,18 @@
 use super::http::{self, Request, Response};
 use super::server::{self, ConnId, ServerConn};
 use super::timers::Timers;
-use super::Network;
+use super::{Network, SocketUsage};
 use crate::types::Time;
 
-/// What the outside did.
+/// What arrived from the network.
 #[derive(Debug)]
-pub enum Happening {
-    /// `door` tells which of the listening addresses it came through.
+pub enum TransportEvent {
+    /// A request arrived.
     Request {
         /// Connection that waits for the response.
         conn: ConnId,
         /// Address that it came through.
-        door: Door,
+        listener: ListenerKind,
         /// The request.
         request: Request,
     },
@@ -37,15 +37,15 @@
 
 /// The addresses that a node listens on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Door {
+pub enum ListenerKind {
     /// Users, workers and health checks.
-    Front,
+    Public,
     /// The service's own processes.
     Internal,
 }
 
 enum Socket {
-    Listener(TcpListener, Door),
+    Listener(TcpListener, ListenerKind),
     Server(Box<ServerConn>),
     Client(Box<ClientConn>),
 }
@@ -86,7 +86,7 @@
     /// All kept connections by their last calls: the first has been idle the longest.
     idle_calls: BTreeMap<CallId, usize>,
     deadlines: Timers<Deadline>,
-    happened: VecDeque<Happening>,
+    happened: VecDeque<TransportEvent>,
     max_sockets: usize,
     accept_again: Vec<usize>,
 }
@@ -111,20 +111,20 @@
     }
 
     /// Listens on an address.
-    pub fn listen(&mut self, at: SocketAddr, door: Door) -> std::io::Result<()> {
-        let mut listener = TcpListener::bind(at)?;
+    pub fn listen(&mut self, address: SocketAddr, listener: ListenerKind) -> std::io::Result<()> {
+        let mut socket = TcpListener::bind(address)?;
         let entry = self.sockets.vacant_entry();
         self.poll
             .registry()
-            .register(&mut listener, Token(entry.key()), Interest::READABLE)?;
-        entry.insert(Socket::Listener(listener, door));
+            .register(&mut socket, Token(entry.key()), Interest::READABLE)?;
+        entry.insert(Socket::Listener(socket, listener));
         Ok(())
     }
 
     /// Waits until something happens, at most until `until`.
-    pub fn wait(&mut self, until: Time) -> std::io::Result<()> {
+    pub fn wait_for_events(&mut self, until: Time) -> std::io::Result<()> {
         let mut wait = until.since(self.now());
-        if let Some(next) = self.deadlines.next() {
+        if let Some(next) = self.deadlines.next_due() {
             wait = wait.min(next.since(self.now()));
         }
         if !self.happened.is_empty() || !self.accept_again.is_empty() {
@@ -151,14 +151,14 @@
             self.ready(slot, readable, writable);
         }
         let now = self.now();
-        while let Some(deadline) = self.deadlines.due(now) {
+        while let Some(deadline) = self.deadlines.pop_due(now) {
             self.expired(deadline, now);
         }
         Ok(())
     }
 
     /// The next thing that happened, if any.
-    pub fn happened(&mut self) -> Option<Happening> {
+    pub fn next_event(&mut self) -> Option<TransportEvent> {
         self.happened.pop_front()
     }
 
@@ -186,12 +186,12 @@
 
     fn accept(&mut self, slot: usize) {
         for _ in 0..ACCEPTS {
-            let Some(Socket::Listener(listener, door)) = self.sockets.get(slot) else {
+            let Some(Socket::Listener(socket, listener)) = self.sockets.get(slot) else {
                 return;
             };
-            let door = *door;
-            match listener.accept() {
-                Ok((stream, _)) => self.accepted(stream, door),
+            let listener = *listener;
+            match socket.accept() {
+                Ok((stream, _)) => self.accepted(stream, listener),
                 Err(e) if e.kind() == std::io::ErrorKind::WouldBlock => return,
                 Err(e) if e.kind() == std::io::ErrorKind::ConnectionAborted => {}
                 Err(e) if e.kind() == std::io::ErrorKind::Interrupted => {}
@@ -207,7 +207,7 @@
         self.accept_again.push(slot);
     }
 
-    fn accepted(&mut self, mut stream: TcpStream, door: Door) {
+    fn accepted(&mut self, mut stream: TcpStream, listener: ListenerKind) {
         let for_others = self.max_sockets - self.max_sockets / OWN_PART;
         if self.sockets.len() >= for_others && !self.make_room() {
             return;
@@ -230,7 +230,7 @@
             return;
         }
         entry.insert(Socket::Server(Box::new(ServerConn::new(
-            stream, id, door, now,
+            stream, id, listener, now,
         ))));
         self.deadlines.set(now.after(SLOW), Deadline::Conn(id));
     }
@@ -280,11 +280,11 @@
         let Some(Socket::Server(conn)) = self.sockets.get(slot) else {
             return;
         };
-        let (conn, door, phase) = (conn.id, conn.door, conn.phase);
+        let (conn, listener, phase) = (conn.id, conn.listener, conn.phase);
         if let Some(request) = request {
-            self.happened.push_back(Happening::Request {
+            self.happened.push_back(TransportEvent::Request {
                 conn,
-                door,
+                listener,
                 request,
             });
         }
@@ -299,7 +299,8 @@
         };
         let (call, phase, to) = (conn.call, conn.phase, conn.to);
         if let Some(result) = result {
-            self.happened.push_back(Happening::Reply { call, result });
+            self.happened
+                .push_back(TransportEvent::Reply { call, result });
         }
         match phase {
             client::Phase::Closed => self.drop_socket(slot),
@@ -362,7 +363,7 @@
     }
 
     fn not_sent(&mut self, call: CallId, why: CallError) {
-        self.happened.push_back(Happening::Reply {
+        self.happened.push_back(TransportEvent::Reply {
             call,
             result: Err(why),
         });
@@ -380,8 +381,11 @@
             .map_or(0, |d| d.as_millis() as u64)
     }
 
-    fn sockets(&self) -> (usize, usize) {
-        (self.sockets.len(), self.max_sockets)
+    fn socket_usage(&self) -> SocketUsage {
+        SocketUsage {
+            open: self.sockets.len(),
+            max: self.max_sockets,
+        }
     }
 
     fn respond(&mut self, conn: ConnId, response: &Response) {
--- a/src/transport/http.rs
+++ b/src/transport/http.rs
@@ -44,7 +44,7 @@
     }
 
     /// An answer that asks the client to come back after some seconds.
-    pub fn later(status: u16, after_s: u32) -> Response {
+    pub fn retry_later(status: u16, after_s: u32) -> Response {
         Response {
             status,
             retry_after: Some(after_s),
--- a/src/transport/mod.rs
+++ b/src/transport/mod.rs
@@ -11,7 +11,7 @@
 
 use crate::types::Time;
 pub use client::{CallError, CallId};
-pub use event_loop::{Door, Happening, Transport};
+pub use event_loop::{ListenerKind, Transport, TransportEvent};
 pub use http::{Request, Response};
 pub use server::ConnId;
 
@@ -24,7 +24,7 @@
     fn time_of_day(&self) -> u64;
     /// Answers a request. If its connection is gone, so is the answer.
     fn respond(&mut self, conn: ConnId, response: &Response);
-    /// Sends a request; its outcome comes as a [`Happening::Reply`], at the latest after `limit`.
+    /// Sends a request; its outcome comes as a [`TransportEvent::Reply`], at the latest after `limit`.
     fn call(
         &mut self,
         to: SocketAddr,
@@ -34,5 +34,14 @@
         limit: Duration,
     ) -> CallId;
     /// How many sockets are open, and how many may be.
-    fn sockets(&self) -> (usize, usize);
+    fn socket_usage(&self) -> SocketUsage;
+}
+
+/// Use of the limit of open sockets.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct SocketUsage {
+    /// Sockets that are open.
+    pub open: usize,
+    /// Sockets that may be open at once.
+    pub max: usize,
 }
--- a/src/transport/server.rs
+++ b/src/transport/server.rs
@@ -3,7 +3,7 @@
 use mio::net::TcpStream;
 use std::io::{Read, Write};
 
-use super::event_loop::Door;
+use super::event_loop::ListenerKind;
 use super::http::{self, Malformed, Parsed, Request, Response};
 use crate::types::Time;
 
@@ -32,7 +32,7 @@
 pub(super) struct ServerConn {
     stream: TcpStream,
     pub id: ConnId,
-    pub door: Door,
+    pub listener: ListenerKind,
     pub phase: Phase,
     input: Vec<u8>,
     output: Vec<u8>,
@@ -50,11 +50,16 @@
 const MAX_INPUT: usize = http::MAX_BODY + 16 * 1024;
 
 impl ServerConn {
-    pub(super) fn new(stream: TcpStream, id: ConnId, door: Door, now: Time) -> ServerConn {
+    pub(super) fn new(
+        stream: TcpStream,
+        id: ConnId,
+        listener: ListenerKind,
+        now: Time,
+    ) -> ServerConn {
         ServerConn {
             stream,
             id,
-            door,
+            listener,
             phase: Phase::Reading,
             input: Vec::new(),
             output: Vec::new(),
--- a/src/transport/timers.rs
+++ b/src/transport/timers.rs
@@ -26,13 +26,13 @@
     }
 
     /// The first time at which a key is due.
-    pub fn next(&self) -> Option<Time> {
+    pub fn next_due(&self) -> Option<Time> {
         self.heap.peek().map(|Reverse((at, _))| *at)
     }
 
     /// Takes one deadline that has passed.
-    pub fn due(&mut self, now: Time) -> Option<K> {
-        if self.next()? > now {
+    pub fn pop_due(&mut self, now: Time) -> Option<K> {
+        if self.next_due()? > now {
             return None;
         }
         self.heap.pop().map(|Reverse((_, key))| key)
--- a/tests/simulated/fingerprint.rs
+++ b/tests/simulated/fingerprint.rs
@@ -1,7 +1,7 @@
 //! A fingerprint of a simulated run: a hash over every message that a node sent or received, with its
 //! bytes, the node and the simulated time. Two runs with the same fingerprint behaved alike on the wire.
 
-use lichencrank::transport::{Door, Happening, Request, Response};
+use lichencrank::transport::{ListenerKind, Request, Response, TransportEvent};
 use std::hash::{DefaultHasher, Hash, Hasher};
 
 use super::network::{Call, Out};
@@ -19,18 +19,18 @@
     }
 
     /// Takes in a message that arrived at a node.
-    pub fn received(&mut self, now_ms: u64, node: usize, happening: &Happening) {
+    pub fn received(&mut self, now_ms: u64, node: usize, event: &TransportEvent) {
         ("received", now_ms, node).hash(&mut self.hasher);
-        match happening {
-            Happening::Request {
+        match event {
+            TransportEvent::Request {
                 conn,
-                door,
+                listener,
                 request,
             } => {
-                ("request", conn.serial, *door == Door::Front).hash(&mut self.hasher);
+                ("request", conn.serial, *listener == ListenerKind::Public).hash(&mut self.hasher);
                 self.request(request);
             }
-            Happening::Reply { call, result } => {
+            TransportEvent::Reply { call, result } => {
                 ("reply", call.0).hash(&mut self.hasher);
                 match result {
                     Ok(response) => self.response(response),
--- a/tests/simulated/mod.rs
+++ b/tests/simulated/mod.rs
@@ -19,7 +19,9 @@
 use ciborium::Value;
 use lichencrank::protocol::{decode, encode};
 use lichencrank::settings::Settings;
-use lichencrank::transport::{CallError, CallId, ConnId, Door, Happening, Request, Response};
+use lichencrank::transport::{
+    CallError, CallId, ConnId, ListenerKind, Request, Response, TransportEvent,
+};
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::rc::Rc;
@@ -57,7 +59,7 @@
 
 enum Event {
     Wake(usize, u64),
-    AtNode(usize, Door, Origin, Request),
+    AtNode(usize, ListenerKind, Origin, Request),
     AtState(CallRef, Call, Carried),
     AtCloud(CallRef, Call),
     AtWorker(String, CallRef, Value),
@@ -98,7 +100,7 @@
     life: u64,
     halted: u64,
     /// What arrived while it stood still.
-    backlog: Vec<Happening>,
+    backlog: Vec<TransportEvent>,
     wake: u64,
     /// When its clock began.
     started: u64,
@@ -416,7 +418,9 @@
                     self.run(node, None);
                 }
             }
-            Event::AtNode(node, door, origin, request) => self.at_node(node, door, origin, request),
+            Event::AtNode(node, listener, origin, request) => {
+                self.at_node(node, listener, origin, request)
+            }
             Event::AtState(from, call, carried) => self.at_state(from, call, carried),
             Event::AtCloud(from, call) => self.at_cloud(from, &call),
             Event::AtWorker(host, from, body) => self.at_worker(host, from, body),
@@ -496,13 +500,13 @@
     }
 
     /// Gives the node something to take in, lets it do what is due, and sends what it sends.
-    fn run(&mut self, at: usize, happening: Option<Happening>) {
+    fn run(&mut self, at: usize, event: Option<TransportEvent>) {
         let now = self.now();
         let trace = self.said != (at, now) && std::env::var_os("LOG_LEVEL").is_some();
         let slot = &mut self.slots[at];
         let Some(node) = &mut slot.node else { return };
         if now < slot.halted {
-            slot.backlog.extend(happening);
+            slot.backlog.extend(event);
             let wake = (slot.halted, slot.life);
             slot.wake = wake.0;
             self.at(wake.0, Event::Wake(at, wake.1));
@@ -514,13 +518,13 @@
         }
         for held in std::mem::take(&mut slot.backlog) {
             self.fingerprint.received(now, at, &held);
-            node.on(held);
+            node.handle_event(held);
         }
-        if let Some(happening) = happening {
-            self.fingerprint.received(now, at, &happening);
-            node.on(happening);
+        if let Some(event) = event {
+            self.fingerprint.received(now, at, &event);
+            node.handle_event(event);
         }
-        node.attend();
+        node.run_due_work();
         let life = slot.life;
         slot.wake = (slot.started + node.next_wake()).max(now + 1);
         let (wake, out) = (slot.wake, slot.out.take());
@@ -534,7 +538,7 @@
         }
     }
 
-    fn at_node(&mut self, node: usize, door: Door, origin: Origin, request: Request) {
+    fn at_node(&mut self, node: usize, listener: ListenerKind, origin: Origin, request: Request) {
         let slot = &self.slots[node];
         if slot.node.is_none() {
             if let Origin::Peer(from) = origin {
@@ -546,12 +550,12 @@
         let serial = self.serial;
         self.conns.insert((node, slot.life, serial), origin);
         let conn = ConnId { slot: 0, serial };
-        let happening = Happening::Request {
+        let event = TransportEvent::Request {
             conn,
-            door,
+            listener,
             request,
         };
-        self.run(node, Some(happening));
+        self.run(node, Some(event));
     }
 
     fn respond(&mut self, node: usize, life: u64, conn: ConnId, response: Response) {
@@ -667,7 +671,7 @@
                 let origin = Origin::Peer(from);
                 self.at(
                     arrives,
-                    Event::AtNode(peer, Door::Internal, origin, request),
+                    Event::AtNode(peer, ListenerKind::Internal, origin, request),
                 );
             }
         } else if let Some(host) = self.host_at(&to) {
@@ -694,7 +698,7 @@
         }
         let (node, life, call) = from;
         if self.slots[node].life == life {
-            self.run(node, Some(Happening::Reply { call, result }));
+            self.run(node, Some(TransportEvent::Reply { call, result }));
         }
     }
 
@@ -826,7 +830,8 @@
             self.mark("old-report-at-new-leader");
             for node in 0..self.slots.len() {
                 let when = self.now() + 5 + self.random.u64(0..600);
-                let event = Event::AtNode(node, Door::Front, Origin::Nobody, request.clone());
+                let event =
+                    Event::AtNode(node, ListenerKind::Public, Origin::Nobody, request.clone());
                 self.at(when, event);
             }
         }
@@ -1032,7 +1037,7 @@
             self.mark("late-report");
             let lease = (self.site.lease_s * 1000.0) as u64;
             let when = now + 2000 + self.random.u64(0..lease * 2);
-            let event = Event::AtNode(node, Door::Front, Origin::Nobody, request.clone());
+            let event = Event::AtNode(node, ListenerKind::Public, Origin::Nobody, request.clone());
             self.at(when, event);
         }
         let slot = &self.slots[node];
@@ -1044,7 +1049,10 @@
         if let Some(arrives) = self.passes_to(node, &worker.zone, when) {
             let (host, sent) = (worker.name.clone(), now);
             let origin = Origin::Worker { host, tick, sent };
-            self.at(arrives, Event::AtNode(node, Door::Front, origin, request));
+            self.at(
+                arrives,
+                Event::AtNode(node, ListenerKind::Public, origin, request),
+            );
         }
     }
 
--- a/tests/simulated/network.rs
+++ b/tests/simulated/network.rs
@@ -1,6 +1,6 @@
 //! The seam between a node and the simulated world.
 
-use lichencrank::transport::{CallId, ConnId, Network, Request, Response};
+use lichencrank::transport::{CallId, ConnId, Network, Request, Response, SocketUsage};
 use lichencrank::types::Time;
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -121,7 +121,7 @@
         }))
     }
 
-    fn sockets(&self) -> (usize, usize) {
-        (0, 0)
+    fn socket_usage(&self) -> SocketUsage {
+        SocketUsage::default()
     }
 }
--- a/tests/simulated/process.rs
+++ b/tests/simulated/process.rs
@@ -5,7 +5,7 @@
 use lichencrank::features::Features;
 use lichencrank::node::Node;
 use lichencrank::settings::{Settings, Tuning};
-use lichencrank::transport::Happening;
+use lichencrank::transport::TransportEvent;
 
 use super::network::SimNet;
 
@@ -21,20 +21,20 @@
 /// What the world needs of a controller.
 pub trait Process {
     /// Takes in a request or a reply.
-    fn on(&mut self, happening: Happening);
+    fn handle_event(&mut self, event: TransportEvent);
     /// Does all that is due.
-    fn attend(&mut self);
+    fn run_due_work(&mut self);
     /// When it has to run again, in milliseconds of its own clock.
     fn next_wake(&self) -> u64;
 }
 
 impl Process for Node<SimNet> {
-    fn on(&mut self, happening: Happening) {
-        Node::on(self, happening);
+    fn handle_event(&mut self, event: TransportEvent) {
+        Node::handle_event(self, event);
     }
 
-    fn attend(&mut self) {
-        Node::attend(self);
+    fn run_due_work(&mut self) {
+        Node::run_due_work(self);
     }
 
     fn next_wake(&self) -> u64 {
--- a/tests/simulated/users.rs
+++ b/tests/simulated/users.rs
@@ -2,7 +2,7 @@
 
 use ciborium::Value;
 use lichencrank::protocol::{decode, encode};
-use lichencrank::transport::{Door, Request, Response};
+use lichencrank::transport::{ListenerKind, Request, Response};
 use std::collections::BTreeMap;
 
 use super::checker::{Asked, Fact, Said};
@@ -211,7 +211,7 @@
         if let Some(arrives) = self.passes(to, Side::Users, None, when) {
             self.at(
                 arrives,
-                Event::AtNode(to, Door::Front, Origin::User(id), request),
+                Event::AtNode(to, ListenerKind::Public, Origin::User(id), request),
             );
         }
     }
--- a/tests/transport.rs
+++ b/tests/transport.rs
@@ -5,7 +5,7 @@
 use std::thread;
 use std::time::Duration;
 
-use lichencrank::transport::{Door, Happening, Network, Transport};
+use lichencrank::transport::{ListenerKind, Network, Transport, TransportEvent};
 
 /// As many as the transport leaves of 72.
 const MOST: usize = 64;
@@ -37,9 +37,9 @@
     let asked = transport.call(to, "GET", "/", &[], limit);
     loop {
         let until = transport.now().after(limit);
-        transport.wait(until).expect("the event loop");
-        while let Some(happening) = transport.happened() {
-            if let Happening::Reply { call, result } = happening {
+        transport.wait_for_events(until).expect("the event loop");
+        while let Some(event) = transport.next_event() {
+            if let TransportEvent::Reply { call, result } = event {
                 assert_eq!(call, asked);
                 return result.is_ok_and(|r| r.status == 200);
             }
@@ -54,7 +54,7 @@
     let mut transport = Transport::new(72).expect("an event loop");
     for _ in 0..3 * MOST / 8 {
         assert!(call(&mut transport, answers()));
-        assert!(transport.sockets().0 <= MOST / 8);
+        assert!(transport.socket_usage().open <= MOST / 8);
     }
 }
 
@@ -66,14 +66,16 @@
         let free = TcpListener::bind("127.0.0.1:0").expect("a port");
         free.local_addr().expect("its address")
     };
-    transport.listen(at, Door::Front).expect("listening");
+    transport
+        .listen(at, ListenerKind::Public)
+        .expect("listening");
     let to = answers();
     let mut flood = Vec::new();
     for _ in 0..3 * MOST {
         flood.push(TcpStream::connect(at).expect("a connection"));
         let now = transport.now();
-        transport.wait(now).expect("the event loop");
-        assert!(transport.sockets().0 <= MOST - MOST / 8);
+        transport.wait_for_events(now).expect("the event loop");
+        assert!(transport.socket_usage().open <= MOST - MOST / 8);
     }
     for _ in 0..MOST {
         assert!(call(&mut transport, to));
--- a/tests/upgrade/tests/rollout.rs
+++ b/tests/upgrade/tests/rollout.rs
@@ -74,20 +74,20 @@
                 }
             }
 
-            fn translated(happening: current::Happening) -> earlier::Happening {
-                match happening {
-                    current::Happening::Request {
+            fn translated(event: current::TransportEvent) -> earlier::Happening {
+                match event {
+                    current::TransportEvent::Request {
                         conn,
-                        door,
+                        listener,
                         request,
                     } => earlier::Happening::Request {
                         conn: earlier::ConnId {
                             slot: conn.slot,
                             serial: conn.serial,
                         },
-                        door: match door {
-                            current::Door::Front => earlier::Door::Front,
-                            current::Door::Internal => earlier::Door::Internal,
+                        door: match listener {
+                            current::ListenerKind::Public => earlier::Door::Front,
+                            current::ListenerKind::Internal => earlier::Door::Internal,
                         },
                         request: earlier::Request {
                             method: request.method,
@@ -96,7 +96,7 @@
                             close: request.close,
                         },
                     },
-                    current::Happening::Reply { call, result } => earlier::Happening::Reply {
+                    current::TransportEvent::Reply { call, result } => earlier::Happening::Reply {
                         call: earlier::CallId(call.0),
                         result: match result {
                             Ok(response) => Ok(earlier::Response {
@@ -114,11 +114,11 @@
             }
 
             impl Process for Node<Net> {
-                fn on(&mut self, happening: current::Happening) {
-                    Node::on(self, translated(happening));
+                fn handle_event(&mut self, event: current::TransportEvent) {
+                    Node::on(self, translated(event));
                 }
 
-                fn attend(&mut self) {
+                fn run_due_work(&mut self) {
                     Node::attend(self);
                 }
 
--- a/tests/versions.rs
+++ b/tests/versions.rs
@@ -13,7 +13,9 @@
 use lichencrank::settings::{Settings, Tuning};
 use lichencrank::storage::records::{self, JobRecord, RunRecord};
 use lichencrank::storage::records::{FinalRecord, HolderRecord, OverRecord, TermRecord};
-use lichencrank::transport::{CallId, ConnId, Door, Happening, Network, Request, Response};
+use lichencrank::transport::{
+    CallId, ConnId, ListenerKind, Network, Request, Response, SocketUsage, TransportEvent,
+};
 use lichencrank::types::{Attempt, HostName, JobId, Session, Time};
 use lichencrank_store::value;
 use serde::de::DeserializeOwned;
@@ -415,8 +417,8 @@
         CallId(calls.len() as u64)
     }
 
-    fn sockets(&self) -> (usize, usize) {
-        (0, 32)
+    fn socket_usage(&self) -> SocketUsage {
+        SocketUsage { open: 0, max: 32 }
     }
 }
 
@@ -442,7 +444,7 @@
         let settings = Settings::parse(&settings.to_string()).expect("settings");
         let seen = Recorder::default();
         let mut node = Node::new(settings, Tuning::default(), seen.clone(), 1);
-        node.attend();
+        node.run_due_work();
         LoneNode {
             node,
             seen,
@@ -450,7 +452,13 @@
         }
     }
 
-    fn status_of(&mut self, door: Door, method: &str, target: &str, body: &[u8]) -> u16 {
+    fn status_of(
+        &mut self,
+        listener: ListenerKind,
+        method: &str,
+        target: &str,
+        body: &[u8],
+    ) -> u16 {
         self.requests += 1;
         let conn = ConnId {
             slot: 0,
@@ -462,9 +470,9 @@
             body: body.to_vec(),
             close: false,
         };
-        self.node.on(Happening::Request {
+        self.node.handle_event(TransportEvent::Request {
             conn,
-            door,
+            listener,
             request,
         });
         let responses = &self.seen.0.borrow().responses;
@@ -485,20 +493,28 @@
         peers::CANCELLED_PATH,
     ] {
         assert_eq!(
-            lone.status_of(Door::Internal, "POST", path, &[0xff; 9]),
+            lone.status_of(ListenerKind::Internal, "POST", path, &[0xff; 9]),
             400
         );
         for length in 0..60 {
             let body: Vec<u8> = (0..length).map(|_| random.u8(..)).collect();
             if peers::decode::<CancelledJobs>(&body).is_err() {
-                assert_eq!(lone.status_of(Door::Internal, "POST", path, &body), 400);
+                assert_eq!(
+                    lone.status_of(ListenerKind::Internal, "POST", path, &body),
+                    400
+                );
             }
         }
     }
-    let later = lone.status_of(Door::Internal, "POST", "/peer/of-later", &[]);
+    let later = lone.status_of(ListenerKind::Internal, "POST", "/peer/of-later", &[]);
     assert_eq!(later, 404);
     // Those that are understood are answered as ever, by a process that still runs.
-    let known = lone.status_of(Door::Internal, "POST", peers::HEARTBEAT_PATH, HEARTBEAT);
+    let known = lone.status_of(
+        ListenerKind::Internal,
+        "POST",
+        peers::HEARTBEAT_PATH,
+        HEARTBEAT,
+    );
     assert_eq!(known, 200);
 }
 
@@ -507,13 +523,19 @@
 #[test]
 fn a_peer_that_is_not_understood_is_reachable() {
     let mut lone = LoneNode::new();
-    assert_eq!(lone.status_of(Door::Front, "GET", "/healthz", &[]), 503);
+    assert_eq!(
+        lone.status_of(ListenerKind::Public, "GET", "/healthz", &[]),
+        503
+    );
     let heartbeat = |calls: &[String]| calls.iter().position(|c| c == peers::HEARTBEAT_PATH);
     let sent = heartbeat(&lone.seen.0.borrow().calls).expect("a heartbeat") as u64 + 1;
     let longer = [HEARTBEAT, &[1, 2, 3]].concat();
-    lone.node.on(Happening::Reply {
+    lone.node.handle_event(TransportEvent::Reply {
         call: CallId(sent),
         result: Ok(Response::new(200, longer)),
     });
-    assert_eq!(lone.status_of(Door::Front, "GET", "/healthz", &[]), 200);
+    assert_eq!(
+        lone.status_of(ListenerKind::Public, "GET", "/healthz", &[]),
+        200
+    );
 }
