--- a/examples/scale.rs
+++ b/examples/scale.rs
@@ -6,12 +6,14 @@
 use lichencrank::coordination::{Action, Controller, Policy};
 use lichencrank::features::Features;
 use lichencrank::protocol::cloud::MachineType;
-use lichencrank::protocol::users::{JobSpec, Priority, Shape};
-use lichencrank::protocol::workers::{Report, TaskReport, TaskState};
+use lichencrank::protocol::users::{JobKind, JobSpec, Priority};
+use lichencrank::protocol::workers::{AttemptState, AttemptStatus, WorkerHeartbeat};
 use lichencrank::protocol::Amount;
 use lichencrank::settings::{Settings, Tuning};
 use lichencrank::storage::records::{self, JobRecord};
-use lichencrank::types::{Attempt, HostName, JobId, Session, TaskId, Term, Tick, Time, Version};
+use lichencrank::types::{
+    Attempt, HostName, Incarnation, JobId, SequenceNumber, TaskId, Term, Time, Version,
+};
 use lichencrank_zones::ControllerReach;
 
 const FLEETS: [u64; 3] = [100, 1000, 4000];
@@ -42,7 +44,7 @@
         memory_gb: Amount(32.0),
         cache_gb: Amount(50.0),
         fetch_gb_per_s: Amount(1.0),
-        price: Amount(1.0),
+        on_demand_price: Amount(1.0),
         spot_price: Amount(0.3),
         boot_s: Amount(30.0),
         zones: vec!["a".into(), CUT_ZONE.into()],
@@ -55,7 +57,7 @@
             id: JobId(number),
             class: "any".into(),
             team: "t".into(),
-            shape: Shape::Array,
+            kind: JobKind::Array,
             priority: Priority::Normal,
             tasks: TASKS_PER_JOB,
             cpus: Amount(TASK_CPUS),
@@ -63,9 +65,9 @@
             memory_gb: Amount(1.0),
             image: "img".into(),
             image_gb: Amount(0.5),
-            types: None,
+            machine_types: None,
             zone: None,
-            one_zone: false,
+            same_zone: false,
             spread: false,
             spot: true,
             estimate_s: Amount(600.0),
@@ -87,22 +89,22 @@
     }
 }
 
-fn report(host: u64, tick: u64, tasks: &[(TaskId, Attempt)]) -> Report {
-    let tasks = tasks.iter().map(|(task, attempt)| TaskReport {
+fn report(host: u64, tick: u64, tasks: &[(TaskId, Attempt)]) -> WorkerHeartbeat {
+    let tasks = tasks.iter().map(|(task, attempt)| AttemptStatus {
         task: *task,
         attempt: *attempt,
-        state: TaskState::Running,
-        cause: None,
+        state: AttemptState::Running,
+        end_reason: None,
     });
-    Report {
+    WorkerHeartbeat {
         host: HostName::new(&format!("vm-{host:06}")),
         address: "127.0.0.1:9000".into(),
-        kind: "c8".into(),
+        machine_type: "c8".into(),
         zone: zone_of(host).into(),
         spot: true,
-        session: Session(1),
-        tick: Tick(tick),
-        token: TERM,
+        incarnation: Incarnation(1),
+        sequence: SequenceNumber(tick),
+        fencing_token: TERM,
         notice_s: None,
         tasks: tasks.collect(),
     }
@@ -198,7 +200,7 @@
     let mut placements = Duration::ZERO;
     for round in 0..ROUNDS {
         now = now.after(Duration::from_secs(3));
-        let all: Vec<Report> = (0..machines)
+        let all: Vec<WorkerHeartbeat> = (0..machines)
             .map(|host| report(host, round + 1, &bookings(&c, host)))
             .collect();
         let began = Instant::now();
@@ -240,15 +242,15 @@
         }
         let commands = c.take_actions();
         for action in commands {
-            if let Action::Command {
+            if let Action::SendCommands {
                 host,
-                session,
-                orders,
+                incarnation,
+                commands: orders,
                 ..
             } = action
             {
                 let result = lichencrank::coordination::CommandResult::HeldBack;
-                let _ = c.on_commanded(&host, session, &orders, result, *now);
+                let _ = c.on_commanded(&host, incarnation, &orders, result, *now);
             }
         }
         if !wrote {
--- a/src/coordination/booking.rs
+++ b/src/coordination/booking.rs
@@ -3,7 +3,7 @@
 use super::hosts::{Booking, BookingPhase};
 use super::jobs::{Job, TaskState};
 use super::Controller;
-use crate::types::{Attempt, HostName, TaskId, Tick, Time};
+use crate::types::{Attempt, HostName, SequenceNumber, TaskId, Time};
 
 impl Controller {
     /// Books a task: recorded first, run later.
@@ -13,11 +13,11 @@
         };
         let attempt = Attempt(job.last_attempt(task.index).0 + 1);
         let _attempt = tracing::debug_span!("attempt", %task, %attempt).entered();
-        let session = host.session;
+        let incarnation = host.incarnation;
         let state = TaskState::Booked {
             host: name.clone(),
             attempt,
-            session,
+            incarnation,
         };
         let Some(number) = job.set_task(task.index, state) else {
             return;
@@ -28,14 +28,14 @@
             task,
             Booking {
                 attempt,
-                session,
+                incarnation,
                 need: job.need,
                 phase: BookingPhase::Recording,
                 change,
                 sent: false,
                 direct: false,
-                answered: Tick(0),
-                stop_told: Tick(0),
+                answered: SequenceNumber(0),
+                stop_told: SequenceNumber(0),
                 stop: None,
                 saving: false,
                 fetching: false,
--- a/src/coordination/commands.rs
+++ b/src/coordination/commands.rs
@@ -3,8 +3,8 @@
 use super::hosts::{BookingPhase, Host, HostLifecycle, Reachability, StopWhy};
 use super::jobs::JobPhase;
 use super::{Action, CommandResult, Controller, Deposed};
-use crate::protocol::workers::Order;
-use crate::types::{HostName, Session, TaskId, Tick, Time};
+use crate::protocol::workers::Command;
+use crate::types::{HostName, Incarnation, SequenceNumber, TaskId, Time};
 
 /// More ended attempts than this are cleared at once, as reports have to stay small.
 const MAX_KEPT: usize = 200;
@@ -18,17 +18,17 @@
 
 impl Controller {
     /// What the worker should do now. In the answer to a report, `run` can't be executed late.
-    pub(super) fn orders(
+    pub(super) fn commands(
         &mut self,
         host: &mut Host,
-        answer_to: Option<Tick>,
+        answer_to: Option<SequenceNumber>,
         now: Time,
-    ) -> Vec<Order> {
+    ) -> Vec<Command> {
         let many = host.leftovers.len() > MANY_KEPT;
         let may_start = self.may_act(now) && (answer_to.is_some() || !many);
-        let mut orders = self.clears(host, now);
+        let mut commands = self.clears(host, now);
         let grace_s = 0.0;
-        orders.extend(host.strays.iter().map(|&(task, attempt)| Order::Stop {
+        commands.extend(host.strays.iter().map(|&(task, attempt)| Command::Stop {
             task,
             attempt,
             grace_s,
@@ -40,30 +40,32 @@
                     if let Some(tick) = answer_to {
                         booking.stop_told = tick;
                     }
-                    orders.push(Order::Stop {
+                    commands.push(Command::Stop {
                         task,
                         attempt,
                         grace_s: self.grace_s(task, why),
                     });
                 }
-                (None, BookingPhase::Ordered) if booking.session == host.session && may_start => {
+                (None, BookingPhase::Ordered)
+                    if booking.incarnation == host.incarnation && may_start =>
+                {
                     booking.sent = true;
                     if let Some(tick) = answer_to {
                         booking.answered = tick;
                     }
-                    orders.push(Order::Run { task, attempt });
+                    commands.push(Command::Run { task, attempt });
                 }
                 _ => {}
             }
         }
-        orders
+        commands
     }
 
     /// The ended attempts that the worker may forget: their outcome is written, and no `run` of them
     /// can come late.
-    fn clears(&self, host: &Host, now: Time) -> Vec<Order> {
+    fn clears(&self, host: &Host, now: Time) -> Vec<Command> {
         let crowded = host.leftovers.len() > MAX_KEPT;
-        let mut orders = Vec::new();
+        let mut commands = Vec::new();
         for (&(task, attempt), leftover) in &host.leftovers {
             // Cleared too soon, a late copy of its `run` would start it anew.
             if now < leftover.kept_until && !crowded {
@@ -77,10 +79,10 @@
             let finishing = job.is_some_and(|j| j.phase == JobPhase::Finishing);
             let fenced = host.token == self.term && !host.is_unanswered(task, attempt);
             if written && !finishing && fenced {
-                orders.push(Order::Clear { task, attempt });
+                commands.push(Command::Clear { task, attempt });
             }
         }
-        orders
+        commands
     }
 
     /// How long a task that is stopped may take to save its progress.
@@ -91,7 +93,7 @@
             .map_or(0.0, |s| s.save_s.0 * SAVE_FACTOR + SAVE_MARGIN_S)
     }
 
-    /// Sends a worker its orders directly, so that a start need not wait for the next report.
+    /// Sends a worker its commands directly, so that a start need not wait for the next report.
     pub(super) fn command(&mut self, host: &mut Host, now: Time) {
         let fresh = now.since(host.heard_at) <= self.rules.report.mul_f64(1.6);
         let ready = host.lifecycle == HostLifecycle::Up
@@ -105,14 +107,14 @@
             self.to_command.push_back(host.name.clone());
             return;
         }
-        let mut orders = self.orders(host, None, now);
-        orders.retain(|o| !matches!(o, Order::Clear { .. }));
-        if orders.is_empty() {
+        let mut commands = self.commands(host, None, now);
+        commands.retain(|o| !matches!(o, Command::Clear { .. }));
+        if commands.is_empty() {
             return;
         }
         self.commanding += 1;
-        for order in &orders {
-            if let Order::Run { task, attempt } = order {
+        for command in &commands {
+            if let Command::Run { task, attempt } = command {
                 *host.unanswered.entry((*task, *attempt)).or_default() += 1;
                 if let Some(booking) = host.bookings.get_mut(task) {
                     booking.direct = true;
@@ -120,12 +122,12 @@
             }
         }
         host.commanding = true;
-        let (host, session) = (host.name.clone(), host.session);
-        self.actions.push(Action::Command {
+        let (host, incarnation) = (host.name.clone(), host.incarnation);
+        self.actions.push(Action::SendCommands {
             host,
             to,
-            session,
-            orders,
+            incarnation,
+            commands,
         });
     }
 
@@ -133,22 +135,22 @@
     pub fn on_commanded(
         &mut self,
         name: &HostName,
-        session: Session,
-        orders: &[Order],
+        incarnation: Incarnation,
+        commands: &[Command],
         result: CommandResult,
         now: Time,
     ) -> Result<(), Deposed> {
-        if orders.is_empty() {
+        if commands.is_empty() {
             self.probing = self.probing.saturating_sub(1);
         } else {
             self.commanding = self.commanding.saturating_sub(1);
         }
-        let taken_in = self.commanded(name, session, orders, result, now);
+        let taken_in = self.commanded(name, incarnation, commands, result, now);
         self.command_next(now);
         taken_in
     }
 
-    /// Commands that waited for others to end go out, in their order.
+    /// Commands that waited for others to end go out, in their command.
     fn command_next(&mut self, now: Time) {
         while self.commanding < self.rules.commands {
             let Some(name) = self.to_command.pop_front() else {
@@ -164,8 +166,8 @@
     fn commanded(
         &mut self,
         name: &HostName,
-        session: Session,
-        orders: &[Order],
+        incarnation: Incarnation,
+        commands: &[Command],
         result: CommandResult,
         now: Time,
     ) -> Result<(), Deposed> {
@@ -174,15 +176,15 @@
         };
         host.commanding = false;
         let lost = matches!(result, CommandResult::Lost);
-        if host.session == session && !lost {
-            for order in orders {
-                if let Order::Run { task, attempt } = order {
+        if host.incarnation == incarnation && !lost {
+            for command in commands {
+                if let Command::Run { task, attempt } = command {
                     host.answered(*task, *attempt);
                 }
             }
         }
         match result {
-            CommandResult::Report(report) => {
+            CommandResult::WorkerHeartbeat(report) => {
                 self.take_in(&report, false, now)?;
             }
             // A silent machine is silent to probes too, which says nothing new.
--- a/src/coordination/failure_detector.rs
+++ b/src/coordination/failure_detector.rs
@@ -6,7 +6,7 @@
 use super::hosts::{Cordon, Host, HostLifecycle, Reachability, StopWhy};
 use super::zones::LATE_FACTOR;
 use super::{Action, Controller};
-use crate::protocol::cloud::MAX_RELEASE;
+use crate::protocol::cloud::MAX_RELEASE_COUNT;
 use crate::types::{seconds, HostName, Time};
 
 /// A machine that is to be taken and was not heard after its time is gone this much later.
@@ -163,7 +163,7 @@
                 host.removed_at = Some(now);
             }
         }
-        for names in names.chunks(MAX_RELEASE) {
+        for names in names.chunks(MAX_RELEASE_COUNT) {
             self.actions.push(Action::Remove(names.to_vec()));
         }
     }
@@ -192,13 +192,13 @@
             host.probe_at = now.after(self.rules.report * 2);
             host.commanding = true;
             self.probing += 1;
-            let session = host.session.max(host.unfenced.0);
+            let incarnation = host.incarnation.max(host.unfenced.0);
             let host = host.name.clone();
-            self.actions.push(Action::Command {
+            self.actions.push(Action::SendCommands {
                 host,
                 to,
-                session,
-                orders: Vec::new(),
+                incarnation,
+                commands: Vec::new(),
             });
         }
     }
--- a/src/coordination/fleet.rs
+++ b/src/coordination/fleet.rs
@@ -5,7 +5,9 @@
 
 use super::hosts::{Cordon, Host, HostLifecycle};
 use super::{Action, Controller};
-use crate::protocol::cloud::{ListedHost, ListedStatus, Rental, MAX_RELEASE, MAX_RENTAL};
+use crate::protocol::cloud::{
+    ListedHost, ListedHostState, ProvisionRequest, MAX_PROVISION_COUNT, MAX_RELEASE_COUNT,
+};
 use crate::protocol::users::JobSpec;
 use crate::types::{HostName, Term, Time};
 
@@ -27,7 +29,7 @@
 
 #[derive(Debug)]
 pub(super) struct OpenRental {
-    pub(super) rental: Rental,
+    pub(super) rental: ProvisionRequest,
     pub(super) market: Market,
     at: Time,
     retry_at: Option<Time>,
@@ -175,7 +177,7 @@
         if self.fleet.to_release.is_empty() || now < self.fleet.release_at {
             return;
         }
-        let count = self.fleet.to_release.len().min(MAX_RELEASE);
+        let count = self.fleet.to_release.len().min(MAX_RELEASE_COUNT);
         let names: Vec<HostName> = self.fleet.to_release.drain(..count).collect();
         self.fleet.releasing.extend(names.iter().cloned());
         self.actions.push(Action::Release(names));
@@ -216,7 +218,7 @@
                 tracing::info!(
                     "rented {} of {}, {zone}, spot {spot}",
                     names.len(),
-                    open.rental.kind
+                    open.rental.machine_type
                 );
                 if (names.len() as u64) < open.rental.count {
                     self.fleet.closed.insert(open.market, now.after(CLOSED_FOR));
@@ -240,7 +242,7 @@
             RentalResult::NoCapacity => {
                 tracing::info!(
                     "no capacity: {}, {}, spot {}",
-                    open.rental.kind,
+                    open.rental.machine_type,
                     open.market.1,
                     open.market.2
                 );
@@ -273,7 +275,7 @@
                 continue;
             }
             let name = item.name.clone();
-            let kind = self.types.iter().position(|t| t.name == item.kind);
+            let kind = self.types.iter().position(|t| t.name == item.machine_type);
             let host = self.hosts.entry(name.clone()).or_insert_with(|| {
                 tracing::info!("{name}: found in the list");
                 let mut host = Host::new(name.clone(), now);
@@ -292,17 +294,17 @@
             if host.address.is_none() {
                 host.address = item.address.parse().ok();
             }
-            match item.status {
-                ListedStatus::Running => {
+            match item.state {
+                ListedHostState::Running => {
                     host.running_since.get_or_insert(now);
                 }
-                ListedStatus::Failed if host.lifecycle != HostLifecycle::Releasing => {
+                ListedHostState::Failed if host.lifecycle != HostLifecycle::Releasing => {
                     tracing::info!("{name}: failed, says the cloud");
                     host.cordon(Cordon::Lost);
                     host.enter(HostLifecycle::Releasing);
                     self.fleet.release(name);
                 }
-                ListedStatus::Failed | ListedStatus::Starting | ListedStatus::Other => {}
+                ListedHostState::Failed | ListedHostState::Starting | ListedHostState::Other => {}
             }
         }
     }
@@ -311,13 +313,13 @@
     pub(super) fn order(&mut self, market: Market, count: u64, now: Time) {
         let mut count = self.within_rental_budget(count, now);
         while count > 0 {
-            let part = count.min(MAX_RENTAL);
+            let part = count.min(MAX_PROVISION_COUNT);
             count -= part;
             self.fleet.counter += 1;
             let request = format!("r-{}-{}", self.fleet.term, self.fleet.counter);
-            let rental = Rental {
-                request: request.clone(),
-                kind: self.types[market.0].name.clone(),
+            let rental = ProvisionRequest {
+                name: request.clone(),
+                machine_type: self.types[market.0].name.clone(),
                 zone: market.1.clone(),
                 spot: market.2,
                 count: part,
--- a/src/coordination/forecast.rs
+++ b/src/coordination/forecast.rs
@@ -9,13 +9,13 @@
 use super::scoring;
 use super::timeline::{Starts, Timeline};
 use super::Controller;
-use crate::protocol::cloud::MAX_RENTAL;
+use crate::protocol::cloud::MAX_PROVISION_COUNT;
 use crate::protocol::users::JobSpec;
 use crate::types::Time;
 
 /// Tasks that one forecast looks at.
 const MAX_FORECAST: u32 = 8000;
-/// Machines that one forecast may ask of a market; they go out in requests of [`MAX_RENTAL`].
+/// Machines that one forecast may ask of a market; they go out in requests of [`MAX_PROVISION_COUNT`].
 const MAX_WANTED: u64 = 400;
 /// How much of what came is chance: of as many jobs of a class this many standard deviations may
 /// stay away the next time, and are not rented for. Where few come, little is sure.
@@ -80,7 +80,11 @@
     fn may_want(&mut self, market: &Market, controller: &Controller) -> bool {
         // Where there was nothing lately, one request is enough to ask again.
         let doubtful = controller.fleet.closed.contains_key(market);
-        let most = if doubtful { MAX_RENTAL } else { MAX_WANTED };
+        let most = if doubtful {
+            MAX_PROVISION_COUNT
+        } else {
+            MAX_WANTED
+        };
         let wanted = self.wanted.entry(market.clone()).or_default();
         let may = *wanted < most;
         if may {
--- a/src/coordination/hosts.rs
+++ b/src/coordination/hosts.rs
@@ -4,8 +4,8 @@
 use std::net::SocketAddr;
 
 use super::resources::Resources;
-use crate::protocol::workers::{Report, TaskReport, TaskState as Reported};
-use crate::types::{Attempt, HostName, JobId, Session, TaskId, Term, Tick, Time};
+use crate::protocol::workers::{AttemptState, AttemptStatus, WorkerHeartbeat};
+use crate::types::{Attempt, HostName, Incarnation, JobId, SequenceNumber, TaskId, Term, Time};
 
 /// Where a machine is in its life.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -74,8 +74,8 @@
 pub struct Booking {
     /// Which attempt at the task.
     pub attempt: Attempt,
-    /// Session of the worker for which it was booked.
-    pub session: Session,
+    /// Incarnation of the worker for which it was booked.
+    pub incarnation: Incarnation,
     /// What the task takes.
     pub need: Resources,
     /// How far it is.
@@ -87,9 +87,9 @@
     /// This leader sent a `run` of it directly, so copies may come late.
     pub direct: bool,
     /// The last report in whose answer `run` went out.
-    pub answered: Tick,
+    pub answered: SequenceNumber,
     /// The last report in whose answer `stop` went out.
-    pub stop_told: Tick,
+    pub stop_told: SequenceNumber,
     /// It is to be stopped, and why.
     pub stop: Option<StopWhy>,
     /// The worker said that it saves its progress.
@@ -128,10 +128,10 @@
     pub lifecycle: HostLifecycle,
     /// Why nothing new is placed there, if so.
     pub cordon: Option<Cordon>,
-    /// Session of its worker.
-    pub session: Session,
-    /// Tick of the newest message of that session.
-    pub tick: Tick,
+    /// Incarnation of its worker.
+    pub incarnation: Incarnation,
+    /// SequenceNumber of the newest message of that incarnation.
+    pub tick: SequenceNumber,
     /// The highest token its worker has seen, by its own word.
     pub token: Term,
     /// When this leader first knew of it, and when it last heard from it.
@@ -173,7 +173,7 @@
     /// How many answers and commands in a row have shown no effect.
     pub without_effect: u32,
     /// The last report that does not count, as its worker had not seen our token.
-    pub unfenced: (Session, Tick),
+    pub unfenced: (Incarnation, SequenceNumber),
     /// No probe goes there before.
     pub probe_at: Time,
     /// When it was last asked for to be taken back in a hurry.
@@ -200,8 +200,8 @@
             address: None,
             lifecycle: HostLifecycle::Expected,
             cordon: None,
-            session: Session(0),
-            tick: Tick(0),
+            incarnation: Incarnation(0),
+            tick: SequenceNumber(0),
             token: Term(0),
             known_at: now,
             heard_at: now,
@@ -222,7 +222,7 @@
             commanding: false,
             reachability: Reachability::Confirmed,
             without_effect: 0,
-            unfenced: (Session(0), Tick(0)),
+            unfenced: (Incarnation(0), SequenceNumber(0)),
             probe_at: now,
             removed_at: None,
             listed: false,
@@ -302,8 +302,8 @@
     }
 
     /// True if the report is newer than all that was heard before; older ones count for nothing.
-    pub fn is_news(&self, report: &Report) -> bool {
-        (report.session, report.tick) > (self.session, self.tick)
+    pub fn is_news(&self, report: &WorkerHeartbeat) -> bool {
+        (report.incarnation, report.sequence) > (self.incarnation, self.tick)
     }
 
     /// Books a task.
@@ -347,23 +347,24 @@
         booking: &Booking,
         token: Term,
         term: Term,
-        tick: Tick,
+        tick: SequenceNumber,
         own_report: bool,
     ) -> bool {
         if !booking.sent {
             return true;
         }
-        let by_answer = booking.answered == Tick(0) || (own_report && tick > booking.answered);
+        let by_answer =
+            booking.answered == SequenceNumber(0) || (own_report && tick > booking.answered);
         token == term && by_answer && !self.is_unanswered(task, booking.attempt)
     }
 }
 
 impl Booking {
     /// Takes in what the worker says of it.
-    pub fn seen(&mut self, reported: &TaskReport, now: Time) {
+    pub fn seen(&mut self, reported: &AttemptStatus, now: Time) {
         self.phase = BookingPhase::Present;
-        self.saving = reported.state == Reported::Saving;
-        self.fetching = reported.state == Reported::Fetching;
+        self.saving = reported.state == AttemptState::Saving;
+        self.fetching = reported.state == AttemptState::Fetching;
         if !self.fetching {
             self.started.get_or_insert(now);
         }
--- a/src/coordination/jobs/mod.rs
+++ b/src/coordination/jobs/mod.rs
@@ -8,7 +8,7 @@
 use super::resources::Resources;
 use crate::protocol::users::{JobSpec, JobState, Priority};
 use crate::storage::records::{JobRecord, OverRecord, RunRecord};
-use crate::types::{Attempt, HostName, JobId, Session, Time, Version};
+use crate::types::{Attempt, HostName, Incarnation, JobId, Time, Version};
 
 /// A replica that has run for so long is well.
 pub const SETTLED: Duration = Duration::from_secs(20);
@@ -61,8 +61,8 @@
         host: HostName,
         /// Which attempt it is.
         attempt: Attempt,
-        /// Session of the worker.
-        session: Session,
+        /// Incarnation of the worker.
+        incarnation: Incarnation,
     },
     /// It completed. Final.
     Done,
@@ -112,7 +112,7 @@
     pub id: JobId,
     /// Gone once a job is over: then only `need` and `team` are left, from the run records.
     pub spec: Option<Box<JobSpec>>,
-    /// Version of the job's record, which orders the arrivals.
+    /// Version of the job's record, which commands the arrivals.
     pub live: Version,
     /// Time of day of its submission, in milliseconds.
     pub at_ms: u64,
--- a/src/coordination/jobs/run_records.rs
+++ b/src/coordination/jobs/run_records.rs
@@ -9,7 +9,7 @@
         number: u32,
         record: &RunRecord,
         version: Version,
-    ) -> Vec<(u32, Attempt, HostName, Session)> {
+    ) -> Vec<(u32, Attempt, HostName, Incarnation)> {
         let at = number as usize;
         let chunks = self.chunks.iter().flatten();
         let split = self.spec.is_none() && record.size != self.tasks_per_record;
@@ -41,10 +41,10 @@
                 TaskState::Booked {
                     host,
                     attempt,
-                    session,
+                    incarnation,
                 } => {
                     self.booked += 1;
-                    bookings.push((index, *attempt, host.clone(), *session));
+                    bookings.push((index, *attempt, host.clone(), *incarnation));
                 }
                 TaskState::Done => self.done += 1,
             }
@@ -94,11 +94,11 @@
                 TaskState::Booked {
                     host,
                     attempt,
-                    session,
+                    incarnation,
                 } => {
                     record
                         .booked
-                        .push((offset, *attempt, host.clone(), *session));
+                        .push((offset, *attempt, host.clone(), *incarnation));
                 }
                 TaskState::Done => match record.done.last_mut() {
                     Some((first, count)) if *first + *count == offset => *count += 1,
@@ -133,11 +133,11 @@
             set(offset, TaskState::Done);
         }
     }
-    for (offset, attempt, host, session) in &record.booked {
+    for (offset, attempt, host, incarnation) in &record.booked {
         let booked = TaskState::Booked {
             host: host.clone(),
             attempt: *attempt,
-            session: *session,
+            incarnation: *incarnation,
         };
         set(*offset, booked);
     }
--- a/src/coordination/markets.rs
+++ b/src/coordination/markets.rs
@@ -82,7 +82,7 @@
             *usable && zones.any(|z| !self.is_closed(&(kind, z.clone(), true), now))
         });
         // Work of the lowest priority is there to use what is cheap.
-        let worth = spec.priority != Priority::Low;
+        let worth = spec.priority != Priority::BestEffort;
         let ordinary = !spec.spot || (worth && !spot_left && outlook.start > ORDINARY_AFTER_S);
         let mut best: Option<(f64, Market)> = None;
         for (kind, t) in self.types.iter().enumerate().filter(|(k, _)| usable[*k]) {
@@ -98,7 +98,11 @@
                     if self.is_closed(&market, now) || busy || !allowed {
                         continue;
                     }
-                    let price = if spot { t.spot_price.0 } else { t.price.0 };
+                    let price = if spot {
+                        t.spot_price.0
+                    } else {
+                        t.on_demand_price.0
+                    };
                     let machine = price * span.max(LEAST_CHARGED_S);
                     // What a service leaves of a machine others use; that it is there soon counts more.
                     let cost = if spec.is_service() {
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -38,14 +38,14 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use crate::protocol::cloud::{MachineType, Rental};
-use crate::protocol::workers::{Order, Report};
+use crate::protocol::cloud::{MachineType, ProvisionRequest};
+use crate::protocol::workers::{Command, WorkerHeartbeat};
 use crate::settings::{Service, Team, Tuning};
 use crate::storage::write_batcher::{Jobs, WriteBatcher};
 use lichencrank_quota::{LeaderAccounts, Usage};
 use lichencrank_zones::ControllerReach;
 
-use crate::types::{seconds, HostName, JobId, Session, TaskId, Term, Time, Version};
+use crate::types::{seconds, HostName, Incarnation, JobId, TaskId, Term, Time, Version};
 
 use fleet::Fleet;
 use hosts::{Host, HostLifecycle};
@@ -56,18 +56,18 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Send a worker commands.
-    Command {
+    SendCommands {
         /// Its machine.
         host: HostName,
         /// Where to send them.
         to: SocketAddr,
-        /// Session that they are meant for.
-        session: Session,
+        /// Incarnation that they are meant for.
+        incarnation: Incarnation,
         /// The commands.
-        orders: Vec<Order>,
+        commands: Vec<Command>,
     },
     /// Rent machines.
-    Rent(Rental),
+    Rent(ProvisionRequest),
     /// Return machines, as they are not needed.
     Release(Vec<HostName>),
     /// The same, and so pressing that it goes out without a lease too: these machines hold cancelled
@@ -79,7 +79,7 @@
 #[derive(Debug)]
 pub enum CommandResult {
     /// The worker answered with its report, whether or not it executed anything.
-    Report(Box<Report>),
+    WorkerHeartbeat(Box<WorkerHeartbeat>),
     /// Surely not executed.
     NotSent,
     /// Never left this process, so it says nothing of the machine either.
@@ -148,7 +148,7 @@
     /// Probes on their way, and other direct commands.
     probing: usize,
     commanding: usize,
-    /// Machines whose orders wait until fewer commands are under way.
+    /// Machines whose commands wait until fewer commands are under way.
     to_command: VecDeque<HostName>,
     /// Bookings that wait for their record, by the record.
     recording: BTreeMap<(JobId, u32), Vec<(HostName, TaskId)>>,
--- a/src/coordination/placement.rs
+++ b/src/coordination/placement.rs
@@ -27,7 +27,7 @@
     used: Resources,
     /// Failures may speak against some jobs.
     failed: bool,
-    /// Ended attempts or unanswered orders may speak against some tasks.
+    /// Ended attempts or unanswered commands may speak against some tasks.
     remembers: bool,
     /// Kept free for a job that has waited too long.
     held: bool,
@@ -173,11 +173,12 @@
         } else {
             Priority::Critical
         };
-        let records = self.rules.records * (1 + Priority::Low as usize - priority as usize);
+        let records = self.rules.records * (1 + Priority::BestEffort as usize - priority as usize);
         if pass.now < job.not_before || self.batcher.is_held(job.id) {
             return;
         }
-        let plain = spec.types.is_none() && spec.zone.is_none() && !spec.one_zone && !spec.spread;
+        let plain =
+            spec.machine_types.is_none() && spec.zone.is_none() && !spec.same_zone && !spec.spread;
         let mut usable = self.usable_types(spec, scarce);
         let due_in = job.due_ms().map(|due| (due - self.day_ms as f64) / 1000.0);
         let mut more = self.overflow_types(spec, &usable, self.expected_run(job), due_in);
@@ -371,7 +372,7 @@
     /// How many of the job's tasks each zone holds now, silent machines included.
     fn siblings(&self, job: &Job, spec: &JobSpec) -> BTreeMap<String, u64> {
         let mut zones = BTreeMap::new();
-        if job.booked > 0 && (spec.one_zone || spec.spread) {
+        if job.booked > 0 && (spec.same_zone || spec.spread) {
             for host in self.hosts.values() {
                 let count = host.bookings.keys().filter(|t| t.job == job.id).count() as u64;
                 if count > 0 {
@@ -392,7 +393,7 @@
         }
         // A booked machine whose zone is not known yet could be anywhere.
         let unknown = siblings.contains_key("");
-        if spec.one_zone && (unknown || siblings.keys().any(|z| z != zone)) {
+        if spec.same_zone && (unknown || siblings.keys().any(|z| z != zone)) {
             return false;
         }
         if spec.spread {
--- a/src/coordination/preemption.rs
+++ b/src/coordination/preemption.rs
@@ -44,8 +44,8 @@
             let mut bookings = h.bookings.values();
             bookings.any(|b| b.stop == Some(StopWhy::Preempted))
         };
-        let lowest = spec.priority == Priority::Low;
-        if spec.one_zone || spec.spread || lowest || now < self.preempt_at {
+        let lowest = spec.priority == Priority::BestEffort;
+        if spec.same_zone || spec.spread || lowest || now < self.preempt_at {
             return;
         }
         self.preempt_at = now.after(PREEMPT_EVERY);
@@ -114,7 +114,7 @@
         }
         let lowest = |task: &TaskId| {
             let job = self.jobs.get(&task.job);
-            job.is_some_and(|j| j.priority() == Priority::Low)
+            job.is_some_and(|j| j.priority() == Priority::BestEffort)
         };
         (job.need.fits(&free) && !stopped.is_empty()).then(|| Way {
             idle: stopped.iter().all(lowest),
@@ -154,7 +154,7 @@
             f64::INFINITY
         } else if by.is_service() {
             SERVICE_LOSS_S
-        } else if spec.priority == Priority::Low {
+        } else if spec.priority == Priority::BestEffort {
             IDLE_LOSS_S
         } else {
             PREEMPT_LOSS_S
--- a/src/coordination/quota.rs
+++ b/src/coordination/quota.rs
@@ -57,7 +57,7 @@
         Priority::Critical => lichencrank_quota::Priority::Critical,
         Priority::High => lichencrank_quota::Priority::High,
         Priority::Normal => lichencrank_quota::Priority::Normal,
-        Priority::Low => lichencrank_quota::Priority::BestEffort,
+        Priority::BestEffort => lichencrank_quota::Priority::BestEffort,
     }
 }
 
--- a/src/coordination/ranking.rs
+++ b/src/coordination/ranking.rs
@@ -103,7 +103,7 @@
     }
 
     fn work_class(&self, job: &Job, spec: &JobSpec) -> u32 {
-        if spec.priority != Priority::Low || spec.deadline_s.is_some() {
+        if spec.priority != Priority::BestEffort || spec.deadline_s.is_some() {
             return 0;
         }
         let open = f64::from(job.total - job.done);
--- a/src/coordination/recording.rs
+++ b/src/coordination/recording.rs
@@ -11,7 +11,7 @@
 use super::{Controller, Deposed, Phase};
 use crate::storage::records::RunRecord;
 use crate::storage::write_batcher::{Verdict, Written};
-use crate::types::{HostName, JobId, TaskId, Tick, Time, Version};
+use crate::types::{HostName, JobId, SequenceNumber, TaskId, Time, Version};
 
 impl Controller {
     /// Takes in a run record while the records are read.
@@ -29,25 +29,25 @@
             .or_insert_with(|| Job::orphan(id, record, now));
         let (need, team) = (job.need, job.team.clone());
         let stop = (job.phase == JobPhase::Cancelled).then_some(StopWhy::Cancelled);
-        for (index, attempt, name, session) in job.load(number, record, version) {
+        for (index, attempt, name, incarnation) in job.load(number, record, version) {
             let task = TaskId { job: id, index };
             let host = self
                 .hosts
                 .entry(name.clone())
                 .or_insert_with(|| Host::new(name, now));
-            host.session = host.session.max(session);
+            host.incarnation = host.incarnation.max(incarnation);
             host.book(
                 task,
                 Booking {
                     attempt,
-                    session,
+                    incarnation,
                     need,
                     phase: BookingPhase::Ordered,
                     change: 0,
                     sent: true,
                     direct: false,
-                    answered: Tick(0),
-                    stop_told: Tick(0),
+                    answered: SequenceNumber(0),
+                    stop_told: SequenceNumber(0),
                     stop,
                     saving: false,
                     fetching: false,
--- a/src/coordination/reports.rs
+++ b/src/coordination/reports.rs
@@ -8,27 +8,33 @@
 };
 use super::jobs::{Job, JobPhase, TaskState, SETTLED};
 use super::{Controller, Deposed, Phase};
-use crate::protocol::workers::{stops, Cause, Order, Report, TaskReport, TaskState as Reported};
-use crate::types::{seconds, Attempt, Session, TaskId, Tick, Time};
+use crate::protocol::workers::{
+    stop_commands, AttemptState, AttemptStatus, Command, EndReason, WorkerHeartbeat,
+};
+use crate::types::{seconds, Attempt, Incarnation, SequenceNumber, TaskId, Time};
 
 /// An attempt that was started directly stays in its worker's memory for so many of its leases after
 /// it ended.
 const KEPT_LEASES: u32 = 4;
 
 impl Controller {
-    /// Takes in a worker's own report and returns the orders for it.
-    pub fn on_report(&mut self, report: &Report, now: Time) -> Result<Vec<Order>, Deposed> {
+    /// Takes in a worker's own report and returns the commands for it.
+    pub fn on_report(
+        &mut self,
+        report: &WorkerHeartbeat,
+        now: Time,
+    ) -> Result<Vec<Command>, Deposed> {
         self.take_in(report, true, now)
     }
 
     pub(super) fn take_in(
         &mut self,
-        report: &Report,
+        report: &WorkerHeartbeat,
         own: bool,
         now: Time,
-    ) -> Result<Vec<Order>, Deposed> {
-        if report.token > self.term {
-            return Err(Deposed(report.token));
+    ) -> Result<Vec<Command>, Deposed> {
+        if report.fencing_token > self.term {
+            return Err(Deposed(report.fencing_token));
         }
         if self.released.contains_key(&report.host) {
             return Ok(Vec::new());
@@ -36,10 +42,12 @@
         if self.phase == Phase::Loading {
             // The token alone keeps the worker's lease alive while the records are read. That may
             // take longer than cancelled work has.
-            return Ok(stops(report, |job| self.cancelled.contains_key(&job)));
+            return Ok(stop_commands(report, |job| {
+                self.cancelled.contains_key(&job)
+            }));
         }
         let name = report.host.clone();
-        if report.token < self.term {
+        if report.fencing_token < self.term {
             if let Some(mut host) = self.hosts.remove(&name) {
                 self.unfenced(&mut host, report, own, now);
                 self.hosts.insert(name, host);
@@ -50,51 +58,58 @@
             .hosts
             .remove(&name)
             .unwrap_or_else(|| Host::new(name.clone(), now));
-        let orders = if host.is_news(report) {
+        let commands = if host.is_news(report) {
             self.update(&mut host, report, own, now);
             if own {
-                self.orders(&mut host, Some(report.tick), now)
+                self.commands(&mut host, Some(report.sequence), now)
             } else {
                 Vec::new()
             }
         } else {
-            tracing::debug!("{name}: late report {}/{}", report.session, report.tick);
+            tracing::debug!(
+                "{name}: late report {}/{}",
+                report.incarnation,
+                report.sequence
+            );
             Vec::new()
         };
         self.hosts.insert(name, host);
-        Ok(orders)
+        Ok(commands)
     }
 
     /// A report made before its worker saw our token may be a late copy from long ago, even from
     /// a machine that is gone by now. It proves nothing, not even that there is such a machine; the
     /// answer carries the token, and the next report counts.
-    fn unfenced(&mut self, host: &mut Host, report: &Report, own: bool, now: Time) {
+    fn unfenced(&mut self, host: &mut Host, report: &WorkerHeartbeat, own: bool, now: Time) {
         self.describe(host, report);
-        let at = (report.session, report.tick);
+        let at = (report.incarnation, report.sequence);
         if at > host.unfenced {
             // It was told the token before, and has not taken it in.
-            if own && host.unfenced != (Session(0), Tick(0)) {
+            if own && host.unfenced != (Incarnation(0), SequenceNumber(0)) {
                 host.ignored(now);
             }
             host.unfenced = at;
             if !own {
-                // A probe for the wrong session was turned down; now the right one is known.
+                // A probe for the wrong incarnation was turned down; now the right one is known.
                 host.probe_at = now;
             }
         }
     }
 
     /// What does not change in a machine's life.
-    fn describe(&self, host: &mut Host, report: &Report) {
+    fn describe(&self, host: &mut Host, report: &WorkerHeartbeat) {
         if host.kind.is_none() || host.zone.is_empty() {
-            host.kind = self.types.iter().position(|t| t.name == report.kind);
+            host.kind = self
+                .types
+                .iter()
+                .position(|t| t.name == report.machine_type);
             host.zone = report.zone.clone();
             host.spot = report.spot;
         }
         host.address = report.address.parse().ok();
     }
 
-    fn update(&mut self, host: &mut Host, report: &Report, own: bool, now: Time) {
+    fn update(&mut self, host: &mut Host, report: &WorkerHeartbeat, own: bool, now: Time) {
         // Heard of before in this term: a report after a silence may have been under way for long.
         let back = host.up_at.is_some() && host.lifecycle == HostLifecycle::Silent;
         if host.up_at.is_none() {
@@ -103,7 +118,7 @@
         }
         self.describe(host, report);
         let before = host.reachability;
-        if host.token < report.token || !own {
+        if host.token < report.fencing_token || !own {
             host.took_effect();
         } else if back {
             host.set_reachability(Reachability::Unconfirmed);
@@ -112,7 +127,7 @@
             host.set_reachability(Reachability::Confirmed);
         }
         self.place_wanted |= host.reachability != before;
-        host.token = report.token;
+        host.token = report.fencing_token;
         host.heard_at = now;
         if host.lifecycle != HostLifecycle::Up {
             host.enter(HostLifecycle::Up);
@@ -121,10 +136,10 @@
             }
             self.place_wanted = true;
         }
-        if report.session > host.session {
-            self.new_session(host, report.session, own, now);
+        if report.incarnation > host.incarnation {
+            self.new_session(host, report.incarnation, own, now);
         }
-        host.tick = report.tick;
+        host.tick = report.sequence;
         host.strays.clear();
         for reported in &report.tasks {
             self.reported(host, reported, now);
@@ -135,33 +150,38 @@
         }
     }
 
-    /// The worker killed and forgot all that earlier sessions held.
-    fn new_session(&mut self, host: &mut Host, session: Session, own: bool, now: Time) {
+    /// The worker killed and forgot all that earlier incarnations held.
+    fn new_session(&mut self, host: &mut Host, incarnation: Incarnation, own: bool, now: Time) {
         let heard = now.since(host.heard_at) < self.rules.report * 2;
-        if own && heard && host.session != Session(0) && host.lifecycle == HostLifecycle::Up {
+        if own && heard && host.incarnation != Incarnation(0) && host.lifecycle == HostLifecycle::Up
+        {
             // Its lease ran out although its reports were answered.
             host.ignored(now);
         }
         let old: Vec<TaskId> = host
             .bookings
             .iter()
-            .filter(|(_, b)| b.session < session)
+            .filter(|(_, b)| b.incarnation < incarnation)
             .map(|(t, _)| *t)
             .collect();
         if !old.is_empty() {
-            tracing::info!("{}: session {session}, {} tasks lost", host.name, old.len());
+            tracing::info!(
+                "{}: incarnation {incarnation}, {} tasks lost",
+                host.name,
+                old.len()
+            );
         }
         for task in old {
             self.end_booking(host, task, false, now);
         }
-        host.session = session;
+        host.incarnation = incarnation;
         host.leftovers.clear();
         host.unanswered.clear();
         self.place_wanted = true;
     }
 
-    fn reported(&mut self, host: &mut Host, reported: &TaskReport, now: Time) {
-        let TaskReport {
+    fn reported(&mut self, host: &mut Host, reported: &AttemptStatus, now: Time) {
+        let AttemptStatus {
             task,
             attempt,
             state,
@@ -172,9 +192,10 @@
             .get_mut(&task)
             .filter(|b| b.attempt == attempt);
         match (ours, state) {
-            (Some(_), Reported::Ended) => self.ended(host, reported, now),
+            (Some(_), AttemptState::Ended) => self.ended(host, reported, now),
             (Some(booking), _) => {
-                let told = booking.phase == BookingPhase::Ordered && booking.answered != Tick(0);
+                let told =
+                    booking.phase == BookingPhase::Ordered && booking.answered != SequenceNumber(0);
                 let waited = booking.started.is_none();
                 booking.seen(reported, now);
                 if waited && booking.started.is_some() {
@@ -184,7 +205,7 @@
                     host.took_effect();
                 }
             }
-            (None, Reported::Ended) => {
+            (None, AttemptState::Ended) => {
                 // Its outcome is in the records already, or never mattered.
                 host.leftovers.entry((task, attempt)).or_insert(Leftover {
                     change: 0,
@@ -195,19 +216,19 @@
         }
     }
 
-    fn ended(&mut self, host: &mut Host, reported: &TaskReport, now: Time) {
-        let TaskReport {
+    fn ended(&mut self, host: &mut Host, reported: &AttemptStatus, now: Time) {
+        let AttemptStatus {
             task,
             attempt,
-            cause,
+            end_reason: cause,
             ..
         } = *reported;
         let service = self.jobs.get(&task.job).is_some_and(Job::is_service);
         // A service is never done.
-        let done = cause == Some(Cause::Done) && !service;
+        let done = cause == Some(EndReason::Done) && !service;
         let started = host.bookings.get(&task).and_then(|b| b.started);
         let ran = started.map_or(Duration::ZERO, |s| now.since(s));
-        if let (Some(Cause::Done | Cause::Error), Some(job), true) =
+        if let (Some(EndReason::Done | EndReason::Error), Some(job), true) =
             (cause, self.jobs.get_mut(&task.job), service)
         {
             job.replica_ended(ran, now);
@@ -217,16 +238,16 @@
             );
         }
         match cause {
-            Some(Cause::Done) if service => {}
-            Some(Cause::Done) => {
+            Some(EndReason::Done) if service => {}
+            Some(EndReason::Done) => {
                 self.learn(task, started.map(|s| now.since(s).as_secs_f64()));
                 host.failures = 0;
                 host.failed_jobs.clear();
             }
-            Some(Cause::Stopped) => {}
+            Some(EndReason::Stopped) => {}
             // One that had long been running says nothing of its machine.
-            Some(Cause::Error) if service && ran >= SETTLED => {}
-            Some(Cause::Error) => self.task_failed(host, task, now),
+            Some(EndReason::Error) if service && ran >= SETTLED => {}
+            Some(EndReason::Error) => self.task_failed(host, task, now),
             _ => {
                 tracing::info!("{}: {task} attempt {attempt} refused: {cause:?}", host.name);
                 if let Some(job) = self.jobs.get_mut(&task.job) {
@@ -276,11 +297,11 @@
             return;
         }
         host.strays.remove(&(task, attempt));
-        let (session, need) = (host.session, job.need);
+        let (incarnation, need) = (host.incarnation, job.need);
         let state = TaskState::Booked {
             host: host.name.clone(),
             attempt,
-            session,
+            incarnation,
         };
         let Some(number) = job.set_task(task.index, state) else {
             return;
@@ -293,14 +314,14 @@
             task,
             Booking {
                 attempt,
-                session,
+                incarnation,
                 need,
                 phase: BookingPhase::Present,
                 change,
                 sent: true,
                 direct: false,
-                answered: Tick(0),
-                stop_told: Tick(0),
+                answered: SequenceNumber(0),
+                stop_told: SequenceNumber(0),
                 stop: Some(StopWhy::Drained),
                 saving: false,
                 fetching: false,
@@ -311,7 +332,7 @@
     }
 
     /// Looks at what the report lacks.
-    fn absent(&mut self, host: &mut Host, report: &Report, own: bool, now: Time) {
+    fn absent(&mut self, host: &mut Host, report: &WorkerHeartbeat, own: bool, now: Time) {
         let listed: BTreeSet<(TaskId, Attempt)> =
             report.tasks.iter().map(|t| (t.task, t.attempt)).collect();
         host.leftovers.retain(|key, _| listed.contains(key));
@@ -322,7 +343,7 @@
             .map(|(task, _)| *task)
             .collect();
         // Only what was in the answer to an older report should show by now.
-        let told = |b: &Booking| b.stop_told != Tick(0) && report.tick > b.stop_told;
+        let told = |b: &Booking| b.stop_told != SequenceNumber(0) && report.sequence > b.stop_told;
         let running = |b: &Booking| b.phase == BookingPhase::Present && !b.saving;
         let mut stops = host.bookings.values().filter(|b| b.stop.is_some());
         let mut unseen = own && stops.any(|b| told(b) && running(b));
@@ -333,10 +354,12 @@
             // One that is still wanted is ordered again under the same attempt, which is safe.
             let wanted = booking.stop.is_none() && booking.phase != BookingPhase::Present;
             if wanted {
-                unseen |= own && booking.answered != Tick(0) && report.tick > booking.answered;
+                unseen |= own
+                    && booking.answered != SequenceNumber(0)
+                    && report.sequence > booking.answered;
                 continue;
             }
-            let (token, tick) = (report.token, report.tick);
+            let (token, tick) = (report.fencing_token, report.sequence);
             if host.proves_absence(task, booking, token, self.term, tick, own) {
                 self.end_booking(host, task, false, now);
             }
--- a/src/coordination/scaling.rs
+++ b/src/coordination/scaling.rs
@@ -11,6 +11,15 @@
 /// The cloud charges at least a minute; a machine that goes back earlier saves nothing.
 const MIN_PAID: Duration = Duration::from_secs(55);
 
+/// A host that may be cordoned as surplus.
+struct ScaleInCandidate {
+    price_per_cpu: f64,
+    /// Minus the allocated share of its CPUs, and 1 more if it is cordoned already.
+    idleness: f64,
+    name: HostName,
+    cpus: f64,
+}
+
 impl Controller {
     /// Scale down by cordoning. Headroom spreads work thinly over all machines, so that none ever
     /// idles; what the recent peak of demand does not need is therefore closed, the dearest first,
@@ -22,33 +31,9 @@
             let demand = self.demand(scarce, group);
             let peak = self.fleet.peaks[usize::from(group)].note(now, demand, window);
             let wanted = peak * (1.0 + self.rules.tuning.spare_share);
-            let mut order: Vec<(f64, f64, HostName, f64)> = self
-                .hosts
-                .values()
-                .filter(|h| h.lifecycle == HostLifecycle::Up)
-                .filter(|h| matches!(h.cordon, None | Some(Cordon::Surplus)))
-                .filter_map(|h| {
-                    let kind = h.kind.filter(|k| scarce.get(*k) == Some(&group))?;
-                    let t = self.types.get(kind)?;
-                    let price = if h.spot { t.spot_price.0 } else { t.price.0 };
-                    let cpus = t.cpus.0.max(0.1);
-                    // What is closed already stays so, other things being equal.
-                    let closed = if h.cordon.is_some() { 1.0 } else { 0.0 };
-                    Some((
-                        price / cpus,
-                        closed - h.used.cpus / cpus,
-                        h.name.clone(),
-                        cpus,
-                    ))
-                })
-                .collect();
-            order.sort_by(|a, b| {
-                (a.0, a.1)
-                    .partial_cmp(&(b.0, b.1))
-                    .unwrap_or(Ordering::Equal)
-            });
+            let candidates = self.scale_in_candidates(scarce, group);
             let mut kept = 0.0;
-            for (_, _, name, cpus) in order {
+            for ScaleInCandidate { name, cpus, .. } in candidates {
                 let Some(host) = self.hosts.get_mut(&name) else {
                     continue;
                 };
@@ -67,6 +52,40 @@
         }
     }
 
+    /// The hosts of the group that may be kept or cordoned as surplus, those to be kept first: the
+    /// cheapest per CPU, then the fullest.
+    fn scale_in_candidates(&self, scarce: &[bool], group: bool) -> Vec<ScaleInCandidate> {
+        let mut candidates: Vec<ScaleInCandidate> = self
+            .hosts
+            .values()
+            .filter(|h| h.lifecycle == HostLifecycle::Up)
+            .filter(|h| matches!(h.cordon, None | Some(Cordon::Surplus)))
+            .filter_map(|h| {
+                let kind = h.kind.filter(|k| scarce.get(*k) == Some(&group))?;
+                let machine_type = self.types.get(kind)?;
+                let price = if h.spot {
+                    machine_type.spot_price.0
+                } else {
+                    machine_type.on_demand_price.0
+                };
+                let cpus = machine_type.cpus.0.max(0.1);
+                // What is cordoned already stays so, other things being equal.
+                let cordoned = if h.cordon.is_some() { 1.0 } else { 0.0 };
+                Some(ScaleInCandidate {
+                    price_per_cpu: price / cpus,
+                    idleness: cordoned - h.used.cpus / cpus,
+                    name: h.name.clone(),
+                    cpus,
+                })
+            })
+            .collect();
+        candidates.sort_by(|a, b| {
+            let key = |c: &ScaleInCandidate| (c.price_per_cpu, c.idleness);
+            key(a).partial_cmp(&key(b)).unwrap_or(Ordering::Equal)
+        });
+        candidates
+    }
+
     /// CPUs that booked and waiting work takes, on the scarce types or on the others.
     fn demand(&self, scarce: &[bool], group: bool) -> f64 {
         let mut demand = 0.0;
--- a/src/coordination/scoring.rs
+++ b/src/coordination/scoring.rs
@@ -42,7 +42,10 @@
 
 /// Whether the job may use machines of this type at all, and one task fits an empty one.
 pub fn type_suits(spec: &JobSpec, kind: &MachineType) -> bool {
-    let allowed = spec.types.as_ref().is_none_or(|t| t.contains(&kind.name));
+    let allowed = spec
+        .machine_types
+        .as_ref()
+        .is_none_or(|t| t.contains(&kind.name));
     let zone = spec.zone.as_ref().is_none_or(|z| kind.zones.contains(z));
     allowed && zone && need(spec).fits(&capacity(kind))
 }
--- a/src/coordination/services.rs
+++ b/src/coordination/services.rs
@@ -65,7 +65,7 @@
         {
             if let Some(t) = host.kind.and_then(|k| self.types.get(k)) {
                 let cpus = t.cpus.0.max(0.1);
-                let price = t.price.0 / cpus * self.urgency_factor(t.boot_s.0);
+                let price = t.on_demand_price.0 / cpus * self.urgency_factor(t.boot_s.0);
                 let idle = !self.holds_replicas(host);
                 order.push((idle, host.cordon.is_some(), price, cpus, &host.name));
             }
@@ -133,7 +133,7 @@
         let cpus = |kind: usize| self.types[kind].cpus.0.max(0.1);
         let cost = |kind: &usize| {
             let t = &self.types[*kind];
-            t.price.0 / cpus(*kind) * self.urgency_factor(t.boot_s.0)
+            t.on_demand_price.0 / cpus(*kind) * self.urgency_factor(t.boot_s.0)
         };
         let markets = (0..self.types.len()).filter_map(|kind| {
             let open = |zone: &&String| !self.is_closed(&(kind, (*zone).clone(), false), now);
--- a/src/node/api/mod.rs
+++ b/src/node/api/mod.rs
@@ -13,7 +13,7 @@
 use crate::protocol::cloud::MachineType;
 use crate::protocol::encode;
 use crate::protocol::peers::{RelayedRequest, RelayedResponse};
-use crate::protocol::users::{self, JobSpec, JobState, JobStatus, Problem, Submission};
+use crate::protocol::users::{self, ErrorBody, JobSpec, JobState, JobStatus, Submission};
 use crate::settings::Team;
 use crate::storage::records::{self, JobRecord, OverRecord, RunRecord};
 use crate::storage::store::{Class, Outcome, StateRequest};
@@ -106,7 +106,7 @@
 pub enum ApiAction {
     /// StateRequest the state service.
     StateRequest(Class, StateRequest, ApiStateRequest),
-    /// Answer a request.
+    /// HeartbeatResponse a request.
     Respond(ConnId, Response),
     /// Pass a request on to another controller.
     Relay(ApiRequestId, RelayedRequest),
@@ -148,7 +148,7 @@
 }
 
 fn problem(status: u16, error: &str) -> Response {
-    Response::new(status, encode(&Problem { error }))
+    Response::new(status, encode(&ErrorBody { error }))
 }
 
 /// The service can't say now; the user is told at once when to come back.
--- a/src/node/api/requests.rs
+++ b/src/node/api/requests.rs
@@ -13,12 +13,12 @@
         now: Time,
     ) {
         match users::read_submission(body) {
-            Submission::Hopeless(wrong) => self.respond(client, problem(400, &wrong)),
-            Submission::Bad(id, wrong) => {
+            Submission::Unidentified(wrong) => self.respond(client, problem(400, &wrong)),
+            Submission::Invalid(id, wrong) => {
                 let otherwise = problem(400, &wrong);
                 self.begin(client, id, Intent::Repeat { otherwise }, now);
             }
-            Submission::Good(spec) => {
+            Submission::Valid(spec) => {
                 let id = spec.id;
                 let intent = match self.can_ever_run(&spec, types) {
                     Some(Ok(())) => {
--- a/src/node/cancellations.rs
+++ b/src/node/cancellations.rs
@@ -9,7 +9,7 @@
 
 use super::{peer_messages, Node, MAX_CANCELLATIONS};
 use crate::protocol::peers::{self, AcknowledgedJobs, CancelledJobs, RecentCancellation};
-use crate::protocol::workers::{stops, Order, Report};
+use crate::protocol::workers::{stop_commands, Command, WorkerHeartbeat};
 use crate::transport::{CallError, Network, Response};
 use crate::types::JobId;
 
@@ -144,7 +144,7 @@
     }
 
     /// Stops for what the report shows of jobs that are known to be cancelled.
-    pub(super) fn stops_of_cancelled(&self, report: &Report) -> Vec<Order> {
-        stops(report, |job| self.cancelled.contains_key(&job))
+    pub(super) fn stops_of_cancelled(&self, report: &WorkerHeartbeat) -> Vec<Command> {
+        stop_commands(report, |job| self.cancelled.contains_key(&job))
     }
 }
--- a/src/node/heartbeats.rs
+++ b/src/node/heartbeats.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use super::{peer_messages, Node, HEADROOM};
-use crate::protocol::peers::{self, Heartbeat, Spending};
+use crate::protocol::peers::{self, PeerHeartbeat, StoreUsage};
 use crate::transport::{CallError, CallId, Network, Response};
 use crate::types::{JobId, Term, Time};
 use lichencrank_store::rate_limit::share_of;
@@ -26,7 +26,7 @@
     /// Since when its answers have come without a break.
     reachable_since: Time,
     /// The last answer that was understood, and when the heartbeat before it was sent.
-    heartbeat: Option<(Time, Heartbeat)>,
+    heartbeat: Option<(Time, PeerHeartbeat)>,
     logged_reachable: bool,
 }
 
@@ -75,31 +75,31 @@
     }
 
     /// What it said last, if that is not too long ago.
-    pub(super) fn recent_heartbeat(&self, now: Time) -> Option<&Heartbeat> {
+    pub(super) fn recent_heartbeat(&self, now: Time) -> Option<&PeerHeartbeat> {
         let (at, heartbeat) = self.heartbeat.as_ref()?;
         (now.since(*at) < REACHABLE_FOR).then_some(heartbeat)
     }
 
     /// What it said last, however long ago.
-    pub(super) fn last_heartbeat(&self) -> Option<&Heartbeat> {
+    pub(super) fn last_heartbeat(&self) -> Option<&PeerHeartbeat> {
         self.heartbeat.as_ref().map(|(_, heartbeat)| heartbeat)
     }
 }
 
 impl<N: Network> Node<N> {
-    fn heartbeat(&self) -> Heartbeat {
+    fn heartbeat(&self) -> PeerHeartbeat {
         let now = self.net.now();
-        Heartbeat {
+        PeerHeartbeat {
             from: self.settings.name.clone(),
             term: self.leadership.term.0,
             leader: self.leadership.leader.clone(),
-            state_ok: self.state_answers(now),
+            store_reachable: self.state_answers(now),
             home_zone: self.locality.home.clone(),
-            workers: self.workers.len() as u32,
+            reporting_workers: self.workers.len() as u32,
             transferred_leadership: self.leadership.transferred_leadership(now),
-            spending: Spending {
-                requests: self.spends.0.ceil() as u32,
-                changes: self.spends.1.ceil() as u32,
+            store_usage: StoreUsage {
+                requests_per_s: self.spends.0.ceil() as u32,
+                changes_per_s: self.spends.1.ceil() as u32,
             },
             cancelled: self.recent_cancellations(),
         }
@@ -146,14 +146,14 @@
         if result.is_ok() {
             peer.answered_heartbeat(now);
         }
-        let answer: Option<Heartbeat> = peer_messages::answer(peers::HEARTBEAT_PATH, result);
+        let answer: Option<PeerHeartbeat> = peer_messages::answer(peers::HEARTBEAT_PATH, result);
         if let Some(heartbeat) = answer {
             peer.heartbeat = Some((peer.sent_at, heartbeat.clone()));
             self.learn_from_heartbeat(&heartbeat);
         }
     }
 
-    fn learn_from_heartbeat(&mut self, heartbeat: &Heartbeat) {
+    fn learn_from_heartbeat(&mut self, heartbeat: &PeerHeartbeat) {
         let longest = self.settings.settings.workers.cancel() * 2;
         for cancelled in &heartbeat.cancelled {
             let remaining = Duration::from_millis(u64::from(cancelled.remaining_ms));
@@ -195,8 +195,8 @@
         self.spent = spent;
         let mut others = (0.0, 0.0);
         for heartbeat in self.peers.iter().filter_map(|p| p.recent_heartbeat(now)) {
-            others.0 += f64::from(heartbeat.spending.requests);
-            others.1 += f64::from(heartbeat.spending.changes);
+            others.0 += f64::from(heartbeat.store_usage.requests_per_s);
+            others.1 += f64::from(heartbeat.store_usage.changes_per_s);
         }
         let state = &self.settings.settings.state;
         let nodes = self.peers.len() + 1;
--- a/src/node/leader_duties/mod.rs
+++ b/src/node/leader_duties/mod.rs
@@ -14,13 +14,15 @@
 
 use crate::coordination::fleet::RentalResult;
 use crate::coordination::{Action, CommandResult, Controller, Deposed};
-use crate::protocol::cloud::{HostList, HostNames, ListedHost, MachineTypes, Rental, LIST_PAGE};
-use crate::protocol::workers::{Command, Order};
+use crate::protocol::cloud::{
+    HostList, HostNames, ListedHost, MachineTypes, ProvisionRequest, LIST_PAGE,
+};
+use crate::protocol::workers::{Command, CommandRequest};
 use crate::protocol::{decode, encode};
 use crate::storage::records;
 use crate::storage::store::{Class, Outcome, StateRequest};
 use crate::transport::{CallError, CallId, Network, Response};
-use crate::types::{HostName, JobId, Session, Time, Version};
+use crate::types::{HostName, Incarnation, JobId, Time, Version};
 use lichencrank_store::rate_limit::RateLimit;
 use lichencrank_store::{value, Change, Item, Page, Txn};
 
@@ -51,12 +53,12 @@
 /// Which call to a worker or the cloud a reply answers.
 #[derive(Debug)]
 enum LeaderCall {
-    Command {
+    SendCommands {
         host: HostName,
-        session: Session,
-        orders: Vec<Order>,
+        incarnation: Incarnation,
+        commands: Vec<Command>,
     },
-    Rent(Rental),
+    Rent(ProvisionRequest),
     Release(Vec<HostName>),
     List,
     Types,
@@ -262,34 +264,34 @@
 
     fn act(&mut self, net: &mut impl Network, action: Action, now: Time) {
         match action {
-            Action::Command {
+            Action::SendCommands {
                 host,
                 to,
-                session,
-                orders,
+                incarnation,
+                commands,
             } => {
-                let starts = orders.iter().any(|o| matches!(o, Order::Run { .. }));
+                let starts = commands.iter().any(|o| matches!(o, Command::Run { .. }));
                 if starts && !self.may_act(net) {
                     // It brings no report, so it can't tell of another leader either.
                     let result = CommandResult::HeldBack;
-                    let _ = self
-                        .controller
-                        .on_commanded(&host, session, &orders, result, now);
+                    let _ =
+                        self.controller
+                            .on_commanded(&host, incarnation, &commands, result, now);
                     return;
                 }
                 let token = self.controller.term;
-                let body = encode(&Command {
-                    token,
-                    session,
-                    orders: &orders,
+                let body = encode(&CommandRequest {
+                    fencing_token: token,
+                    incarnation,
+                    commands: &commands,
                 });
                 let call = net.call(to, "POST", "/commands", &body, COMMAND_LIMIT);
                 self.calls.insert(
                     call,
-                    LeaderCall::Command {
+                    LeaderCall::SendCommands {
                         host,
-                        session,
-                        orders,
+                        incarnation,
+                        commands,
                     },
                 );
             }
@@ -324,19 +326,19 @@
             self.cloud_budget.back_off(now, Duration::from_millis(500));
         }
         match what {
-            LeaderCall::Command {
+            LeaderCall::SendCommands {
                 host,
-                session,
-                orders,
+                incarnation,
+                commands,
             } => {
                 let result = command_result(result);
                 return self
                     .controller
-                    .on_commanded(&host, session, &orders, result, now);
+                    .on_commanded(&host, incarnation, &commands, result, now);
             }
             LeaderCall::Rent(rental) => {
                 self.controller
-                    .on_rented(&rental.request, rental_result(result), now);
+                    .on_rented(&rental.name, rental_result(result), now);
             }
             LeaderCall::Release(names) => {
                 let confirmed = matches!(&result, Ok(r) if r.status == 200);
@@ -365,7 +367,7 @@
 fn command_result(result: Result<Response, CallError>) -> CommandResult {
     match result {
         Ok(r) if matches!(r.status, 200 | 409) => match decode(&r.body) {
-            Ok(report) => CommandResult::Report(Box::new(report)),
+            Ok(report) => CommandResult::WorkerHeartbeat(Box::new(report)),
             Err(_) => CommandResult::Lost,
         },
         Ok(r) if r.status == 400 => CommandResult::NotSent,
--- a/src/node/leader_locality.rs
+++ b/src/node/leader_locality.rs
@@ -162,7 +162,9 @@
         }
         let mut peers = self.settings.peers.iter().zip(&self.peers);
         peers.any(|(named, peer)| {
-            let answers = peer.recent_heartbeat(now).is_some_and(|h| h.state_ok);
+            let answers = peer
+                .recent_heartbeat(now)
+                .is_some_and(|h| h.store_reachable);
             answers && Some(&named.zone) == self.locality.home.as_ref()
         })
     }
@@ -178,7 +180,9 @@
             let reachable_for = peer.reachable_for(now);
             let settled = reachable_for.is_some_and(|time| time >= settling_time);
             let hears_more = peer.recent_heartbeat(now).is_some_and(|h| {
-                h.state_ok && !h.transferred_leadership && h.workers as usize > reach.heard
+                h.store_reachable
+                    && !h.transferred_leadership
+                    && h.reporting_workers as usize > reach.heard
             });
             settled && hears_more
         })
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -20,7 +20,7 @@
 use crate::features::Features;
 use crate::protocol::cloud::{MachineType, MachineTypes};
 use crate::protocol::peers::{self, RelayedRequest};
-use crate::protocol::workers::{Answer, Elsewhere, Report};
+use crate::protocol::workers::{HeartbeatResponse, LeaderRedirect, WorkerHeartbeat};
 use crate::protocol::{decode, encode};
 use crate::settings::{Settings, Tuning};
 use crate::storage::records::{self, HolderRecord, TermRecord};
--- a/src/node/requests.rs
+++ b/src/node/requests.rs
@@ -81,7 +81,7 @@
         let fit = self
             .peers
             .iter()
-            .find(|p| p.recent_heartbeat(now).is_some_and(|h| h.state_ok));
+            .find(|p| p.recent_heartbeat(now).is_some_and(|h| h.store_reachable));
         let Some(peer) = fit else {
             return self.api.on_relayed(id, None, now);
         };
@@ -107,7 +107,7 @@
     }
 
     pub(super) fn on_beat(&mut self, body: &[u8]) -> Response {
-        let report: Report = match decode(body) {
+        let report: WorkerHeartbeat = match decode(body) {
             Ok(report) => report,
             Err(e) => {
                 tracing::warn!("a report was not understood: {e}");
@@ -121,32 +121,38 @@
                 return Response::retry_later(503, 1);
             }
             match duties.controller.on_report(&report, now) {
-                Ok(orders) => {
+                Ok(commands) => {
                     let token = duties.controller.term;
                     return Response::new(
                         200,
-                        encode(&Answer {
-                            token,
-                            orders: &orders,
+                        encode(&HeartbeatResponse {
+                            fencing_token: token,
+                            commands: &commands,
                         }),
                     );
                 }
                 Err(Deposed(term)) => self.deposed(term),
             }
         } else {
-            let action = self.leadership.heard_of(report.token, None);
+            let action = self.leadership.heard_of(report.fencing_token, None);
             self.grant(action);
         }
         let proxied = self
-            .proxies_heartbeat(report.token, now)
+            .proxies_heartbeat(report.fencing_token, now)
             .or_else(|| self.proxies_in_isolation(&report, now));
         if let Some(token) = proxied {
-            let orders = &self.stops_of_cancelled(&report);
-            return Response::new(200, encode(&Answer { token, orders }));
+            let commands = &self.stops_of_cancelled(&report);
+            return Response::new(
+                200,
+                encode(&HeartbeatResponse {
+                    fencing_token: token,
+                    commands,
+                }),
+            );
         }
         let leader = self.leadership.leader.as_deref();
         let leader = leader.filter(|l| *l != self.settings.name);
-        Response::new(421, encode(&Elsewhere { leader }))
+        Response::new(421, encode(&LeaderRedirect { leader }))
     }
 
     /// The token to answer a worker with on the leader's behalf: the state service has just said
--- a/src/node/zone_isolation.rs
+++ b/src/node/zone_isolation.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use super::Node;
-use crate::protocol::workers::Report;
+use crate::protocol::workers::WorkerHeartbeat;
 use crate::transport::Network;
 use crate::types::{Term, Time};
 
@@ -48,12 +48,12 @@
     /// The token to answer a worker with while the zone of both is cut off. It is that of a leader that
     /// was elected, and the worker has obeyed one before; a worker that reports for the first time is
     /// sent on, so that it finds whoever can use it.
-    pub(super) fn proxies_in_isolation(&self, report: &Report, now: Time) -> Option<Term> {
+    pub(super) fn proxies_in_isolation(&self, report: &WorkerHeartbeat, now: Time) -> Option<Term> {
         let since = self.locality.zone_isolated_since?;
         let workers = &self.settings.settings.workers;
         let spare = workers.cancel().saturating_sub(workers.lease());
         let in_time = now.since(since) <= spare.mul_f64(ANSWERED_PART);
-        let fenced = report.token > Term(0) && report.token <= self.leadership.term;
+        let fenced = report.fencing_token > Term(0) && report.fencing_token <= self.leadership.term;
         let ours = report.zone == self.settings.zone && !self.leadership.is_leading();
         (in_time && fenced && ours && !self.leader_answers_here(now))
             .then_some(self.leadership.term)
--- a/src/protocol/cloud.rs
+++ b/src/protocol/cloud.rs
@@ -27,7 +27,7 @@
     pub fetch_gb_per_s: Amount,
     /// Price of an ordinary machine, an hour.
     #[serde(rename = "rate")]
-    pub price: Amount,
+    pub on_demand_price: Amount,
     /// Present price of a spot machine, an hour.
     #[serde(rename = "lowPrice")]
     pub spot_price: Amount,
@@ -49,13 +49,13 @@
 
 /// A request to rent machines.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct Rental {
+pub struct ProvisionRequest {
     /// Name of the request. One that was answered 200 is never used again.
     #[serde(rename = "ask")]
-    pub request: String,
+    pub name: String,
     /// Machine type.
     #[serde(rename = "hosttype")]
-    pub kind: String,
+    pub machine_type: String,
     /// Zone.
     #[serde(rename = "hall")]
     pub zone: String,
@@ -68,9 +68,9 @@
 }
 
 /// The most machines one rental may ask for, and one release may name.
-pub const MAX_RENTAL: u64 = 50;
+pub const MAX_PROVISION_COUNT: u64 = 50;
 /// Machines that one release may name.
-pub const MAX_RELEASE: usize = 100;
+pub const MAX_RELEASE_COUNT: usize = 100;
 /// The most machines one page of the list holds.
 pub const LIST_PAGE: usize = 500;
 
@@ -103,7 +103,7 @@
     pub address: String,
     /// Machine type.
     #[serde(rename = "hosttype")]
-    pub kind: String,
+    pub machine_type: String,
     /// Zone.
     #[serde(rename = "hall")]
     pub zone: String,
@@ -111,7 +111,8 @@
     #[serde(rename = "loaners")]
     pub spot: bool,
     /// Its state.
-    pub status: ListedStatus,
+    #[serde(rename = "status")]
+    pub state: ListedHostState,
     /// Seconds since it was rented.
     #[serde(rename = "ageS")]
     pub age_s: Amount,
@@ -119,7 +120,7 @@
 
 /// State of a listed machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
-pub enum ListedStatus {
+pub enum ListedHostState {
     /// It boots.
     #[serde(rename = "starting")]
     Starting,
--- a/src/protocol/peers.rs
+++ b/src/protocol/peers.rs
@@ -16,7 +16,7 @@
 
 /// Sent every second to each peer; the answer is the peer's own heartbeat.
 #[derive(Clone, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
-pub struct Heartbeat {
+pub struct PeerHeartbeat {
     /// Name of the sender.
     pub from: String,
     /// The highest term that the sender has seen.
@@ -24,15 +24,15 @@
     /// Who leads in that term, if the sender knows.
     pub leader: Option<String>,
     /// Whether the state service answers the sender.
-    pub state_ok: bool,
+    pub store_reachable: bool,
     /// The zone that holds the most machines, as the leader said last.
     pub home_zone: Option<String>,
     /// How many workers reported to the sender lately, whether or not it leads.
-    pub workers: u32,
+    pub reporting_workers: u32,
     /// The sender transferred the leadership away a short while ago.
     pub transferred_leadership: bool,
     /// What the sender spends of the state service's rate limits.
-    pub spending: Spending,
+    pub store_usage: StoreUsage,
     /// Jobs that were confirmed as cancelled a short while ago. The state service may not answer the
     /// leader, which has to stop their tasks all the same.
     pub cancelled: Vec<RecentCancellation>,
@@ -40,11 +40,11 @@
 
 /// Use of the state service's rate limits, each a second.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
-pub struct Spending {
+pub struct StoreUsage {
     /// Requests a second.
-    pub requests: u32,
+    pub requests_per_s: u32,
     /// Puts and deletes a second.
-    pub changes: u32,
+    pub changes_per_s: u32,
 }
 
 /// A cancelled job that peers pass on to each other for a limited time.
@@ -95,7 +95,7 @@
 
 /// Path of [`CancelledJobs`].
 pub const CANCELLED_PATH: &str = "/peer/cancelled";
-/// Path of [`Heartbeat`].
+/// Path of [`PeerHeartbeat`].
 pub const HEARTBEAT_PATH: &str = "/peer/hello";
 /// Path of [`RelayedRequest`].
 pub const RELAY_PATH: &str = "/peer/relay";
--- a/src/protocol/users.rs
+++ b/src/protocol/users.rs
@@ -25,12 +25,12 @@
     Normal,
     /// Uses what is idle.
     #[serde(rename = "best_effort")]
-    Low,
+    BestEffort,
 }
 
 /// What kind of tasks a job has.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Shape {
+pub enum JobKind {
     /// Independent tasks that each run to completion.
     #[serde(rename = "sweep")]
     Array,
@@ -52,7 +52,8 @@
     #[serde(rename = "crew")]
     pub team: String,
     /// What kind of tasks it has.
-    pub shape: Shape,
+    #[serde(rename = "shape")]
+    pub kind: JobKind,
     /// Its priority.
     #[serde(rename = "urgency")]
     pub priority: Priority,
@@ -75,13 +76,13 @@
     pub image_gb: Amount,
     /// Allowed machine types; `None`: any.
     #[serde(rename = "hosttypes", default, skip_serializing_if = "Option::is_none")]
-    pub types: Option<Vec<String>>,
+    pub machine_types: Option<Vec<String>>,
     /// The only allowed zone, if there is one.
     #[serde(rename = "hall", default, skip_serializing_if = "Option::is_none")]
     pub zone: Option<String>,
     /// All tasks have to be in the same zone.
     #[serde(rename = "samePlace")]
-    pub one_zone: bool,
+    pub same_zone: bool,
     /// At most half of the tasks, rounded up, may be in one zone.
     #[serde(rename = "apart")]
     pub spread: bool,
@@ -105,7 +106,7 @@
 impl JobSpec {
     /// Whether its tasks are replicas without an end.
     pub fn is_service(&self) -> bool {
-        self.shape == Shape::Service
+        self.kind == JobKind::Service
     }
 }
 
@@ -120,25 +121,25 @@
 #[derive(Debug, PartialEq)]
 pub enum Submission {
     /// A well-formed job.
-    Good(Box<JobSpec>),
+    Valid(Box<JobSpec>),
     /// Malformed, but it names a job, which may be known already.
-    Bad(JobId, String),
+    Invalid(JobId, String),
     /// Malformed, and it names no job.
-    Hopeless(String),
+    Unidentified(String),
 }
 
 /// Reads and checks a submitted body.
 pub fn read_submission(body: &[u8]) -> Submission {
     let wrong = match decode::<JobSpec>(body) {
-        Ok(spec) => match check(&spec) {
-            Ok(()) => return Submission::Good(Box::new(spec)),
+        Ok(spec) => match validate(&spec) {
+            Ok(()) => return Submission::Valid(Box::new(spec)),
             Err(wrong) => wrong,
         },
         Err(wrong) => field_error(body).unwrap_or(wrong),
     };
     match decode::<IdOnly>(body) {
-        Ok(IdOnly { id }) => Submission::Bad(id, wrong),
-        Err(_) => Submission::Hopeless(wrong),
+        Ok(IdOnly { id }) => Submission::Invalid(id, wrong),
+        Err(_) => Submission::Unidentified(wrong),
     }
 }
 
@@ -151,7 +152,7 @@
     spec.err().map(|error| error.to_string())
 }
 
-fn check(spec: &JobSpec) -> Result<(), String> {
+fn validate(spec: &JobSpec) -> Result<(), String> {
     let amounts = [
         ("cpus", spec.cpus),
         ("cards", spec.gpus),
@@ -170,7 +171,7 @@
     if spec.tasks == 0 || spec.tasks > MAX_TASKS {
         return Err(format!("pieces is {}", spec.tasks));
     }
-    let types = spec.types.as_deref().unwrap_or_default();
+    let types = spec.machine_types.as_deref().unwrap_or_default();
     if types.len() > MAX_TYPES {
         return Err(format!("hosttypes names {} types", types.len()));
     }
@@ -223,7 +224,7 @@
 
 /// Body of an answer that refuses a request.
 #[derive(Debug, Serialize)]
-pub struct Problem<'a> {
+pub struct ErrorBody<'a> {
     /// Why, for people.
     pub error: &'a str,
 }
--- a/src/protocol/workers.rs
+++ b/src/protocol/workers.rs
@@ -1,45 +1,46 @@
-//! Workers' reports and the orders for them.
+//! Workers' reports and the commands for them.
 
 use serde::{Deserialize, Serialize};
 
 use super::{null_is_empty, Amount};
-use crate::types::{Attempt, HostName, JobId, Session, TaskId, Term, Tick};
+use crate::types::{Attempt, HostName, Incarnation, JobId, SequenceNumber, TaskId, Term};
 
 /// A worker's report.
 #[derive(Clone, Debug, Deserialize)]
-pub struct Report {
+pub struct WorkerHeartbeat {
     /// Name of its machine.
     pub host: HostName,
     /// Address for direct commands.
     pub address: String,
     /// Machine type.
     #[serde(rename = "hosttype")]
-    pub kind: String,
+    pub machine_type: String,
     /// Zone.
     #[serde(rename = "hall")]
     pub zone: String,
     /// Whether it is a spot machine.
     #[serde(rename = "loaners")]
     pub spot: bool,
-    /// Session of the worker; a new one begins when its lease expires.
+    /// Incarnation of the worker; a new one begins when its lease expires.
     #[serde(rename = "tenure")]
-    pub session: Session,
-    /// Orders messages within a session.
-    pub tick: Tick,
+    pub incarnation: Incarnation,
+    /// Orders messages within a incarnation.
+    #[serde(rename = "tick")]
+    pub sequence: SequenceNumber,
     /// Highest token that the worker has seen.
     #[serde(rename = "baton")]
-    pub token: Term,
+    pub fencing_token: Term,
     /// Seconds until the cloud takes the machine away, if it gave notice.
     #[serde(rename = "warningS", default)]
     pub notice_s: Option<Amount>,
     /// All tasks on the machine, with ended ones that were not cleared.
     #[serde(rename = "pieces", default, deserialize_with = "null_is_empty")]
-    pub tasks: Vec<TaskReport>,
+    pub tasks: Vec<AttemptStatus>,
 }
 
 /// A task as its worker sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
-pub struct TaskReport {
+pub struct AttemptStatus {
     /// The task.
     #[serde(rename = "piece")]
     pub task: TaskId,
@@ -48,15 +49,15 @@
     pub attempt: Attempt,
     /// Its state.
     #[serde(rename = "status")]
-    pub state: TaskState,
+    pub state: AttemptState,
     /// Why it ended.
-    #[serde(default)]
-    pub cause: Option<Cause>,
+    #[serde(rename = "cause", default)]
+    pub end_reason: Option<EndReason>,
 }
 
 /// State of a task on its machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
-pub enum TaskState {
+pub enum AttemptState {
     /// Waits for its image.
     #[serde(rename = "fetching")]
     Fetching,
@@ -76,7 +77,7 @@
 
 /// Why a task ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
-pub enum Cause {
+pub enum EndReason {
     /// It completed.
     #[serde(rename = "done")]
     Done,
@@ -103,7 +104,7 @@
 /// A command to a worker. Each may be repeated.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 #[serde(tag = "verb")]
-pub enum Order {
+pub enum Command {
     /// Starts a task, unless the worker knows the attempt.
     #[serde(rename = "run")]
     Run {
@@ -141,41 +142,46 @@
 
 /// The answer to a report.
 #[derive(Debug, Serialize)]
-pub struct Answer<'a> {
+pub struct HeartbeatResponse<'a> {
     /// The leader's term.
     #[serde(rename = "baton")]
-    pub token: Term,
+    pub fencing_token: Term,
     /// What the worker is to do.
-    pub orders: &'a [Order],
+    #[serde(rename = "orders")]
+    pub commands: &'a [Command],
 }
 
 /// Orders sent straight to a worker.
 #[derive(Debug, Serialize)]
-pub struct Command<'a> {
+pub struct CommandRequest<'a> {
     /// The leader's term.
     #[serde(rename = "baton")]
-    pub token: Term,
-    /// Session that the commands are meant for.
+    pub fencing_token: Term,
+    /// Incarnation that the commands are meant for.
     #[serde(rename = "tenure")]
-    pub session: Session,
+    pub incarnation: Incarnation,
     /// What the worker is to do.
-    pub orders: &'a [Order],
+    #[serde(rename = "orders")]
+    pub commands: &'a [Command],
 }
 
 /// Sends a worker to another node.
 #[derive(Debug, Serialize)]
-pub struct Elsewhere<'a> {
+pub struct LeaderRedirect<'a> {
     /// The controller that leads, if it is known.
     #[serde(rename = "foreman", skip_serializing_if = "Option::is_none")]
     pub leader: Option<&'a str>,
 }
 
 /// Stops for what a report shows of jobs that are `cancelled`.
-pub fn stops(report: &Report, cancelled: impl Fn(JobId) -> bool) -> Vec<Order> {
-    let there = report.tasks.iter().filter(|t| t.state != TaskState::Ended);
+pub fn stop_commands(report: &WorkerHeartbeat, cancelled: impl Fn(JobId) -> bool) -> Vec<Command> {
+    let there = report
+        .tasks
+        .iter()
+        .filter(|t| t.state != AttemptState::Ended);
     there
         .filter(|t| cancelled(t.task.job))
-        .map(|t| Order::Stop {
+        .map(|t| Command::Stop {
             task: t.task,
             attempt: t.attempt,
             grace_s: 0.0,
--- a/src/storage/records.rs
+++ b/src/storage/records.rs
@@ -13,7 +13,7 @@
 
 use crate::protocol::cloud::MachineType;
 use crate::protocol::users::{JobSpec, JobState};
-use crate::types::{Attempt, HostName, JobId, LeaseId, Session, Term};
+use crate::types::{Attempt, HostName, Incarnation, JobId, LeaseId, Term};
 
 /// Prefix of jobs that are not over, and of final states that are not archived yet.
 pub const LIVE: &str = "live/";
@@ -77,7 +77,7 @@
         if size(self) <= max_value {
             return;
         }
-        if let Some(allowed) = &mut self.spec.types {
+        if let Some(allowed) = &mut self.spec.machine_types {
             allowed.retain(|name| offered.iter().any(|offer| offer.name == *name));
         }
     }
@@ -157,8 +157,8 @@
     pub rest: (u64, u64),
 }
 
-/// (offset, attempt, host, session)
-pub type BookedRecord = (u32, Attempt, HostName, Session);
+/// (offset, attempt, host, incarnation)
+pub type BookedRecord = (u32, Attempt, HostName, Incarnation);
 
 impl RunRecord {
     /// How many tasks are done.
@@ -166,7 +166,7 @@
         self.done.iter().map(|(_, n)| u64::from(*n)).sum()
     }
 
-    /// About its size, with machine names, attempts and sessions of usual length.
+    /// About its size, with machine names, attempts and incarnations of usual length.
     pub fn usual_size(&self) -> usize {
         200 + self.booked.len() * 48 + self.tried.len() * 14 + self.done.len() * 12
     }
@@ -183,7 +183,7 @@
 pub use lichencrank_store::json_size as size;
 
 /// How many tasks a chunk holds so that its record stays below the limit with machine names, attempts
-/// and sessions of usual length. One that does not is split further.
+/// and incarnations of usual length. One that does not is split further.
 pub fn tasks_per_record(value_kb: f64) -> u32 {
     ((value_kb * 1024.0 - 350.0) / 27.0).clamp(1.0, 256.0) as u32
 }
--- a/src/types.rs
+++ b/src/types.rs
@@ -13,12 +13,12 @@
     Term
 );
 number_type!(
-    /// A worker's session; a new one begins whenever its lease ran out.
-    Session
+    /// A worker's incarnation; a new one begins whenever its lease ran out.
+    Incarnation
 );
 number_type!(
-    /// Orders the messages of one worker session.
-    Tick
+    /// Orders the messages of one worker incarnation.
+    SequenceNumber
 );
 number_type!(
     /// Which attempt at a task this is; numbers only grow.
--- a/tests/api.rs
+++ b/tests/api.rs
@@ -14,7 +14,7 @@
 };
 use lichencrank::storage::store::{Outcome, StateRequest};
 use lichencrank::transport::ConnId;
-use lichencrank::types::{Attempt, HostName, JobId, Session, Time, Version};
+use lichencrank::types::{Attempt, HostName, Incarnation, JobId, Time, Version};
 use lichencrank_store::outcome::RATE_LIMIT_PAUSE;
 use lichencrank_store::{value, Change, Item, Page};
 
@@ -40,7 +40,7 @@
         memory_gb: Amount(16.0),
         cache_gb: Amount(50.0),
         fetch_gb_per_s: Amount(1.0),
-        price: Amount(0.3),
+        on_demand_price: Amount(0.3),
         spot_price: Amount(0.1),
         boot_s: Amount(30.0),
         zones: vec!["a".into()],
@@ -411,7 +411,7 @@
             revision: Version(9),
         })
     };
-    let one = vec![(0, Attempt(1), HostName::new("vm-1"), Session(1))];
+    let one = vec![(0, Attempt(1), HostName::new("vm-1"), Incarnation(1))];
     assert!(
         matches!(&desk.asked[0].0, StateRequest::List { prefix, .. } if prefix == "run/job-000001/")
     );
@@ -495,7 +495,7 @@
     };
     let record: JobRecord = value.deserialized().expect("a description");
     assert!(records::size(&record) <= 2048);
-    assert_eq!(record.spec.types, Some(vec!["small".to_owned()]));
+    assert_eq!(record.spec.machine_types, Some(vec!["small".to_owned()]));
     desk.reply(Outcome::Committed(Version(7)));
     assert_eq!(desk.answers[&client.conn.serial].0, 201);
 }
--- a/tests/placement.rs
+++ b/tests/placement.rs
@@ -9,12 +9,12 @@
 use lichencrank::coordination::scoring::{capacity, score};
 use lichencrank::coordination::{Controller, Policy};
 use lichencrank::protocol::cloud::MachineType;
-use lichencrank::protocol::users::{JobSpec, Priority, Shape};
-use lichencrank::protocol::workers::Report;
+use lichencrank::protocol::users::{JobKind, JobSpec, Priority};
+use lichencrank::protocol::workers::WorkerHeartbeat;
 use lichencrank::protocol::Amount;
 use lichencrank::settings::{Team, Tuning};
 use lichencrank::storage::records::JobRecord;
-use lichencrank::types::{HostName, JobId, Session, Term, Tick, Time, Version};
+use lichencrank::types::{HostName, Incarnation, JobId, SequenceNumber, Term, Time, Version};
 
 const TERM: Term = Term(3);
 
@@ -26,7 +26,7 @@
         memory_gb: Amount(memory),
         cache_gb: Amount(50.0),
         fetch_gb_per_s: Amount(1.0),
-        price: Amount(cpus),
+        on_demand_price: Amount(cpus),
         spot_price: Amount(cpus / 3.0),
         boot_s: Amount(30.0),
         zones: vec!["a".into(), "b".into()],
@@ -77,7 +77,7 @@
         id,
         class: "work".into(),
         team: "open".into(),
-        shape: Shape::Array,
+        kind: JobKind::Array,
         priority: Priority::Normal,
         tasks: random.u64(1..40),
         cpus: Amount(f64::from(random.u32(2..=16)) / 2.0),
@@ -85,11 +85,11 @@
         memory_gb: Amount(f64::from(random.u32(1..=32))),
         image: "img".into(),
         image_gb: Amount(1.0),
-        types: random
+        machine_types: random
             .bool()
             .then(|| vec!["small".into(), "wide".into(), "deep".into()]),
         zone: (random.u32(0..4) == 0).then(|| "b".into()),
-        one_zone: false,
+        same_zone: false,
         spread: false,
         spot: random.u32(0..4) > 0,
         estimate_s: Amount(30.0),
@@ -145,15 +145,15 @@
                 spot: random.bool(),
                 used: Resources::default(),
             };
-            let report = Report {
+            let report = WorkerHeartbeat {
                 host: name.clone(),
                 address: "127.0.0.1:9000".into(),
-                kind: types()[kind].name.clone(),
+                machine_type: types()[kind].name.clone(),
                 zone: model.zone.into(),
                 spot: model.spot,
-                session: Session(1),
-                tick: Tick(1),
-                token: TERM,
+                incarnation: Incarnation(1),
+                sequence: SequenceNumber(1),
+                fencing_token: TERM,
                 notice_s: None,
                 tasks: Vec::new(),
             };
--- a/tests/quota_leader.rs
+++ b/tests/quota_leader.rs
@@ -4,12 +4,14 @@
 use lichencrank::coordination::{Controller, Policy};
 use lichencrank::features::Features;
 use lichencrank::protocol::cloud::MachineType;
-use lichencrank::protocol::users::{JobSpec, Priority, Shape};
-use lichencrank::protocol::workers::{Order, Report, TaskReport, TaskState};
+use lichencrank::protocol::users::{JobKind, JobSpec, Priority};
+use lichencrank::protocol::workers::{AttemptState, AttemptStatus, Command, WorkerHeartbeat};
 use lichencrank::protocol::Amount;
 use lichencrank::settings::{Settings, Tuning};
 use lichencrank::storage::records::JobRecord;
-use lichencrank::types::{Attempt, HostName, JobId, Session, TaskId, Term, Tick, Time, Version};
+use lichencrank::types::{
+    Attempt, HostName, Incarnation, JobId, SequenceNumber, TaskId, Term, Time, Version,
+};
 use lichencrank_store::Txn;
 
 const TERM: Term = Term(3);
@@ -34,7 +36,7 @@
         memory_gb: Amount(32.0),
         cache_gb: Amount(50.0),
         fetch_gb_per_s: Amount(1.0),
-        price: Amount(1.0),
+        on_demand_price: Amount(1.0),
         spot_price: Amount(0.3),
         boot_s: Amount(30.0),
         zones: vec!["a".into()],
@@ -47,7 +49,7 @@
             id: JobId(number),
             class: "any".into(),
             team: team.into(),
-            shape: Shape::Array,
+            kind: JobKind::Array,
             priority: Priority::Normal,
             tasks,
             cpus: Amount(2.0),
@@ -55,9 +57,9 @@
             memory_gb: Amount(1.0),
             image: "img".into(),
             image_gb: Amount(0.0),
-            types: None,
+            machine_types: None,
             zone: None,
-            one_zone: false,
+            same_zone: false,
             spread: false,
             spot: true,
             estimate_s: Amount(600.0),
@@ -107,7 +109,7 @@
     }
 
     /// The machine reports what is booked there, and the leader decides.
-    fn report(&mut self) -> Vec<Order> {
+    fn report(&mut self) -> Vec<Command> {
         self.now = Time(self.now.0 + 3000);
         self.tick += 1;
         let name = HostName::new("vm-000001");
@@ -118,21 +120,21 @@
             .flatten();
         let booked = booked.map(|(task, booking)| (*task, booking.attempt));
         let all: Vec<(TaskId, Attempt)> = booked.chain(self.reported.iter().copied()).collect();
-        let tasks = all.into_iter().map(|(task, attempt)| TaskReport {
+        let tasks = all.into_iter().map(|(task, attempt)| AttemptStatus {
             task,
             attempt,
-            state: TaskState::Running,
-            cause: None,
+            state: AttemptState::Running,
+            end_reason: None,
         });
-        let report = Report {
+        let report = WorkerHeartbeat {
             host: name,
             address: "127.0.0.1:9000".into(),
-            kind: "c8".into(),
+            machine_type: "c8".into(),
             zone: "a".into(),
             spot: true,
-            session: Session(1),
-            tick: Tick(self.tick),
-            token: TERM,
+            incarnation: Incarnation(1),
+            sequence: SequenceNumber(self.tick),
+            fencing_token: TERM,
             notice_s: None,
             tasks: tasks.collect(),
         };
@@ -254,12 +256,12 @@
         stopped.extend(
             orders
                 .into_iter()
-                .filter(|o| matches!(o, Order::Stop { .. })),
+                .filter(|o| matches!(o, Command::Stop { .. })),
         );
     }
     assert!(!stopped.is_empty());
     let of_borrower =
-        |order: &Order| matches!(order, Order::Stop { task, .. } if task.job == JobId(1));
+        |order: &Command| matches!(order, Command::Stop { task, .. } if task.job == JobId(1));
     assert!(stopped.iter().all(of_borrower));
     assert!(stopped.len() <= 2, "{stopped:?}");
 }
--- a/tests/record_split.rs
+++ b/tests/record_split.rs
@@ -7,13 +7,15 @@
 use ciborium::Value;
 use lichencrank::coordination::{Controller, Policy};
 use lichencrank::protocol::cloud::MachineType;
-use lichencrank::protocol::users::{JobSpec, Priority, Shape};
-use lichencrank::protocol::workers::{Cause, Report, TaskReport, TaskState};
+use lichencrank::protocol::users::{JobKind, JobSpec, Priority};
+use lichencrank::protocol::workers::{AttemptState, AttemptStatus, EndReason, WorkerHeartbeat};
 use lichencrank::protocol::Amount;
 use lichencrank::settings::{Team, Tuning};
 use lichencrank::storage::records::{self, JobRecord, RunRecord};
 use lichencrank::storage::write_batcher::Verdict;
-use lichencrank::types::{Attempt, HostName, JobId, Session, TaskId, Term, Tick, Time, Version};
+use lichencrank::types::{
+    Attempt, HostName, Incarnation, JobId, SequenceNumber, TaskId, Term, Time, Version,
+};
 use lichencrank_store::value;
 use lichencrank_testkit::state_service::{Limits, StateService};
 use lichencrank_testkit::values::{self, get, map, number, text};
@@ -35,7 +37,7 @@
         id: JOB,
         class: "work".into(),
         team: "open".into(),
-        shape: Shape::Array,
+        kind: JobKind::Array,
         priority: Priority::Normal,
         tasks: u64::from(TASKS),
         cpus: Amount(1.0),
@@ -43,9 +45,9 @@
         memory_gb: Amount(1.0),
         image: "img".into(),
         image_gb: Amount(1.0),
-        types: None,
+        machine_types: None,
         zone: None,
-        one_zone: false,
+        same_zone: false,
         spread: false,
         spot: true,
         estimate_s: Amount(30.0),
@@ -90,7 +92,7 @@
                 record.tried.push((offset, attempt));
             } else {
                 let host = host_of(first + offset);
-                record.booked.push((offset, attempt, host, Session(1)));
+                record.booked.push((offset, attempt, host, Incarnation(1)));
             }
         }
         changes.push(put(&records::run_key(JOB, number), value(&record)));
@@ -150,7 +152,7 @@
         memory_gb: Amount(16.0),
         cache_gb: Amount(50.0),
         fetch_gb_per_s: Amount(1.0),
-        price: Amount(0.3),
+        on_demand_price: Amount(0.3),
         spot_price: Amount(0.1),
         boot_s: Amount(30.0),
         zones: vec!["a".into()],
@@ -211,28 +213,28 @@
 /// One task ends, so that its record has to be written.
 fn end_one(controller: &mut Controller) {
     let task = TaskId { job: JOB, index: 0 };
-    let report = Report {
+    let report = WorkerHeartbeat {
         host: host_of(0),
         address: "10.1.0.1:9000".into(),
-        kind: "c4".into(),
+        machine_type: "c4".into(),
         zone: "a".into(),
         spot: true,
-        session: Session(1),
-        tick: Tick(100),
-        token: Term(5),
+        incarnation: Incarnation(1),
+        sequence: SequenceNumber(100),
+        fencing_token: Term(5),
         notice_s: None,
         tasks: controller.hosts[&host_of(0)]
             .bookings
             .iter()
-            .map(|(t, b)| TaskReport {
+            .map(|(t, b)| AttemptStatus {
                 task: *t,
                 attempt: b.attempt,
                 state: if *t == task {
-                    TaskState::Ended
+                    AttemptState::Ended
                 } else {
-                    TaskState::Running
+                    AttemptState::Running
                 },
-                cause: (*t == task).then_some(Cause::Error),
+                end_reason: (*t == task).then_some(EndReason::Error),
             })
             .collect(),
     };
--- a/tests/size.rs
+++ b/tests/size.rs
@@ -7,12 +7,16 @@
 use ciborium::Value;
 use lichencrank::coordination::{Action, CommandResult, Controller, Policy};
 use lichencrank::protocol::cloud::MachineType;
-use lichencrank::protocol::users::{JobSpec, Priority, Shape};
-use lichencrank::protocol::workers::{Cause, Order, Report, TaskReport, TaskState};
+use lichencrank::protocol::users::{JobKind, JobSpec, Priority};
+use lichencrank::protocol::workers::{
+    AttemptState, AttemptStatus, Command, EndReason, WorkerHeartbeat,
+};
 use lichencrank::protocol::Amount;
 use lichencrank::settings::{Team, Tuning};
 use lichencrank::storage::records::{self, JobRecord};
-use lichencrank::types::{Attempt, HostName, JobId, Session, TaskId, Term, Tick, Time, Version};
+use lichencrank::types::{
+    Attempt, HostName, Incarnation, JobId, SequenceNumber, TaskId, Term, Time, Version,
+};
 use lichencrank_store::{Change, Item, Txn};
 
 const TASKS: u64 = 100_000;
@@ -28,7 +32,7 @@
         memory_gb: Amount(512.0),
         cache_gb: Amount(50.0),
         fetch_gb_per_s: Amount(1.0),
-        price: Amount(1.0),
+        on_demand_price: Amount(1.0),
         spot_price: Amount(0.3),
         boot_s: Amount(30.0),
         zones: vec!["a".into()],
@@ -71,17 +75,17 @@
             id: JOB,
             class: "tiny".into(),
             team: "open".into(),
-            shape: Shape::Array,
-            priority: Priority::Low,
+            kind: JobKind::Array,
+            priority: Priority::BestEffort,
             tasks: TASKS,
             cpus: Amount(0.25),
             gpus: Amount(0.0),
             memory_gb: Amount(0.5),
             image: "img".into(),
             image_gb: Amount(0.5),
-            types: None,
+            machine_types: None,
             zone: None,
-            one_zone: false,
+            same_zone: false,
             spread: false,
             spot: true,
             estimate_s: Amount(4.0),
@@ -102,46 +106,46 @@
 }
 
 impl Worker {
-    fn obey(&mut self, orders: &[Order]) {
+    fn obey(&mut self, orders: &[Command]) {
         for order in orders {
             match order {
-                Order::Run { task, attempt } => {
+                Command::Run { task, attempt } => {
                     self.tasks.entry((*task, *attempt)).or_insert_with(|| {
                         self.starts += 1;
                         false
                     });
                 }
-                Order::Stop { task, attempt, .. } | Order::Clear { task, attempt } => {
+                Command::Stop { task, attempt, .. } | Command::Clear { task, attempt } => {
                     self.tasks.remove(&(*task, *attempt));
                 }
             }
         }
     }
 
-    fn report(&mut self, name: &HostName, token: Term) -> Report {
+    fn report(&mut self, name: &HostName, token: Term) -> WorkerHeartbeat {
         self.tick += 1;
         let tasks = self
             .tasks
             .iter()
-            .map(|((task, attempt), ended)| TaskReport {
+            .map(|((task, attempt), ended)| AttemptStatus {
                 task: *task,
                 attempt: *attempt,
                 state: if *ended {
-                    TaskState::Ended
+                    AttemptState::Ended
                 } else {
-                    TaskState::Running
+                    AttemptState::Running
                 },
-                cause: ended.then_some(Cause::Done),
+                end_reason: ended.then_some(EndReason::Done),
             });
-        Report {
+        WorkerHeartbeat {
             host: name.clone(),
             address: "127.0.0.1:9000".into(),
-            kind: "wide".into(),
+            machine_type: "wide".into(),
             zone: "a".into(),
             spot: true,
-            session: Session(1),
-            tick: Tick(self.tick),
-            token,
+            incarnation: Incarnation(1),
+            sequence: SequenceNumber(self.tick),
+            fencing_token: token,
             notice_s: None,
             tasks: tasks.collect(),
         }
@@ -263,10 +267,10 @@
             let verdict = batcher.applied(jobs, version, now);
             c.on_verdict(verdict, now).expect("its term");
             for action in c.take_actions() {
-                let Action::Command {
+                let Action::SendCommands {
                     host,
-                    session,
-                    orders,
+                    incarnation: session,
+                    commands: orders,
                     ..
                 } = action
                 else {
@@ -275,7 +279,7 @@
                 let worker = workers.get_mut(&host).expect("a machine of the test");
                 worker.obey(&orders);
                 let report = Box::new(worker.report(&host, c.term));
-                let result = CommandResult::Report(report);
+                let result = CommandResult::WorkerHeartbeat(report);
                 c.on_commanded(&host, session, &orders, result, now)
                     .expect("its term");
             }
--- a/tests/traces.rs
+++ b/tests/traces.rs
@@ -11,13 +11,17 @@
 
 use lichencrank::coordination::fleet::RentalResult;
 use lichencrank::coordination::{Action, CommandResult, Controller, Deposed, Policy};
-use lichencrank::protocol::cloud::{ListedHost, ListedStatus, MachineType};
-use lichencrank::protocol::users::{JobSpec, JobState, Priority, Shape};
-use lichencrank::protocol::workers::{Cause, Order, Report, TaskReport, TaskState};
+use lichencrank::protocol::cloud::{ListedHost, ListedHostState, MachineType};
+use lichencrank::protocol::users::{JobKind, JobSpec, JobState, Priority};
+use lichencrank::protocol::workers::{
+    AttemptState, AttemptStatus, Command, EndReason, WorkerHeartbeat,
+};
 use lichencrank::protocol::Amount;
 use lichencrank::settings::{Team, Tuning};
 use lichencrank::storage::records::{JobRecord, OverRecord, RunRecord};
-use lichencrank::types::{Attempt, HostName, JobId, Session, TaskId, Term, Tick, Time, Version};
+use lichencrank::types::{
+    Attempt, HostName, Incarnation, JobId, SequenceNumber, TaskId, Term, Time, Version,
+};
 use lichencrank_store::Change;
 use std::time::Duration;
 
@@ -32,7 +36,7 @@
         memory_gb: Amount(memory),
         cache_gb: Amount(50.0),
         fetch_gb_per_s: Amount(1.0),
-        price: Amount(price),
+        on_demand_price: Amount(price),
         spot_price: Amount(price / 3.0),
         boot_s: Amount(30.0),
         zones: zones.iter().map(|z| (*z).to_owned()).collect(),
@@ -76,7 +80,7 @@
     version: u64,
     out: String,
     /// Direct commands without an answer, by machine.
-    commands: BTreeMap<String, (Session, Vec<Order>)>,
+    commands: BTreeMap<String, (Incarnation, Vec<Command>)>,
     /// Kind, zone and spot of the machines that a trace names.
     machines: BTreeMap<String, (String, String, bool)>,
 }
@@ -107,15 +111,15 @@
     format!("{}/{}#{attempt}", task.job.0, task.index)
 }
 
-fn show_order(order: &Order) -> String {
+fn show_order(order: &Command) -> String {
     match order {
-        Order::Run { task, attempt } => format!("run {}", show(*task, *attempt)),
-        Order::Stop { task, attempt, .. } => format!("stop {}", show(*task, *attempt)),
-        Order::Clear { task, attempt } => format!("clear {}", show(*task, *attempt)),
+        Command::Run { task, attempt } => format!("run {}", show(*task, *attempt)),
+        Command::Stop { task, attempt, .. } => format!("stop {}", show(*task, *attempt)),
+        Command::Clear { task, attempt } => format!("clear {}", show(*task, *attempt)),
     }
 }
 
-fn show_orders(orders: &[Order]) -> String {
+fn show_orders(orders: &[Command]) -> String {
     let orders: Vec<String> = orders.iter().map(show_order).collect();
     if orders.is_empty() {
         "nothing".into()
@@ -149,10 +153,10 @@
     fn acted(&mut self) {
         for action in self.controller.take_actions() {
             match action {
-                Action::Command {
+                Action::SendCommands {
                     host,
-                    session,
-                    orders,
+                    incarnation: session,
+                    commands: orders,
                     ..
                 } => {
                     self.say(&format!("command {host}: {}", show_orders(&orders)));
@@ -160,10 +164,10 @@
                 }
                 Action::Rent(r) => {
                     let spot = if r.spot { "spot" } else { "ordinary" };
-                    let (request, count) = (&r.request, r.count);
+                    let (request, count) = (&r.name, r.count);
                     self.say(&format!(
                         "rent {request}: {count} {} in {}, {spot}",
-                        r.kind, r.zone
+                        r.machine_type, r.zone
                     ));
                 }
                 Action::Release(hosts) => {
@@ -196,15 +200,15 @@
             id: id(words[0]),
             class: field("class").unwrap_or("work").into(),
             team: field("team").unwrap_or("open").into(),
-            shape: if words.contains(&"service") {
-                Shape::Service
+            kind: if words.contains(&"service") {
+                JobKind::Service
             } else {
-                Shape::Array
+                JobKind::Array
             },
             priority: match field("priority") {
                 Some("critical") => Priority::Critical,
                 Some("high") => Priority::High,
-                Some("low") => Priority::Low,
+                Some("low") => Priority::BestEffort,
                 _ => Priority::Normal,
             },
             tasks: number("tasks", 1.0) as u64,
@@ -213,9 +217,9 @@
             memory_gb: Amount(number("memory", 2.0)),
             image: "img".into(),
             image_gb: Amount(1.0),
-            types: None,
+            machine_types: None,
             zone: field("zone").map(str::to_owned),
-            one_zone: words.contains(&"together"),
+            same_zone: words.contains(&"together"),
             spread: words.contains(&"apart"),
             spot: !words.contains(&"ordinary"),
             estimate_s: Amount(number("guess", 30.0)),
@@ -233,7 +237,7 @@
     }
 
     /// `vm-1 1/5 token 5: 7/0#1 running, 7/1#1 ended done`
-    fn report(&self, text: &str) -> Report {
+    fn report(&self, text: &str) -> WorkerHeartbeat {
         let (head, tasks) = text.split_once(':').unwrap_or((text, ""));
         let words: Vec<&str> = head.split_whitespace().collect();
         let (session, tick) = words[1].split_once('/').expect("session/tick");
@@ -250,34 +254,34 @@
             let words: Vec<&str> = t.split_whitespace().collect();
             let (task, attempt) = attempt(words[0]);
             let state = match words[1] {
-                "fetching" => TaskState::Fetching,
-                "running" => TaskState::Running,
-                "saving" => TaskState::Saving,
-                _ => TaskState::Ended,
+                "fetching" => AttemptState::Fetching,
+                "running" => AttemptState::Running,
+                "saving" => AttemptState::Saving,
+                _ => AttemptState::Ended,
             };
             let cause = words.get(2).map(|c| match *c {
-                "done" => Cause::Done,
-                "halted" => Cause::Stopped,
-                "error" => Cause::Error,
-                "no_room" => Cause::NoRoom,
-                _ => Cause::Other,
+                "done" => EndReason::Done,
+                "halted" => EndReason::Stopped,
+                "error" => EndReason::Error,
+                "no_room" => EndReason::NoRoom,
+                _ => EndReason::Other,
             });
-            TaskReport {
+            AttemptStatus {
                 task,
                 attempt,
                 state,
-                cause,
+                end_reason: cause,
             }
         });
-        Report {
+        WorkerHeartbeat {
             host: host(words[0]),
             address: "127.0.0.1:9000".into(),
-            kind,
+            machine_type: kind,
             zone,
             spot,
-            session: Session(session.parse().expect("a session")),
-            tick: Tick(tick.parse().expect("a tick")),
-            token: Term(after("token").unwrap_or(TERM.0 as f64) as u64),
+            incarnation: Incarnation(session.parse().expect("a session")),
+            sequence: SequenceNumber(tick.parse().expect("a tick")),
+            fencing_token: Term(after("token").unwrap_or(TERM.0 as f64) as u64),
             notice_s: after("notice").map(Amount),
             tasks: tasks.collect(),
         }
@@ -354,7 +358,7 @@
                 offset.parse().expect("an offset"),
                 Attempt(attempt.parse().expect("an attempt")),
                 host(name),
-                Session(session.parse().expect("a session")),
+                Incarnation(session.parse().expect("a session")),
             ));
         }
         let chunk = words[1].parse().expect("a chunk");
@@ -405,7 +409,7 @@
                     return self.say("no command is open");
                 };
                 let result = match words[0] {
-                    "executed" => CommandResult::Report(Box::new(self.report(rest))),
+                    "executed" => CommandResult::WorkerHeartbeat(Box::new(self.report(rest))),
                     "unsent" => CommandResult::NotSent,
                     "held" => CommandResult::HeldBack,
                     _ => CommandResult::Lost,
@@ -451,17 +455,17 @@
             }
             "listed" => {
                 let status = match words[2] {
-                    "running" => ListedStatus::Running,
-                    "failed" => ListedStatus::Failed,
-                    _ => ListedStatus::Starting,
+                    "running" => ListedHostState::Running,
+                    "failed" => ListedHostState::Failed,
+                    _ => ListedHostState::Starting,
                 };
                 let item = ListedHost {
                     name: host(words[1]),
                     address: "127.0.0.1:9000".into(),
-                    kind: "small".into(),
+                    machine_type: "small".into(),
                     zone: "a".into(),
                     spot: true,
-                    status,
+                    state: status,
                     age_s: Amount(words.get(4).map_or(0.0, |a| a.parse().expect("an age"))),
                 };
                 self.controller.on_listed(&[item], now);
--- a/tests/versions.rs
+++ b/tests/versions.rs
@@ -6,8 +6,8 @@
 use lichencrank::node::Node;
 use lichencrank::protocol::cloud::MachineTypes;
 use lichencrank::protocol::peers::{
-    self, AcknowledgedJobs, CancelledJobs, DecodeError, Heartbeat, RecentCancellation,
-    RelayedRequest, RelayedResponse, Spending,
+    self, AcknowledgedJobs, CancelledJobs, DecodeError, PeerHeartbeat, RecentCancellation,
+    RelayedRequest, RelayedResponse, StoreUsage,
 };
 use lichencrank::protocol::{decode, encode};
 use lichencrank::settings::{Settings, Tuning};
@@ -16,7 +16,7 @@
 use lichencrank::transport::{
     CallId, ConnId, ListenerKind, Network, Request, Response, SocketUsage, TransportEvent,
 };
-use lichencrank::types::{Attempt, HostName, JobId, Session, Time};
+use lichencrank::types::{Attempt, HostName, Incarnation, JobId, Time};
 use lichencrank_store::value;
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
@@ -42,18 +42,18 @@
     cancelled: Vec<(u64, u32)>,
 }
 
-fn heartbeat() -> Heartbeat {
-    Heartbeat {
+fn heartbeat() -> PeerHeartbeat {
+    PeerHeartbeat {
         from: "n1".into(),
         term: 7,
         leader: Some("n0".into()),
-        state_ok: true,
+        store_reachable: true,
         home_zone: None,
-        workers: 300,
+        reporting_workers: 300,
         transferred_leadership: false,
-        spending: Spending {
-            requests: 20,
-            changes: 5,
+        store_usage: StoreUsage {
+            requests_per_s: 20,
+            changes_per_s: 5,
         },
         cancelled: vec![RecentCancellation {
             job: 412,
@@ -108,10 +108,10 @@
 fn strange_messages_are_refused_quietly() {
     let mut longer = HEARTBEAT.to_vec();
     longer.push(0);
-    let refused = peers::decode::<Heartbeat>(&longer);
+    let refused = peers::decode::<PeerHeartbeat>(&longer);
     assert_eq!(refused, Err(DecodeError::TrailingBytes(1)));
     for cut in 0..HEARTBEAT.len() {
-        let refused = peers::decode::<Heartbeat>(&HEARTBEAT[..cut]);
+        let refused = peers::decode::<PeerHeartbeat>(&HEARTBEAT[..cut]);
         assert!(matches!(refused, Err(DecodeError::Malformed(_))), "{cut}");
     }
     assert!(peers::decode::<RelayedRequest>(b"\x09\0\0\0\0").is_err());
@@ -174,7 +174,7 @@
     assert_eq!(names(&again), names(&before));
 
     let run: RunRecord = stored(RUN).deserialized().expect("a run record");
-    let booked = (4, Attempt(2), HostName::new("vm-000231"), Session(1));
+    let booked = (4, Attempt(2), HostName::new("vm-000231"), Incarnation(1));
     assert_eq!(run.booked, [booked]);
     let again: OldChunk = value(&run).deserialized().expect("an old one");
     let before: OldChunk = stored(RUN).deserialized().expect("an old one");
@@ -270,7 +270,7 @@
     for kept in kept() {
         kinds.insert((kept.version, kept.kind.clone()));
         match kept.kind.as_str() {
-            "heartbeat" => drop(kept.message::<Heartbeat>()),
+            "heartbeat" => drop(kept.message::<PeerHeartbeat>()),
             "relay" => drop(kept.message::<RelayedRequest>()),
             "relay-answer" => drop(kept.message::<RelayedResponse>()),
             "cancelled" => drop(kept.message::<CancelledJobs>()),
@@ -350,7 +350,7 @@
     for kept in kept() {
         let bytes = &kept.bytes;
         match kept.kind.as_str() {
-            "heartbeat" => check::<Heartbeat>(bytes, &mut random),
+            "heartbeat" => check::<PeerHeartbeat>(bytes, &mut random),
             "relay" => check::<RelayedRequest>(bytes, &mut random),
             "relay-answer" => check::<RelayedResponse>(bytes, &mut random),
             "cancelled" => check::<CancelledJobs>(bytes, &mut random),
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -120,11 +120,11 @@
         }
         bytes.truncate(random.usize(..=good.len()));
         // Whatever it is taken for, a job that is accepted keeps within the limits.
-        if let Submission::Good(spec) = read_submission(&bytes) {
+        if let Submission::Valid(spec) = read_submission(&bytes) {
             assert!(spec.tasks >= 1 && spec.tasks <= 100_000);
             assert!(spec.cpus.0.is_finite() && spec.cpus.0 >= 0.0);
         }
-        assert!(decode::<workers::Report>(&bytes).is_err());
+        assert!(decode::<workers::WorkerHeartbeat>(&bytes).is_err());
         let _ = parse_request(&bytes);
         let _ = parse_response(&bytes, random.bool());
     }
@@ -174,23 +174,23 @@
 #[track_caller]
 fn assert_names_field(read: &Submission, name: &str) {
     match read {
-        Submission::Bad(JobId(412), why) => assert!(why.contains(name), "{name}: {why}"),
+        Submission::Invalid(JobId(412), why) => assert!(why.contains(name), "{name}: {why}"),
         other => panic!("{name}: {other:?}"),
     }
 }
 
 #[test]
 fn submissions() {
-    assert!(matches!(submission(|_| {}), Submission::Good(_)));
+    assert!(matches!(submission(|_| {}), Submission::Valid(_)));
     assert!(matches!(
         submission(set("dueS", Value::Null)),
-        Submission::Good(_)
+        Submission::Valid(_)
     ));
     let service = submission(|fields| {
         set("shape", Value::from("service"))(fields);
         set("guessS", Value::from(0.0))(fields);
     });
-    assert!(matches!(service, Submission::Good(spec) if spec.is_service()));
+    assert!(matches!(service, Submission::Valid(spec) if spec.is_service()));
     // No page says that these are malformed; a service has no run time and no deadline to keep.
     for (name, value) in [("guessS", 30.0), ("dueS", 60.0)] {
         let service = submission(|fields| {
@@ -198,7 +198,7 @@
             set(name, Value::from(value))(fields);
         });
         assert!(
-            matches!(service, Submission::Good(_)),
+            matches!(service, Submission::Valid(_)),
             "{name}: {service:?}"
         );
     }
@@ -243,12 +243,12 @@
     // Not even a job's name can be read.
     for body in [&b""[..], b"\xff", b"\x80", b"hello", b"\xa1\x63ref\x01"] {
         assert!(
-            matches!(read_submission(body), Submission::Hopeless(_)),
+            matches!(read_submission(body), Submission::Unidentified(_)),
             "{body:?}"
         );
     }
     let hopeless = submission(set("ref", Value::from("job-12")));
-    assert!(matches!(hopeless, Submission::Hopeless(_)));
+    assert!(matches!(hopeless, Submission::Unidentified(_)));
 }
 
 /// A deadline of a service is no reason to put it behind those that can still meet theirs.
@@ -259,7 +259,7 @@
             set("shape", Value::from(shape))(fields);
             set("dueS", Value::from(60.0))(fields);
         });
-        let Submission::Good(spec) = read else {
+        let Submission::Valid(spec) = read else {
             panic!("{read:?}");
         };
         let record = JobRecord {
@@ -276,7 +276,10 @@
 fn nesting() {
     let mut body = vec![0x81; 60_000];
     body.push(0x01);
-    assert!(matches!(read_submission(&body), Submission::Hopeless(_)));
+    assert!(matches!(
+        read_submission(&body),
+        Submission::Unidentified(_)
+    ));
 }
 
 #[test]
--- a/tests/zones_leader.rs
+++ b/tests/zones_leader.rs
@@ -4,13 +4,13 @@
 use lichencrank::coordination::hosts::HostLifecycle;
 use lichencrank::coordination::{Action, Controller, Policy};
 use lichencrank::features::Features;
-use lichencrank::protocol::cloud::{ListedHost, ListedStatus, MachineType};
-use lichencrank::protocol::users::{JobSpec, Priority, Shape};
-use lichencrank::protocol::workers::{Report, TaskReport, TaskState};
+use lichencrank::protocol::cloud::{ListedHost, ListedHostState, MachineType};
+use lichencrank::protocol::users::{JobKind, JobSpec, Priority};
+use lichencrank::protocol::workers::{AttemptState, AttemptStatus, WorkerHeartbeat};
 use lichencrank::protocol::Amount;
 use lichencrank::settings::{Settings, Tuning};
 use lichencrank::storage::records::JobRecord;
-use lichencrank::types::{HostName, JobId, Session, Term, Tick, Time, Version};
+use lichencrank::types::{HostName, Incarnation, JobId, SequenceNumber, Term, Time, Version};
 use lichencrank_zones::{ControllerReach, ZoneState, ZonesRecord};
 
 const TERM: Term = Term(3);
@@ -36,7 +36,7 @@
         memory_gb: Amount(32.0),
         cache_gb: Amount(50.0),
         fetch_gb_per_s: Amount(1.0),
-        price: Amount(1.0),
+        on_demand_price: Amount(1.0),
         spot_price: Amount(0.3),
         boot_s: Amount(30.0),
         zones: vec!["a".into(), "b".into()],
@@ -49,7 +49,7 @@
             id: JobId(number),
             class: "any".into(),
             team: "team".into(),
-            shape: Shape::Array,
+            kind: JobKind::Array,
             priority,
             tasks: 1,
             cpus: Amount(8.0),
@@ -57,9 +57,9 @@
             memory_gb: Amount(1.0),
             image: "img".into(),
             image_gb: Amount(0.0),
-            types: None,
+            machine_types: None,
             zone: zone.map(str::to_owned),
-            one_zone: false,
+            same_zone: false,
             spread: false,
             spot: true,
             estimate_s: Amount(600.0),
@@ -151,21 +151,21 @@
     fn report(&mut self, zone: &str, host: HostName) {
         let booked = self.controller.hosts.get(&host);
         let bookings = booked.into_iter().flat_map(|h| h.bookings.iter());
-        let tasks = bookings.map(|(task, booking)| TaskReport {
+        let tasks = bookings.map(|(task, booking)| AttemptStatus {
             task: *task,
             attempt: booking.attempt,
-            state: TaskState::Running,
-            cause: None,
+            state: AttemptState::Running,
+            end_reason: None,
         });
-        let report = Report {
+        let report = WorkerHeartbeat {
             host,
             address: "127.0.0.1:9000".into(),
-            kind: "c8".into(),
+            machine_type: "c8".into(),
             zone: zone.into(),
             spot: true,
-            session: Session(1),
-            tick: Tick(self.tick),
-            token: TERM,
+            incarnation: Incarnation(1),
+            sequence: SequenceNumber(self.tick),
+            fencing_token: TERM,
             notice_s: None,
             tasks: tasks.collect(),
         };
@@ -191,7 +191,7 @@
             match action {
                 Action::Rent(rental) => self.rented_in.push(rental.zone),
                 Action::Release(hosts) => self.released.extend(hosts),
-                Action::Remove(_) | Action::Command { .. } => {}
+                Action::Remove(_) | Action::SendCommands { .. } => {}
             }
         }
     }
@@ -343,10 +343,10 @@
     let listed = ListedHost {
         name: unheard.clone(),
         address: "127.0.0.1:9000".into(),
-        kind: "c8".into(),
+        machine_type: "c8".into(),
         zone: "b".into(),
         spot: true,
-        status: ListedStatus::Running,
+        state: ListedHostState::Running,
         age_s: Amount(300.0),
     };
     leader.controller.on_listed(&[listed], leader.now);
