--- a/examples/scale.rs
+++ b/examples/scale.rs
@@ -3,7 +3,7 @@
 
 use std::time::{Duration, Instant};
 
-use lichencrank::coordination::{Action, Controller, Policy};
+use lichencrank::coordination::{Action, Leader, Policy};
 use lichencrank::features::Features;
 use lichencrank::protocol::cloud::MachineType;
 use lichencrank::protocol::users::{JobKind, JobSpec, Priority};
@@ -75,8 +75,8 @@
             save_s: Amount(0.0),
             deadline_s: None,
         },
-        at_ms: 0,
-        chunk: records::tasks_per_record(16.0),
+        submitted_at_ms: 0,
+        tasks_per_record: records::tasks_per_record(16.0),
     }
 }
 
@@ -111,9 +111,9 @@
 }
 
 /// What the machines hold, by the records of the leader.
-fn bookings(c: &Controller, host: u64) -> Vec<(TaskId, Attempt)> {
+fn bookings(c: &Leader, host: u64) -> Vec<(TaskId, Attempt)> {
     let host = c.hosts.get(&HostName::new(&format!("vm-{host:06}")));
-    let bookings = host.map(|host| host.bookings.iter());
+    let bookings = host.map(|host| host.allocations.iter());
     let bookings = bookings.into_iter().flatten();
     bookings
         .map(|(task, booking)| (*task, booking.attempt))
@@ -133,8 +133,8 @@
     let features = Features::parse("zones: {enabled: true}").expect("the features here");
     let rules = Policy::new(&settings.settings, &Tuning::default(), &features);
     let mut now = Time(0);
-    let mut c = Controller::new(TERM, Version(1), rules, vec![kind()], now);
-    c.valid_until = Time(u64::MAX);
+    let mut c = Leader::new(TERM, Version(1), rules, vec![kind()], now);
+    c.lease_valid_until = Time(u64::MAX);
     c.on_zones_record(None, now);
     c.on_loaded(now);
     let mut measured = CutMeasured {
@@ -151,7 +151,7 @@
         let cut = round >= ROUNDS;
         for host in (0..machines).filter(|host| !cut || zone_of(*host) != CUT_ZONE) {
             let report = report(host, round + 1, &bookings(&c, host));
-            c.on_report(&report, now).expect("its term");
+            c.on_heartbeat(&report, now).expect("its term");
         }
         if !cut {
             place_all(&mut c, &mut now);
@@ -168,7 +168,7 @@
         let releases = c.take_actions().into_iter();
         let given_up: usize = releases
             .map(|action| match action {
-                Action::Release(hosts) => hosts.len(),
+                Action::ScaleIn(hosts) => hosts.len(),
                 _ => 0,
             })
             .sum();
@@ -193,8 +193,8 @@
     let settings = Settings::parse(SETTINGS).expect("the settings here");
     let rules = Policy::new(&settings.settings, &Tuning::default(), &Features::default());
     let mut now = Time(0);
-    let mut c = Controller::new(TERM, Version(1), rules, vec![kind()], now);
-    c.valid_until = Time(u64::MAX);
+    let mut c = Leader::new(TERM, Version(1), rules, vec![kind()], now);
+    c.lease_valid_until = Time(u64::MAX);
     c.on_loaded(now);
     let mut reports = Duration::ZERO;
     let mut placements = Duration::ZERO;
@@ -205,7 +205,7 @@
             .collect();
         let began = Instant::now();
         for report in &all {
-            c.on_report(report, now).expect("its term");
+            c.on_heartbeat(report, now).expect("its term");
         }
         reports += began.elapsed();
         if round == 1 {
@@ -219,7 +219,7 @@
         place_all(&mut c, &mut now);
         placements += began.elapsed();
     }
-    let booked: usize = c.hosts.values().map(|host| host.bookings.len()).sum();
+    let booked: usize = c.hosts.values().map(|host| host.allocations.len()).sum();
     let began = Instant::now();
     c.tick(now.after(Duration::from_secs(1)), 0);
     let idle_pass = began.elapsed();
@@ -230,15 +230,15 @@
     }
 }
 
-fn place_all(c: &mut Controller, now: &mut Time) {
+fn place_all(c: &mut Leader, now: &mut Time) {
     for _ in 0..machines_passes() {
         c.tick(*now, now.0);
         let mut wrote = false;
         while let Some(txn) = c.next_batch(16, true) {
             wrote = !txn.changes.is_empty();
-            let Controller { batcher, jobs, .. } = c;
-            let verdict = batcher.applied(jobs, Version(now.0 + 100), *now);
-            c.on_verdict(verdict, *now).expect("its term");
+            let Leader { batcher, jobs, .. } = c;
+            let verdict = batcher.on_committed(jobs, Version(now.0 + 100), *now);
+            c.on_commit_result(verdict, *now).expect("its term");
         }
         let commands = c.take_actions();
         for action in commands {
@@ -249,8 +249,8 @@
                 ..
             } = action
             {
-                let result = lichencrank::coordination::CommandResult::HeldBack;
-                let _ = c.on_commanded(&host, incarnation, &orders, result, *now);
+                let result = lichencrank::coordination::CommandResult::NotAttempted;
+                let _ = c.on_command_result(&host, incarnation, &orders, result, *now);
             }
         }
         if !wrote {
--- a/src/coordination/booking.rs
+++ b/src/coordination/allocation.rs
@@ -1,11 +1,11 @@
-//! Booking a task on a machine: recorded first, run later.
+//! Allocation a task on a machine: recorded first, run later.
 
-use super::hosts::{Booking, BookingPhase};
+use super::hosts::{Allocation, AllocationPhase};
 use super::jobs::{Job, TaskState};
-use super::Controller;
+use super::Leader;
 use crate::types::{Attempt, HostName, SequenceNumber, TaskId, Time};
 
-impl Controller {
+impl Leader {
     /// Books a task: recorded first, run later.
     pub(super) fn book(&mut self, job: &mut Job, task: TaskId, name: &HostName, now: Time) {
         let Some(host) = self.hosts.get_mut(name) else {
@@ -14,7 +14,7 @@
         let attempt = Attempt(job.last_attempt(task.index).0 + 1);
         let _attempt = tracing::debug_span!("attempt", %task, %attempt).entered();
         let incarnation = host.incarnation;
-        let state = TaskState::Booked {
+        let state = TaskState::Allocated {
             host: name.clone(),
             attempt,
             incarnation,
@@ -22,30 +22,33 @@
         let Some(number) = job.set_task(task.index, state) else {
             return;
         };
-        let change = job.chunk(number).map_or(0, |c| c.changes);
+        let change = job.chunk(number).map_or(0, |c| c.change_count);
         tracing::debug!("{task} attempt {attempt} -> {name}");
-        host.book(
+        host.allocate(
             task,
-            Booking {
+            Allocation {
                 attempt,
                 incarnation,
-                need: job.need,
-                phase: BookingPhase::Recording,
-                change,
-                sent: false,
-                direct: false,
-                answered: SequenceNumber(0),
-                stop_told: SequenceNumber(0),
-                stop: None,
+                resources: job.task_resources,
+                phase: AllocationPhase::Persisting,
+                record_change: change,
+                run_sent: false,
+                run_sent_directly: false,
+                run_sent_in_response_to: SequenceNumber(0),
+                stop_sent_in_response_to: SequenceNumber(0),
+                stop_reason: None,
                 saving: false,
                 fetching: false,
-                since: now,
-                started: None,
+                allocated_at: now,
+                started_at: None,
             },
         );
-        self.charge(&job.team, &job.need);
-        self.batcher.changed(job.id, number, true);
-        let recording = self.recording.entry((job.id, number)).or_default();
+        self.charge(&job.team, &job.task_resources);
+        self.batcher.mark_dirty(job.id, number, true);
+        let recording = self
+            .uncommitted_allocations
+            .entry((job.id, number))
+            .or_default();
         recording.push((name.clone(), task));
     }
 }
--- a/src/coordination/commands.rs
+++ b/src/coordination/commands.rs
@@ -1,8 +1,8 @@
 //! What a machine is told: in the answer to its report, or by a command of its own.
 
-use super::hosts::{BookingPhase, Host, HostLifecycle, Reachability, StopWhy};
+use super::hosts::{AllocationPhase, Host, HostLifecycle, Reachability, StopReason};
 use super::jobs::JobPhase;
-use super::{Action, CommandResult, Controller, Deposed};
+use super::{Action, CommandResult, Leader, LeadershipLost};
 use crate::protocol::workers::Command;
 use crate::types::{HostName, Incarnation, SequenceNumber, TaskId, Time};
 
@@ -16,7 +16,7 @@
 const SAVE_FACTOR: f64 = 1.2;
 const SAVE_MARGIN_S: f64 = 1.0;
 
-impl Controller {
+impl Leader {
     /// What the worker should do now. In the answer to a report, `run` can't be executed late.
     pub(super) fn commands(
         &mut self,
@@ -24,21 +24,25 @@
         answer_to: Option<SequenceNumber>,
         now: Time,
     ) -> Vec<Command> {
-        let many = host.leftovers.len() > MANY_KEPT;
+        let many = host.ended_attempts.len() > MANY_KEPT;
         let may_start = self.may_act(now) && (answer_to.is_some() || !many);
         let mut commands = self.clears(host, now);
         let grace_s = 0.0;
-        commands.extend(host.strays.iter().map(|&(task, attempt)| Command::Stop {
-            task,
-            attempt,
-            grace_s,
-        }));
-        for (&task, booking) in &mut host.bookings {
-            let attempt = booking.attempt;
-            match (booking.stop, booking.phase) {
-                (Some(why), BookingPhase::Present) if !booking.saving => {
+        commands.extend(
+            host.unrecorded_attempts
+                .iter()
+                .map(|&(task, attempt)| Command::Stop {
+                    task,
+                    attempt,
+                    grace_s,
+                }),
+        );
+        for (&task, allocation) in &mut host.allocations {
+            let attempt = allocation.attempt;
+            match (allocation.stop_reason, allocation.phase) {
+                (Some(why), AllocationPhase::Observed) if !allocation.saving => {
                     if let Some(tick) = answer_to {
-                        booking.stop_told = tick;
+                        allocation.stop_sent_in_response_to = tick;
                     }
                     commands.push(Command::Stop {
                         task,
@@ -46,12 +50,12 @@
                         grace_s: self.grace_s(task, why),
                     });
                 }
-                (None, BookingPhase::Ordered)
-                    if booking.incarnation == host.incarnation && may_start =>
+                (None, AllocationPhase::Committed)
+                    if allocation.incarnation == host.incarnation && may_start =>
                 {
-                    booking.sent = true;
+                    allocation.run_sent = true;
                     if let Some(tick) = answer_to {
-                        booking.answered = tick;
+                        allocation.run_sent_in_response_to = tick;
                     }
                     commands.push(Command::Run { task, attempt });
                 }
@@ -64,20 +68,22 @@
     /// The ended attempts that the worker may forget: their outcome is written, and no `run` of them
     /// can come late.
     fn clears(&self, host: &Host, now: Time) -> Vec<Command> {
-        let crowded = host.leftovers.len() > MAX_KEPT;
+        let crowded = host.ended_attempts.len() > MAX_KEPT;
         let mut commands = Vec::new();
-        for (&(task, attempt), leftover) in &host.leftovers {
+        for (&(task, attempt), ended_attempt) in &host.ended_attempts {
             // Cleared too soon, a late copy of its `run` would start it anew.
-            if now < leftover.kept_until && !crowded {
+            if now < ended_attempt.retain_until && !crowded {
                 continue;
             }
             let job = self.jobs.get(&task.job);
             // Once its job is over in the records, nothing more is written of the task.
-            let over = job.is_none_or(|j| j.phase == JobPhase::GarbageCollected);
+            let over = job.is_none_or(|j| j.phase == JobPhase::GarbageCollecting);
             let chunk = job.and_then(|j| j.chunk(j.chunk_of(task.index)));
-            let written = over || chunk.is_none_or(|c| c.written >= leftover.change);
+            let written =
+                over || chunk.is_none_or(|c| c.written_change >= ended_attempt.record_change);
             let finishing = job.is_some_and(|j| j.phase == JobPhase::Finishing);
-            let fenced = host.token == self.term && !host.is_unanswered(task, attempt);
+            let fenced =
+                host.fencing_token == self.term && !host.is_run_unacknowledged(task, attempt);
             if written && !finishing && fenced {
                 commands.push(Command::Clear { task, attempt });
             }
@@ -86,25 +92,25 @@
     }
 
     /// How long a task that is stopped may take to save its progress.
-    fn grace_s(&self, task: TaskId, why: StopWhy) -> f64 {
+    fn grace_s(&self, task: TaskId, why: StopReason) -> f64 {
         let spec = self.jobs.get(&task.job).and_then(|j| j.spec.as_ref());
-        let saves = why != StopWhy::Cancelled;
+        let saves = why != StopReason::Cancelled;
         spec.filter(|s| saves && s.checkpoint_s.0 > 0.0)
             .map_or(0.0, |s| s.save_s.0 * SAVE_FACTOR + SAVE_MARGIN_S)
     }
 
     /// Sends a worker its commands directly, so that a start need not wait for the next report.
     pub(super) fn command(&mut self, host: &mut Host, now: Time) {
-        let fresh = now.since(host.heard_at) <= self.rules.report.mul_f64(1.6);
+        let fresh = now.since(host.last_heartbeat_at) <= self.policy.report.mul_f64(1.6);
         let ready = host.lifecycle == HostLifecycle::Up
             && fresh
-            && !host.commanding
+            && !host.command_in_flight
             && host.reachability == Reachability::Confirmed;
         let (true, Some(to)) = (ready, host.address) else {
             return;
         };
-        if self.commanding >= self.rules.commands {
-            self.to_command.push_back(host.name.clone());
+        if self.commands_in_flight >= self.policy.commands {
+            self.hosts_to_command.push_back(host.name.clone());
             return;
         }
         let mut commands = self.commands(host, None, now);
@@ -112,16 +118,19 @@
         if commands.is_empty() {
             return;
         }
-        self.commanding += 1;
+        self.commands_in_flight += 1;
         for command in &commands {
             if let Command::Run { task, attempt } = command {
-                *host.unanswered.entry((*task, *attempt)).or_default() += 1;
-                if let Some(booking) = host.bookings.get_mut(task) {
-                    booking.direct = true;
+                *host
+                    .unacknowledged_runs
+                    .entry((*task, *attempt))
+                    .or_default() += 1;
+                if let Some(allocation) = host.allocations.get_mut(task) {
+                    allocation.run_sent_directly = true;
                 }
             }
         }
-        host.commanding = true;
+        host.command_in_flight = true;
         let (host, incarnation) = (host.name.clone(), host.incarnation);
         self.actions.push(Action::SendCommands {
             host,
@@ -132,18 +141,18 @@
     }
 
     /// Takes in what became of a direct command.
-    pub fn on_commanded(
+    pub fn on_command_result(
         &mut self,
         name: &HostName,
         incarnation: Incarnation,
         commands: &[Command],
         result: CommandResult,
         now: Time,
-    ) -> Result<(), Deposed> {
+    ) -> Result<(), LeadershipLost> {
         if commands.is_empty() {
-            self.probing = self.probing.saturating_sub(1);
+            self.probes_in_flight = self.probes_in_flight.saturating_sub(1);
         } else {
-            self.commanding = self.commanding.saturating_sub(1);
+            self.commands_in_flight = self.commands_in_flight.saturating_sub(1);
         }
         let taken_in = self.commanded(name, incarnation, commands, result, now);
         self.command_next(now);
@@ -152,8 +161,8 @@
 
     /// Commands that waited for others to end go out, in their command.
     fn command_next(&mut self, now: Time) {
-        while self.commanding < self.rules.commands {
-            let Some(name) = self.to_command.pop_front() else {
+        while self.commands_in_flight < self.policy.commands {
+            let Some(name) = self.hosts_to_command.pop_front() else {
                 return;
             };
             if let Some(mut host) = self.hosts.remove(&name) {
@@ -170,28 +179,30 @@
         commands: &[Command],
         result: CommandResult,
         now: Time,
-    ) -> Result<(), Deposed> {
+    ) -> Result<(), LeadershipLost> {
         let Some(host) = self.hosts.get_mut(name) else {
             return Ok(());
         };
-        host.commanding = false;
-        let lost = matches!(result, CommandResult::Lost);
+        host.command_in_flight = false;
+        let lost = matches!(result, CommandResult::NoResponse);
         if host.incarnation == incarnation && !lost {
             for command in commands {
                 if let Command::Run { task, attempt } = command {
-                    host.answered(*task, *attempt);
+                    host.on_run_acknowledged(*task, *attempt);
                 }
             }
         }
         match result {
-            CommandResult::WorkerHeartbeat(report) => {
+            CommandResult::Heartbeat(report) => {
                 self.take_in(&report, false, now)?;
             }
             // A silent machine is silent to probes too, which says nothing new.
-            CommandResult::NotSent | CommandResult::Lost if host.lifecycle == HostLifecycle::Up => {
-                host.ignored(now);
+            CommandResult::NotSent | CommandResult::NoResponse
+                if host.lifecycle == HostLifecycle::Up =>
+            {
+                host.command_had_no_effect(now);
             }
-            CommandResult::NotSent | CommandResult::Lost | CommandResult::HeldBack => {}
+            CommandResult::NotSent | CommandResult::NoResponse | CommandResult::NotAttempted => {}
         }
         Ok(())
     }
--- a/src/coordination/failure_detector.rs
+++ b/src/coordination/failure_detector.rs
@@ -3,9 +3,9 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use super::hosts::{Cordon, Host, HostLifecycle, Reachability, StopWhy};
+use super::hosts::{CordonReason, Host, HostLifecycle, Reachability, StopReason};
 use super::zones::LATE_FACTOR;
-use super::{Action, Controller};
+use super::{Action, Leader};
 use crate::protocol::cloud::MAX_RELEASE_COUNT;
 use crate::types::{seconds, HostName, Time};
 
@@ -31,7 +31,7 @@
     report.mul_f64(LATEST_REPORT) + LONGEST_RETRY
 }
 
-impl Controller {
+impl Leader {
     pub(super) fn watch_hosts(&mut self, now: Time, may_act: bool) {
         self.note_silence(now);
         self.observe_zones(now);
@@ -47,29 +47,29 @@
                 tracing::info!(
                     "{name}: given up, {:?}, {} booked",
                     host.lifecycle,
-                    host.bookings.len()
+                    host.allocations.len()
                 );
                 host.cordon(why);
-                host.enter(HostLifecycle::Releasing);
-                self.fleet.release(name);
+                host.set_lifecycle(HostLifecycle::Releasing);
+                self.autoscaler.release(name);
             }
         }
     }
 
-    fn hosts_to_give_up(&mut self, now: Time) -> Vec<(HostName, Cordon)> {
+    fn hosts_to_give_up(&mut self, now: Time) -> Vec<(HostName, CordonReason)> {
         let displaced = self.displaced_hosts(now);
-        let mut give_up: Vec<(HostName, Cordon)> = displaced
+        let mut give_up: Vec<(HostName, CordonReason)> = displaced
             .into_iter()
-            .map(|name| (name, Cordon::Lost))
+            .map(|name| (name, CordonReason::Lost))
             .collect();
         for host in self.hosts.values() {
             if host.lifecycle == HostLifecycle::Releasing {
                 continue;
             }
             if self.host_is_lost(host, now) || self.holds_a_cancelled_task(host, now) {
-                give_up.push((host.name.clone(), Cordon::Lost));
-            } else if host.cordon == Some(Cordon::Sick) {
-                give_up.push((host.name.clone(), Cordon::Sick));
+                give_up.push((host.name.clone(), CordonReason::Lost));
+            } else if host.cordon == Some(CordonReason::Faulty) {
+                give_up.push((host.name.clone(), CordonReason::Faulty));
             }
         }
         give_up
@@ -79,13 +79,16 @@
     /// past the limit while the others are merely late: all that missed a report count, or each would be
     /// given up alone, one after the other.
     fn silence_by_zone(&self, now: Time) -> BTreeMap<String, (usize, usize)> {
-        let late = self.rules.report.mul_f64(LATE_FACTOR);
+        let late = self.policy.report.mul_f64(LATE_FACTOR);
         let mut by_zone: BTreeMap<String, (usize, usize)> = BTreeMap::new();
         let mut everywhere = (0, 0);
         for host in self.hosts.values() {
-            if matches!(host.lifecycle, HostLifecycle::Up | HostLifecycle::Silent) {
+            if matches!(
+                host.lifecycle,
+                HostLifecycle::Up | HostLifecycle::Unresponsive
+            ) {
                 let deaf = matches!(host.reachability, Reachability::HalfOpen { .. });
-                let gone = usize::from(deaf || now.since(host.heard_at) > late);
+                let gone = usize::from(deaf || now.since(host.last_heartbeat_at) > late);
                 let (silent, all) = by_zone.entry(host.zone.clone()).or_default();
                 *all += 1;
                 *silent += gone;
@@ -103,7 +106,7 @@
     fn note_cut_zones(&mut self, now: Time) {
         for (zone, (silent, all)) in self.silence_by_zone(now) {
             if silent >= FEW_MACHINES && silent * 2 > all {
-                self.cut_zones.insert(zone, now);
+                self.partitioned_zones.insert(zone, now);
             }
         }
     }
@@ -111,8 +114,8 @@
     /// Whether most machines of the zone are silent, or were until so short a while ago that the others
     /// have had no time to report.
     fn is_cut_off(&self, zone: &str, now: Time) -> bool {
-        let settling_time = longest_report_delay(self.rules.report);
-        let seen_at = self.cut_zones.get(zone);
+        let settling_time = longest_report_delay(self.policy.report);
+        let seen_at = self.partitioned_zones.get(zone);
         seen_at.is_some_and(|at| now.since(*at) < settling_time)
     }
 
@@ -120,9 +123,9 @@
         let limits = self.hosts.values().map(|host| self.silence_limit(host));
         let limits: Vec<Duration> = limits.collect();
         for (host, limit) in self.hosts.values_mut().zip(limits) {
-            if host.lifecycle == HostLifecycle::Up && now.since(host.heard_at) > limit {
+            if host.lifecycle == HostLifecycle::Up && now.since(host.last_heartbeat_at) > limit {
                 tracing::info!("{}: silent", host.name);
-                host.enter(HostLifecycle::Silent);
+                host.set_lifecycle(HostLifecycle::Unresponsive);
             }
         }
     }
@@ -130,9 +133,9 @@
     /// How long a machine may be silent before it is given up. Replicas are missed at every moment:
     /// one that holds some is given up as soon as a healthy worker would have been heard.
     fn silence_limit(&self, host: &Host) -> Duration {
-        let usual = self.rules.silent_limit();
+        let usual = self.policy.silent_limit();
         if self.holds_replicas(host) {
-            usual.min(longest_report_delay(self.rules.report))
+            usual.min(longest_report_delay(self.policy.report))
         } else {
             usual
         }
@@ -141,15 +144,15 @@
     /// Cancelled work whose time is nearly up goes with its machine, whether or not this leader has
     /// its lease: in an outage nobody else could do it.
     fn remove_overdue(&mut self, now: Time) {
-        let limit = self.rules.cancel.mul_f64(OVERDUE_PART);
+        let limit = self.policy.cancel.mul_f64(OVERDUE_PART);
         let overdue = |host: &&Host| {
             let asked = host
-                .removed_at
+                .force_released_at
                 .is_some_and(|at| now.since(at) < REMOVE_AGAIN);
             !asked
-                && host.bookings.iter().any(|(task, booking)| {
+                && host.allocations.iter().any(|(task, allocation)| {
                     let cancelled_at = self.jobs.get(&task.job).and_then(|j| j.cancelled_at);
-                    booking.stop == Some(StopWhy::Cancelled)
+                    allocation.stop_reason == Some(StopReason::Cancelled)
                         && cancelled_at.is_some_and(|at| now.since(at) > limit)
                 })
         };
@@ -158,13 +161,13 @@
         for name in &names {
             if let Some(host) = self.hosts.get_mut(name) {
                 tracing::info!("{name}: holds cancelled work for too long, returned");
-                host.cordon(Cordon::Lost);
-                host.enter(HostLifecycle::Releasing);
-                host.removed_at = Some(now);
+                host.cordon(CordonReason::Lost);
+                host.set_lifecycle(HostLifecycle::Releasing);
+                host.force_released_at = Some(now);
             }
         }
         for names in names.chunks(MAX_RELEASE_COUNT) {
-            self.actions.push(Action::Remove(names.to_vec()));
+            self.actions.push(Action::ForceRelease(names.to_vec()));
         }
     }
 
@@ -172,27 +175,27 @@
     /// latter may still report to an earlier leader that is cut off with them; the command carries
     /// our token, and from then on they drop the answers of the other, who learns of it from them.
     fn probe(&mut self, now: Time) {
-        let patience = self.rules.report.mul_f64(1.5);
+        let patience = self.policy.report.mul_f64(1.5);
         for host in self.hosts.values_mut() {
-            if self.probing >= self.rules.probes {
+            if self.probes_in_flight >= self.policy.probes {
                 return;
             }
             let wanted = match host.lifecycle {
                 HostLifecycle::Up => host.reachability != Reachability::Confirmed,
-                HostLifecycle::Silent => now.since(host.heard_at) > patience,
+                HostLifecycle::Unresponsive => now.since(host.last_heartbeat_at) > patience,
                 HostLifecycle::Expected => host
-                    .running_since
+                    .listed_running_since
                     .is_some_and(|at| now.since(at) > patience),
                 HostLifecycle::Releasing => false,
             };
-            let due = wanted && now >= host.probe_at && !host.commanding;
+            let due = wanted && now >= host.next_probe_at && !host.command_in_flight;
             let (true, Some(to)) = (due, host.address) else {
                 continue;
             };
-            host.probe_at = now.after(self.rules.report * 2);
-            host.commanding = true;
-            self.probing += 1;
-            let incarnation = host.incarnation.max(host.unfenced.0);
+            host.next_probe_at = now.after(self.policy.report * 2);
+            host.command_in_flight = true;
+            self.probes_in_flight += 1;
+            let incarnation = host.incarnation.max(host.last_unfenced.0);
             let host = host.name.clone();
             self.actions.push(Action::SendCommands {
                 host,
@@ -205,40 +208,42 @@
 
     fn host_is_lost(&self, host: &Host, now: Time) -> bool {
         let limit = self.silence_limit(host);
-        let silent_for = now.since(host.heard_at);
+        let silent_for = now.since(host.last_heartbeat_at);
         // What is cut off comes back, later.
         let machines_cut = self.is_cut_off(&host.zone, now);
-        let cut = machines_cut || self.unheard_zones.contains(&host.zone);
-        let taken = host.gone_by.is_some_and(|by| now.since(by) > TAKEN_AFTER);
+        let cut = machines_cut || self.zones_without_reachable_peer.contains(&host.zone);
+        let taken = host
+            .reclaim_at
+            .is_some_and(|by| now.since(by) > TAKEN_AFTER);
         match (host.lifecycle, host.reachability) {
             // The cloud has taken it, as it said it would.
-            (HostLifecycle::Up | HostLifecycle::Silent, _)
-                if taken && host.gone_by > Some(host.heard_at) =>
+            (HostLifecycle::Up | HostLifecycle::Unresponsive, _)
+                if taken && host.reclaim_at > Some(host.last_heartbeat_at) =>
             {
                 true
             }
             // No longer in the list, and silent for longer than reports take.
-            (HostLifecycle::Up | HostLifecycle::Silent, _) if host.unlisted => {
-                silent_for > self.rules.report.mul_f64(1.3)
+            (HostLifecycle::Up | HostLifecycle::Unresponsive, _) if host.missing_from_list => {
+                silent_for > self.policy.report.mul_f64(1.3)
             }
             _ if self.zone_explains_silence(host) => false,
-            (HostLifecycle::Silent, _) => {
-                silent_for > if cut { self.rules.lease * 3 } else { limit }
+            (HostLifecycle::Unresponsive, _) => {
+                silent_for > if cut { self.policy.lease * 3 } else { limit }
             }
             // Its tasks end with its lease, unless it hears again before.
             (HostLifecycle::Up, Reachability::HalfOpen { since }) => {
                 let patience = if cut { 3 } else { 1 };
-                now.since(since) > self.rules.lease * patience + limit
+                now.since(since) > self.policy.lease * patience + limit
             }
             (HostLifecycle::Expected, _) => {
                 // A new leader finds machines that are long up: they get their time to report. In a
                 // cut zone none of them can, nor can one that came up meanwhile.
                 let patience = if machines_cut {
-                    self.rules.lease * 3
+                    self.policy.lease * 3
                 } else {
                     limit
                 };
-                now.since(host.known_at) > patience && self.is_up_or_overdue(host, now)
+                now.since(host.first_seen_at) > patience && self.is_up_or_overdue(host, now)
             }
             (HostLifecycle::Up | HostLifecycle::Releasing, _) => false,
         }
@@ -250,23 +255,26 @@
         if host.lifecycle != HostLifecycle::Expected {
             return true;
         }
-        let kind = host.kind.and_then(|k| self.types.get(k));
+        let kind = host.type_index.and_then(|k| self.types.get(k));
         let boot = kind.map_or(UNKNOWN_BOOT_S, |t| t.boot_s.0);
-        let overdue = now.since(host.rented_at) > seconds(boot * self.rules.tuning.boot_patience);
+        let overdue =
+            now.since(host.provisioned_at) > seconds(boot * self.policy.tuning.boot_patience);
         let limit = self.silence_limit(host);
-        let said_running = host.running_since.is_some_and(|at| now.since(at) > limit);
+        let said_running = host
+            .listed_running_since
+            .is_some_and(|at| now.since(at) > limit);
         overdue || said_running
     }
 
     /// A cancelled job's task sits on a machine that doesn't answer, and the time runs out.
     fn holds_a_cancelled_task(&self, host: &Host, now: Time) -> bool {
-        let heard = now.since(host.heard_at) <= self.rules.report * 2
+        let heard = now.since(host.last_heartbeat_at) <= self.policy.report * 2
             && host.reachability == Reachability::Confirmed;
-        host.bookings.iter().any(|(task, booking)| {
+        host.allocations.iter().any(|(task, allocation)| {
             let cancelled_at = self.jobs.get(&task.job).and_then(|j| j.cancelled_at);
             let share = if heard { 0.55 } else { 0.25 };
-            booking.stop == Some(StopWhy::Cancelled)
-                && cancelled_at.is_some_and(|at| now.since(at) > self.rules.cancel.mul_f64(share))
+            allocation.stop_reason == Some(StopReason::Cancelled)
+                && cancelled_at.is_some_and(|at| now.since(at) > self.policy.cancel.mul_f64(share))
         })
     }
 }
--- a/src/coordination/fleet.rs
+++ b/src/coordination/fleet.rs
@@ -3,22 +3,31 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
 
-use super::hosts::{Cordon, Host, HostLifecycle};
-use super::{Action, Controller};
+use super::hosts::{CordonReason, Host, HostLifecycle};
+use super::{Action, Leader};
 use crate::protocol::cloud::{
     ListedHost, ListedHostState, ProvisionRequest, MAX_PROVISION_COUNT, MAX_RELEASE_COUNT,
 };
 use crate::protocol::users::JobSpec;
 use crate::types::{HostName, Term, Time};
 
-/// A type, a zone, and whether it is a spot machine.
-pub type Market = (usize, String, bool);
+/// A pool that machines are provisioned from: a machine type in a zone, spot or on-demand. Each has a
+/// capacity of its own, which the cloud does not publish.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct CapacityPool {
+    /// Index of the machine type.
+    pub type_index: usize,
+    /// Zone in which the machines are.
+    pub zone: String,
+    /// Spot machines rather than on-demand ones.
+    pub spot: bool,
+}
 
 /// What became of a request to rent machines.
 #[derive(Debug, PartialEq)]
-pub enum RentalResult {
+pub enum ProvisionResult {
     /// These were rented.
-    Rented(Vec<HostName>),
+    Provisioned(Vec<HostName>),
     /// The cloud has none of that type, zone and kind.
     NoCapacity,
     /// Surely not carried out.
@@ -30,19 +39,19 @@
 #[derive(Debug)]
 pub(super) struct OpenRental {
     pub(super) rental: ProvisionRequest,
-    pub(super) market: Market,
+    pub(super) pool: CapacityPool,
     at: Time,
     retry_at: Option<Time>,
 }
 
 /// What is rented and returned, and the demand that decides it.
 #[derive(Debug)]
-pub struct Fleet {
+pub struct Autoscaler {
     term: Term,
     counter: u64,
     pub(super) rentals: BTreeMap<String, OpenRental>,
     /// Markets that had nothing to give, until when they are left alone.
-    pub(super) closed: BTreeMap<Market, Time>,
+    pub(super) closed: BTreeMap<CapacityPool, Time>,
     to_release: VecDeque<HostName>,
     releasing: BTreeSet<HostName>,
     release_at: Time,
@@ -90,10 +99,10 @@
 const CLOSED_FOR: Duration = Duration::from_secs(15);
 const RETRY_AFTER: Duration = Duration::from_secs(2);
 
-impl Fleet {
+impl Autoscaler {
     /// The fleet of a new leader.
-    pub fn new(term: Term) -> Fleet {
-        Fleet {
+    pub fn new(term: Term) -> Autoscaler {
+        Autoscaler {
             term,
             counter: 0,
             rentals: BTreeMap::new(),
@@ -153,18 +162,18 @@
     spec: Box<JobSpec>,
 }
 
-impl Controller {
+impl Leader {
     pub(super) fn run_fleet(&mut self, now: Time) {
         self.send_releases(now);
         self.repeat_rentals(now);
-        if now < self.fleet.look_at {
+        if now < self.autoscaler.look_at {
             return;
         }
         let pause = LOOK_EVERY + LOOK_PER_HOST * self.hosts.len() as u32;
-        self.fleet.look_at = now.after(pause);
+        self.autoscaler.look_at = now.after(pause);
         let scarce = self.scarce_types();
         let kinds = scarce.iter().enumerate();
-        self.fleet
+        self.autoscaler
             .scarce
             .extend(kinds.filter(|(_, s)| **s).map(|(kind, _)| kind));
         self.cordon_surplus(&scarce, now);
@@ -174,104 +183,114 @@
     }
 
     fn send_releases(&mut self, now: Time) {
-        if self.fleet.to_release.is_empty() || now < self.fleet.release_at {
+        if self.autoscaler.to_release.is_empty() || now < self.autoscaler.release_at {
             return;
         }
-        let count = self.fleet.to_release.len().min(MAX_RELEASE_COUNT);
-        let names: Vec<HostName> = self.fleet.to_release.drain(..count).collect();
-        self.fleet.releasing.extend(names.iter().cloned());
-        self.actions.push(Action::Release(names));
+        let count = self.autoscaler.to_release.len().min(MAX_RELEASE_COUNT);
+        let names: Vec<HostName> = self.autoscaler.to_release.drain(..count).collect();
+        self.autoscaler.releasing.extend(names.iter().cloned());
+        self.actions.push(Action::ScaleIn(names));
     }
 
     /// Takes in the answer to a return of machines.
-    pub fn on_released(&mut self, names: &[HostName], confirmed: bool, now: Time) {
+    pub fn on_release_result(&mut self, names: &[HostName], confirmed: bool, now: Time) {
         for name in names {
-            self.fleet.releasing.remove(name);
+            self.autoscaler.releasing.remove(name);
         }
         if confirmed {
             tracing::info!("returned {} machines", names.len());
-            self.on_gone(names, now);
+            self.on_hosts_gone(names, now);
         } else {
             // Perhaps it was carried out; repeating it does no harm.
-            self.fleet.to_release.extend(names.iter().cloned());
-            self.fleet.release_at = now.after(RETRY_AFTER);
+            self.autoscaler.to_release.extend(names.iter().cloned());
+            self.autoscaler.release_at = now.after(RETRY_AFTER);
         }
     }
 
     fn repeat_rentals(&mut self, now: Time) {
-        for open in self.fleet.rentals.values_mut() {
+        for open in self.autoscaler.rentals.values_mut() {
             if open.retry_at.is_some_and(|at| now >= at) {
                 open.retry_at = None;
-                self.actions.push(Action::Rent(open.rental.clone()));
+                self.actions.push(Action::ScaleOut(open.rental.clone()));
             }
         }
     }
 
     /// Takes in the answer to a request to rent machines.
-    pub fn on_rented(&mut self, request: &str, result: RentalResult, now: Time) {
-        let Some(mut open) = self.fleet.rentals.remove(request) else {
+    pub fn on_provision_result(&mut self, request: &str, result: ProvisionResult, now: Time) {
+        let Some(mut open) = self.autoscaler.rentals.remove(request) else {
             return;
         };
         match result {
-            RentalResult::Rented(names) => {
-                let (kind, zone, spot) = open.market.clone();
-                tracing::info!(
-                    "rented {} of {}, {zone}, spot {spot}",
-                    names.len(),
-                    open.rental.machine_type
-                );
-                if (names.len() as u64) < open.rental.count {
-                    self.fleet.closed.insert(open.market, now.after(CLOSED_FOR));
-                } else if !self.is_closed(&open.market, now) {
-                    self.fleet.closed.remove(&open.market);
-                }
-                for name in names {
-                    if self.released.contains_key(&name) {
-                        continue;
-                    }
-                    let host = self
-                        .hosts
-                        .entry(name.clone())
-                        .or_insert_with(|| Host::new(name, now));
-                    host.kind = Some(kind);
-                    host.zone = zone.clone();
-                    host.spot = spot;
-                    host.rented_at = open.at;
-                }
-            }
-            RentalResult::NoCapacity => {
+            ProvisionResult::Provisioned(names) => self.on_provisioned(open, names, now),
+            ProvisionResult::NoCapacity => {
                 tracing::info!(
                     "no capacity: {}, {}, spot {}",
                     open.rental.machine_type,
-                    open.market.1,
-                    open.market.2
+                    open.pool.zone,
+                    open.pool.spot
                 );
-                self.fleet.closed.insert(open.market, now.after(CLOSED_FOR));
+                self.autoscaler
+                    .closed
+                    .insert(open.pool, now.after(CLOSED_FOR));
             }
-            RentalResult::Refused => {
-                self.fleet
+            ProvisionResult::Refused => {
+                self.autoscaler
                     .closed
-                    .insert(open.market, now.after(RETRY_AFTER));
+                    .insert(open.pool, now.after(RETRY_AFTER));
             }
-            RentalResult::Unknown => {
+            ProvisionResult::Unknown => {
                 open.retry_at = Some(now.after(RETRY_AFTER));
-                self.fleet.rentals.insert(request.to_owned(), open);
+                self.autoscaler.rentals.insert(request.to_owned(), open);
+            }
+        }
+    }
+
+    fn on_provisioned(&mut self, open: OpenRental, names: Vec<HostName>, now: Time) {
+        let CapacityPool {
+            type_index,
+            zone,
+            spot,
+        } = open.pool.clone();
+        tracing::info!(
+            "rented {} of {}, {zone}, spot {spot}",
+            names.len(),
+            open.rental.machine_type
+        );
+        if (names.len() as u64) < open.rental.count {
+            self.autoscaler
+                .closed
+                .insert(open.pool, now.after(CLOSED_FOR));
+        } else if !self.is_closed(&open.pool, now) {
+            self.autoscaler.closed.remove(&open.pool);
+        }
+        for name in names {
+            if self.released_hosts.contains_key(&name) {
+                continue;
             }
+            let host = self
+                .hosts
+                .entry(name.clone())
+                .or_insert_with(|| Host::new(name, now));
+            host.type_index = Some(type_index);
+            host.zone = zone.clone();
+            host.spot = spot;
+            host.provisioned_at = open.at;
         }
     }
 
     /// The cloud's list, whole. It lags: what it lacks proves nothing.
-    pub fn on_listed(&mut self, listed: &[ListedHost], now: Time) {
+    pub fn on_host_list(&mut self, listed: &[ListedHost], now: Time) {
         let names: BTreeSet<&HostName> = listed.iter().map(|item| &item.name).collect();
         for host in self.hosts.values_mut() {
             // Once listed, a machine stays listed until it is gone; only a list from before its
-            // time could lack it, and that can't be any more. It is not proof for its bookings, but
+            // time could lack it, and that can't be any more. It is not proof for its allocations, but
             // the cloud's word when it is released is.
-            let long_known = now.since(host.rented_at) > self.rules.list_lag * 2;
-            host.unlisted = host.listed && long_known && !names.contains(&host.name);
+            let long_known = now.since(host.provisioned_at) > self.policy.list_lag * 2;
+            host.missing_from_list = host.was_listed && long_known && !names.contains(&host.name);
         }
         for item in listed {
-            if self.released.contains_key(&item.name) {
+            if self.released_hosts.contains_key(&item.name) {
                 continue;
             }
             let name = item.name.clone();
@@ -279,30 +298,30 @@
             let host = self.hosts.entry(name.clone()).or_insert_with(|| {
                 tracing::info!("{name}: found in the list");
                 let mut host = Host::new(name.clone(), now);
-                host.rented_at = Time(
+                host.provisioned_at = Time(
                     now.0
                         .saturating_sub((item.age_s.0.max(0.0) * 1000.0) as u64),
                 );
                 host
             });
-            host.kind = host.kind.or(kind);
+            host.type_index = host.type_index.or(kind);
             if host.zone.is_empty() {
                 host.zone = item.zone.clone();
                 host.spot = item.spot;
             }
-            host.listed = true;
+            host.was_listed = true;
             if host.address.is_none() {
                 host.address = item.address.parse().ok();
             }
             match item.state {
                 ListedHostState::Running => {
-                    host.running_since.get_or_insert(now);
+                    host.listed_running_since.get_or_insert(now);
                 }
                 ListedHostState::Failed if host.lifecycle != HostLifecycle::Releasing => {
                     tracing::info!("{name}: failed, says the cloud");
-                    host.cordon(Cordon::Lost);
-                    host.enter(HostLifecycle::Releasing);
-                    self.fleet.release(name);
+                    host.cordon(CordonReason::Lost);
+                    host.set_lifecycle(HostLifecycle::Releasing);
+                    self.autoscaler.release(name);
                 }
                 ListedHostState::Failed | ListedHostState::Starting | ListedHostState::Other => {}
             }
@@ -310,33 +329,33 @@
     }
 
     /// Asks the cloud for machines, in requests of what one may hold.
-    pub(super) fn order(&mut self, market: Market, count: u64, now: Time) {
+    pub(super) fn order(&mut self, pool: CapacityPool, count: u64, now: Time) {
         let mut count = self.within_rental_budget(count, now);
         while count > 0 {
             let part = count.min(MAX_PROVISION_COUNT);
             count -= part;
-            self.fleet.counter += 1;
-            let request = format!("r-{}-{}", self.fleet.term, self.fleet.counter);
+            self.autoscaler.counter += 1;
+            let request = format!("r-{}-{}", self.autoscaler.term, self.autoscaler.counter);
             let rental = ProvisionRequest {
                 name: request.clone(),
-                machine_type: self.types[market.0].name.clone(),
-                zone: market.1.clone(),
-                spot: market.2,
+                machine_type: self.types[pool.type_index].name.clone(),
+                zone: pool.zone.clone(),
+                spot: pool.spot,
                 count: part,
             };
             let open = OpenRental {
                 rental: rental.clone(),
-                market: market.clone(),
+                pool: pool.clone(),
                 at: now,
                 retry_at: None,
             };
-            self.fleet.rentals.insert(request, open);
-            self.actions.push(Action::Rent(rental));
+            self.autoscaler.rentals.insert(request, open);
+            self.actions.push(Action::ScaleOut(rental));
         }
     }
 
-    pub(super) fn is_closed(&self, market: &Market, now: Time) -> bool {
-        let closed = self.fleet.closed.get(market);
-        closed.is_some_and(|until| now < *until) || !self.may_rent_in(&market.1)
+    pub(super) fn is_closed(&self, pool: &CapacityPool, now: Time) -> bool {
+        let closed = self.autoscaler.closed.get(pool);
+        closed.is_some_and(|until| now < *until) || !self.may_rent_in(&pool.zone)
     }
 }
--- a/src/coordination/forecast.rs
+++ b/src/coordination/forecast.rs
@@ -3,19 +3,19 @@
 
 use std::collections::BTreeMap;
 
-use super::fleet::{Market, ARRIVALS_FOR};
+use super::fleet::{CapacityPool, ARRIVALS_FOR};
 use super::markets::{Outlook, MARGIN_S};
 use super::resources::Resources;
 use super::scoring;
 use super::timeline::{Starts, Timeline};
-use super::Controller;
+use super::Leader;
 use crate::protocol::cloud::MAX_PROVISION_COUNT;
 use crate::protocol::users::JobSpec;
 use crate::types::Time;
 
 /// Tasks that one forecast looks at.
 const MAX_FORECAST: u32 = 8000;
-/// Machines that one forecast may ask of a market; they go out in requests of [`MAX_PROVISION_COUNT`].
+/// Machines that one forecast may ask of a pool; they go out in requests of [`MAX_PROVISION_COUNT`].
 const MAX_WANTED: u64 = 400;
 /// How much of what came is chance: of as many jobs of a class this many standard deviations may
 /// stay away the next time, and are not rented for. Where few come, little is sure.
@@ -44,7 +44,7 @@
 struct Forecast {
     timelines: Vec<Timeline>,
     /// Machines that have to be rented.
-    wanted: BTreeMap<Market, u64>,
+    wanted: BTreeMap<CapacityPool, u64>,
     /// Tasks looked at so far.
     tasks: u32,
     now: Time,
@@ -76,16 +76,16 @@
         started
     }
 
-    /// Counts one more machine of that market, unless enough are wanted there.
-    fn may_want(&mut self, market: &Market, controller: &Controller) -> bool {
+    /// Counts one more machine of that pool, unless enough are wanted there.
+    fn may_want(&mut self, pool: &CapacityPool, controller: &Leader) -> bool {
         // Where there was nothing lately, one request is enough to ask again.
-        let doubtful = controller.fleet.closed.contains_key(market);
+        let doubtful = controller.autoscaler.closed.contains_key(pool);
         let most = if doubtful {
             MAX_PROVISION_COUNT
         } else {
             MAX_WANTED
         };
-        let wanted = self.wanted.entry(market.clone()).or_default();
+        let wanted = self.wanted.entry(pool.clone()).or_default();
         let may = *wanted < most;
         if may {
             *wanted += 1;
@@ -107,12 +107,12 @@
     overflow_ready: f64,
 }
 
-impl Controller {
+impl Leader {
     /// Rents what waiting work needs beyond the machines that are here or coming. A forecast tells
     /// when each waiting task would start on those; only where that is too late, and a new machine
     /// would be sooner, one is rented.
     pub(super) fn rent(&mut self, scarce: &[bool], now: Time) {
-        let coming = self.fleet.coming(now);
+        let coming = self.autoscaler.coming(now);
         let mut works = self.waiting_work(now);
         let waiting_now: u64 = works.iter().map(|w| w.tasks).sum();
         works.extend(self.all_work_to_come(&coming, scarce));
@@ -139,8 +139,8 @@
             timelines.len(),
             wanted.values().sum::<u64>()
         );
-        for (market, count) in wanted {
-            self.order(market, count, now);
+        for (pool, count) in wanted {
+            self.order(pool, count, now);
         }
     }
 
@@ -152,14 +152,14 @@
                 continue;
             };
             let Some(spec) = &job.spec else { continue };
-            if now < job.not_before || job.suspect() {
+            if now < job.retry_not_before || job.fails_everywhere() {
                 continue;
             }
             works.push(Work {
                 spec,
                 run: self.expected_run(job),
                 due: job.due_ms().map(|due| (due - self.day_ms as f64) / 1000.0),
-                tasks: u64::from(job.placeable()).min(self.team_room(job)),
+                tasks: u64::from(job.schedulable_count()).min(self.team_room(job)),
                 from: 0.0,
                 to_come: false,
             });
@@ -241,10 +241,10 @@
             starts.take(&mut forecast.timelines, from, run, &options.need);
             return true;
         }
-        let market = self.market_for(work, start, left, options, forecast);
-        match market {
-            Some(market) if forecast.may_want(&market, self) => {
-                self.add_rented(market, work, options, forecast);
+        let pool = self.pool_for(work, start, left, options, forecast);
+        match pool {
+            Some(pool) if forecast.may_want(&pool, self) => {
+                self.add_rented(pool, work, options, forecast);
                 true
             }
             _ => {
@@ -256,14 +256,14 @@
 
     /// Where a machine is to be rented for a task that would start then on those there are, if
     /// anywhere.
-    fn market_for(
+    fn pool_for(
         &self,
         work: &Work,
         start: f64,
         left: u64,
         options: &Options,
         forecast: &Forecast,
-    ) -> Option<Market> {
+    ) -> Option<CapacityPool> {
         let hurried = options.overflow.as_ref();
         let hurried =
             hurried.filter(|_| !work.in_time(start) && work.in_time(options.overflow_ready));
@@ -283,17 +283,17 @@
     /// Counts a machine that is rented for the task, which starts on it.
     fn add_rented(
         &self,
-        market: Market,
+        pool: CapacityPool,
         work: &Work,
         options: &mut Options,
         forecast: &mut Forecast,
     ) {
-        let starts = if options.usable[market.0] {
+        let starts = if options.usable[pool.type_index] {
             &mut options.starts
         } else {
             &mut options.overflow_starts
         };
-        let mut timeline = self.new_timeline(market);
+        let mut timeline = self.new_timeline(pool);
         timeline.take(timeline.at.max(work.from), work.run, &options.need);
         forecast.timelines.push(timeline);
         let newest = forecast.timelines.len() - 1;
--- a/src/coordination/jobs/run_records.rs
+++ b/src/coordination/jobs/run_records.rs
@@ -3,8 +3,8 @@
 use super::*;
 
 impl Job {
-    /// Takes in a run record; returns the bookings it holds.
-    pub fn load(
+    /// Takes in a run record; returns the allocations it holds.
+    pub fn load_run_record(
         &mut self,
         number: u32,
         record: &RunRecord,
@@ -12,16 +12,16 @@
     ) -> Vec<(u32, Attempt, HostName, Incarnation)> {
         let at = number as usize;
         let chunks = self.chunks.iter().flatten();
-        let split = self.spec.is_none() && record.size != self.tasks_per_record;
+        let split = self.spec.is_none() && record.tasks_per_record != self.tasks_per_record;
         if split && chunks.count() > 0 || self.spec.is_some() && at >= self.chunks.len() {
             // Part of a split that was broken off: what it holds stands in the larger records too,
             // and those are in force.
             tracing::info!("{}: run record {number} is not in force", self.id);
-            self.beyond.insert(number, version);
+            self.abandoned_records.insert(number, version);
             return Vec::new();
         }
         if self.spec.is_none() {
-            self.tasks_per_record = record.size.max(1);
+            self.tasks_per_record = record.tasks_per_record.max(1);
         }
         if self.spec.is_none() && at >= self.chunks.len() && at < 100_000 {
             self.chunks.resize_with(at + 1, || None);
@@ -32,31 +32,31 @@
         }
         let tasks = task_states(record, self.chunk_length(number));
         let first = number * self.tasks_per_record;
-        let mut bookings = Vec::new();
+        let mut allocations = Vec::new();
         for (index, task) in (first..).zip(&tasks) {
             match task {
                 TaskState::Waiting { .. } => {
-                    self.retry.insert(index);
+                    self.retry_queue.insert(index);
                 }
-                TaskState::Booked {
+                TaskState::Allocated {
                     host,
                     attempt,
                     incarnation,
                 } => {
-                    self.booked += 1;
-                    bookings.push((index, *attempt, host.clone(), *incarnation));
+                    self.allocated_count += 1;
+                    allocations.push((index, *attempt, host.clone(), *incarnation));
                 }
-                TaskState::Done => self.done += 1,
+                TaskState::Done => self.done_count += 1,
             }
         }
         self.chunks[at] = Some(Box::new(Chunk::new(tasks, version, 0)));
-        bookings
+        allocations
     }
 
     /// After all run records are in: chunks without one hold untouched tasks.
-    pub fn loaded(&mut self) {
+    pub fn finish_loading(&mut self) {
         if self.phase != JobPhase::Active {
-            self.retry.clear();
+            self.retry_queue.clear();
             return;
         }
         // The untouched ones at the end stay a range; gaps before them are rare.
@@ -68,22 +68,23 @@
         for number in 0..tail as u32 {
             if self.chunks[number as usize].is_none() {
                 let first = number * self.tasks_per_record;
-                self.retry.extend(first..first + self.chunk_length(number));
+                self.retry_queue
+                    .extend(first..first + self.chunk_length(number));
             }
         }
-        self.fresh = (tail as u32 * self.tasks_per_record).min(self.total);
+        self.first_untouched = (tail as u32 * self.tasks_per_record).min(self.task_count);
     }
 
     /// A run record as it is to be written.
-    pub fn record(&self, number: u32) -> Option<RunRecord> {
+    pub fn run_record(&self, number: u32) -> Option<RunRecord> {
         let chunk = self.chunk(number)?;
         let mut record = RunRecord {
-            first: number * self.tasks_per_record,
-            size: self.tasks_per_record,
+            first_task: number * self.tasks_per_record,
+            tasks_per_record: self.tasks_per_record,
             team: self.team.clone(),
-            cpus: self.need.cpus,
-            gpus: self.need.gpus,
-            mem: self.need.memory_gb,
+            cpus: self.task_resources.cpus,
+            gpus: self.task_resources.gpus,
+            memory_gb: self.task_resources.memory_gb,
             ..RunRecord::default()
         };
         for (offset, task) in chunk.tasks.iter().enumerate() {
@@ -91,26 +92,26 @@
             match task {
                 TaskState::Waiting { last: Attempt(0) } => {}
                 TaskState::Waiting { last } => record.tried.push((offset, *last)),
-                TaskState::Booked {
+                TaskState::Allocated {
                     host,
                     attempt,
                     incarnation,
                 } => {
                     record
-                        .booked
+                        .allocations
                         .push((offset, *attempt, host.clone(), *incarnation));
                 }
-                TaskState::Done => match record.done.last_mut() {
+                TaskState::Done => match record.finished.last_mut() {
                     Some((first, count)) if *first + *count == offset => *count += 1,
-                    _ => record.done.push((offset, 1)),
+                    _ => record.finished.push((offset, 1)),
                 },
             }
         }
         if number == 0 && self.chunks.len() > 1 {
-            let booked = record.booked.len() as u64;
-            record.rest = (
-                u64::from(self.done) - record.done_count(),
-                u64::from(self.booked) - booked,
+            let booked = record.allocations.len() as u64;
+            record.other_records = (
+                u64::from(self.done_count) - record.done_count(),
+                u64::from(self.allocated_count) - booked,
             );
         }
         Some(record)
@@ -128,13 +129,13 @@
     for (offset, last) in &record.tried {
         set(*offset, TaskState::Waiting { last: *last });
     }
-    for (first, count) in &record.done {
+    for (first, count) in &record.finished {
         for offset in *first..first.saturating_add(*count).min(length) {
             set(offset, TaskState::Done);
         }
     }
-    for (offset, attempt, host, incarnation) in &record.booked {
-        let booked = TaskState::Booked {
+    for (offset, attempt, host, incarnation) in &record.allocations {
+        let booked = TaskState::Allocated {
             host: host.clone(),
             attempt: *attempt,
             incarnation: *incarnation,
--- a/src/coordination/leadership.rs
+++ b/src/coordination/leadership.rs
@@ -3,7 +3,7 @@
 
 use std::time::Duration;
 
-use crate::storage::records::{HolderRecord, TermRecord, HOLDER, TERM};
+use crate::storage::records::{LeaderRecord, TermRecord, LEADER_KEY, TERM_KEY};
 use crate::storage::store::Outcome;
 use crate::types::{LeaseId, Term, Time, Version};
 use lichencrank_store::{value, Change, Txn};
@@ -58,7 +58,7 @@
 pub enum LeadershipAction {
     /// Read the keys below `lead/`.
     Read,
-    /// StateRequest for a lease of that length.
+    /// Ask for a lease of that length.
     Grant(Duration),
     /// Send this claim.
     Claim(Txn),
@@ -83,7 +83,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Seen {
     /// The leader's key and its version, if it exists.
-    pub holder: Option<(HolderRecord, Version)>,
+    pub holder: Option<(LeaderRecord, Version)>,
     /// The highest term and its version.
     pub term: Option<(Term, Version)>,
 }
@@ -407,22 +407,24 @@
     }
 
     fn claim(&self, lease: LeaseId, term: Term, term_version: Version) -> Txn {
-        let holder = HolderRecord {
+        let holder = LeaderRecord {
             node: self.node.clone(),
             incarnation: self.incarnation,
             lease,
             term,
         };
         let mut txn = Txn::default();
-        txn.require(HOLDER.to_owned(), Version(0));
-        txn.require(TERM.to_owned(), term_version);
+        txn.require(LEADER_KEY.to_owned(), Version(0));
+        txn.require(TERM_KEY.to_owned(), term_version);
         txn.changes.push(Change::Put {
-            key: HOLDER.to_owned(),
+            key: LEADER_KEY.to_owned(),
             value: value(&holder),
             lease: Some(lease),
         });
-        txn.changes
-            .push(Change::put(TERM.to_owned(), value(&TermRecord { term })));
+        txn.changes.push(Change::put(
+            TERM_KEY.to_owned(),
+            value(&TermRecord { term }),
+        ));
         txn
     }
 }
--- a/src/coordination/markets.rs
+++ b/src/coordination/markets.rs
@@ -1,8 +1,8 @@
-//! Which market a machine is rented from, and whether that is worth its price.
+//! Which pool a machine is rented from, and whether that is worth its price.
 
-use super::fleet::Market;
+use super::fleet::CapacityPool;
 use super::scoring::{self, capacity};
-use super::Controller;
+use super::Leader;
 use crate::protocol::users::{JobSpec, Priority};
 use crate::types::Time;
 
@@ -31,23 +31,23 @@
     pub(super) left: u64,
 }
 
-impl Controller {
-    /// The market to rent from, if the task would start too late otherwise.
+impl Leader {
+    /// The pool to rent from, if the task would start too late otherwise.
     pub(super) fn worth_renting(
         &self,
         spec: &JobSpec,
         outlook: &Outlook,
         usable: &[bool],
         now: Time,
-    ) -> Option<Market> {
+    ) -> Option<CapacityPool> {
         let Outlook {
             start, run, due, ..
         } = *outlook;
         if due.is_some_and(|due| start + run * (1.0 + MARGIN_SHARE) + MARGIN_S <= due) {
             return None;
         }
-        let market = self.cheapest(spec, outlook, usable, now)?;
-        let ready = self.ready_after(spec, market.0);
+        let pool = self.cheapest(spec, outlook, usable, now)?;
+        let ready = self.ready_after(spec, pool.type_index);
         let in_time = due.is_some_and(|due| ready + run <= due);
         // Work that is late either way still has to be done, but without hurry.
         let gained = if in_time || spec.is_service() {
@@ -55,7 +55,7 @@
         } else {
             LATE_PATIENCE_S
         };
-        (ready + gained < start).then_some(market)
+        (ready + gained < start).then_some(pool)
     }
 
     /// How soon a task of the job could start on any machine rented now.
@@ -66,25 +66,35 @@
             .fold(f64::INFINITY, f64::min)
     }
 
-    /// The market with the lowest cost per task, counting boot and fetch.
+    /// The pool with the lowest cost per task, counting boot and fetch.
     fn cheapest(
         &self,
         spec: &JobSpec,
         outlook: &Outlook,
         usable: &[bool],
         now: Time,
-    ) -> Option<Market> {
+    ) -> Option<CapacityPool> {
         let need = scoring::need(spec);
         // Spot machines serve nearly as well at a third of the price: for work that may use them,
         // an ordinary one is worth its price only when there are none, and the wait is long.
         let spot_left = usable.iter().enumerate().any(|(kind, usable)| {
             let mut zones = self.types[kind].zones.iter();
-            *usable && zones.any(|z| !self.is_closed(&(kind, z.clone(), true), now))
+            *usable
+                && zones.any(|z| {
+                    !self.is_closed(
+                        &CapacityPool {
+                            type_index: kind,
+                            zone: z.clone(),
+                            spot: true,
+                        },
+                        now,
+                    )
+                })
         });
         // Work of the lowest priority is there to use what is cheap.
         let worth = spec.priority != Priority::BestEffort;
         let ordinary = !spec.spot || (worth && !spot_left && outlook.start > ORDINARY_AFTER_S);
-        let mut best: Option<(f64, Market)> = None;
+        let mut best: Option<(f64, CapacityPool)> = None;
         for (kind, t) in self.types.iter().enumerate().filter(|(k, _)| usable[*k]) {
             let fits = need.times_in(&capacity(t)).max(1);
             let span = self.ready_after(spec, kind) + outlook.run;
@@ -92,10 +102,14 @@
             let zones = t.zones.iter();
             for zone in zones.filter(|z| spec.zone.as_ref().is_none_or(|s| s == *z)) {
                 for spot in [true, false] {
-                    let market = (kind, zone.clone(), spot);
-                    let busy = self.fleet.rentals.values().any(|r| r.market == market);
+                    let pool = CapacityPool {
+                        type_index: kind,
+                        zone: zone.clone(),
+                        spot,
+                    };
+                    let busy = self.autoscaler.rentals.values().any(|r| r.pool == pool);
                     let allowed = if spot { spec.spot } else { ordinary };
-                    if self.is_closed(&market, now) || busy || !allowed {
+                    if self.is_closed(&pool, now) || busy || !allowed {
                         continue;
                     }
                     let price = if spot {
@@ -113,12 +127,12 @@
                     };
                     let cost = if in_time { cost } else { cost * LATE_FACTOR };
                     if best.as_ref().is_none_or(|(c, _)| cost < *c) {
-                        best = Some((cost, market));
+                        best = Some((cost, pool));
                     }
                 }
             }
         }
-        best.map(|(_, market)| market)
+        best.map(|(_, pool)| pool)
     }
 
     /// How much dearer a machine may be that is there sooner.
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -1,7 +1,7 @@
 //! What the leading controller decides. No input or output happens here: events and the time come
 //! in, actions go out, so that kept traces can be replayed.
 
-mod booking;
+mod allocation;
 mod commands;
 mod failure_detector;
 pub mod fleet;
@@ -32,7 +32,7 @@
 pub use failure_detector::longest_report_delay;
 pub use policy::Policy;
 pub use quota::quota_policy;
-pub use summary::Reach;
+pub use summary::WorkerReach;
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
@@ -47,7 +47,7 @@
 
 use crate::types::{seconds, HostName, Incarnation, JobId, TaskId, Term, Time, Version};
 
-use fleet::Fleet;
+use fleet::Autoscaler;
 use hosts::{Host, HostLifecycle};
 use jobs::Job;
 use zones::Zones;
@@ -67,56 +67,56 @@
         commands: Vec<Command>,
     },
     /// Rent machines.
-    Rent(ProvisionRequest),
+    ScaleOut(ProvisionRequest),
     /// Return machines, as they are not needed.
-    Release(Vec<HostName>),
+    ScaleIn(Vec<HostName>),
     /// The same, and so pressing that it goes out without a lease too: these machines hold cancelled
     /// work whose time is nearly up. Another leader could lose no more by it than a machine.
-    Remove(Vec<HostName>),
+    ForceRelease(Vec<HostName>),
 }
 
 /// How a direct command ended.
 #[derive(Debug)]
 pub enum CommandResult {
     /// The worker answered with its report, whether or not it executed anything.
-    WorkerHeartbeat(Box<WorkerHeartbeat>),
+    Heartbeat(Box<WorkerHeartbeat>),
     /// Surely not executed.
     NotSent,
     /// Never left this process, so it says nothing of the machine either.
-    HeldBack,
+    NotAttempted,
     /// May have been executed, or may yet be.
-    Lost,
+    NoResponse,
 }
 
 /// A worker has seen a higher token: another controller leads.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Deposed(pub Term);
+pub struct LeadershipLost(pub Term);
 
 /// How far a leader's picture is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Phase {
+pub enum LeaderPhase {
     /// Records are being read.
-    Loading,
+    LoadingRecords,
     /// One report round passes, so that the picture is whole before machines are judged; work goes
     /// only to those that have reported.
-    Gathering {
+    AwaitingHeartbeats {
         /// When the round of reports is over at the latest.
         until: Time,
     },
     /// The picture is complete: work is placed.
-    Placing,
+    Scheduling,
 }
 
 /// The picture and the decisions of one term.
-pub struct Controller {
+pub struct Leader {
     /// The leader's term.
     pub term: Term,
     /// How far its picture is.
-    pub phase: Phase,
+    pub phase: LeaderPhase,
     /// Until when the own lease surely stands. It is looked at whenever something is begun, as the
     /// process may have stood still since it was last asked.
-    pub valid_until: Time,
-    rules: Policy,
+    pub lease_valid_until: Time,
+    policy: Policy,
     /// The machine types.
     pub types: Vec<MachineType>,
     /// The machines by name.
@@ -125,52 +125,52 @@
     pub jobs: Jobs,
     /// Writes what changes.
     pub batcher: WriteBatcher,
-    fleet: Fleet,
+    autoscaler: Autoscaler,
     /// Zones of which this node hears no other node: what is silent there is cut off.
-    pub unheard_zones: Vec<String>,
+    pub zones_without_reachable_peer: Vec<String>,
     /// Zones of which most machines were silent, and when that was last so.
-    cut_zones: BTreeMap<String, Time>,
+    partitioned_zones: BTreeMap<String, Time>,
     /// Whether the controllers of each zone answer this node.
     pub zone_controllers: BTreeMap<String, ControllerReach>,
     /// The states of zones, where they are tracked.
     zones: Option<Zones>,
-    /// What each team's bookings take, all that are not proven ended.
-    used: BTreeMap<String, Usage>,
+    /// What each team's allocations take, all that are not proven ended.
+    team_usage: BTreeMap<String, Usage>,
     /// What machines report of each team that is not booked there.
-    unbooked: BTreeMap<String, Usage>,
-    /// The allowances that bookings are charged to, where that feature is on.
+    unrecorded_usage: BTreeMap<String, Usage>,
+    /// The allowances that allocations are charged to, where that feature is on.
     accounts: Option<LeaderAccounts>,
     /// Machines whose release the cloud confirmed lately, and when: late reports and the lagging
     /// list may still speak of them.
-    released: BTreeMap<HostName, Time>,
+    released_hosts: BTreeMap<HostName, Time>,
     /// Jobs that are cancelled by a node's word.
-    cancelled: BTreeMap<JobId, Time>,
+    cancelled_jobs: BTreeMap<JobId, Time>,
     /// Probes on their way, and other direct commands.
-    probing: usize,
-    commanding: usize,
+    probes_in_flight: usize,
+    commands_in_flight: usize,
     /// Machines whose commands wait until fewer commands are under way.
-    to_command: VecDeque<HostName>,
+    hosts_to_command: VecDeque<HostName>,
     /// Bookings that wait for their record, by the record.
-    recording: BTreeMap<(JobId, u32), Vec<(HostName, TaskId)>>,
-    /// A booking failed, as its allowance has changed: the accounts have to be read again.
+    uncommitted_allocations: BTreeMap<(JobId, u32), Vec<(HostName, TaskId)>>,
+    /// A allocation failed, as its allowance has changed: the accounts have to be read again.
     pub quota_outdated: bool,
     actions: Vec<Action>,
     /// Something changed that may let a task start.
-    place_wanted: bool,
-    place_at: Time,
-    preempt_at: Time,
-    watch_at: Time,
+    scheduling_requested: bool,
+    next_scheduling_at: Time,
+    next_preemption_at: Time,
+    next_host_check_at: Time,
     started_at: Time,
     /// When it was last told the time.
     now: Time,
     /// The time of day, in milliseconds, by which deadlines are judged.
     day_ms: u64,
     /// Classes of which this leader has seen a job.
-    classes: BTreeSet<String>,
+    seen_classes: BTreeSet<String>,
     /// No replica is moved for the price alone before.
-    move_at: Time,
+    next_idle_move_at: Time,
     /// How long tasks of a class ran, and how long their owners had guessed.
-    runs: BTreeMap<String, (f64, f64)>,
+    run_times: BTreeMap<String, (f64, f64)>,
 }
 
 /// Names of released machines are kept as long as a list or a late report may still show them.
@@ -191,7 +191,7 @@
 /// A failure on a machine keeps the job's tasks away from it for this long.
 const AVOID: Duration = Duration::from_secs(20);
 
-impl Controller {
+impl Leader {
     /// A leader that has read nothing yet. `holder` is the version of its key.
     pub fn new(
         term: Term,
@@ -205,43 +205,43 @@
         let tracked = rules.zones.clone();
         let tracked = tracked.map(|settings| Zones::new(settings, now));
         let mut batcher = WriteBatcher::new(holder);
-        batcher.max_value = rules.max_value;
-        batcher.txn_ops = rules.txn_ops;
-        Controller {
+        batcher.max_value_bytes = rules.max_value;
+        batcher.max_txn_changes = rules.txn_ops;
+        Leader {
             term,
-            phase: Phase::Loading,
-            valid_until: Time::default(),
-            rules,
+            phase: LeaderPhase::LoadingRecords,
+            lease_valid_until: Time::default(),
+            policy: rules,
             types,
             hosts: BTreeMap::new(),
             jobs: BTreeMap::new(),
             batcher,
-            fleet: Fleet::new(term),
-            unheard_zones: Vec::new(),
-            cut_zones: BTreeMap::new(),
+            autoscaler: Autoscaler::new(term),
+            zones_without_reachable_peer: Vec::new(),
+            partitioned_zones: BTreeMap::new(),
             zone_controllers: BTreeMap::new(),
             zones: tracked,
-            used: BTreeMap::new(),
-            unbooked: BTreeMap::new(),
+            team_usage: BTreeMap::new(),
+            unrecorded_usage: BTreeMap::new(),
             accounts,
-            released: BTreeMap::new(),
-            cancelled: BTreeMap::new(),
-            probing: 0,
-            commanding: 0,
-            to_command: VecDeque::new(),
-            recording: BTreeMap::new(),
+            released_hosts: BTreeMap::new(),
+            cancelled_jobs: BTreeMap::new(),
+            probes_in_flight: 0,
+            commands_in_flight: 0,
+            hosts_to_command: VecDeque::new(),
+            uncommitted_allocations: BTreeMap::new(),
             quota_outdated: false,
             actions: Vec::new(),
-            place_wanted: false,
-            place_at: now,
-            preempt_at: now,
-            watch_at: now,
+            scheduling_requested: false,
+            next_scheduling_at: now,
+            next_preemption_at: now,
+            next_host_check_at: now,
             started_at: now,
             now,
             day_ms: 0,
-            classes: BTreeSet::new(),
-            move_at: now,
-            runs: BTreeMap::new(),
+            seen_classes: BTreeSet::new(),
+            next_idle_move_at: now,
+            run_times: BTreeMap::new(),
         }
     }
 
@@ -252,7 +252,7 @@
 
     /// Whether the own lease surely stands: without it nothing is begun.
     fn may_act(&self, now: Time) -> bool {
-        now < self.valid_until
+        now < self.lease_valid_until
     }
 
     /// The process stood still for longer than its lease, while the world went on. What was heard
@@ -261,16 +261,16 @@
     pub fn resumed_after_pause(&mut self) {
         for host in self.hosts.values_mut() {
             if host.lifecycle == HostLifecycle::Up {
-                host.enter(HostLifecycle::Silent);
+                host.set_lifecycle(HostLifecycle::Unresponsive);
             }
         }
     }
 
     /// The one place where the controller changes its phase.
-    fn enter(&mut self, phase: Phase) {
+    fn enter(&mut self, phase: LeaderPhase) {
         tracing::info!("term {}: {:?} -> {phase:?}", self.term, self.phase);
         self.phase = phase;
-        self.place_wanted = true;
+        self.scheduling_requested = true;
     }
 
     // ---- time
@@ -281,34 +281,34 @@
         self.day_ms = day_ms;
         self.now = now;
         match self.phase {
-            Phase::Loading => return,
-            Phase::Gathering { until } => {
+            LeaderPhase::LoadingRecords => return,
+            LeaderPhase::AwaitingHeartbeats { until } => {
                 let all_up = self
                     .hosts
                     .values()
                     .all(|h| h.lifecycle == HostLifecycle::Up);
                 let round_over =
-                    now >= until || (all_up && now.since(self.started_at) >= self.rules.report);
+                    now >= until || (all_up && now.since(self.started_at) >= self.policy.report);
                 let nothing_known = self.hosts.is_empty()
                     && now.since(self.started_at) >= Duration::from_millis(500);
                 if !round_over && !nothing_known {
                     // What has reported may be used meanwhile: the records hold what is booked on
                     // the others, and none of these takes anything before it has reported.
-                    let early = now.since(self.started_at) >= self.rules.report / EARLY_PART;
+                    let early = now.since(self.started_at) >= self.policy.report / EARLY_PART;
                     if may_act && early {
-                        if std::mem::take(&mut self.place_wanted) {
+                        if std::mem::take(&mut self.scheduling_requested) {
                             self.place(now);
                         }
                         self.rent_standby(now);
                     }
                     return;
                 }
-                self.enter(Phase::Placing);
+                self.enter(LeaderPhase::Scheduling);
             }
-            Phase::Placing => {}
+            LeaderPhase::Scheduling => {}
         }
-        if now >= self.watch_at {
-            self.watch_at = now.after(WATCH_EVERY);
+        if now >= self.next_host_check_at {
+            self.next_host_check_at = now.after(WATCH_EVERY);
             self.watch_hosts(now, may_act);
             if may_act {
                 self.move_replicas(now);
@@ -316,8 +316,8 @@
         }
         if may_act {
             // Jobs that were told to wait after a failure come back without any event.
-            if std::mem::take(&mut self.place_wanted) || now >= self.place_at {
-                self.place_at = now.after(PLACE_EVERY);
+            if std::mem::take(&mut self.scheduling_requested) || now >= self.next_scheduling_at {
+                self.next_scheduling_at = now.after(PLACE_EVERY);
                 self.place(now);
             }
             if self.has_claimed_allowances() {
@@ -327,32 +327,32 @@
     }
 
     /// The cloud confirmed: these machines and all on them are gone.
-    pub fn on_gone(&mut self, names: &[HostName], now: Time) {
+    pub fn on_hosts_gone(&mut self, names: &[HostName], now: Time) {
         for name in names {
             if let Some(mut host) = self.hosts.remove(name) {
-                let tasks: Vec<TaskId> = host.bookings.keys().copied().collect();
+                let tasks: Vec<TaskId> = host.allocations.keys().copied().collect();
                 for task in tasks {
                     self.end_booking(&mut host, task, false, now);
                 }
             }
-            self.released.insert(name.clone(), now);
+            self.released_hosts.insert(name.clone(), now);
         }
-        self.released
+        self.released_hosts
             .retain(|_, at| now.since(*at) <= KEPT_RELEASED);
-        self.place_wanted = true;
+        self.scheduling_requested = true;
     }
 
     /// Takes in the machine types.
-    pub fn on_types(&mut self, types: Vec<MachineType>) {
+    pub fn on_machine_types(&mut self, types: Vec<MachineType>) {
         if types == self.types {
             return;
         }
         let names: Vec<String> = self.types.iter().map(|t| t.name.clone()).collect();
         for host in self.hosts.values_mut() {
-            let kind = host.kind.and_then(|k| names.get(k));
-            host.kind = kind.and_then(|k| types.iter().position(|t| t.name == *k));
+            let kind = host.type_index.and_then(|k| names.get(k));
+            host.type_index = kind.and_then(|k| types.iter().position(|t| t.name == *k));
         }
         self.types = types;
-        self.place_wanted = true;
+        self.scheduling_requested = true;
     }
 }
--- a/src/coordination/placement.rs
+++ b/src/coordination/placement.rs
@@ -11,7 +11,7 @@
 use super::ranking::Rank;
 use super::resources::Resources;
 use super::scoring::{capacity, score};
-use super::{Controller, AVOID};
+use super::{Leader, AVOID};
 use crate::protocol::users::{JobSpec, Priority};
 use crate::types::{Attempt, HostName, JobId, TaskId, Time};
 
@@ -99,7 +99,7 @@
     }
 }
 
-impl Controller {
+impl Leader {
     /// One pass over the waiting tasks.
     pub(super) fn place(&mut self, now: Time) {
         self.count_unbooked();
@@ -118,7 +118,7 @@
         for rank in ranks {
             if pass.left == 0 {
                 // The rest follows once reports and users have had their turn.
-                self.place_wanted = true;
+                self.scheduling_requested = true;
                 return;
             }
             let Some(mut job) = self.jobs.remove(&rank.id) else {
@@ -135,12 +135,14 @@
     fn open_machines(&self, now: Time) -> Vec<Open> {
         let mut open = Vec::new();
         for host in self.hosts.values() {
-            let Some(kind) = host.kind else { continue };
+            let Some(kind) = host.type_index else {
+                continue;
+            };
             let Some(t) = self.types.get(kind) else {
                 continue;
             };
             let whole = capacity(t);
-            let free = whole.minus(&host.used);
+            let free = whole.minus(&host.allocated);
             if !self.is_open(host, now) || free.cpus <= 0.0 || free.memory_gb <= 0.0 {
                 continue;
             }
@@ -150,9 +152,9 @@
                 zone: host.zone.clone(),
                 spot: host.spot,
                 whole,
-                used: host.used,
+                used: host.allocated,
                 failed: !host.failed_jobs.is_empty(),
-                remembers: !host.leftovers.is_empty() || !host.unanswered.is_empty(),
+                remembers: !host.ended_attempts.is_empty() || !host.unacknowledged_runs.is_empty(),
                 held: false,
             });
         }
@@ -173,8 +175,8 @@
         } else {
             Priority::Critical
         };
-        let records = self.rules.records * (1 + Priority::BestEffort as usize - priority as usize);
-        if pass.now < job.not_before || self.batcher.is_held(job.id) {
+        let records = self.policy.records * (1 + Priority::BestEffort as usize - priority as usize);
+        if pass.now < job.retry_not_before || self.batcher.is_held(job.id) {
             return;
         }
         let plain =
@@ -183,7 +185,7 @@
         let due_in = job.due_ms().map(|due| (due - self.day_ms as f64) / 1000.0);
         let mut more = self.overflow_types(spec, &usable, self.expected_run(job), due_in);
         let shape = TaskShape {
-            need: job.need,
+            need: job.task_resources,
             spot: spec.spot,
             overflows: more.is_some(),
         };
@@ -191,18 +193,18 @@
         if plain && pass.full.contains(&shape) {
             return;
         }
-        let placeable = u64::from(job.placeable());
+        let placeable = u64::from(job.schedulable_count());
         let mut room = self.team_room(job).min(pass.left).min(placeable);
         let mut siblings = self.siblings(job, spec);
         let mut ranked = self.eligible(job, spec, &usable, pass);
         while room > 0 {
-            let Some(index) = job.first_waiting() else {
+            let Some(index) = job.next_waiting_task() else {
                 return;
             };
             let task = TaskId { job: job.id, index };
-            // A booking that waits long for its record would only hold the machine idle.
+            // A allocation that waits long for its record would only hold the machine idle.
             let queued = self.batcher.is_urgent(job.id, job.chunk_of(index));
-            if !queued && self.batcher.urgent() >= records {
+            if !queued && self.batcher.urgent_count() >= records {
                 return;
             }
             let Some(best) = self.best_host(spec, task, &mut ranked, &siblings, pass) else {
@@ -233,10 +235,10 @@
         pass: &mut Pass,
     ) {
         let open = &mut pass.open[best];
-        open.used.add(&job.need);
-        if job.need.fits(&open.free()) {
+        open.used.add(&job.task_resources);
+        if job.task_resources.fits(&open.free()) {
             let fetch = self.fetch_steps(spec, &open.name);
-            ranked.push(open.ranked(best, false, fetch, job.need.gpus > 0.0));
+            ranked.push(open.ranked(best, false, fetch, job.task_resources.gpus > 0.0));
         }
         let name = open.name.clone();
         self.book(job, task, &name, pass.now);
@@ -259,7 +261,7 @@
         pass: &mut Pass,
     ) {
         if spec.is_service() && self.reopen_for(job, spec, usable, pass.now) {
-            self.place_wanted = true;
+            self.scheduling_requested = true;
             return;
         }
         if !rank.patient {
@@ -277,13 +279,13 @@
         usable: &[bool],
         pass: &Pass,
     ) -> BinaryHeap<Ranked> {
-        let holding: BTreeSet<&HostName> = job.booked_hosts().collect();
-        let needs_gpu = job.need.gpus > 0.0;
+        let holding: BTreeSet<&HostName> = job.allocated_hosts().collect();
+        let needs_gpu = job.task_resources.gpus > 0.0;
         let mut ranked = Vec::new();
         for (at, open) in pass.open.iter().enumerate() {
             let eligible = usable.get(open.kind) == Some(&true)
                 && !open.held
-                && job.need.fits(&open.free())
+                && job.task_resources.fits(&open.free())
                 && (spec.spot || !open.spot)
                 && !(open.failed && self.failed_lately(&open.name, job.id, pass.now));
             if eligible {
@@ -299,10 +301,10 @@
     /// longer than that. Steps of half a second.
     fn fetch_steps(&self, spec: &JobSpec, name: &HostName) -> u32 {
         let host = self.hosts.get(name).filter(|_| spec.is_service());
-        let Some(host) = host.filter(|h| !h.holds_image(&spec.image)) else {
+        let Some(host) = host.filter(|h| !h.has_cached_image(&spec.image)) else {
             return 0;
         };
-        let kind = host.kind.and_then(|k| self.types.get(k));
+        let kind = host.type_index.and_then(|k| self.types.get(k));
         let rate = kind.map_or(0.01, |t| t.fetch_gb_per_s.0.max(0.01));
         1 + (spec.image_gb.0 / rate * 2.0) as u32
     }
@@ -346,8 +348,8 @@
     pub(super) fn knows_of(&self, name: &HostName, task: TaskId) -> bool {
         self.hosts.get(name).is_some_and(|host| {
             let attempts = (task, Attempt(0))..=(task, Attempt(u64::MAX));
-            host.leftovers.range(attempts.clone()).next().is_some()
-                || host.unanswered.range(attempts).next().is_some()
+            host.ended_attempts.range(attempts.clone()).next().is_some()
+                || host.unacknowledged_runs.range(attempts).next().is_some()
         })
     }
 
@@ -359,8 +361,8 @@
                 && !open.held
                 && (spec.spot || !open.spot)
                 && spec.zone.as_ref().is_none_or(|z| *z == open.zone)
-                && job.need.fits(&open.whole)
-                && !job.need.fits(&open.free())
+                && job.task_resources.fits(&open.whole)
+                && !job.task_resources.fits(&open.free())
         };
         let free = |open: &Open| open.free().cpus;
         let open = pass.open.iter_mut().filter(|o| suits(o));
@@ -372,9 +374,9 @@
     /// How many of the job's tasks each zone holds now, silent machines included.
     fn siblings(&self, job: &Job, spec: &JobSpec) -> BTreeMap<String, u64> {
         let mut zones = BTreeMap::new();
-        if job.booked > 0 && (spec.same_zone || spec.spread) {
+        if job.allocated_count > 0 && (spec.same_zone || spec.spread) {
             for host in self.hosts.values() {
-                let count = host.bookings.keys().filter(|t| t.job == job.id).count() as u64;
+                let count = host.allocations.keys().filter(|t| t.job == job.id).count() as u64;
                 if count > 0 {
                     *zones.entry(host.zone.clone()).or_default() += count;
                 }
@@ -407,7 +409,7 @@
     }
 
     pub(super) fn is_open(&self, host: &Host, now: Time) -> bool {
-        let fresh = now.since(host.heard_at) <= self.rules.report * 2;
+        let fresh = now.since(host.last_heartbeat_at) <= self.policy.report * 2;
         host.lifecycle == HostLifecycle::Up
             && host.cordon.is_none()
             && fresh
--- a/src/coordination/preemption.rs
+++ b/src/coordination/preemption.rs
@@ -3,11 +3,11 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use super::hosts::{Booking, Host, StopWhy};
+use super::hosts::{Allocation, Host, StopReason};
 use super::jobs::Job;
 use super::resources::Resources;
 use super::scoring::capacity;
-use super::Controller;
+use super::Leader;
 use crate::protocol::users::{JobSpec, Priority};
 use crate::types::{seconds, HostName, TaskId, Time};
 
@@ -36,27 +36,29 @@
     tasks: Vec<TaskId>,
 }
 
-impl Controller {
+impl Leader {
     /// Makes room for a job of higher priority by stopping tasks of lower priority that lose little by
     /// it. The next pass sees what came of it.
     pub(super) fn preempt(&mut self, job: &Job, spec: &JobSpec, usable: &[bool], now: Time) {
         let under_way = |h: &Host| {
-            let mut bookings = h.bookings.values();
-            bookings.any(|b| b.stop == Some(StopWhy::Preempted))
+            let mut allocations = h.allocations.values();
+            allocations.any(|b| b.stop_reason == Some(StopReason::Preempted))
         };
         let lowest = spec.priority == Priority::BestEffort;
-        if spec.same_zone || spec.spread || lowest || now < self.preempt_at {
+        if spec.same_zone || spec.spread || lowest || now < self.next_preemption_at {
             return;
         }
-        self.preempt_at = now.after(PREEMPT_EVERY);
+        self.next_preemption_at = now.after(PREEMPT_EVERY);
         if self.hosts.values().any(under_way) {
             return;
         }
-        let room = self.team_room(job).min(u64::from(job.placeable()));
+        let room = self.team_room(job).min(u64::from(job.schedulable_count()));
         let most = (room as usize).min(MAX_PREEMPTED);
         let mut ways: Vec<Way> = Vec::new();
         for host in self.hosts.values() {
-            let suits = host.kind.is_some_and(|k| usable.get(k) == Some(&true));
+            let suits = host
+                .type_index
+                .is_some_and(|k| usable.get(k) == Some(&true));
             let open = suits && self.is_open(host, now) && (spec.spot || !host.spot);
             if open && Self::zone_allowed(spec, &host.zone, &BTreeMap::new()) {
                 ways.extend(self.way_to_room(host, job, spec, now));
@@ -83,7 +85,7 @@
                 tasks.len()
             );
             for task in tasks {
-                self.stop(&name, task, StopWhy::Preempted, now);
+                self.stop(&name, task, StopReason::Preempted, now);
             }
         }
     }
@@ -91,21 +93,21 @@
     /// The tasks on the machine whose stopping makes room for one of the job, and the run time that
     /// is lost by it.
     fn way_to_room(&self, host: &Host, job: &Job, spec: &JobSpec, now: Time) -> Option<Way> {
-        let kind = self.types.get(host.kind?)?;
+        let kind = self.types.get(host.type_index?)?;
         let mut victims: Vec<(f64, TaskId, Resources)> = host
-            .bookings
+            .allocations
             .iter()
             .filter_map(|(task, b)| {
                 let lost = self.loss(*task, b, job, spec, now)?;
-                Some((lost, *task, b.need))
+                Some((lost, *task, b.resources))
             })
             .collect();
         victims.sort_by(|a, b| a.0.total_cmp(&b.0));
-        let mut free = capacity(kind).minus(&host.used);
+        let mut free = capacity(kind).minus(&host.allocated);
         let mut lost = 0.0;
         let mut stopped = Vec::new();
         for (loss, task, need) in victims {
-            if job.need.fits(&free) {
+            if job.task_resources.fits(&free) {
                 break;
             }
             free.add(&need);
@@ -116,7 +118,7 @@
             let job = self.jobs.get(&task.job);
             job.is_some_and(|j| j.priority() == Priority::BestEffort)
         };
-        (job.need.fits(&free) && !stopped.is_empty()).then(|| Way {
+        (job.task_resources.fits(&free) && !stopped.is_empty()).then(|| Way {
             idle: stopped.iter().all(lowest),
             lost,
             name: host.name.clone(),
@@ -128,27 +130,29 @@
     fn loss(
         &self,
         task: TaskId,
-        booking: &Booking,
+        allocation: &Allocation,
         for_job: &Job,
         by: &JobSpec,
         now: Time,
     ) -> Option<f64> {
         let job = self.jobs.get(&task.job)?;
         let spec = job.spec.as_ref()?;
-        let ran = booking.started.map_or(0.0, |s| now.since(s).as_secs_f64());
+        let ran = allocation
+            .started_at
+            .map_or(0.0, |s| now.since(s).as_secs_f64());
         // One that saves when it is stopped loses the time that takes.
         let saves = spec.checkpoint_s.0 > 0.0;
         let lost = if saves { spec.save_s.0.min(ran) } else { ran };
-        let may = self.may_preempt(job, for_job) && booking.stop.is_none();
+        let may = self.may_preempt(job, for_job) && allocation.stop_reason.is_none();
         // The first tasks of a job that has waited too long are to have begun for good.
-        let starve_after = seconds(self.rules.tuning.starve_after_s);
-        let waited = Duration::from_millis(self.day_ms.saturating_sub(job.at_ms));
-        let young = ran < BEGUN_S && job.done == 0 && job.booked <= FEW;
+        let starve_after = seconds(self.policy.tuning.starve_after_s);
+        let waited = Duration::from_millis(self.day_ms.saturating_sub(job.submitted_at_ms));
+        let young = ran < BEGUN_S && job.done_count == 0 && job.allocated_count <= FEW;
         if waited >= starve_after && young {
             return None;
         }
         // What ends by itself that soon makes room without being stopped.
-        let ends = self.expected_rest(job, booking.started, now) < SOON_S;
+        let ends = self.expected_rest(job, allocation.started_at, now) < SOON_S;
         let most = if self.serves_guarantee(job, for_job) {
             // A guarantee holds whatever it costs those who borrow.
             f64::INFINITY
--- a/src/coordination/quota.rs
+++ b/src/coordination/quota.rs
@@ -8,7 +8,7 @@
 
 use super::jobs::{Job, JobPhase};
 use super::resources::Resources;
-use super::Controller;
+use super::Leader;
 use crate::features::QuotaFeature;
 use crate::protocol::users::Priority;
 use crate::settings::Team;
@@ -61,29 +61,29 @@
     }
 }
 
-impl Controller {
-    /// A booking counts from here on.
+impl Leader {
+    /// A allocation counts from here on.
     pub(super) fn charge(&mut self, team: &str, need: &Resources) {
-        *self.used.entry(team.to_owned()).or_default() += usage(need);
+        *self.team_usage.entry(team.to_owned()).or_default() += usage(need);
     }
 
-    /// A booking is proven ended.
+    /// A allocation is proven ended.
     pub(super) fn discharge(&mut self, team: &str, need: &Resources) {
-        if let Some(used) = self.used.get_mut(team) {
+        if let Some(used) = self.team_usage.get_mut(team) {
             *used = used.without(&usage(need));
         }
     }
 
-    /// What counts for a team: its bookings, and what machines reported that is not booked there.
+    /// What counts for a team: its allocations, and what machines reported that is not booked there.
     fn counted(&self, team: &str) -> Usage {
-        let booked = self.used.get(team).copied().unwrap_or_default();
-        let unbooked = self.unbooked.get(team).copied().unwrap_or_default();
+        let booked = self.team_usage.get(team).copied().unwrap_or_default();
+        let unbooked = self.unrecorded_usage.get(team).copied().unwrap_or_default();
         booked + unbooked
     }
 
     /// How many more tasks of this size the team may have booked.
     pub(super) fn team_room(&self, job: &Job) -> u64 {
-        let Some(team) = self.rules.team(&job.team) else {
+        let Some(team) = self.policy.team(&job.team) else {
             return 0;
         };
         let allowed = match &self.accounts {
@@ -94,7 +94,7 @@
             None => limit(team),
         };
         let room = allowed.without(&self.counted(&job.team));
-        usage(&job.need).times_in(&room)
+        usage(&job.task_resources).times_in(&room)
     }
 
     /// Whether it is known what teams may use. Before that all work seems to need no machines, and they
@@ -103,7 +103,7 @@
         let Some(accounts) = &self.accounts else {
             return true;
         };
-        let mut teams = self.rules.teams.iter();
+        let mut teams = self.policy.teams.iter();
         teams.all(|team| accounts.granted(&TeamName::new(&team.name)).is_some())
     }
 
@@ -112,10 +112,10 @@
     pub(super) fn may_preempt(&self, victim: &Job, by: &Job) -> bool {
         let by_guarantee = self.accounts.is_some()
             && victim.team != by.team
-            && self.team_use(&by.team).covers(&usage(&by.need));
+            && self.team_use(&by.team).covers(&usage(&by.task_resources));
         let borrowed = self
             .team_use(&victim.team)
-            .stays_guaranteed_without(&usage(&victim.need));
+            .stays_guaranteed_without(&usage(&victim.task_resources));
         may_stop(
             priority(victim.priority()),
             priority(by.priority()),
@@ -131,7 +131,7 @@
 
     fn team_use(&self, name: &str) -> TeamUse {
         TeamUse {
-            guarantee: self.rules.team(name).map(guarantee).unwrap_or_default(),
+            guarantee: self.policy.team(name).map(guarantee).unwrap_or_default(),
             used: self.counted(name),
         }
     }
@@ -139,16 +139,19 @@
     /// Sums up what machines report and nobody booked there. It is rare, so looking is cheap where there
     /// is none.
     pub(super) fn count_unbooked(&mut self) {
-        self.unbooked.clear();
+        self.unrecorded_usage.clear();
         if self.accounts.is_none() {
             return;
         }
-        let strays = self.hosts.values().flat_map(|host| &host.strays);
-        let tasks: Vec<TaskId> = strays.map(|(task, _)| *task).collect();
+        let unrecorded_attempts = self
+            .hosts
+            .values()
+            .flat_map(|host| &host.unrecorded_attempts);
+        let tasks: Vec<TaskId> = unrecorded_attempts.map(|(task, _)| *task).collect();
         for task in tasks {
             if let Some(job) = self.jobs.get(&task.job) {
-                let counted = self.unbooked.entry(job.team.clone()).or_default();
-                *counted += usage(&job.need);
+                let counted = self.unrecorded_usage.entry(job.team.clone()).or_default();
+                *counted += usage(&job.task_resources);
             }
         }
     }
@@ -157,7 +160,7 @@
 
     /// The policy of the accounts, where the feature is on.
     pub fn rules_quota(&self) -> Option<&lichencrank_quota::Policy> {
-        self.rules.quota.as_ref()
+        self.policy.quota.as_ref()
     }
 
     /// Whether a change of the accounts is under way.
@@ -197,10 +200,10 @@
             return None;
         }
         let demands = self.demands();
-        let most = self.batcher.txn_ops;
+        let most = self.batcher.max_txn_changes;
         let mut txn = self.accounts.as_mut()?.plan(&demands, most)?;
-        let holder = crate::storage::records::HOLDER.to_owned();
-        txn.require(holder, self.batcher.holder());
+        let holder = crate::storage::records::LEADER_KEY.to_owned();
+        txn.require(holder, self.batcher.leader_key_version());
         Some(txn)
     }
 
@@ -219,24 +222,24 @@
         }
     }
 
-    /// Every booking depends on the version of its team's allowance.
+    /// Every allocation depends on the version of its team's allowance.
     fn quota_changed(&mut self) {
         let Some(accounts) = &self.accounts else {
             return;
         };
-        let teams = self.rules.teams.iter();
-        self.batcher.fences = teams
+        let teams = self.policy.teams.iter();
+        self.batcher.allowance_fences = teams
             .filter_map(|team| {
                 let fence = accounts.fence(&TeamName::new(&team.name))?;
                 Some((team.name.clone(), fence))
             })
             .collect();
-        self.place_wanted = true;
+        self.scheduling_requested = true;
     }
 
     fn demands(&self) -> BTreeMap<TeamName, Demand> {
         let mut demands: BTreeMap<TeamName, Demand> = BTreeMap::new();
-        for team in &self.rules.teams {
+        for team in &self.policy.teams {
             let used = self.counted(&team.name);
             let demand = Demand {
                 used,
@@ -245,12 +248,12 @@
             demands.insert(TeamName::new(&team.name), demand);
         }
         let active = self.jobs.values().filter(|j| j.phase == JobPhase::Active);
-        for job in active.filter(|j| j.waiting() > 0) {
+        for job in active.filter(|j| j.waiting_count() > 0) {
             let Some(demand) = demands.get_mut(&TeamName::new(&job.team)) else {
                 continue;
             };
-            let one = usage(&job.need);
-            demand.waiting += one.times(u64::from(job.waiting()));
+            let one = usage(&job.task_resources);
+            demand.waiting += one.times(u64::from(job.waiting_count()));
             demand.front = demand.front.at_least(&one);
         }
         demands
--- a/src/coordination/ranking.rs
+++ b/src/coordination/ranking.rs
@@ -4,7 +4,7 @@
 
 use super::hosts::HostLifecycle;
 use super::jobs::{Job, JobPhase};
-use super::Controller;
+use super::Leader;
 use crate::protocol::users::{JobSpec, Priority};
 use crate::types::{seconds, JobId, Version};
 
@@ -51,45 +51,46 @@
     }
 }
 
-impl Controller {
+impl Leader {
     /// All jobs with waiting tasks, in the order in which they are served.
     pub(super) fn ranked(&self) -> Vec<Rank> {
         let cpus = self.cpus_to_be();
-        let starve_after = seconds(self.rules.tuning.starve_after_s);
+        let starve_after = seconds(self.policy.tuning.starve_after_s);
         let mut by_arrival: Vec<&Job> = self
             .jobs
             .values()
             .filter(|j| j.phase == JobPhase::Active)
             .collect();
-        by_arrival.sort_by_key(|j| j.live);
+        by_arrival.sort_by_key(|j| j.record_version);
         let mut claimed: BTreeMap<&str, (f64, f64)> = BTreeMap::new();
         let mut ranks = Vec::new();
         let mut lifted = 0;
         for job in by_arrival {
             let Some(spec) = &job.spec else { continue };
             let guaranteed = self
-                .rules
+                .policy
                 .team(&job.team)
                 .map_or((0.0, 0.0), |t| t.guaranteed());
             let claimed = claimed.entry(&job.team).or_default();
-            let open = f64::from(job.total - job.done);
-            claimed.0 += open * job.need.cpus;
-            claimed.1 += open * job.need.gpus;
-            let within =
-                claimed.0 <= guaranteed.0 && (claimed.1 <= guaranteed.1 || job.need.gpus == 0.0);
-            if job.waiting() > 0 {
-                let waited = seconds((self.day_ms.saturating_sub(job.at_ms)) as f64 / 1000.0);
+            let open = f64::from(job.task_count - job.done_count);
+            claimed.0 += open * job.task_resources.cpus;
+            claimed.1 += open * job.task_resources.gpus;
+            let within = claimed.0 <= guaranteed.0
+                && (claimed.1 <= guaranteed.1 || job.task_resources.gpus == 0.0);
+            if job.waiting_count() > 0 {
+                let waited =
+                    seconds((self.day_ms.saturating_sub(job.submitted_at_ms)) as f64 / 1000.0);
                 let aged = waited >= starve_after;
-                let begun = job.booked > 0 || job.done > 0;
+                let begun = job.allocated_count > 0 || job.done_count > 0;
                 let rank = Rank {
                     patient: true,
                     borrowing: !within,
                     priority: spec.priority,
                     late: waited < starve_after * 2
-                        && job.is_late(self.expected_run(job), cpus, self.day_ms),
+                        && job.will_miss_deadline(self.expected_run(job), cpus, self.day_ms),
                     due: job.due_ms().map_or(u64::MAX, |due| due as u64),
                     work: self.work_class(job, spec),
-                    arrival: job.live,
+                    arrival: job.record_version,
                     id: job.id,
                 };
                 // A few at a time, the oldest first: in bulk they would pass all urgent work.
@@ -106,8 +107,8 @@
         if spec.priority != Priority::BestEffort || spec.deadline_s.is_some() {
             return 0;
         }
-        let open = f64::from(job.total - job.done);
-        let work = open * job.need.cpus.max(0.1) * self.expected_run(job);
+        let open = f64::from(job.task_count - job.done_count);
+        let work = open * job.task_resources.cpus.max(0.1) * self.expected_run(job);
         work.max(1.0).log2() as u32
     }
 
@@ -117,7 +118,7 @@
             .hosts
             .values()
             .filter(|h| matches!(h.lifecycle, HostLifecycle::Up | HostLifecycle::Expected));
-        let kinds = here.filter_map(|h| h.kind.and_then(|k| self.types.get(k)));
+        let kinds = here.filter_map(|h| h.type_index.and_then(|k| self.types.get(k)));
         kinds.map(|t| t.cpus.0).sum()
     }
 }
--- a/src/coordination/recording.rs
+++ b/src/coordination/recording.rs
@@ -6,14 +6,14 @@
 
 use lichencrank_store::Txn;
 
-use super::hosts::{Booking, BookingPhase, Host, HostLifecycle, StopWhy};
+use super::hosts::{Allocation, AllocationPhase, Host, HostLifecycle, StopReason};
 use super::jobs::{Job, JobPhase};
-use super::{Controller, Deposed, Phase};
+use super::{Leader, LeaderPhase, LeadershipLost};
 use crate::storage::records::RunRecord;
-use crate::storage::write_batcher::{Verdict, Written};
+use crate::storage::write_batcher::{CommitResult, CommittedRecords};
 use crate::types::{HostName, JobId, SequenceNumber, TaskId, Time, Version};
 
-impl Controller {
+impl Leader {
     /// Takes in a run record while the records are read.
     pub fn on_run_record(
         &mut self,
@@ -26,33 +26,33 @@
         let job = self
             .jobs
             .entry(id)
-            .or_insert_with(|| Job::orphan(id, record, now));
-        let (need, team) = (job.need, job.team.clone());
-        let stop = (job.phase == JobPhase::Cancelled).then_some(StopWhy::Cancelled);
-        for (index, attempt, name, incarnation) in job.load(number, record, version) {
+            .or_insert_with(|| Job::from_run_record(id, record, now));
+        let (need, team) = (job.task_resources, job.team.clone());
+        let stop = (job.phase == JobPhase::Cancelled).then_some(StopReason::Cancelled);
+        for (index, attempt, name, incarnation) in job.load_run_record(number, record, version) {
             let task = TaskId { job: id, index };
             let host = self
                 .hosts
                 .entry(name.clone())
                 .or_insert_with(|| Host::new(name, now));
             host.incarnation = host.incarnation.max(incarnation);
-            host.book(
+            host.allocate(
                 task,
-                Booking {
+                Allocation {
                     attempt,
                     incarnation,
-                    need,
-                    phase: BookingPhase::Ordered,
-                    change: 0,
-                    sent: true,
-                    direct: false,
-                    answered: SequenceNumber(0),
-                    stop_told: SequenceNumber(0),
-                    stop,
+                    resources: need,
+                    phase: AllocationPhase::Committed,
+                    record_change: 0,
+                    run_sent: true,
+                    run_sent_directly: false,
+                    run_sent_in_response_to: SequenceNumber(0),
+                    stop_sent_in_response_to: SequenceNumber(0),
+                    stop_reason: stop,
                     saving: false,
                     fetching: false,
-                    since: now,
-                    started: None,
+                    allocated_at: now,
+                    started_at: None,
                 },
             );
             self.charge(&team, &need);
@@ -61,22 +61,22 @@
 
     /// All records are in: from now on reports complete the picture.
     pub fn on_loaded(&mut self, now: Time) {
-        let round = self.rules.report.mul_f64(1.25) + Duration::from_millis(500);
+        let round = self.policy.report.mul_f64(1.25) + Duration::from_millis(500);
         self.started_at = now;
-        self.enter(Phase::Gathering {
+        self.enter(LeaderPhase::AwaitingHeartbeats {
             until: now.after(round),
         });
         let ids: Vec<JobId> = self.jobs.keys().copied().collect();
         for id in ids {
             if let Some(job) = self.jobs.get_mut(&id) {
-                job.loaded();
+                job.finish_loading();
             }
-            self.settle(id, now);
+            self.check_completion(id, now);
         }
         for host in self.hosts.values_mut() {
             // Only records speak for them; whether they are cut off or gone will show.
-            host.heard_at = now;
-            host.enter(HostLifecycle::Silent);
+            host.last_heartbeat_at = now;
+            host.set_lifecycle(HostLifecycle::Unresponsive);
         }
     }
 
@@ -87,25 +87,28 @@
             return;
         };
         // The last step writes the description too, which production may have left too large.
-        job.shorten_description(self.batcher.max_value, &self.types);
+        job.shorten_description(self.batcher.max_value_bytes, &self.types);
         if !self.batcher.split(job) {
             return;
         }
-        let (of_job, others) = std::mem::take(&mut self.recording)
+        let (of_job, others) = std::mem::take(&mut self.uncommitted_allocations)
             .into_iter()
             .partition(|((job, _), _)| *job == id);
-        self.recording = others;
+        self.uncommitted_allocations = others;
         let of_job: BTreeMap<(JobId, u32), Vec<(HostName, TaskId)>> = of_job;
         for (host, task) in of_job.into_values().flatten() {
             let number = job.chunk_of(task.index);
-            let waiting = self.recording.entry((id, number)).or_default();
+            let waiting = self
+                .uncommitted_allocations
+                .entry((id, number))
+                .or_default();
             waiting.push((host, task));
         }
     }
 
     /// Puts together the next transaction of at most so many changes.
     pub fn next_batch(&mut self, max_changes: usize, spare: bool) -> Option<Txn> {
-        if self.phase == Phase::Loading {
+        if self.phase == LeaderPhase::LoadingRecords {
             return None;
         }
         for id in self.batcher.take_too_large() {
@@ -115,57 +118,63 @@
     }
 
     /// Takes in what became of a batch.
-    pub fn on_verdict(&mut self, verdict: Verdict, now: Time) -> Result<(), Deposed> {
+    pub fn on_commit_result(
+        &mut self,
+        verdict: CommitResult,
+        now: Time,
+    ) -> Result<(), LeadershipLost> {
         match verdict {
-            Verdict::Written(written) => self.on_written(&written, now),
-            Verdict::Conflict {
+            CommitResult::Committed(written) => self.on_written(&written, now),
+            CommitResult::Conflict {
                 cancelled,
                 outdated_allowance,
             } => {
                 self.quota_outdated |= outdated_allowance;
                 for id in cancelled {
-                    self.on_job_gone(id, now);
+                    self.on_job_deleted(id, now);
                 }
             }
-            Verdict::Deposed => return Err(Deposed(self.term)),
-            Verdict::Again => {}
+            CommitResult::LeadershipLost => return Err(LeadershipLost(self.term)),
+            CommitResult::Retry => {}
         }
         Ok(())
     }
 
     /// Bookings that are now in the records may run.
-    pub(super) fn on_written(&mut self, written: &Written, now: Time) {
+    pub(super) fn on_written(&mut self, written: &CommittedRecords, now: Time) {
         if written.chunks.is_empty() {
             return;
         }
         // Bookings may have waited for room among the records.
-        self.place_wanted = true;
+        self.scheduling_requested = true;
         for (id, _) in &written.chunks {
-            self.settle(*id, now);
+            self.check_completion(*id, now);
         }
         let mut ready: BTreeSet<HostName> = BTreeSet::new();
         for key in &written.chunks {
-            let Some(waiting) = self.recording.remove(key) else {
+            let Some(waiting) = self.uncommitted_allocations.remove(key) else {
                 continue;
             };
             let done = self.jobs.get(&key.0).and_then(|j| j.chunk(key.1));
-            let done = done.map_or(0, |c| c.written);
+            let done = done.map_or(0, |c| c.written_change);
             let mut later = Vec::new();
             for (name, task) in waiting {
-                let booking = self.hosts.get_mut(&name);
-                let booking = booking.and_then(|h| h.bookings.get_mut(&task));
-                let Some(booking) = booking.filter(|b| b.phase == BookingPhase::Recording) else {
+                let allocation = self.hosts.get_mut(&name);
+                let allocation = allocation.and_then(|h| h.allocations.get_mut(&task));
+                let Some(allocation) =
+                    allocation.filter(|b| b.phase == AllocationPhase::Persisting)
+                else {
                     continue;
                 };
-                if done >= booking.change {
-                    booking.phase = BookingPhase::Ordered;
+                if done >= allocation.record_change {
+                    allocation.phase = AllocationPhase::Committed;
                     ready.insert(name);
                 } else {
                     later.push((name, task));
                 }
             }
             if !later.is_empty() {
-                self.recording.insert(*key, later);
+                self.uncommitted_allocations.insert(*key, later);
             }
         }
         for name in ready {
--- a/src/coordination/reports.rs
+++ b/src/coordination/reports.rs
@@ -1,13 +1,14 @@
-//! What workers report, and what that proves of machines and bookings.
+//! What workers report, and what that proves of machines and allocations.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
 
 use super::hosts::{
-    Booking, BookingPhase, Cordon, Host, HostLifecycle, Leftover, Reachability, StopWhy,
+    Allocation, AllocationPhase, CordonReason, EndedAttempt, Host, HostLifecycle, Reachability,
+    StopReason,
 };
-use super::jobs::{Job, JobPhase, TaskState, SETTLED};
-use super::{Controller, Deposed, Phase};
+use super::jobs::{Job, JobPhase, TaskState, REPLICA_STABLE_AFTER};
+use super::{Leader, LeaderPhase, LeadershipLost};
 use crate::protocol::workers::{
     stop_commands, AttemptState, AttemptStatus, Command, EndReason, WorkerHeartbeat,
 };
@@ -17,13 +18,13 @@
 /// it ended.
 const KEPT_LEASES: u32 = 4;
 
-impl Controller {
+impl Leader {
     /// Takes in a worker's own report and returns the commands for it.
-    pub fn on_report(
+    pub fn on_heartbeat(
         &mut self,
         report: &WorkerHeartbeat,
         now: Time,
-    ) -> Result<Vec<Command>, Deposed> {
+    ) -> Result<Vec<Command>, LeadershipLost> {
         self.take_in(report, true, now)
     }
 
@@ -32,18 +33,18 @@
         report: &WorkerHeartbeat,
         own: bool,
         now: Time,
-    ) -> Result<Vec<Command>, Deposed> {
+    ) -> Result<Vec<Command>, LeadershipLost> {
         if report.fencing_token > self.term {
-            return Err(Deposed(report.fencing_token));
+            return Err(LeadershipLost(report.fencing_token));
         }
-        if self.released.contains_key(&report.host) {
+        if self.released_hosts.contains_key(&report.host) {
             return Ok(Vec::new());
         }
-        if self.phase == Phase::Loading {
+        if self.phase == LeaderPhase::LoadingRecords {
             // The token alone keeps the worker's lease alive while the records are read. That may
             // take longer than cancelled work has.
             return Ok(stop_commands(report, |job| {
-                self.cancelled.contains_key(&job)
+                self.cancelled_jobs.contains_key(&job)
             }));
         }
         let name = report.host.clone();
@@ -58,7 +59,7 @@
             .hosts
             .remove(&name)
             .unwrap_or_else(|| Host::new(name.clone(), now));
-        let commands = if host.is_news(report) {
+        let commands = if host.is_newer(report) {
             self.update(&mut host, report, own, now);
             if own {
                 self.commands(&mut host, Some(report.sequence), now)
@@ -83,23 +84,23 @@
     fn unfenced(&mut self, host: &mut Host, report: &WorkerHeartbeat, own: bool, now: Time) {
         self.describe(host, report);
         let at = (report.incarnation, report.sequence);
-        if at > host.unfenced {
+        if at > host.last_unfenced {
             // It was told the token before, and has not taken it in.
-            if own && host.unfenced != (Incarnation(0), SequenceNumber(0)) {
-                host.ignored(now);
+            if own && host.last_unfenced != (Incarnation(0), SequenceNumber(0)) {
+                host.command_had_no_effect(now);
             }
-            host.unfenced = at;
+            host.last_unfenced = at;
             if !own {
                 // A probe for the wrong incarnation was turned down; now the right one is known.
-                host.probe_at = now;
+                host.next_probe_at = now;
             }
         }
     }
 
     /// What does not change in a machine's life.
     fn describe(&self, host: &mut Host, report: &WorkerHeartbeat) {
-        if host.kind.is_none() || host.zone.is_empty() {
-            host.kind = self
+        if host.type_index.is_none() || host.zone.is_empty() {
+            host.type_index = self
                 .types
                 .iter()
                 .position(|t| t.name == report.machine_type);
@@ -111,36 +112,37 @@
 
     fn update(&mut self, host: &mut Host, report: &WorkerHeartbeat, own: bool, now: Time) {
         // Heard of before in this term: a report after a silence may have been under way for long.
-        let back = host.up_at.is_some() && host.lifecycle == HostLifecycle::Silent;
-        if host.up_at.is_none() {
-            host.up_at = Some(now);
-            host.idle_since = host.bookings.is_empty().then_some(now);
+        let back =
+            host.first_heartbeat_at.is_some() && host.lifecycle == HostLifecycle::Unresponsive;
+        if host.first_heartbeat_at.is_none() {
+            host.first_heartbeat_at = Some(now);
+            host.idle_since = host.allocations.is_empty().then_some(now);
         }
         self.describe(host, report);
         let before = host.reachability;
-        if host.token < report.fencing_token || !own {
-            host.took_effect();
+        if host.fencing_token < report.fencing_token || !own {
+            host.command_took_effect();
         } else if back {
             host.set_reachability(Reachability::Unconfirmed);
-            host.probe_at = now;
+            host.next_probe_at = now;
         } else if host.reachability == Reachability::Unconfirmed {
             host.set_reachability(Reachability::Confirmed);
         }
-        self.place_wanted |= host.reachability != before;
-        host.token = report.fencing_token;
-        host.heard_at = now;
+        self.scheduling_requested |= host.reachability != before;
+        host.fencing_token = report.fencing_token;
+        host.last_heartbeat_at = now;
         if host.lifecycle != HostLifecycle::Up {
-            host.enter(HostLifecycle::Up);
-            if host.cordon == Some(Cordon::Lost) && host.lifecycle == HostLifecycle::Up {
+            host.set_lifecycle(HostLifecycle::Up);
+            if host.cordon == Some(CordonReason::Lost) && host.lifecycle == HostLifecycle::Up {
                 host.cordon = None;
             }
-            self.place_wanted = true;
+            self.scheduling_requested = true;
         }
         if report.incarnation > host.incarnation {
             self.new_session(host, report.incarnation, own, now);
         }
-        host.tick = report.sequence;
-        host.strays.clear();
+        host.sequence = report.sequence;
+        host.unrecorded_attempts.clear();
         for reported in &report.tasks {
             self.reported(host, reported, now);
         }
@@ -152,14 +154,14 @@
 
     /// The worker killed and forgot all that earlier incarnations held.
     fn new_session(&mut self, host: &mut Host, incarnation: Incarnation, own: bool, now: Time) {
-        let heard = now.since(host.heard_at) < self.rules.report * 2;
+        let heard = now.since(host.last_heartbeat_at) < self.policy.report * 2;
         if own && heard && host.incarnation != Incarnation(0) && host.lifecycle == HostLifecycle::Up
         {
             // Its lease ran out although its reports were answered.
-            host.ignored(now);
+            host.command_had_no_effect(now);
         }
         let old: Vec<TaskId> = host
-            .bookings
+            .allocations
             .iter()
             .filter(|(_, b)| b.incarnation < incarnation)
             .map(|(t, _)| *t)
@@ -175,9 +177,9 @@
             self.end_booking(host, task, false, now);
         }
         host.incarnation = incarnation;
-        host.leftovers.clear();
-        host.unanswered.clear();
-        self.place_wanted = true;
+        host.ended_attempts.clear();
+        host.unacknowledged_runs.clear();
+        self.scheduling_requested = true;
     }
 
     fn reported(&mut self, host: &mut Host, reported: &AttemptStatus, now: Time) {
@@ -188,29 +190,31 @@
             ..
         } = *reported;
         let ours = host
-            .bookings
+            .allocations
             .get_mut(&task)
             .filter(|b| b.attempt == attempt);
         match (ours, state) {
             (Some(_), AttemptState::Ended) => self.ended(host, reported, now),
-            (Some(booking), _) => {
-                let told =
-                    booking.phase == BookingPhase::Ordered && booking.answered != SequenceNumber(0);
-                let waited = booking.started.is_none();
-                booking.seen(reported, now);
-                if waited && booking.started.is_some() {
+            (Some(allocation), _) => {
+                let told = allocation.phase == AllocationPhase::Committed
+                    && allocation.run_sent_in_response_to != SequenceNumber(0);
+                let waited = allocation.started_at.is_none();
+                allocation.observe(reported, now);
+                if waited && allocation.started_at.is_some() {
                     self.image_arrived(host, task, now);
                 }
                 if told {
-                    host.took_effect();
+                    host.command_took_effect();
                 }
             }
             (None, AttemptState::Ended) => {
                 // Its outcome is in the records already, or never mattered.
-                host.leftovers.entry((task, attempt)).or_insert(Leftover {
-                    change: 0,
-                    kept_until: now,
-                });
+                host.ended_attempts
+                    .entry((task, attempt))
+                    .or_insert(EndedAttempt {
+                        record_change: 0,
+                        retain_until: now,
+                    });
             }
             (None, _) => self.stray(host, task, attempt, now),
         }
@@ -226,12 +230,12 @@
         let service = self.jobs.get(&task.job).is_some_and(Job::is_service);
         // A service is never done.
         let done = cause == Some(EndReason::Done) && !service;
-        let started = host.bookings.get(&task).and_then(|b| b.started);
+        let started = host.allocations.get(&task).and_then(|b| b.started_at);
         let ran = started.map_or(Duration::ZERO, |s| now.since(s));
         if let (Some(EndReason::Done | EndReason::Error), Some(job), true) =
             (cause, self.jobs.get_mut(&task.job), service)
         {
-            job.replica_ended(ran, now);
+            job.on_replica_ended(ran, now);
             tracing::info!(
                 "{}: {task} ended by itself after {ran:?}: {cause:?}",
                 host.name
@@ -241,45 +245,66 @@
             Some(EndReason::Done) if service => {}
             Some(EndReason::Done) => {
                 self.learn(task, started.map(|s| now.since(s).as_secs_f64()));
-                host.failures = 0;
+                host.consecutive_failures = 0;
                 host.failed_jobs.clear();
             }
             Some(EndReason::Stopped) => {}
             // One that had long been running says nothing of its machine.
-            Some(EndReason::Error) if service && ran >= SETTLED => {}
+            Some(EndReason::Error) if service && ran >= REPLICA_STABLE_AFTER => {}
             Some(EndReason::Error) => self.task_failed(host, task, now),
             _ => {
                 tracing::info!("{}: {task} attempt {attempt} refused: {cause:?}", host.name);
                 if let Some(job) = self.jobs.get_mut(&task.job) {
-                    job.not_before = now.after(Duration::from_secs(1));
+                    job.retry_not_before = now.after(Duration::from_secs(1));
                 }
             }
         }
-        let copies = host.bookings.get(&task).is_some_and(|b| b.direct);
+        self.keep_ended_attempt(host, task, attempt, done, now);
+    }
+
+    /// Frees the allocation of an attempt that ended. Its worker has to remember the attempt for as long
+    /// as a copy of its `run` may still arrive.
+    fn keep_ended_attempt(
+        &mut self,
+        host: &mut Host,
+        task: TaskId,
+        attempt: Attempt,
+        done: bool,
+        now: Time,
+    ) {
+        let copies = host
+            .allocations
+            .get(&task)
+            .is_some_and(|b| b.run_sent_directly);
         let kept_for = if copies {
-            self.rules.lease * KEPT_LEASES
+            self.policy.lease * KEPT_LEASES
         } else {
             Duration::ZERO
         };
         let change = self.end_booking(host, task, done, now);
         let kept_until = now.after(kept_for);
-        host.leftovers
-            .insert((task, attempt), Leftover { change, kept_until });
-        self.place_wanted = true;
+        host.ended_attempts.insert(
+            (task, attempt),
+            EndedAttempt {
+                record_change: change,
+                retain_until: kept_until,
+            },
+        );
+        self.scheduling_requested = true;
     }
 
     fn image_arrived(&mut self, host: &mut Host, task: TaskId, now: Time) {
         if let Some(job) = self.jobs.get_mut(&task.job) {
-            if let Some((since, why)) = job.gaps.remove(&task.index) {
+            if let Some((since, why)) = job.replica_outages.remove(&task.index) {
                 tracing::info!("{task} runs again after {:?}: {why}", now.since(since));
             }
         }
         let spec = self.jobs.get(&task.job).and_then(|j| j.spec.as_ref());
-        let kind = host.kind.and_then(|k| self.types.get(k));
+        let kind = host.type_index.and_then(|k| self.types.get(k));
         // Only services ask where their image is.
         let spec = spec.filter(|s| s.is_service());
         if let (Some(spec), Some(kind)) = (spec, kind) {
-            host.has_image(&spec.image, spec.image_gb.0, kind.cache_gb.0);
+            host.cache_image(&spec.image, spec.image_gb.0, kind.cache_gb.0);
         }
     }
 
@@ -287,18 +312,17 @@
     /// so it is stopped; until it has ended, it is not started elsewhere.
     fn stray(&mut self, host: &mut Host, task: TaskId, attempt: Attempt, now: Time) {
         tracing::warn!("{}: {task} attempt {attempt} is not booked here", host.name);
-        host.strays.insert((task, attempt));
+        host.unrecorded_attempts.insert((task, attempt));
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
         };
-        let free =
-            matches!(job.task(task.index), Some(TaskState::Waiting { last }) if *last <= attempt);
-        if job.phase != JobPhase::Active || !free || host.bookings.contains_key(&task) {
+        let free = matches!(job.task_state(task.index), Some(TaskState::Waiting { last }) if *last <= attempt);
+        if job.phase != JobPhase::Active || !free || host.allocations.contains_key(&task) {
             return;
         }
-        host.strays.remove(&(task, attempt));
-        let (incarnation, need) = (host.incarnation, job.need);
-        let state = TaskState::Booked {
+        host.unrecorded_attempts.remove(&(task, attempt));
+        let (incarnation, need) = (host.incarnation, job.task_resources);
+        let state = TaskState::Allocated {
             host: host.name.clone(),
             attempt,
             incarnation,
@@ -306,27 +330,27 @@
         let Some(number) = job.set_task(task.index, state) else {
             return;
         };
-        let change = job.chunk(number).map_or(0, |c| c.changes);
-        self.batcher.changed(task.job, number, true);
+        let change = job.chunk(number).map_or(0, |c| c.change_count);
+        self.batcher.mark_dirty(task.job, number, true);
         let team = job.team.clone();
         self.charge(&team, &need);
-        host.book(
+        host.allocate(
             task,
-            Booking {
+            Allocation {
                 attempt,
                 incarnation,
-                need,
-                phase: BookingPhase::Present,
-                change,
-                sent: true,
-                direct: false,
-                answered: SequenceNumber(0),
-                stop_told: SequenceNumber(0),
-                stop: Some(StopWhy::Drained),
+                resources: need,
+                phase: AllocationPhase::Observed,
+                record_change: change,
+                run_sent: true,
+                run_sent_directly: false,
+                run_sent_in_response_to: SequenceNumber(0),
+                stop_sent_in_response_to: SequenceNumber(0),
+                stop_reason: Some(StopReason::Drained),
                 saving: false,
                 fetching: false,
-                since: now,
-                started: None,
+                allocated_at: now,
+                started_at: None,
             },
         );
     }
@@ -335,49 +359,56 @@
     fn absent(&mut self, host: &mut Host, report: &WorkerHeartbeat, own: bool, now: Time) {
         let listed: BTreeSet<(TaskId, Attempt)> =
             report.tasks.iter().map(|t| (t.task, t.attempt)).collect();
-        host.leftovers.retain(|key, _| listed.contains(key));
+        host.ended_attempts.retain(|key, _| listed.contains(key));
         let missing: Vec<TaskId> = host
-            .bookings
+            .allocations
             .iter()
             .filter(|(task, b)| !listed.contains(&(**task, b.attempt)))
             .map(|(task, _)| *task)
             .collect();
         // Only what was in the answer to an older report should show by now.
-        let told = |b: &Booking| b.stop_told != SequenceNumber(0) && report.sequence > b.stop_told;
-        let running = |b: &Booking| b.phase == BookingPhase::Present && !b.saving;
-        let mut stops = host.bookings.values().filter(|b| b.stop.is_some());
+        let told = |b: &Allocation| {
+            b.stop_sent_in_response_to != SequenceNumber(0)
+                && report.sequence > b.stop_sent_in_response_to
+        };
+        let running = |b: &Allocation| b.phase == AllocationPhase::Observed && !b.saving;
+        let mut stops = host
+            .allocations
+            .values()
+            .filter(|b| b.stop_reason.is_some());
         let mut unseen = own && stops.any(|b| told(b) && running(b));
         for task in missing {
-            let Some(booking) = host.bookings.get(&task) else {
+            let Some(allocation) = host.allocations.get(&task) else {
                 continue;
             };
             // One that is still wanted is ordered again under the same attempt, which is safe.
-            let wanted = booking.stop.is_none() && booking.phase != BookingPhase::Present;
+            let wanted =
+                allocation.stop_reason.is_none() && allocation.phase != AllocationPhase::Observed;
             if wanted {
                 unseen |= own
-                    && booking.answered != SequenceNumber(0)
-                    && report.sequence > booking.answered;
+                    && allocation.run_sent_in_response_to != SequenceNumber(0)
+                    && report.sequence > allocation.run_sent_in_response_to;
                 continue;
             }
             let (token, tick) = (report.fencing_token, report.sequence);
-            if host.proves_absence(task, booking, token, self.term, tick, own) {
+            if host.proves_absence(task, allocation, token, self.term, tick, own) {
                 self.end_booking(host, task, false, now);
             }
         }
         if unseen {
-            host.ignored(now);
+            host.command_had_no_effect(now);
         }
     }
 
     /// The cloud will take the machine: what can't end in time is moved now.
     fn noticed(&mut self, host: &mut Host, left: Duration, now: Time) {
-        if host.gone_by.is_some() {
+        if host.reclaim_at.is_some() {
             return;
         }
-        host.gone_by = Some(now.after(left));
-        host.cordon(Cordon::Notice);
-        self.place_wanted = true;
-        for (task, booking) in &mut host.bookings {
+        host.reclaim_at = Some(now.after(left));
+        host.cordon(CordonReason::Reclaimed);
+        self.scheduling_requested = true;
+        for (task, allocation) in &mut host.allocations {
             let Some(job) = self.jobs.get(&task.job) else {
                 continue;
             };
@@ -385,9 +416,9 @@
                 // Its moment is chosen by what room there is elsewhere.
                 continue;
             }
-            let rest = self.expected_rest(job, booking.started, now);
-            if rest > left.as_secs_f64() && booking.stop.is_none() {
-                booking.stop = Some(StopWhy::Drained);
+            let rest = self.expected_rest(job, allocation.started_at, now);
+            if rest > left.as_secs_f64() && allocation.stop_reason.is_none() {
+                allocation.stop_reason = Some(StopReason::Drained);
             }
         }
     }
--- a/src/coordination/run_times.rs
+++ b/src/coordination/run_times.rs
@@ -1,7 +1,7 @@
 //! How long tasks run, as far as it can be told from those that ended.
 
 use super::jobs::Job;
-use super::Controller;
+use super::Leader;
 use crate::protocol::users::JobSpec;
 use crate::types::{TaskId, Time};
 
@@ -10,14 +10,14 @@
 /// Nobody knows when a replica ends: forecasts take it for long.
 const SERVICE_RUN_S: f64 = 600.0;
 
-impl Controller {
+impl Leader {
     /// Owners' guesses are often wrong, and some days all in the same direction.
     pub(super) fn learn(&mut self, task: TaskId, ran: Option<f64>) {
         let spec = self.jobs.get(&task.job).and_then(|j| j.spec.as_ref());
         let (Some(spec), Some(ran)) = (spec, ran) else {
             return;
         };
-        let (sum, guessed) = self.runs.entry(spec.class.clone()).or_default();
+        let (sum, guessed) = self.run_times.entry(spec.class.clone()).or_default();
         // Older runs fade, so that a new day is noticed.
         *sum = *sum * LEARN_KEEP + ran;
         *guessed = *guessed * LEARN_KEEP + spec.estimate_s.0;
@@ -30,10 +30,10 @@
         }
         let expected = match &job.spec {
             Some(spec) => self.expected_run_of(spec),
-            None => job.estimate(),
+            None => job.estimated_run_s(),
         };
         // The job's own finished tasks tell more than any guess.
-        let (own, count) = job.ran;
+        let (own, count) = job.completed_runs;
         (expected + own) / (1.0 + count)
     }
 
@@ -42,7 +42,7 @@
         if spec.is_service() {
             return SERVICE_RUN_S;
         }
-        let (ran, guessed) = self.runs.get(&spec.class).copied().unwrap_or_default();
+        let (ran, guessed) = self.run_times.get(&spec.class).copied().unwrap_or_default();
         let estimate = spec.estimate_s.0.max(1.0);
         // A few guesses taken at their word keep the first runs from deciding alone.
         let prior = estimate * 4.0;
--- a/src/coordination/scaling.rs
+++ b/src/coordination/scaling.rs
@@ -3,9 +3,9 @@
 use std::cmp::Ordering;
 use std::time::Duration;
 
-use super::hosts::{Cordon, HostLifecycle};
+use super::hosts::{CordonReason, HostLifecycle};
 use super::scoring::capacity;
-use super::Controller;
+use super::Leader;
 use crate::types::{seconds, HostName, Time};
 
 /// The cloud charges at least a minute; a machine that goes back earlier saves nothing.
@@ -20,17 +20,17 @@
     cpus: f64,
 }
 
-impl Controller {
+impl Leader {
     /// Scale down by cordoning. Headroom spreads work thinly over all machines, so that none ever
     /// idles; what the recent peak of demand does not need is therefore closed, the dearest first,
     /// runs empty, and goes back. When demand rises it is opened again before any is rented.
     pub(super) fn cordon_surplus(&mut self, scarce: &[bool], now: Time) {
-        let window = seconds(self.rules.tuning.idle_return_s);
+        let window = seconds(self.policy.tuning.idle_return_s);
         let ordinary = self.ordinary_kept(now);
         for group in [false, true] {
             let demand = self.demand(scarce, group);
-            let peak = self.fleet.peaks[usize::from(group)].note(now, demand, window);
-            let wanted = peak * (1.0 + self.rules.tuning.spare_share);
+            let peak = self.autoscaler.peaks[usize::from(group)].note(now, demand, window);
+            let wanted = peak * (1.0 + self.policy.tuning.spare_share);
             let candidates = self.scale_in_candidates(scarce, group);
             let mut kept = 0.0;
             for ScaleInCandidate { name, cpus, .. } in candidates {
@@ -40,11 +40,11 @@
                 if kept < wanted || ordinary.contains(&name) {
                     kept += cpus;
                     if host.uncordon() {
-                        self.place_wanted = true;
+                        self.scheduling_requested = true;
                     }
-                } else if now >= host.open_until {
-                    host.cordon(Cordon::Surplus);
-                    if host.cordon == Some(Cordon::Surplus) {
+                } else if now >= host.keep_open_until {
+                    host.cordon(CordonReason::Surplus);
+                    if host.cordon == Some(CordonReason::Surplus) {
                         host.surplus_since.get_or_insert(now);
                     }
                 }
@@ -59,9 +59,9 @@
             .hosts
             .values()
             .filter(|h| h.lifecycle == HostLifecycle::Up)
-            .filter(|h| matches!(h.cordon, None | Some(Cordon::Surplus)))
+            .filter(|h| matches!(h.cordon, None | Some(CordonReason::Surplus)))
             .filter_map(|h| {
-                let kind = h.kind.filter(|k| scarce.get(*k) == Some(&group))?;
+                let kind = h.type_index.filter(|k| scarce.get(*k) == Some(&group))?;
                 let machine_type = self.types.get(kind)?;
                 let price = if h.spot {
                     machine_type.spot_price.0
@@ -73,7 +73,7 @@
                 let cordoned = if h.cordon.is_some() { 1.0 } else { 0.0 };
                 Some(ScaleInCandidate {
                     price_per_cpu: price / cpus,
-                    idleness: cordoned - h.used.cpus / cpus,
+                    idleness: cordoned - h.allocated.cpus / cpus,
                     name: h.name.clone(),
                     cpus,
                 })
@@ -90,14 +90,15 @@
     fn demand(&self, scarce: &[bool], group: bool) -> f64 {
         let mut demand = 0.0;
         for host in self.hosts.values() {
-            let Some(kind) = host.kind.filter(|k| scarce.get(*k) == Some(&group)) else {
+            let Some(kind) = host.type_index.filter(|k| scarce.get(*k) == Some(&group)) else {
                 continue;
             };
             let Some(t) = self.types.get(kind) else {
                 continue;
             };
             let whole = capacity(t);
-            let share = (host.used.cpus / whole.cpus).max(host.used.memory_gb / whole.memory_gb);
+            let share =
+                (host.allocated.cpus / whole.cpus).max(host.allocated.memory_gb / whole.memory_gb);
             demand += if share.is_finite() {
                 share * whole.cpus
             } else {
@@ -105,7 +106,7 @@
             };
         }
         for job in self.jobs.values() {
-            let (Some(spec), true) = (&job.spec, job.waiting() > 0) else {
+            let (Some(spec), true) = (&job.spec, job.waiting_count() > 0) else {
                 continue;
             };
             let needs_scarce = self
@@ -113,8 +114,8 @@
                 .iter()
                 .all(|k| scarce.get(*k) == Some(&true));
             if needs_scarce == group {
-                let count = u64::from(job.placeable()).min(self.team_room(job));
-                demand += count as f64 * job.need.cpus;
+                let count = u64::from(job.schedulable_count()).min(self.team_room(job));
+                demand += count as f64 * job.task_resources.cpus;
             }
         }
         demand
@@ -124,17 +125,17 @@
     pub(super) fn return_empty(&mut self, now: Time) {
         let mut returned = Vec::new();
         for host in self.hosts.values_mut() {
-            let empty = host.lifecycle == HostLifecycle::Up && host.bookings.is_empty();
+            let empty = host.lifecycle == HostLifecycle::Up && host.allocations.is_empty();
             // What has been paid for anyway may stay.
-            let paid = now.since(host.rented_at) < MIN_PAID;
-            let closed = host.cordon.is_some_and(|c| c != Cordon::Notice);
+            let paid = now.since(host.provisioned_at) < MIN_PAID;
+            let closed = host.cordon.is_some_and(|c| c != CordonReason::Reclaimed);
             if empty && closed && !paid {
-                host.enter(HostLifecycle::Releasing);
+                host.set_lifecycle(HostLifecycle::Releasing);
                 returned.push(host.name.clone());
             }
         }
         for name in returned {
-            self.fleet.release(name);
+            self.autoscaler.release(name);
         }
     }
 }
--- a/src/coordination/services.rs
+++ b/src/coordination/services.rs
@@ -4,10 +4,11 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-use super::hosts::{Cordon, Host, HostLifecycle, Reachability, StopWhy};
+use super::fleet::CapacityPool;
+use super::hosts::{CordonReason, Host, HostLifecycle, Reachability, StopReason};
 use super::jobs::{Job, JobPhase};
 use super::scoring::{self, capacity};
-use super::Controller;
+use super::Leader;
 use crate::protocol::users::JobSpec;
 use crate::types::{seconds, HostName, TaskId, Time};
 
@@ -22,13 +23,13 @@
 /// One replica is moved at a time, for the price of a machine alone.
 const MOVE_EVERY: Duration = Duration::from_secs(15);
 
-impl Controller {
+impl Leader {
     pub(super) fn is_service(&self, task: TaskId) -> bool {
         self.jobs.get(&task.job).is_some_and(|j| j.is_service())
     }
 
     pub(super) fn holds_replicas(&self, host: &Host) -> bool {
-        host.bookings.keys().any(|task| self.is_service(*task))
+        host.allocations.keys().any(|task| self.is_service(*task))
     }
 
     /// CPUs on ordinary machines that work needs which may use no others: the peak of the last while of
@@ -38,17 +39,17 @@
         for job in self.jobs.values() {
             let ordinary = job.spec.as_ref().is_some_and(|s| !s.spot);
             if ordinary && job.phase == JobPhase::Active {
-                let tasks = f64::from(job.booked) + f64::from(job.placeable());
-                demand += tasks * job.need.cpus;
+                let tasks = f64::from(job.allocated_count) + f64::from(job.schedulable_count());
+                demand += tasks * job.task_resources.cpus;
             }
         }
-        for spec in self.fleet.lately(now).filter(|s| !s.spot) {
+        for spec in self.autoscaler.lately(now).filter(|s| !s.spot) {
             let ready = self.least_ready(spec, &self.usable_types(spec, &[]));
             let share = (ready / super::fleet::ARRIVALS_FOR.as_secs_f64()).min(1.0);
             demand += spec.tasks as f64 * spec.cpus.0 * share;
         }
-        let window = seconds(self.rules.tuning.idle_return_s) * 2;
-        let peak = self.fleet.ordinary_peak.note(now, demand, window);
+        let window = seconds(self.policy.tuning.idle_return_s) * 2;
+        let peak = self.autoscaler.ordinary_peak.note(now, demand, window);
         // Headroom spreads replicas thinly, so some of it is split up among machines.
         peak * ORDINARY_SPARE + self.standby(now)
     }
@@ -63,7 +64,7 @@
             .values()
             .filter(|h| !h.spot && h.lifecycle == HostLifecycle::Up)
         {
-            if let Some(t) = host.kind.and_then(|k| self.types.get(k)) {
+            if let Some(t) = host.type_index.and_then(|k| self.types.get(k)) {
                 let cpus = t.cpus.0.max(0.1);
                 let price = t.on_demand_price.0 / cpus * self.urgency_factor(t.boot_s.0);
                 let idle = !self.holds_replicas(host);
@@ -91,13 +92,13 @@
     fn standby(&self, now: Time) -> f64 {
         let boots = self.types.iter().map(|t| t.boot_s.0);
         let soonest = boots.fold(f64::INFINITY, f64::min);
-        let unseen = |class: &str| !self.classes.contains(class);
+        let unseen = |class: &str| !self.seen_classes.contains(class);
         let hurried = |(class, within): &(String, f64)| *within < soonest && unseen(class);
         // The first jobs of the day are about to tell which classes there are.
         let settled = now.since(self.started_at) > STANDBY_AFTER;
-        let unknown = settled && self.rules.hurried.iter().any(hurried);
+        let unknown = settled && self.policy.hurried.iter().any(hurried);
         if unknown || self.jobs.values().any(Job::is_service) {
-            self.rules.tuning.standby_cpus
+            self.policy.tuning.standby_cpus
         } else {
             0.0
         }
@@ -109,17 +110,17 @@
         let here = self.hosts.values().filter(|h| {
             !h.spot
                 && h.lifecycle != HostLifecycle::Releasing
-                && matches!(h.cordon, None | Some(Cordon::Surplus))
+                && matches!(h.cordon, None | Some(CordonReason::Surplus))
         });
         let room = here.map(|h| {
-            let replicas = h.bookings.iter().filter(|(t, _)| self.is_service(**t));
-            let taken: f64 = replicas.map(|(_, b)| b.need.cpus).sum();
-            (h.kind.map_or(0.0, cpus) - taken).max(0.0)
+            let replicas = h.allocations.iter().filter(|(t, _)| self.is_service(**t));
+            let taken: f64 = replicas.map(|(_, b)| b.resources.cpus).sum();
+            (h.type_index.map_or(0.0, cpus) - taken).max(0.0)
         });
-        let rentals = self.fleet.rentals.values().filter(|r| !r.market.2);
-        let ordered = rentals.map(|r| cpus(r.market.0) * r.rental.count as f64);
+        let rentals = self.autoscaler.rentals.values().filter(|r| !r.pool.spot);
+        let ordered = rentals.map(|r| cpus(r.pool.type_index) * r.rental.count as f64);
         let services = self.jobs.values().filter(|j| j.is_service());
-        let waiting = services.map(|j| f64::from(j.waiting()) * j.need.cpus);
+        let waiting = services.map(|j| f64::from(j.waiting_count()) * j.task_resources.cpus);
         room.chain(ordered).sum::<f64>() - waiting.sum::<f64>()
     }
 
@@ -135,18 +136,22 @@
             let t = &self.types[*kind];
             t.on_demand_price.0 / cpus(*kind) * self.urgency_factor(t.boot_s.0)
         };
-        let markets = (0..self.types.len()).filter_map(|kind| {
-            let open = |zone: &&String| !self.is_closed(&(kind, (*zone).clone(), false), now);
-            let zone = self.types[kind].zones.iter().find(open)?;
-            Some((kind, zone.clone()))
+        let pools = (0..self.types.len()).filter_map(|kind| {
+            let on_demand = |zone: &String| CapacityPool {
+                type_index: kind,
+                zone: zone.clone(),
+                spot: false,
+            };
+            let mut pools = self.types[kind].zones.iter().map(on_demand);
+            pools.find(|pool| !self.is_closed(pool, now))
         });
-        let best = markets.min_by(|a, b| cost(&a.0).total_cmp(&cost(&b.0)));
-        let Some((kind, zone)) = best.filter(|_| missing > 0.0) else {
+        let best = pools.min_by(|a, b| cost(&a.type_index).total_cmp(&cost(&b.type_index)));
+        let Some(pool) = best.filter(|_| missing > 0.0) else {
             return;
         };
-        let count = (missing / cpus(kind)).ceil() as u64;
+        let count = (missing / cpus(pool.type_index)).ceil() as u64;
         tracing::info!("{count} machines are rented as a standby");
-        self.order((kind, zone, false), count, now);
+        self.order(pool, count, now);
     }
 
     /// Opens a machine that was closed as not needed and could take a replica that found no other: those
@@ -158,26 +163,26 @@
         usable: &[bool],
         now: Time,
     ) -> bool {
-        let Some(index) = job.first_waiting() else {
+        let Some(index) = job.next_waiting_task() else {
             return false;
         };
         let task = TaskId { job: job.id, index };
         let suits = |host: &&Host| {
-            let kind = host.kind.filter(|k| usable.get(*k) == Some(&true));
+            let kind = host.type_index.filter(|k| usable.get(*k) == Some(&true));
             let whole = kind.and_then(|k| self.types.get(k)).map(capacity);
-            host.cordon == Some(Cordon::Surplus)
+            host.cordon == Some(CordonReason::Surplus)
                 && host.lifecycle == HostLifecycle::Up
-                && now.since(host.heard_at) <= self.rules.report * 2
+                && now.since(host.last_heartbeat_at) <= self.policy.report * 2
                 && host.reachability == Reachability::Confirmed
                 && (spec.spot || !host.spot)
                 && spec.zone.as_ref().is_none_or(|z| *z == host.zone)
-                && whole.is_some_and(|w| job.need.fits(&w.minus(&host.used)))
+                && whole.is_some_and(|w| job.task_resources.fits(&w.minus(&host.allocated)))
                 && !self.knows_of(&host.name, task)
         };
         let found = self.hosts.values().find(suits).map(|h| h.name.clone());
         let host = found.and_then(|name| self.hosts.get_mut(&name));
         host.is_some_and(|host| {
-            host.open_until = now.after(REOPENED_FOR);
+            host.keep_open_until = now.after(REOPENED_FOR);
             host.uncordon()
         })
     }
@@ -190,10 +195,15 @@
         }
         let mut moves: Vec<(HostName, TaskId)> = Vec::new();
         for host in self.hosts.values() {
-            let leaving = host.gone_by.filter(|_| host.lifecycle == HostLifecycle::Up);
+            let leaving = host
+                .reclaim_at
+                .filter(|_| host.lifecycle == HostLifecycle::Up);
             if let Some(by) = leaving {
                 let last = by.since(now) <= LAST_MOMENT;
-                let there = host.bookings.iter().filter(|(_, b)| b.stop.is_none());
+                let there = host
+                    .allocations
+                    .iter()
+                    .filter(|(_, b)| b.stop_reason.is_none());
                 for (task, _) in there {
                     if self.is_service(*task) && (last || self.has_room(*task, host, now)) {
                         moves.push((host.name.clone(), *task));
@@ -201,15 +211,15 @@
                 }
             }
         }
-        if moves.is_empty() && now >= self.move_at {
+        if moves.is_empty() && now >= self.next_idle_move_at {
             moves.extend(self.idle_replica(now));
             if !moves.is_empty() {
-                self.move_at = now.after(MOVE_EVERY);
+                self.next_idle_move_at = now.after(MOVE_EVERY);
             }
         }
         for (host, task) in moves {
             tracing::info!("{host}: {task} is moved");
-            self.stop(&host, task, StopWhy::Drained, now);
+            self.stop(&host, task, StopReason::Drained, now);
         }
     }
 
@@ -217,13 +227,14 @@
     fn idle_replica(&self, now: Time) -> Option<(HostName, TaskId)> {
         let long = |at: Time| now.since(at) > IDLE_FOR;
         let host = self.hosts.values().find(|host| {
-            let idle = host.cordon == Some(Cordon::Surplus) && host.lifecycle == HostLifecycle::Up;
-            let idle = idle && host.surplus_since.is_some_and(long) && !host.bookings.is_empty();
-            idle && host.bookings.iter().all(|(task, b)| {
-                b.stop.is_none() && self.is_service(*task) && self.has_room(*task, host, now)
+            let idle =
+                host.cordon == Some(CordonReason::Surplus) && host.lifecycle == HostLifecycle::Up;
+            let idle = idle && host.surplus_since.is_some_and(long) && !host.allocations.is_empty();
+            idle && host.allocations.iter().all(|(task, b)| {
+                b.stop_reason.is_none() && self.is_service(*task) && self.has_room(*task, host, now)
             })
         })?;
-        let task = *host.bookings.keys().next()?;
+        let task = *host.allocations.keys().next()?;
         Some((host.name.clone(), task))
     }
 
@@ -234,12 +245,12 @@
         };
         let need = scoring::need(spec);
         self.hosts.values().any(|host| {
-            let kind = host.kind.and_then(|k| self.types.get(k));
+            let kind = host.type_index.and_then(|k| self.types.get(k));
             host.name != but.name
                 && self.is_open(host, now)
                 && (spec.spot || !host.spot)
                 && kind.is_some_and(|t| {
-                    scoring::type_suits(spec, t) && need.fits(&capacity(t).minus(&host.used))
+                    scoring::type_suits(spec, t) && need.fits(&capacity(t).minus(&host.allocated))
                 })
         })
     }
--- a/src/coordination/summary.rs
+++ b/src/coordination/summary.rs
@@ -4,39 +4,42 @@
 
 /// How many machines the leader hears.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Reach {
+pub struct WorkerReach {
     /// Machines that reported lately.
-    pub heard: usize,
+    pub reachable: usize,
     /// Machines that are up or silent.
     pub known: usize,
     /// The zone that holds the most machines.
-    pub home: Option<String>,
+    pub home_zone: Option<String>,
 }
 
-impl Reach {
+impl WorkerReach {
     /// More than half of the machines are out of earshot.
-    pub fn is_cut_off(&self) -> bool {
-        self.known >= 3 && self.heard * 2 < self.known
+    pub fn is_partitioned(&self) -> bool {
+        self.known >= 3 && self.reachable * 2 < self.known
     }
 }
 
-impl Controller {
+impl Leader {
     /// How many of the machines that were up this leader still hears, and where most of them are.
-    pub fn reach(&self, now: Time) -> Reach {
-        let late = self.rules.report.mul_f64(zones::LATE_FACTOR);
-        let mut reach = Reach::default();
+    pub fn worker_reach(&self, now: Time) -> WorkerReach {
+        let late = self.policy.report.mul_f64(zones::LATE_FACTOR);
+        let mut reach = WorkerReach::default();
         let mut zones: BTreeMap<&str, usize> = BTreeMap::new();
         for host in self.hosts.values() {
             if host.zone.is_empty()
-                || !matches!(host.lifecycle, HostLifecycle::Up | HostLifecycle::Silent)
+                || !matches!(
+                    host.lifecycle,
+                    HostLifecycle::Up | HostLifecycle::Unresponsive
+                )
             {
                 continue;
             }
             reach.known += 1;
-            reach.heard += usize::from(now.since(host.heard_at) <= late);
+            reach.reachable += usize::from(now.since(host.last_heartbeat_at) <= late);
             *zones.entry(&host.zone).or_default() += 1;
         }
-        reach.home = zones
+        reach.home_zone = zones
             .iter()
             .max_by_key(|(_, count)| **count)
             .map(|(zone, _)| (*zone).to_owned());
@@ -45,23 +48,31 @@
 
     /// Which job has waited the longest for its first start, and why, for operators.
     pub fn longest_wait(&self, now: Time) -> Option<String> {
-        let unbegun = |j: &&Job| j.waiting() > 0 && j.booked == 0 && j.done == 0;
-        let job = self.jobs.values().filter(unbegun).min_by_key(|j| j.at_ms)?;
+        let unbegun =
+            |j: &&Job| j.waiting_count() > 0 && j.allocated_count == 0 && j.done_count == 0;
+        let job = self
+            .jobs
+            .values()
+            .filter(unbegun)
+            .min_by_key(|j| j.submitted_at_ms)?;
         let spec = job.spec.as_ref()?;
-        let waited = self.day_ms.saturating_sub(job.at_ms) / 1000;
+        let waited = self.day_ms.saturating_sub(job.submitted_at_ms) / 1000;
         let why = if !self.may_act(now) {
             "the state service does not answer here".to_owned()
-        } else if matches!(self.phase, Phase::Loading | Phase::Gathering { .. }) {
+        } else if matches!(
+            self.phase,
+            LeaderPhase::LoadingRecords | LeaderPhase::AwaitingHeartbeats { .. }
+        ) {
             "a new leader is making its picture".to_owned()
-        } else if job.suspect() || now < job.not_before {
-            format!("it failed {} times", job.failures)
+        } else if job.fails_everywhere() || now < job.retry_not_before {
+            format!("it failed {} times", job.failures_in_a_row)
         } else if self.team_room(job) == 0 {
             format!("{} is at its limit", job.team)
-        } else if self.batcher.urgent() >= self.rules.records {
-            format!("{} records wait to be written", self.batcher.urgent())
+        } else if self.batcher.urgent_count() >= self.policy.records {
+            format!("{} records wait to be written", self.batcher.urgent_count())
         } else {
             let suits = |h: &&Host| {
-                let kind = h.kind.and_then(|k| self.types.get(k));
+                let kind = h.type_index.and_then(|k| self.types.get(k));
                 kind.is_some_and(|t| scoring::type_suits(spec, t)) && (spec.spot || !h.spot)
             };
             let count = |life| {
@@ -77,12 +88,21 @@
     /// A line for the log that tells operators how things stand.
     pub fn summary(&self) -> String {
         let count = |life| self.hosts.values().filter(|h| h.lifecycle == life).count();
-        let waiting: u64 = self.jobs.values().map(|j| u64::from(j.waiting())).sum();
-        let booked: usize = self.hosts.values().map(|h| h.bookings.len()).sum();
+        let waiting: u64 = self
+            .jobs
+            .values()
+            .map(|j| u64::from(j.waiting_count()))
+            .sum();
+        let booked: usize = self.hosts.values().map(|h| h.allocations.len()).sum();
         let fetching: usize = self
             .hosts
             .values()
-            .map(|h| h.bookings.values().filter(|b| b.started.is_none()).count())
+            .map(|h| {
+                h.allocations
+                    .values()
+                    .filter(|b| b.started_at.is_none())
+                    .count()
+            })
             .sum();
         let (mut used, mut closed, mut all) = (0.0, 0.0, 0.0);
         for host in self
@@ -91,13 +111,13 @@
             .filter(|h| h.lifecycle == HostLifecycle::Up)
         {
             let cpus = host
-                .kind
+                .type_index
                 .and_then(|k| self.types.get(k))
                 .map_or(0.0, |t| t.cpus.0);
-            used += host.used.cpus;
+            used += host.allocated.cpus;
             all += cpus;
             if host.cordon.is_some() {
-                closed += cpus - host.used.cpus;
+                closed += cpus - host.allocated.cpus;
             }
         }
         format!(
@@ -105,7 +125,7 @@
             self.jobs.len(),
             count(HostLifecycle::Up),
             count(HostLifecycle::Expected),
-            count(HostLifecycle::Silent),
+            count(HostLifecycle::Unresponsive),
             count(HostLifecycle::Releasing),
         )
     }
--- a/src/coordination/task_ends.rs
+++ b/src/coordination/task_ends.rs
@@ -1,12 +1,12 @@
-//! What follows when a booking is proven ended, or a task has failed.
+//! What follows when a allocation is proven ended, or a task has failed.
 
-use super::hosts::{Cordon, Host, StopWhy};
+use super::hosts::{CordonReason, Host, StopReason};
 use super::jobs::TaskState;
-use super::Controller;
+use super::Leader;
 use crate::types::{TaskId, Time};
 
-impl Controller {
-    /// Ends a booking that is proven to have ended, and returns the change that holds the outcome.
+impl Leader {
+    /// Ends a allocation that is proven to have ended, and returns the change that holds the outcome.
     pub(super) fn end_booking(
         &mut self,
         host: &mut Host,
@@ -14,38 +14,40 @@
         done: bool,
         now: Time,
     ) -> u64 {
-        let Some(booking) = host.unbook(task, now) else {
+        let Some(allocation) = host.free(task, now) else {
             return 0;
         };
-        self.place_wanted = true;
+        self.scheduling_requested = true;
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return 0;
         };
-        if job.is_service() && booking.started.is_some() {
-            let why = match (booking.stop, host.cordon) {
-                (Some(StopWhy::Preempted), _) => "preempted",
-                (_, Some(Cordon::Notice)) => "its machine was taken",
+        if job.is_service() && allocation.started_at.is_some() {
+            let why = match (allocation.stop_reason, host.cordon) {
+                (Some(StopReason::Preempted), _) => "preempted",
+                (_, Some(CordonReason::Reclaimed)) => "its machine was taken",
                 (Some(_), _) => "moved",
-                (None, Some(Cordon::Lost | Cordon::Sick)) => "its machine was given up",
+                (None, Some(CordonReason::Lost | CordonReason::Faulty)) => {
+                    "its machine was given up"
+                }
                 (None, _) => "ended or lost",
             };
-            job.gaps.entry(task.index).or_insert((now, why));
+            job.replica_outages.entry(task.index).or_insert((now, why));
         }
         let state = if done {
             TaskState::Done
         } else {
             TaskState::Waiting {
-                last: booking.attempt,
+                last: allocation.attempt,
             }
         };
         let mut change = 0;
         if let Some(number) = job.set_task(task.index, state) {
-            change = job.chunk(number).map_or(0, |c| c.changes);
-            self.batcher.changed(task.job, number, false);
+            change = job.chunk(number).map_or(0, |c| c.change_count);
+            self.batcher.mark_dirty(task.job, number, false);
         }
         let team = job.team.clone();
-        self.discharge(&team, &booking.need);
-        self.settle(task.job, now);
+        self.discharge(&team, &allocation.resources);
+        self.check_completion(task.job, now);
         change
     }
 
@@ -53,12 +55,12 @@
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
         };
-        let before = job.suspect();
-        job.failed(&host.name, now);
+        let before = job.fails_everywhere();
+        job.on_task_failed(&host.name, now);
         host.failed_jobs.insert(task.job, now);
-        if job.suspect() {
+        if job.fails_everywhere() {
             if !before {
-                let (times, machines) = (job.failures, job.failed_on.len());
+                let (times, machines) = (job.failures_in_a_row, job.failed_hosts.len());
                 tracing::info!(
                     "{}: fails wherever it is tried ({times} times, {machines} machines)",
                     task.job
@@ -67,12 +69,17 @@
             // It fails everywhere: that says nothing about this machine.
             return;
         }
-        host.failures += 1;
-        let proven = job.done > 0 || job.failed_on.len() == 1 && host.failures >= 3;
-        tracing::info!("{}: {task} failed, {} in a row", host.name, host.failures);
-        if host.failed_jobs.len() >= 2 || (proven && host.failures >= 2) {
+        host.consecutive_failures += 1;
+        let proven =
+            job.done_count > 0 || job.failed_hosts.len() == 1 && host.consecutive_failures >= 3;
+        tracing::info!(
+            "{}: {task} failed, {} in a row",
+            host.name,
+            host.consecutive_failures
+        );
+        if host.failed_jobs.len() >= 2 || (proven && host.consecutive_failures >= 2) {
             tracing::info!("{}: fails what it is given", host.name);
-            host.cordon(Cordon::Sick);
+            host.cordon(CordonReason::Faulty);
         }
     }
 }
--- a/src/coordination/timeline.rs
+++ b/src/coordination/timeline.rs
@@ -3,11 +3,11 @@
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-use super::fleet::Market;
-use super::hosts::{Cordon, Host, HostLifecycle};
+use super::fleet::CapacityPool;
+use super::hosts::{CordonReason, Host, HostLifecycle};
 use super::resources::Resources;
 use super::scoring::{self, capacity};
-use super::Controller;
+use super::Leader;
 use crate::protocol::users::JobSpec;
 use crate::types::Time;
 
@@ -112,14 +112,14 @@
     }
 }
 
-impl Controller {
+impl Leader {
     /// Machines that are here or coming, and when their room gets free.
     pub(super) fn timelines(&self, now: Time) -> Vec<Timeline> {
         let hosts = self.hosts.values();
         let mut timelines: Vec<Timeline> = hosts.filter_map(|h| self.timeline(h, now)).collect();
-        for open in self.fleet.rentals.values() {
+        for open in self.autoscaler.rentals.values() {
             for _ in 0..open.rental.count {
-                timelines.push(self.new_timeline(open.market.clone()));
+                timelines.push(self.new_timeline(open.pool.clone()));
             }
         }
         timelines
@@ -127,31 +127,33 @@
 
     /// The timeline of a machine, unless nothing can be expected of it.
     pub(super) fn timeline(&self, host: &Host, now: Time) -> Option<Timeline> {
-        let kind = host.kind?;
+        let kind = host.type_index?;
         let machine_type = self.types.get(kind)?;
         let at = match host.lifecycle {
-            HostLifecycle::Up if matches!(host.cordon, None | Some(Cordon::Surplus)) => 0.0,
+            HostLifecycle::Up if matches!(host.cordon, None | Some(CordonReason::Surplus)) => 0.0,
             HostLifecycle::Expected => {
                 let boot = machine_type.boot_s.0;
-                let age = now.since(host.rented_at).as_secs_f64();
+                let age = now.since(host.provisioned_at).as_secs_f64();
                 // One that takes much longer than usual may never come.
                 if age > boot * HOPELESS_BOOT {
                     return None;
                 }
                 (boot - age).max(1.0)
             }
-            HostLifecycle::Up | HostLifecycle::Silent | HostLifecycle::Releasing => return None,
+            HostLifecycle::Up | HostLifecycle::Unresponsive | HostLifecycle::Releasing => {
+                return None
+            }
         };
         let mut ends = Vec::new();
         let mut for_services = capacity(machine_type);
-        for (task, booking) in &host.bookings {
+        for (task, allocation) in &host.allocations {
             let job = self.jobs.get(&task.job);
             let rest = job.map_or(UNKNOWN_REST_S, |j| {
-                self.expected_rest(j, booking.started, now)
+                self.expected_rest(j, allocation.started_at, now)
             });
-            ends.push((rest, booking.need));
+            ends.push((rest, allocation.resources));
             if self.is_service(*task) {
-                for_services.remove(&booking.need);
+                for_services.remove(&allocation.resources);
             }
         }
         ends.sort_by(|a, b| a.0.total_cmp(&b.0));
@@ -161,21 +163,20 @@
             spot: host.spot,
             at,
             for_services,
-            free: capacity(machine_type).minus(&host.used),
+            free: capacity(machine_type).minus(&host.allocated),
             ends,
         })
     }
 
-    pub(super) fn new_timeline(&self, (kind, zone, spot): Market) -> Timeline {
-        let t = &self.types[kind];
-        let at = t.boot_s.0;
+    pub(super) fn new_timeline(&self, pool: CapacityPool) -> Timeline {
+        let machine_type = &self.types[pool.type_index];
         Timeline {
-            kind,
-            zone,
-            spot,
-            at,
-            for_services: capacity(t),
-            free: capacity(t),
+            kind: pool.type_index,
+            zone: pool.zone,
+            spot: pool.spot,
+            at: machine_type.boot_s.0,
+            for_services: capacity(machine_type),
+            free: capacity(machine_type),
             ends: Vec::new(),
         }
     }
--- a/src/coordination/type_eligibility.rs
+++ b/src/coordination/type_eligibility.rs
@@ -2,10 +2,10 @@
 
 use super::jobs::JobPhase;
 use super::scoring::type_suits;
-use super::Controller;
+use super::Leader;
 use crate::protocol::users::JobSpec;
 
-impl Controller {
+impl Leader {
     /// Types that some waiting or running work needs because no other type fits it.
     pub(super) fn scarce_types(&self) -> Vec<bool> {
         let mut scarce = vec![false; self.types.len()];
@@ -16,7 +16,7 @@
                 scarce[only] = true;
             }
         }
-        for only in self.fleet.remembered_scarce() {
+        for only in self.autoscaler.remembered_scarce() {
             if let Some(s) = scarce.get_mut(*only) {
                 *s = true;
             }
@@ -76,11 +76,12 @@
             return None;
         }
         // As with late work, which gives way no longer after twice that time.
-        let starve_after_ms = self.rules.tuning.starve_after_s * 2000.0;
+        let starve_after_ms = self.policy.tuning.starve_after_s * 2000.0;
         let outranks = |kind: usize| {
-            let mut others = self.jobs.values().filter(|j| j.waiting() > 0);
+            let mut others = self.jobs.values().filter(|j| j.waiting_count() > 0);
             others.all(|j| {
-                let starves = self.day_ms.saturating_sub(j.at_ms) as f64 >= starve_after_ms;
+                let starves =
+                    self.day_ms.saturating_sub(j.submitted_at_ms) as f64 >= starve_after_ms;
                 let other = j.spec.as_ref();
                 other.is_none_or(|o| {
                     o.priority > spec.priority && !starves || self.suited(o) != [kind]
--- a/src/coordination/zones.rs
+++ b/src/coordination/zones.rs
@@ -5,8 +5,8 @@
 
 use lichencrank_zones::{Candidate, Urgency, ZoneObservation, ZoneState, ZoneTracker, ZonesRecord};
 
-use super::hosts::{Booking, Host, HostLifecycle, Reachability};
-use super::{longest_report_delay, Controller};
+use super::hosts::{Allocation, Host, HostLifecycle, Reachability};
+use super::{longest_report_delay, Leader};
 use crate::protocol::users::Priority;
 use crate::types::{HostName, TaskId, Time};
 
@@ -42,7 +42,7 @@
     }
 }
 
-impl Controller {
+impl Leader {
     /// Whether zones are tracked.
     pub fn tracks_zones(&self) -> bool {
         self.zones.is_some()
@@ -100,7 +100,7 @@
                 seen.ordinary,
                 seen.controllers
             );
-            self.place_wanted = true;
+            self.scheduling_requested = true;
         }
     }
 
@@ -109,20 +109,20 @@
         for (zone, reach) in &self.zone_controllers {
             observations.entry(zone.clone()).or_default().controllers = *reach;
         }
-        let late = self.rules.report.mul_f64(LATE_FACTOR);
+        let late = self.policy.report.mul_f64(LATE_FACTOR);
         for host in self.hosts.values().filter(|host| !host.zone.is_empty()) {
             if !has_booted(host, now, late) {
                 continue;
             }
             let half_open = matches!(host.reachability, Reachability::HalfOpen { .. });
-            let silent = half_open || now.since(host.heard_at) > late;
+            let silent = half_open || now.since(host.last_heartbeat_at) > late;
             let zone = observations.entry(host.zone.clone()).or_default();
             zone.count(silent, host.spot);
         }
         observations
     }
 
-    /// Whether the machine's silence is that of its zone, so that only [`Controller::displaced_hosts`]
+    /// Whether the machine's silence is that of its zone, so that only [`Leader::displaced_hosts`]
     /// gives it up for being silent.
     pub(super) fn zone_explains_silence(&self, host: &Host) -> bool {
         let zones = self.zones.as_ref().filter(|zones| zones.restored);
@@ -153,9 +153,11 @@
     /// Whether a machine has been silent for longer than work like that on it waits for its zone.
     fn is_overdue(&self, host: &Host, now: Time) -> bool {
         let silent_for = match (host.lifecycle, host.reachability) {
-            (HostLifecycle::Silent, _) => now.since(host.heard_at),
+            (HostLifecycle::Unresponsive, _) => now.since(host.last_heartbeat_at),
             (HostLifecycle::Up, Reachability::HalfOpen { since }) => now.since(since),
-            (HostLifecycle::Expected, _) => now.since(host.known_at.max(host.heard_at)),
+            (HostLifecycle::Expected, _) => {
+                now.since(host.first_seen_at.max(host.last_heartbeat_at))
+            }
             (HostLifecycle::Up | HostLifecycle::Releasing, _) => return false,
         };
         silent_for > self.patience(host, now) && self.is_up_or_overdue(host, now)
@@ -166,17 +168,17 @@
             let tracker = &zones.tracker;
             (tracker.state(&host.zone), tracker.lasted(&host.zone, now))
         });
-        let settling = longest_report_delay(self.rules.report);
+        let settling = longest_report_delay(self.policy.report);
         match state {
             // The zone has been back for long enough for every worker to report.
-            Some((ZoneState::Returning, lasted)) if lasted > settling => self.rules.silent_limit(),
-            _ if self.holds_urgent_work(host) => self.rules.lease.mul_f64(URGENT_LEASES),
-            _ => self.rules.lease.mul_f64(USUAL_LEASES),
+            Some((ZoneState::Returning, lasted)) if lasted > settling => self.policy.silent_limit(),
+            _ if self.holds_urgent_work(host) => self.policy.lease.mul_f64(URGENT_LEASES),
+            _ => self.policy.lease.mul_f64(USUAL_LEASES),
         }
     }
 
     fn holds_urgent_work(&self, host: &Host) -> bool {
-        host.bookings.keys().any(|task| {
+        host.allocations.keys().any(|task| {
             let job = self.jobs.get(&task.job);
             job.is_some_and(|job| job.priority() <= Priority::High || job.is_service())
         })
@@ -184,14 +186,14 @@
 
     /// How urgent the most urgent work on the machine is.
     fn urgency(&self, host: &Host, now: Time) -> Urgency {
-        let bookings = host.bookings.iter();
-        let most_urgent = bookings
-            .filter_map(|(task, booking)| self.urgency_of(*task, booking, now))
+        let allocations = host.allocations.iter();
+        let most_urgent = allocations
+            .filter_map(|(task, allocation)| self.urgency_of(*task, allocation, now))
             .min();
         let work_lost_ms = host
-            .bookings
+            .allocations
             .iter()
-            .map(|(task, booking)| self.work_lost_ms(*task, booking, now))
+            .map(|(task, allocation)| self.work_lost_ms(*task, allocation, now))
             .sum();
         match most_urgent {
             Some(urgency) => Urgency {
@@ -202,29 +204,29 @@
         }
     }
 
-    fn urgency_of(&self, task: TaskId, booking: &Booking, now: Time) -> Option<Urgency> {
+    fn urgency_of(&self, task: TaskId, allocation: &Allocation, now: Time) -> Option<Urgency> {
         let job = self.jobs.get(&task.job)?;
         Some(Urgency {
             priority: job.priority() as u8,
             beyond_guarantee: self.is_beyond_guarantee(&job.team),
             due_ms: job.due_ms().map_or(u64::MAX, |due| due as u64),
-            work_lost_ms: self.work_lost_ms(task, booking, now),
+            work_lost_ms: self.work_lost_ms(task, allocation, now),
         })
     }
 
     fn is_beyond_guarantee(&self, team: &str) -> bool {
-        let Some(known) = self.rules.team(team) else {
+        let Some(known) = self.policy.team(team) else {
             return true;
         };
         let (cpus, gpus) = known.guaranteed();
         let guaranteed = lichencrank_quota::Usage::guaranteed(cpus, gpus);
-        let used = self.used.get(team).copied().unwrap_or_default();
+        let used = self.team_usage.get(team).copied().unwrap_or_default();
         !used.fits(&guaranteed)
     }
 
     /// What the task has done since it last saved, or began.
-    fn work_lost_ms(&self, task: TaskId, booking: &Booking, now: Time) -> u64 {
-        let Some(started) = booking.started else {
+    fn work_lost_ms(&self, task: TaskId, allocation: &Allocation, now: Time) -> u64 {
+        let Some(started) = allocation.started_at else {
             return 0;
         };
         let ran_ms = now.since(started).as_millis() as u64;
@@ -275,8 +277,10 @@
 /// Whether the machine has reported to some leader, or ought to: silence before that says nothing.
 fn has_booted(host: &Host, now: Time, late: Duration) -> bool {
     match host.lifecycle {
-        HostLifecycle::Up | HostLifecycle::Silent => true,
-        HostLifecycle::Expected => host.running_since.is_some_and(|at| now.since(at) > late),
+        HostLifecycle::Up | HostLifecycle::Unresponsive => true,
+        HostLifecycle::Expected => host
+            .listed_running_since
+            .is_some_and(|at| now.since(at) > late),
         HostLifecycle::Releasing => false,
     }
 }
--- a/src/node/api/mod.rs
+++ b/src/node/api/mod.rs
@@ -15,8 +15,8 @@
 use crate::protocol::peers::{RelayedRequest, RelayedResponse};
 use crate::protocol::users::{self, ErrorBody, JobSpec, JobState, JobStatus, Submission};
 use crate::settings::Team;
-use crate::storage::records::{self, JobRecord, OverRecord, RunRecord};
-use crate::storage::store::{Class, Outcome, StateRequest};
+use crate::storage::records::{self, JobRecord, OutcomeRecord, RunRecord};
+use crate::storage::store::{Outcome, RequestClass, StoreRequest};
 use crate::transport::{ConnId, Response};
 use crate::types::{JobId, Time, Version};
 use lichencrank_store::{value, Change, Item, Page, Txn};
@@ -91,7 +91,7 @@
 
 /// Which request to the state service an outcome answers.
 #[derive(Clone, Debug)]
-pub enum ApiStateRequest {
+pub enum ApiStoreRequest {
     /// The outcome is for one request.
     One(ApiRequestId),
     /// Submissions that share a transaction.
@@ -104,8 +104,8 @@
 
 /// What the front needs done.
 pub enum ApiAction {
-    /// StateRequest the state service.
-    StateRequest(Class, StateRequest, ApiStateRequest),
+    /// Send a request to the state service.
+    StoreRequest(RequestClass, StoreRequest, ApiStoreRequest),
     /// HeartbeatResponse a request.
     Respond(ConnId, Response),
     /// Pass a request on to another controller.
@@ -135,7 +135,7 @@
     comparing: bool,
     listing: Option<Listing>,
     known: HashMap<JobId, Known>,
-    finals: HashMap<JobId, OverRecord>,
+    finals: HashMap<JobId, OutcomeRecord>,
     finals_order: VecDeque<JobId>,
     tasks_per_record: u32,
     max_value: usize,
@@ -212,7 +212,7 @@
         })
     }
 
-    fn final_answer(id: JobId, over: OverRecord) -> Response {
+    fn final_answer(id: JobId, over: OutcomeRecord) -> Response {
         let done = if over.state == JobState::Done {
             over.tasks
         } else {
@@ -221,7 +221,7 @@
         Response::new(200, Self::status(over.state, id, done, 0))
     }
 
-    fn remember(&mut self, id: JobId, over: OverRecord) {
+    fn remember(&mut self, id: JobId, over: OutcomeRecord) {
         self.known.remove(&id);
         if self.finals.insert(id, over).is_none() {
             self.finals_order.push_back(id);
@@ -241,15 +241,15 @@
         let job = open.job;
         open.stage = stage;
         let class = if matches!(open.intent, Intent::Poll) {
-            Class::Read
+            RequestClass::Read
         } else {
-            Class::User
+            RequestClass::User
         };
         let ask = match &open.stage {
-            Stage::ReadingLive => StateRequest::Get(records::live_key(job)),
-            Stage::ReadingCounts => StateRequest::Get(records::run_key(job, 0)),
-            Stage::ReadingOver => StateRequest::Get(records::over_key(job)),
-            Stage::ReadingBookings => StateRequest::List {
+            Stage::ReadingLive => StoreRequest::Get(records::live_key(job)),
+            Stage::ReadingCounts => StoreRequest::Get(records::run_key(job, 0)),
+            Stage::ReadingOver => StoreRequest::Get(records::outcome_key(job)),
+            Stage::ReadingBookings => StoreRequest::List {
                 prefix: records::run_prefix(job),
                 after: String::new(),
                 limit: BOOKINGS_PAGE,
@@ -268,10 +268,10 @@
             }
             Stage::Cancelling | Stage::Relaying => return,
         };
-        self.acts.push(ApiAction::StateRequest(
+        self.acts.push(ApiAction::StoreRequest(
             class,
             ask,
-            ApiStateRequest::One(id),
+            ApiStoreRequest::One(id),
         ));
     }
 
@@ -402,18 +402,18 @@
             }
             bytes += size;
             txn.require(key.clone(), Version(0));
-            txn.require(records::over_key(open.job), Version(0));
+            txn.require(records::outcome_key(open.job), Version(0));
             txn.changes.push(Change::put(key, value(record)));
             ids.push(id);
         }
         self.queue = later;
         if !ids.is_empty() {
             self.in_flight = true;
-            let ask = StateRequest::Txn(txn);
-            self.acts.push(ApiAction::StateRequest(
-                Class::User,
+            let ask = StoreRequest::Txn(txn);
+            self.acts.push(ApiAction::StoreRequest(
+                RequestClass::User,
                 ask,
-                ApiStateRequest::Batch(ids),
+                ApiStoreRequest::Batch(ids),
             ));
         }
     }
--- a/src/node/api/outcomes.rs
+++ b/src/node/api/outcomes.rs
@@ -4,12 +4,12 @@
 
 impl ApiServer {
     /// Takes in the outcome of a request to the state service.
-    pub fn on_outcome(&mut self, ask: ApiStateRequest, outcome: Outcome, view: &View, now: Time) {
+    pub fn on_outcome(&mut self, ask: ApiStoreRequest, outcome: Outcome, view: &View, now: Time) {
         // What lay here while this process stood still is an old answer; nobody gets it any more.
         let asked = match &ask {
-            ApiStateRequest::Batch(ids) | ApiStateRequest::Comparison(ids) => &ids[..],
-            ApiStateRequest::One(id) => std::slice::from_ref(id),
-            ApiStateRequest::Listing => &[],
+            ApiStoreRequest::Batch(ids) | ApiStoreRequest::Comparison(ids) => &ids[..],
+            ApiStoreRequest::One(id) => std::slice::from_ref(id),
+            ApiStoreRequest::Listing => &[],
         };
         for id in asked {
             if self.open.get(id).is_some_and(|open| now >= open.until) {
@@ -17,10 +17,10 @@
             }
         }
         match ask {
-            ApiStateRequest::Batch(ids) => self.on_batch(ids, outcome, view, now),
-            ApiStateRequest::One(id) => self.on_one(id, outcome, view, now),
-            ApiStateRequest::Comparison(ids) => self.on_comparison(ids, outcome, view, now),
-            ApiStateRequest::Listing => self.on_listing(outcome, view, now),
+            ApiStoreRequest::Batch(ids) => self.on_batch(ids, outcome, view, now),
+            ApiStoreRequest::One(id) => self.on_one(id, outcome, view, now),
+            ApiStoreRequest::Comparison(ids) => self.on_comparison(ids, outcome, view, now),
+            ApiStoreRequest::Listing => self.on_listing(outcome, view, now),
         }
     }
 
@@ -47,7 +47,7 @@
                     self.finish(id, response);
                 }
                 Outcome::Conflict(failed) => {
-                    let (live, over) = (records::live_key(job), records::over_key(job));
+                    let (live, over) = (records::live_key(job), records::outcome_key(job));
                     if failed.iter().any(|k| *k == live || *k == over) {
                         self.enter(id, Stage::ReadingLive);
                     } else {
@@ -105,7 +105,7 @@
         item: &Item,
         view: &View,
     ) {
-        if let Some(over) = records::over_in_place(&item.value) {
+        if let Some(over) = records::outcome_in_place(&item.value) {
             self.remember(job, over);
             self.finish(id, Self::final_answer(job, over));
             return;
@@ -130,7 +130,10 @@
     ) {
         let record: Option<RunRecord> = item.and_then(|i| i.record());
         let (done, running) = record.map_or((0, 0), |r| {
-            (r.done_count() + r.rest.0, r.booked.len() as u64 + r.rest.1)
+            (
+                r.done_count() + r.other_records.0,
+                r.allocations.len() as u64 + r.other_records.1,
+            )
         });
         if let Some(known) = self.known.get_mut(&job) {
             known.counts = (done, running);
@@ -140,7 +143,7 @@
     }
 
     pub(super) fn on_final_record(&mut self, id: ApiRequestId, job: JobId, item: &Item) {
-        match item.record::<OverRecord>() {
+        match item.record::<OutcomeRecord>() {
             Some(over) if over.state == JobState::Cancelled => {
                 if self.cancels(id) {
                     self.cancelled.push(job);
@@ -159,7 +162,7 @@
     pub(super) fn on_bookings(&mut self, id: ApiRequestId, job: JobId, page: &Page) {
         let booked = |item: &Item| {
             let record: Option<RunRecord> = item.record();
-            record.is_none_or(|r| !r.booked.is_empty())
+            record.is_none_or(|r| !r.allocations.is_empty())
         };
         if page.more || page.items.iter().any(booked) {
             self.finish(id, unavailable());
@@ -186,13 +189,13 @@
 
     pub(super) fn confirm_cancelled(&mut self, id: ApiRequestId, job: JobId) {
         let (state, tasks) = (JobState::Cancelled, 0);
-        let over = OverRecord { state, tasks };
+        let over = OutcomeRecord { state, tasks };
         self.remember(job, over);
         self.finish(id, Self::final_answer(job, over));
     }
 
     pub(super) fn send_cancellation(&mut self, id: ApiRequestId, job: JobId, live: Version) {
-        let over = OverRecord {
+        let over = OutcomeRecord {
             state: JobState::Cancelled,
             tasks: 0,
         };
@@ -200,13 +203,13 @@
         txn.require(records::live_key(job), live);
         txn.changes.push(Change::delete(records::live_key(job)));
         txn.changes
-            .push(Change::put(records::over_key(job), value(&over)));
+            .push(Change::put(records::outcome_key(job), value(&over)));
         self.enter(id, Stage::Cancelling);
-        let ask = StateRequest::Txn(txn);
-        self.acts.push(ApiAction::StateRequest(
-            Class::User,
+        let ask = StoreRequest::Txn(txn);
+        self.acts.push(ApiAction::StoreRequest(
+            RequestClass::User,
             ask,
-            ApiStateRequest::One(id),
+            ApiStoreRequest::One(id),
         ));
     }
 
--- a/src/node/api/requests.rs
+++ b/src/node/api/requests.rs
@@ -24,8 +24,8 @@
                     Some(Ok(())) => {
                         let mut record = JobRecord {
                             spec: *spec,
-                            at_ms,
-                            chunk: self.tasks_per_record,
+                            submitted_at_ms: at_ms,
+                            tasks_per_record: self.tasks_per_record,
                         };
                         record.shorten(self.max_value, types);
                         Intent::Submit(Box::new(record))
--- a/src/node/api/status_queries.rs
+++ b/src/node/api/status_queries.rs
@@ -4,9 +4,9 @@
 use std::collections::{BTreeSet, HashMap};
 use std::time::Duration;
 
-use super::{ApiAction, ApiRequestId, ApiServer, ApiStateRequest, Stage, View};
-use crate::storage::records::{self, parse_live, OverRecord};
-use crate::storage::store::{Class, Outcome, StateRequest};
+use super::{ApiAction, ApiRequestId, ApiServer, ApiStoreRequest, Stage, View};
+use crate::storage::records::{self, parse_live_key, OutcomeRecord};
+use crate::storage::store::{Outcome, RequestClass, StoreRequest};
 use crate::types::{JobId, Time, Version};
 use lichencrank_store::{Condition, Txn};
 
@@ -33,7 +33,7 @@
 pub(super) struct Listing {
     asked: Vec<ApiRequestId>,
     /// What the pages so far held; with the final state of those that got done.
-    seen: HashMap<JobId, Option<OverRecord>>,
+    seen: HashMap<JobId, Option<OutcomeRecord>>,
 }
 
 impl ApiServer {
@@ -74,15 +74,15 @@
     }
 
     fn list_page(&mut self, after: String) {
-        let ask = StateRequest::List {
-            prefix: records::LIVE.to_owned(),
+        let ask = StoreRequest::List {
+            prefix: records::LIVE_PREFIX.to_owned(),
             after,
             limit: LIST_PAGE,
         };
-        self.acts.push(ApiAction::StateRequest(
-            Class::Read,
+        self.acts.push(ApiAction::StoreRequest(
+            RequestClass::Read,
             ask,
-            ApiStateRequest::Listing,
+            ApiStoreRequest::Listing,
         ));
     }
 
@@ -97,8 +97,8 @@
             return;
         };
         for item in &page.items {
-            if let Some(job) = parse_live(&item.key) {
-                let over = records::over_in_place(&item.value);
+            if let Some(job) = parse_live_key(&item.key) {
+                let over = records::outcome_in_place(&item.value);
                 listing.seen.insert(job, over);
                 if over.is_none() {
                     self.know(job, item.version);
@@ -159,10 +159,10 @@
         self.list_all(unknown);
         if !ids.is_empty() {
             self.comparing = true;
-            self.acts.push(ApiAction::StateRequest(
-                Class::Read,
-                StateRequest::Txn(txn),
-                ApiStateRequest::Comparison(ids),
+            self.acts.push(ApiAction::StoreRequest(
+                RequestClass::Read,
+                StoreRequest::Txn(txn),
+                ApiStoreRequest::Comparison(ids),
             ));
         }
     }
@@ -176,7 +176,7 @@
     ) {
         self.comparing = false;
         let changed = match &outcome {
-            Outcome::Conflict(failed) => failed.iter().filter_map(|k| parse_live(k)).collect(),
+            Outcome::Conflict(failed) => failed.iter().filter_map(|k| parse_live_key(k)).collect(),
             _ => BTreeSet::new(),
         };
         for id in ids {
--- a/src/node/cancellations.rs
+++ b/src/node/cancellations.rs
@@ -49,7 +49,7 @@
         let known = self.cancelled.entry(job).or_insert(until);
         *known = until.max(*known);
         if let Some(duties) = &mut self.duties {
-            duties.controller.on_cancelled(job, now);
+            duties.controller.on_cancellation(job, now);
         }
     }
 
@@ -139,8 +139,8 @@
         let Some(duties) = &mut self.duties else {
             return false;
         };
-        duties.controller.on_cancelled(job, now);
-        certain && duties.has_loaded() && duties.controller.alone_commands(job)
+        duties.controller.on_cancellation(job, now);
+        certain && duties.has_loaded() && duties.controller.is_sole_commander(job)
     }
 
     /// Stops for what the report shows of jobs that are known to be cancelled.
--- a/src/node/leader_duties/cloud.rs
+++ b/src/node/leader_duties/cloud.rs
@@ -40,7 +40,7 @@
     }
 
     pub(super) fn may_ask_cloud(&mut self, net: &impl Network, action: &Action, now: Time) -> bool {
-        let pressing = matches!(action, Action::Remove(_));
+        let pressing = matches!(action, Action::ForceRelease(_));
         self.cloud_budget.available(now) >= 1.0 && (pressing || self.may_act(net))
     }
 
@@ -67,7 +67,7 @@
         }
         self.list.busy = false;
         let listed = std::mem::take(&mut self.listing);
-        self.controller.on_listed(&listed, now);
+        self.controller.on_host_list(&listed, now);
     }
 
     /// Keeps the types for restarts during an outage of the cloud, once a term.
@@ -78,35 +78,40 @@
         let types = MachineTypes {
             types: self.controller.types.clone(),
         };
-        if records::size(&types) > self.controller.batcher.max_value {
+        if records::size(&types) > self.controller.batcher.max_value_bytes {
             // Nodes ask the cloud then.
             tracing::info!("the machine types are too large to be kept");
             self.types_written = true;
             return;
         }
         let mut txn = Txn::default();
-        txn.require(records::HOLDER.to_owned(), self.controller.batcher.holder());
-        txn.changes
-            .push(Change::put(records::TYPES.to_owned(), value(&types)));
+        txn.require(
+            records::LEADER_KEY.to_owned(),
+            self.controller.batcher.leader_key_version(),
+        );
+        txn.changes.push(Change::put(
+            records::MACHINE_TYPES_KEY.to_owned(),
+            value(&types),
+        ));
         self.pending.push((
-            Class::Booking,
-            StateRequest::Txn(txn),
+            RequestClass::Allocation,
+            StoreRequest::Txn(txn),
             BATCH_LIMIT,
             LeaderRequest::Types,
         ));
     }
 }
 
-pub(super) fn rental_result(result: Result<Response, CallError>) -> RentalResult {
+pub(super) fn rental_result(result: Result<Response, CallError>) -> ProvisionResult {
     match result {
         Ok(r) if r.status == 200 => match decode::<HostNames>(&r.body) {
-            Ok(names) => RentalResult::Rented(names.hosts),
-            Err(_) => RentalResult::Unknown,
+            Ok(names) => ProvisionResult::Provisioned(names.hosts),
+            Err(_) => ProvisionResult::Unknown,
         },
-        Ok(r) if r.status == 503 && !is_trouble(&r.body) => RentalResult::NoCapacity,
-        Ok(r) if matches!(r.status, 400 | 429 | 503) => RentalResult::Refused,
-        Ok(_) | Err(CallError::Lost) => RentalResult::Unknown,
-        Err(CallError::NotSent | CallError::NoSocket) => RentalResult::Refused,
+        Ok(r) if r.status == 503 && !is_trouble(&r.body) => ProvisionResult::NoCapacity,
+        Ok(r) if matches!(r.status, 400 | 429 | 503) => ProvisionResult::Refused,
+        Ok(_) | Err(CallError::Lost) => ProvisionResult::Unknown,
+        Err(CallError::NotSent | CallError::NoSocket) => ProvisionResult::Refused,
     }
 }
 
