--- a/src/node/leader_duties/loading.rs
+++ b/src/node/leader_duties/loading.rs
@@ -4,33 +4,41 @@
 
 impl LeaderDuties {
     pub(super) fn read_live(&mut self, after: String) {
-        self.read_page(records::LIVE, after, |after| LeaderRequest::Live { after });
+        self.read_page(records::LIVE_PREFIX, after, |after| LeaderRequest::Live {
+            after,
+        });
     }
 
     fn read_runs(&mut self, after: String) {
-        self.read_page(records::RUN, after, |after| LeaderRequest::Runs { after });
+        self.read_page(records::RUN_PREFIX, after, |after| LeaderRequest::Runs {
+            after,
+        });
     }
 
     /// Reads the next page of all records below a prefix.
     fn read_page(&mut self, prefix: &str, after: String, what: fn(String) -> LeaderRequest) {
-        let ask = StateRequest::List {
+        let ask = StoreRequest::List {
             prefix: prefix.to_owned(),
             after: after.clone(),
             limit: LOAD_PAGE,
         };
         self.pending
-            .push((Class::Booking, ask, LOAD_LIMIT, what(after)));
+            .push((RequestClass::Allocation, ask, LOAD_LIMIT, what(after)));
     }
 
     pub(super) fn watch(&mut self) {
-        let prefix = records::LIVE.to_owned();
-        let ask = StateRequest::Watch {
+        let prefix = records::LIVE_PREFIX.to_owned();
+        let ask = StoreRequest::Watch {
             prefix,
             after: self.watch_from,
             hold: WATCH_HOLD,
         };
-        self.pending
-            .push((Class::Booking, ask, WATCH_SLACK, LeaderRequest::Watch));
+        self.pending.push((
+            RequestClass::Allocation,
+            ask,
+            WATCH_SLACK,
+            LeaderRequest::Watch,
+        ));
     }
 
     pub(in crate::node) fn on_outcome(
@@ -38,7 +46,7 @@
         ask: LeaderRequest,
         outcome: Outcome,
         now: Time,
-    ) -> Result<(), Deposed> {
+    ) -> Result<(), LeadershipLost> {
         let _term = self.span.clone().entered();
         self.answered_meanwhile |= outcome.is_answer();
         match ask {
@@ -53,11 +61,11 @@
             LeaderRequest::Watch => self.on_watch(outcome, now),
             LeaderRequest::Batch => return self.on_batch(outcome, now),
             LeaderRequest::Reread(job, chunk) => {
-                let Controller { batcher, jobs, .. } = &mut self.controller;
+                let Leader { batcher, jobs, .. } = &mut self.controller;
                 match outcome {
                     Outcome::Item(item) => {
                         let version = item.map_or(Version(0), |i| i.version);
-                        batcher.reread(jobs, job, chunk, version);
+                        batcher.on_version_read(jobs, job, chunk, version);
                     }
                     _ => batcher.version_still_unknown(job, chunk),
                 }
@@ -74,14 +82,14 @@
     }
 
     pub(super) fn take_job(&mut self, item: &Item) {
-        let Some(id) = records::parse_live(&item.key) else {
+        let Some(id) = records::parse_live_key(&item.key) else {
             return;
         };
         if let Some(seen) = &mut self.seen {
             seen.insert(id);
         }
-        if let Some(over) = records::over_in_place(&item.value) {
-            self.controller.on_final(id, over, item.version);
+        if let Some(over) = records::outcome_in_place(&item.value) {
+            self.controller.on_outcome_record(id, over, item.version);
         } else if let Some(record) = item.record() {
             self.controller.on_job(record, item.version);
         }
@@ -110,7 +118,7 @@
                 .filter(|id| !seen.contains(id))
                 .collect();
             for id in gone {
-                self.controller.on_job_gone(id, now);
+                self.controller.on_job_deleted(id, now);
             }
             self.watch();
         } else {
@@ -120,7 +128,7 @@
 
     pub(super) fn on_run_page(&mut self, page: Page, now: Time) {
         for item in &page.items {
-            let Some((job, chunk)) = records::parse_run(&item.key) else {
+            let Some((job, chunk)) = records::parse_run_key(&item.key) else {
                 continue;
             };
             if let Some(record) = item.record() {
@@ -151,8 +159,10 @@
                             value,
                             version: event.version,
                         });
-                    } else if let Some(id) = event.delete.as_deref().and_then(records::parse_live) {
-                        self.controller.on_job_gone(id, now);
+                    } else if let Some(id) =
+                        event.delete.as_deref().and_then(records::parse_live_key)
+                    {
+                        self.controller.on_job_deleted(id, now);
                     }
                 }
                 self.watch();
@@ -171,24 +181,24 @@
         }
     }
 
-    pub(super) fn on_batch(&mut self, outcome: Outcome, now: Time) -> Result<(), Deposed> {
-        let Controller { batcher, jobs, .. } = &mut self.controller;
+    pub(super) fn on_batch(&mut self, outcome: Outcome, now: Time) -> Result<(), LeadershipLost> {
+        let Leader { batcher, jobs, .. } = &mut self.controller;
         let verdict = match outcome {
-            Outcome::Committed(revision) => batcher.applied(jobs, revision, now),
-            Outcome::Conflict(failed) => batcher.conflict(jobs, &failed),
+            Outcome::Committed(revision) => batcher.on_committed(jobs, revision, now),
+            Outcome::Conflict(failed) => batcher.on_conflict(jobs, &failed),
             Outcome::Unknown => {
-                batcher.lost();
+                batcher.on_response_lost();
                 return Ok(());
             }
             Outcome::Invalid => {
-                batcher.invalid();
+                batcher.on_invalid();
                 return Ok(());
             }
             _ => {
-                batcher.refused();
+                batcher.on_refused();
                 return Ok(());
             }
         };
-        self.controller.on_verdict(verdict, now)
+        self.controller.on_commit_result(verdict, now)
     }
 }
--- a/src/node/leader_duties/mod.rs
+++ b/src/node/leader_duties/mod.rs
@@ -12,15 +12,15 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use crate::coordination::fleet::RentalResult;
-use crate::coordination::{Action, CommandResult, Controller, Deposed};
+use crate::coordination::fleet::ProvisionResult;
+use crate::coordination::{Action, CommandResult, Leader, LeadershipLost};
 use crate::protocol::cloud::{
     HostList, HostNames, ListedHost, MachineTypes, ProvisionRequest, LIST_PAGE,
 };
 use crate::protocol::workers::{Command, CommandRequest};
 use crate::protocol::{decode, encode};
 use crate::storage::records;
-use crate::storage::store::{Class, Outcome, StateRequest};
+use crate::storage::store::{Outcome, RequestClass, StoreRequest};
 use crate::transport::{CallError, CallId, Network, Response};
 use crate::types::{HostName, Incarnation, JobId, Time, Version};
 use lichencrank_store::rate_limit::RateLimit;
@@ -114,13 +114,13 @@
 }
 
 pub(super) struct LeaderDuties {
-    pub controller: Controller,
+    pub controller: Leader,
     /// Marks log lines with the term; made once, as making one takes longer than entering it.
     span: tracing::Span,
     cloud: SocketAddr,
     cloud_budget: RateLimit,
     calls: HashMap<CallId, LeaderCall>,
-    pending: Vec<(Class, StateRequest, Duration, LeaderRequest)>,
+    pending: Vec<(RequestClass, StoreRequest, Duration, LeaderRequest)>,
     watch_from: Version,
     /// Watches in a row that brought nothing, not even that nothing has changed.
     failed_watches: u32,
@@ -148,7 +148,7 @@
 
 impl LeaderDuties {
     pub(super) fn new(
-        controller: Controller,
+        controller: Leader,
         cloud: SocketAddr,
         cloud_rps: f64,
         txn_ops: usize,
@@ -185,7 +185,9 @@
         duties
     }
 
-    pub(super) fn take_pending(&mut self) -> Vec<(Class, StateRequest, Duration, LeaderRequest)> {
+    pub(super) fn take_pending(
+        &mut self,
+    ) -> Vec<(RequestClass, StoreRequest, Duration, LeaderRequest)> {
         std::mem::take(&mut self.pending)
     }
 
@@ -211,9 +213,9 @@
             self.commit(writes, now);
         }
         for (job, chunk) in self.controller.batcher.take_version_unknown() {
-            let ask = StateRequest::Get(records::run_key(job, chunk));
+            let ask = StoreRequest::Get(records::run_key(job, chunk));
             self.pending.push((
-                Class::Booking,
+                RequestClass::Allocation,
                 ask,
                 BATCH_LIMIT,
                 LeaderRequest::Reread(job, chunk),
@@ -231,7 +233,7 @@
 
     /// Asks the clock anew: the turn may have begun long ago.
     fn may_act(&self, net: &impl Network) -> bool {
-        net.now() < self.controller.valid_until
+        net.now() < self.controller.lease_valid_until
     }
 
     fn commit(&mut self, writes: &mut RateLimit, now: Time) {
@@ -254,8 +256,8 @@
         if let Some(txn) = self.controller.next_batch(most, spare) {
             self.batch_at = now.after(self.batch_interval);
             self.pending.push((
-                Class::Booking,
-                StateRequest::Txn(txn),
+                RequestClass::Allocation,
+                StoreRequest::Txn(txn),
                 BATCH_LIMIT,
                 LeaderRequest::Batch,
             ));
@@ -273,10 +275,14 @@
                 let starts = commands.iter().any(|o| matches!(o, Command::Run { .. }));
                 if starts && !self.may_act(net) {
                     // It brings no report, so it can't tell of another leader either.
-                    let result = CommandResult::HeldBack;
-                    let _ =
-                        self.controller
-                            .on_commanded(&host, incarnation, &commands, result, now);
+                    let result = CommandResult::NotAttempted;
+                    let _ = self.controller.on_command_result(
+                        &host,
+                        incarnation,
+                        &commands,
+                        result,
+                        now,
+                    );
                     return;
                 }
                 let token = self.controller.term;
@@ -298,11 +304,11 @@
             action if !self.may_ask_cloud(net, &action, now) => {
                 self.waiting.push(action);
             }
-            Action::Rent(rental) => {
+            Action::ScaleOut(rental) => {
                 let body = encode(&rental);
                 self.ask_cloud(net, "POST", "/hosts", &body, LeaderCall::Rent(rental), now);
             }
-            Action::Release(hosts) | Action::Remove(hosts) => {
+            Action::ScaleIn(hosts) | Action::ForceRelease(hosts) => {
                 let names = HostNames { hosts };
                 let body = encode(&names);
                 let what = LeaderCall::Release(names.hosts);
@@ -318,7 +324,7 @@
         call: CallId,
         result: Result<Response, CallError>,
         now: Time,
-    ) -> Result<(), Deposed> {
+    ) -> Result<(), LeadershipLost> {
         let Some(what) = self.calls.remove(&call) else {
             return Ok(());
         };
@@ -332,24 +338,28 @@
                 commands,
             } => {
                 let result = command_result(result);
-                return self
-                    .controller
-                    .on_commanded(&host, incarnation, &commands, result, now);
+                return self.controller.on_command_result(
+                    &host,
+                    incarnation,
+                    &commands,
+                    result,
+                    now,
+                );
             }
             LeaderCall::Rent(rental) => {
                 self.controller
-                    .on_rented(&rental.name, rental_result(result), now);
+                    .on_provision_result(&rental.name, rental_result(result), now);
             }
             LeaderCall::Release(names) => {
                 let confirmed = matches!(&result, Ok(r) if r.status == 200);
-                self.controller.on_released(&names, confirmed, now);
+                self.controller.on_release_result(&names, confirmed, now);
             }
             LeaderCall::List => self.on_list(net, result, now),
             LeaderCall::Types => {
                 self.types.busy = false;
                 let types = result.ok().filter(|r| r.status == 200);
                 if let Some(types) = types.and_then(|r| decode::<MachineTypes>(&r.body).ok()) {
-                    self.controller.on_types(types.types);
+                    self.controller.on_machine_types(types.types);
                     self.write_types();
                 }
             }
@@ -360,19 +370,19 @@
     /// Tells of a job's tasks without a read, if this leader has it in its picture.
     pub(super) fn counts(&self, job: JobId) -> Option<(u64, u64)> {
         let job = self.controller.jobs.get(&job).filter(|_| self.loaded)?;
-        Some((u64::from(job.done), u64::from(job.booked)))
+        Some((u64::from(job.done_count), u64::from(job.allocated_count)))
     }
 }
 
 fn command_result(result: Result<Response, CallError>) -> CommandResult {
     match result {
         Ok(r) if matches!(r.status, 200 | 409) => match decode(&r.body) {
-            Ok(report) => CommandResult::WorkerHeartbeat(Box::new(report)),
-            Err(_) => CommandResult::Lost,
+            Ok(report) => CommandResult::Heartbeat(Box::new(report)),
+            Err(_) => CommandResult::NoResponse,
         },
         Ok(r) if r.status == 400 => CommandResult::NotSent,
-        Ok(_) | Err(CallError::Lost) => CommandResult::Lost,
+        Ok(_) | Err(CallError::Lost) => CommandResult::NoResponse,
         Err(CallError::NotSent) => CommandResult::NotSent,
-        Err(CallError::NoSocket) => CommandResult::HeldBack,
+        Err(CallError::NoSocket) => CommandResult::NotAttempted,
     }
 }
--- a/src/node/leader_duties/quota.rs
+++ b/src/node/leader_duties/quota.rs
@@ -37,9 +37,13 @@
         }
         if let Some(txn) = self.controller.next_quota_txn() {
             self.quota.busy = true;
-            let ask = StateRequest::Txn(txn);
-            self.pending
-                .push((Class::Booking, ask, BATCH_LIMIT, LeaderRequest::QuotaTxn));
+            let ask = StoreRequest::Txn(txn);
+            self.pending.push((
+                RequestClass::Allocation,
+                ask,
+                BATCH_LIMIT,
+                LeaderRequest::QuotaTxn,
+            ));
         }
     }
 
@@ -49,13 +53,14 @@
     }
 
     fn read_quota(&mut self, prefix: usize, after: String) {
-        let ask = StateRequest::List {
+        let ask = StoreRequest::List {
             prefix: PREFIXES[prefix].to_owned(),
             after: after.clone(),
             limit: LOAD_PAGE,
         };
         let what = LeaderRequest::Quota { prefix, after };
-        self.pending.push((Class::Booking, ask, LOAD_LIMIT, what));
+        self.pending
+            .push((RequestClass::Allocation, ask, LOAD_LIMIT, what));
     }
 
     pub(super) fn on_quota_page(
@@ -82,12 +87,12 @@
         self.controller.on_quota_read();
     }
 
-    pub(super) fn on_quota_txn(&mut self, outcome: Outcome) -> Result<(), Deposed> {
+    pub(super) fn on_quota_txn(&mut self, outcome: Outcome) -> Result<(), LeadershipLost> {
         self.quota.busy = false;
         match outcome {
             Outcome::Committed(version) => self.controller.on_quota_written(version),
-            Outcome::Conflict(failed) if failed.iter().any(|key| key == records::HOLDER) => {
-                return Err(Deposed(self.controller.term));
+            Outcome::Conflict(failed) if failed.iter().any(|key| key == records::LEADER_KEY) => {
+                return Err(LeadershipLost(self.controller.term));
             }
             // It may have been carried out, or may yet be: versions tell, and let it be so only once.
             Outcome::Conflict(_) | Outcome::Unknown => {
--- a/src/node/leader_duties/zones.rs
+++ b/src/node/leader_duties/zones.rs
@@ -14,9 +14,10 @@
         if !self.controller.tracks_zones() {
             return;
         }
-        let ask = StateRequest::Get(KEY.to_owned());
+        let ask = StoreRequest::Get(KEY.to_owned());
         let what = LeaderRequest::ZonesRecord;
-        self.pending.push((Class::Booking, ask, LOAD_LIMIT, what));
+        self.pending
+            .push((RequestClass::Allocation, ask, LOAD_LIMIT, what));
     }
 
     pub(super) fn on_zones_record(&mut self, outcome: Outcome, now: Time) {
@@ -44,23 +45,28 @@
             return;
         };
         let mut txn = Txn::default();
-        let holder = self.controller.batcher.holder();
-        txn.require(records::HOLDER.to_owned(), holder);
+        let holder = self.controller.batcher.leader_key_version();
+        txn.require(records::LEADER_KEY.to_owned(), holder);
         txn.require(KEY.to_owned(), version);
         txn.changes
             .push(Change::put(KEY.to_owned(), value(&record)));
-        let ask = StateRequest::Txn(txn);
+        let ask = StoreRequest::Txn(txn);
         let what = LeaderRequest::ZonesTxn;
-        self.pending.push((Class::Booking, ask, BATCH_LIMIT, what));
+        self.pending
+            .push((RequestClass::Allocation, ask, BATCH_LIMIT, what));
     }
 
-    pub(super) fn on_zones_txn(&mut self, outcome: Outcome, now: Time) -> Result<(), Deposed> {
+    pub(super) fn on_zones_txn(
+        &mut self,
+        outcome: Outcome,
+        now: Time,
+    ) -> Result<(), LeadershipLost> {
         let written = matches!(outcome, Outcome::Committed(_));
         self.controller.on_zones_recorded(written, now);
         match outcome {
             Outcome::Committed(version) => self.zones_version = Some(version),
-            Outcome::Conflict(failed) if failed.iter().any(|key| key == records::HOLDER) => {
-                return Err(Deposed(self.controller.term));
+            Outcome::Conflict(failed) if failed.iter().any(|key| key == records::LEADER_KEY) => {
+                return Err(LeadershipLost(self.controller.term));
             }
             // It may have been carried out, or may yet be.
             Outcome::Conflict(_) | Outcome::Unknown => {
--- a/src/node/leader_locality.rs
+++ b/src/node/leader_locality.rs
@@ -6,7 +6,7 @@
 use lichencrank_zones::{ControllerReach, DampingSettings, FlapDamping};
 
 use super::{Node, CAMPAIGN_DELAY, TRANSFER_AFTER, WORKERS_FOR};
-use crate::coordination::Reach;
+use crate::coordination::WorkerReach;
 use crate::protocol::cloud::MachineType;
 use crate::transport::Network;
 use crate::types::{Term, Time};
@@ -102,13 +102,14 @@
         let Some(duties) = &mut self.duties else {
             return;
         };
-        duties.controller.unheard_zones = unheard;
+        duties.controller.zones_without_reachable_peer = unheard;
         duties.controller.zone_controllers = controllers;
-        let reach = duties.controller.reach(now);
-        if reach.home.is_some() {
-            self.locality.home.clone_from(&reach.home);
+        let reach = duties.controller.worker_reach(now);
+        if reach.home_zone.is_some() {
+            self.locality.home.clone_from(&reach.home_zone);
         }
-        let home_is_cut_off = reach.is_cut_off() && !self.is_at_home() && !self.reaches_home(now);
+        let home_is_cut_off =
+            reach.is_partitioned() && !self.is_at_home() && !self.reaches_home(now);
         self.locality.home_flaps.update(home_is_cut_off, now);
         let hears_more = self.has_peer_that_hears_more(&reach, now);
         let better_placed = hears_more || self.has_peer_at_home(now);
@@ -125,7 +126,7 @@
         let away = !self.is_at_home()
             && !self.transferred_in_vain()
             && !self.locality.home_flaps.home_is_absent_in_cuts(now);
-        let cut_off = reach.is_cut_off() && (away || hears_more);
+        let cut_off = reach.is_partitioned() && (away || hears_more);
         if (calm || cut_off) && self.leadership.is_certain(now) {
             self.transfer_leadership(&reach, now);
         }
@@ -171,8 +172,8 @@
 
     /// Whether most workers don't reach this node, and a peer that the state service answers hears more
     /// of them. Right after a cut a peer still counts workers that are about to come here.
-    fn has_peer_that_hears_more(&self, reach: &Reach, now: Time) -> bool {
-        if !reach.is_cut_off() {
+    fn has_peer_that_hears_more(&self, reach: &WorkerReach, now: Time) -> bool {
+        if !reach.is_partitioned() {
             return false;
         }
         let settling_time = self.settling_time();
@@ -182,7 +183,7 @@
             let hears_more = peer.recent_heartbeat(now).is_some_and(|h| {
                 h.store_reachable
                     && !h.transferred_leadership
-                    && h.reporting_workers as usize > reach.heard
+                    && h.reporting_workers as usize > reach.reachable
             });
             settled && hears_more
         })
@@ -199,11 +200,15 @@
         })
     }
 
-    fn transfer_leadership(&mut self, reach: &Reach, now: Time) {
+    fn transfer_leadership(&mut self, reach: &WorkerReach, now: Time) {
         self.locality.better_since = None;
         let action = self.leadership.resign(now);
         if action.is_some() {
-            let Reach { heard, known, .. } = reach;
+            let WorkerReach {
+                reachable: heard,
+                known,
+                ..
+            } = reach;
             tracing::info!("{heard} of {known} machines are heard here: leadership is transferred");
         }
         self.grant(action);
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -16,20 +16,20 @@
 use std::time::{Duration, Instant};
 
 use crate::coordination::leadership::{Leadership, LeadershipAction, Seen, Step};
-use crate::coordination::{Controller, Deposed, Policy};
+use crate::coordination::{Leader, LeadershipLost, Policy};
 use crate::features::Features;
 use crate::protocol::cloud::{MachineType, MachineTypes};
 use crate::protocol::peers::{self, RelayedRequest};
 use crate::protocol::workers::{HeartbeatResponse, LeaderRedirect, WorkerHeartbeat};
 use crate::protocol::{decode, encode};
 use crate::settings::{Settings, Tuning};
-use crate::storage::records::{self, HolderRecord, TermRecord};
-use crate::storage::store::{Class, Outcome, StateRequest, StateRequestId, Store};
+use crate::storage::records::{self, LeaderRecord, TermRecord};
+use crate::storage::store::{Outcome, RequestClass, StoreClient, StoreRequest, StoreRequestId};
 use crate::transport::{
     CallId, ConnId, ListenerKind, Network, Request, Response, Transport, TransportEvent,
 };
 use crate::types::{seconds, HostName, JobId, Term, Time, Version};
-use api::{ApiAction, ApiRequestId, ApiServer, ApiStateRequest, Client, View};
+use api::{ApiAction, ApiRequestId, ApiServer, ApiStoreRequest, Client, View};
 use heartbeats::PeerLink;
 use leader_duties::{LeaderDuties, LeaderRequest};
 use leader_locality::Locality;
@@ -39,7 +39,7 @@
 enum Purpose {
     Lead(Step, Time),
     LeaderDuties(Term, LeaderRequest),
-    ApiServer(ApiStateRequest),
+    ApiServer(ApiStoreRequest),
     Types,
 }
 
@@ -71,11 +71,11 @@
     tuning: Tuning,
     features: Features,
     net: N,
-    store: Store,
+    store: StoreClient,
     leadership: Leadership,
     duties: Option<LeaderDuties>,
     api: ApiServer,
-    purposes: HashMap<StateRequestId, Purpose>,
+    purposes: HashMap<StoreRequestId, Purpose>,
     peers: Vec<PeerLink>,
     types: Vec<MachineType>,
     types_due: Time,
@@ -255,7 +255,7 @@
 
     fn state_answers(&self, now: Time) -> bool {
         self.store
-            .good_at
+            .last_answer_at
             .is_some_and(|at| now.since(at) < STATE_LOST)
     }
 
@@ -266,23 +266,23 @@
         let Some(action) = action else { return };
         let (step, ask) = match action {
             LeadershipAction::Read => {
-                let prefix = records::LEAD.to_owned();
+                let prefix = records::LEADERSHIP_PREFIX.to_owned();
                 (
                     Step::Read,
-                    StateRequest::List {
+                    StoreRequest::List {
                         prefix,
                         after: String::new(),
                         limit: 10,
                     },
                 )
             }
-            LeadershipAction::Grant(ttl) => (Step::Grant, StateRequest::Grant(ttl)),
-            LeadershipAction::Claim(txn) => (Step::Claim, StateRequest::Txn(txn)),
-            LeadershipAction::Renew(lease) => (Step::Renew(lease), StateRequest::Extend(lease)),
-            LeadershipAction::End(lease) => (Step::End, StateRequest::End(lease)),
+            LeadershipAction::Grant(ttl) => (Step::Grant, StoreRequest::Grant(ttl)),
+            LeadershipAction::Claim(txn) => (Step::Claim, StoreRequest::Txn(txn)),
+            LeadershipAction::Renew(lease) => (Step::Renew(lease), StoreRequest::Extend(lease)),
+            LeadershipAction::End(lease) => (Step::End, StoreRequest::End(lease)),
             LeadershipAction::Resign(lease) => {
                 self.duties = None;
-                (Step::End, StateRequest::End(lease))
+                (Step::End, StoreRequest::End(lease))
             }
             LeadershipAction::Lead { term, version } => {
                 return self.begin_leading(term, version, now)
@@ -292,7 +292,9 @@
                 return;
             }
         };
-        let id = self.store.ask(now, Class::Lease, ask, LEAD_LIMIT);
+        let id = self
+            .store
+            .enqueue(now, RequestClass::Lease, ask, LEAD_LIMIT);
         self.purposes.insert(id, Purpose::Lead(step, now));
     }
 
@@ -300,7 +302,7 @@
         self.note_election_won(now);
         let service = &self.settings.settings;
         let rules = Policy::new(service, &self.tuning, &self.features);
-        let controller = Controller::new(term, version, rules, self.types.clone(), now);
+        let controller = Leader::new(term, version, rules, self.types.clone(), now);
         self.duties = Some(LeaderDuties::new(
             controller,
             self.settings.outside.cloud,
@@ -311,7 +313,7 @@
         ));
         if let Some(duties) = &mut self.duties {
             for job in self.cancelled.keys() {
-                duties.controller.on_cancelled(*job, now);
+                duties.controller.on_cancellation(*job, now);
             }
         }
         // The others learn at once where workers belong.
@@ -325,14 +327,14 @@
 
 /// Before peers tell what they spend, each node takes half of the rate limits: the leader spends the
 /// most, but any node may lead, and users reach all of them.
-fn new_store(settings: &Settings) -> Store {
+fn new_store(settings: &Settings) -> StoreClient {
     let state = &settings.settings.state;
     let share = if settings.peers.is_empty() {
         HEADROOM
     } else {
         HEADROOM * 0.5
     };
-    Store::new(state.rps * share, state.write_rps * share)
+    StoreClient::new(state.rps * share, state.write_rps * share)
 }
 
 /// How long turns of the event loop take, in microseconds; kept at the debug level only.
@@ -347,9 +349,9 @@
 fn read_lead(page: &Page) -> Seen {
     let mut seen = Seen::default();
     for item in &page.items {
-        if item.key == records::HOLDER {
-            seen.holder = item.record::<HolderRecord>().map(|h| (h, item.version));
-        } else if item.key == records::TERM {
+        if item.key == records::LEADER_KEY {
+            seen.holder = item.record::<LeaderRecord>().map(|h| (h, item.version));
+        } else if item.key == records::TERM_KEY {
             seen.term = item.record::<TermRecord>().map(|t| (t.term, item.version));
         }
     }
--- a/src/node/periodic.rs
+++ b/src/node/periodic.rs
@@ -16,8 +16,10 @@
         }
         if self.types.is_empty() && now >= self.types_due {
             self.types_due = now.after(TYPES_RETRY);
-            let ask = StateRequest::Get(records::TYPES.to_owned());
-            let id = self.store.ask(now, Class::Booking, ask, LEAD_LIMIT);
+            let ask = StoreRequest::Get(records::MACHINE_TYPES_KEY.to_owned());
+            let id = self
+                .store
+                .enqueue(now, RequestClass::Allocation, ask, LEAD_LIMIT);
             self.purposes.insert(id, Purpose::Types);
         }
         self.log_peer_reachability(now);
@@ -49,7 +51,7 @@
     }
 
     pub(super) fn log_summary(&mut self) {
-        let (waiting, oldest) = self.store.backlog(self.net.now());
+        let (waiting, oldest) = self.store.request_backlog(self.net.now());
         tracing::debug!("state service: {waiting} requests wait, the oldest for {oldest:?}");
         let sockets = self.net.socket_usage();
         tracing::debug!("sockets: {} of {}", sockets.open, sockets.max);
@@ -77,11 +79,11 @@
     pub(super) fn pump(&mut self) {
         let now = self.net.now();
         if let Some(duties) = &mut self.duties {
-            duties.controller.valid_until = self.leadership.valid_until();
-            duties.turn(&mut self.net, &mut self.store.writes, now);
+            duties.controller.lease_valid_until = self.leadership.valid_until();
+            duties.turn(&mut self.net, &mut self.store.write_budget, now);
             let term = duties.controller.term;
             for (class, ask, limit, what) in duties.take_pending() {
-                let id = self.store.ask(now, class, ask, limit);
+                let id = self.store.enqueue(now, class, ask, limit);
                 self.purposes.insert(id, Purpose::LeaderDuties(term, what));
             }
         }
@@ -126,14 +128,14 @@
                     ApiAction::Relay(id, relay) => self.relay(id, &relay),
                     ApiAction::InformLeader(job) => self.inform_leader(job),
                     ApiAction::Respond(conn, response) => self.net.respond(conn, &response),
-                    ApiAction::StateRequest(class, ask, what) => {
+                    ApiAction::StoreRequest(class, ask, what) => {
                         // Where nothing is answered another node is asked without much ado.
                         let limit = if self.state_answers(now) {
-                            self.store.patience()
+                            self.store.response_timeout()
                         } else {
                             UNANSWERED_LIMIT
                         };
-                        let id = self.store.ask(now, class, ask, limit);
+                        let id = self.store.enqueue(now, class, ask, limit);
                         self.purposes.insert(id, Purpose::ApiServer(what));
                     }
                 }
--- a/src/node/replies.rs
+++ b/src/node/replies.rs
@@ -29,22 +29,22 @@
             return;
         }
         let mut result = Some(result);
-        if self.store.is_own(call) {
+        if self.store.owns_call(call) {
             if let Some(result) = result.take() {
-                if let Some((id, outcome)) = self.store.answered(now, call, result) {
+                if let Some((id, outcome)) = self.store.on_response(now, call, result) {
                     self.on_outcome(id, outcome);
                 }
             }
             return;
         }
         if let (Some(duties), Some(result)) = (&mut self.duties, result) {
-            if let Err(Deposed(term)) = duties.on_reply(&mut self.net, call, result, now) {
+            if let Err(LeadershipLost(term)) = duties.on_reply(&mut self.net, call, result, now) {
                 self.deposed(term);
             }
         }
     }
 
-    pub(super) fn on_outcome(&mut self, id: StateRequestId, outcome: Outcome) {
+    pub(super) fn on_outcome(&mut self, id: StoreRequestId, outcome: Outcome) {
         let now = self.net.now();
         match self.purposes.remove(&id) {
             None => {}
@@ -63,7 +63,7 @@
             Some(Purpose::LeaderDuties(term, ask)) => {
                 // What an earlier term of this process asked is of no interest any more.
                 if let Some(duties) = self.duties.as_mut().filter(|o| o.controller.term == term) {
-                    if let Err(Deposed(term)) = duties.on_outcome(ask, outcome, now) {
+                    if let Err(LeadershipLost(term)) = duties.on_outcome(ask, outcome, now) {
                         self.deposed(term);
                     }
                 }
@@ -75,7 +75,7 @@
                 let counts = |job| duties.and_then(|o| o.counts(job));
                 let view = View {
                     counts: &counts,
-                    spare: self.store.has_spare(now),
+                    spare: self.store.has_spare_budget(now),
                     answers: self.state_answers(now),
                 };
                 self.api.on_outcome(ask, outcome, &view, now);
--- a/src/node/requests.rs
+++ b/src/node/requests.rs
@@ -117,10 +117,10 @@
         let now = self.net.now();
         self.note_worker(&report.host, now);
         if let Some(duties) = &mut self.duties {
-            if duties.controller.is_blind(now) {
+            if duties.controller.must_let_leases_expire(now) {
                 return Response::retry_later(503, 1);
             }
-            match duties.controller.on_report(&report, now) {
+            match duties.controller.on_heartbeat(&report, now) {
                 Ok(commands) => {
                     let token = duties.controller.term;
                     return Response::new(
@@ -131,7 +131,7 @@
                         }),
                     );
                 }
-                Err(Deposed(term)) => self.deposed(term),
+                Err(LeadershipLost(term)) => self.deposed(term),
             }
         } else {
             let action = self.leadership.heard_of(report.fencing_token, None);
--- a/src/quota_report.rs
+++ b/src/quota_report.rs
@@ -9,7 +9,7 @@
 use lichencrank_store::{BlockingClient, ConditionalStore, Outcome, Request};
 
 use crate::settings::Settings;
-use crate::storage::records::{RunRecord, RUN};
+use crate::storage::records::{RunRecord, RUN_PREFIX};
 
 /// How long an answer of the state service is awaited.
 const PATIENCE: Duration = Duration::from_secs(5);
@@ -24,12 +24,12 @@
     Ok(render(&ledger))
 }
 
-/// The leader's charges are the bookings in the run records.
+/// The leader's charges are the allocations in the run records.
 fn add_bookings(store: &mut dyn ConditionalStore, ledger: &mut Ledger) -> Result<(), String> {
     let mut after = String::new();
     loop {
         let list = Request::List {
-            prefix: RUN.to_owned(),
+            prefix: RUN_PREFIX.to_owned(),
             after: after.clone(),
             limit: PAGE,
         };
@@ -40,7 +40,7 @@
             let Some(record) = item.record::<RunRecord>() else {
                 continue;
             };
-            let booked = record.booked.len() as u64;
+            let booked = record.allocations.len() as u64;
             let usage = Usage::needed(record.cpus, record.gpus).times(booked);
             let team = TeamName::new(&record.team);
             let place = (team, HolderName::new(LEADER));
--- a/src/storage/record_split.rs
+++ b/src/storage/record_split.rs
@@ -4,7 +4,7 @@
 //! New records whose numbers lie beyond the old ones are written first, in as many steps as it takes;
 //! no leader reads them. The last step writes the description, with the new size, and all records whose
 //! numbers the old ones had, in one transaction. A split that is broken off before that leaves the
-//! old records in force, with every booking and attempt. Earlier versions of this program read both.
+//! old records in force, with every allocation and attempt. Earlier versions of this program read both.
 
 use super::records::{self, JobRecord};
 use super::write_batcher::{Batch, Jobs, WriteBatcher, MAX_BYTES};
@@ -40,11 +40,11 @@
         let old_size = self.tasks_per_record;
         self.tasks_per_record = size;
         // What waits for a change of an old record is satisfied by the new ones.
-        let newest = old.iter().flatten().map(|c| c.changes).max();
+        let newest = old.iter().flatten().map(|c| c.change_count).max();
         let changes = newest.unwrap_or(0) + 1;
-        for number in 0..self.total.div_ceil(size) {
+        for number in 0..self.task_count.div_ceil(size) {
             let first = number * size;
-            let tasks = (first..self.total.min(first + size)).map(|index| {
+            let tasks = (first..self.task_count.min(first + size)).map(|index| {
                 let chunk = old.get((index / old_size) as usize);
                 let chunk = chunk.and_then(Option::as_ref);
                 chunk.and_then(|c| c.tasks.get((index % old_size) as usize))
@@ -52,15 +52,15 @@
             let tasks: Vec<TaskState> = tasks.map(|t| t.cloned().unwrap_or_default()).collect();
             let before = old.get(number as usize).and_then(Option::as_ref);
             let version = before
-                .map(|c| c.version)
-                .or(self.beyond.remove(&number))
+                .map(|c| c.record_version)
+                .or(self.abandoned_records.remove(&number))
                 .unwrap_or(Version(0));
             let chunk = Chunk::new(tasks, version, changes);
             let needed = version != Version(0) || !chunk.is_untouched();
             self.chunks.push(needed.then(|| Box::new(chunk)));
         }
         self.record_split = Some(RecordSplit {
-            old_count: old.len() as u32,
+            old_record_count: old.len() as u32,
             ..RecordSplit::default()
         });
         true
@@ -71,18 +71,18 @@
         let Some(split) = self.record_split.take() else {
             return Vec::new();
         };
-        self.live = live;
+        self.record_version = live;
         let mut dirty = Vec::new();
         for (number, slot) in self.chunks.iter_mut().enumerate() {
             let number = number as u32;
             let Some(chunk) = slot else { continue };
-            if number < split.old_count {
-                chunk.version = live;
-                chunk.written = split.last.get(&number).copied().unwrap_or(0);
+            if number < split.old_record_count {
+                chunk.record_version = live;
+                chunk.written_change = split.final_records.get(&number).copied().unwrap_or(0);
             } else {
-                chunk.written = split.prepared.get(&number).copied().unwrap_or(0);
+                chunk.written_change = split.prepared_records.get(&number).copied().unwrap_or(0);
             }
-            if chunk.written < chunk.changes {
+            if chunk.written_change < chunk.change_count {
                 dirty.push(number);
             }
         }
@@ -105,8 +105,8 @@
         let spec = self.spec.as_deref()?.clone();
         Some(JobRecord {
             spec,
-            at_ms: self.at_ms,
-            chunk: self.tasks_per_record,
+            submitted_at_ms: self.submitted_at_ms,
+            tasks_per_record: self.tasks_per_record,
         })
     }
 }
@@ -121,20 +121,20 @@
     /// Begins to split the records of a job of which one is too large. `false`: it can't be done in
     /// transactions of this size, and the record waits until enough of its tasks have ended.
     pub fn split(&mut self, job: &mut Job) -> bool {
-        let small = records::tasks_per_record(self.max_value as f64 / 1024.0);
+        let small = records::tasks_per_record(self.max_value_bytes as f64 / 1024.0);
         let size = if small < job.tasks_per_record {
             small
         } else {
             (job.tasks_per_record / 2).max(1)
         };
         // With the description the last step replaces all that have old numbers.
-        let fits = job.chunks.len() < self.txn_ops
-            && job.description_size() <= self.max_value
+        let fits = job.chunks.len() < self.max_txn_changes
+            && job.description_size() <= self.max_value_bytes
             && job.begin_split(size);
         if fits {
             tracing::info!("{}: run records are split into {size} tasks each", job.id);
             self.splitting.insert(job.id);
-        } else if self.held.insert(job.id) {
+        } else if self.oversized.insert(job.id) {
             tracing::info!(
                 "{}: a run record is too large to be written for now",
                 job.id
@@ -154,7 +154,7 @@
             if let Some(step) = Self::step(job, max, batch) {
                 if step.last {
                     if let Some(split) = &mut job.record_split {
-                        split.last = step.written.iter().copied().collect();
+                        split.final_records = step.written.iter().copied().collect();
                     }
                 }
                 batch.split_step = Some(step);
@@ -165,12 +165,12 @@
 
     fn step(job: &Job, max: usize, batch: &mut Batch) -> Option<SplitStep> {
         let split = job.record_split.as_ref()?;
-        let beyond = split.old_count..job.chunks.len() as u32;
-        let open = |n: &u32| job.chunk(*n).is_some() && !split.prepared.contains_key(n);
+        let beyond = split.old_record_count..job.chunks.len() as u32;
+        let open = |n: &u32| job.chunk(*n).is_some() && !split.prepared_records.contains_key(n);
         let mut numbers: Vec<u32> = beyond.filter(open).collect();
         let last = numbers.is_empty();
         if last {
-            numbers = last_numbers(job, split.old_count);
+            numbers = last_numbers(job, split.old_record_count);
         }
         if numbers
             .iter()
@@ -184,7 +184,9 @@
             return None;
         }
         numbers.truncate(max);
-        batch.txn.require(records::live_key(job.id), job.live);
+        batch
+            .txn
+            .require(records::live_key(job.id), job.record_version);
         if last {
             let description = value(&job.description()?);
             let put = Change::put(records::live_key(job.id), description);
@@ -193,15 +195,15 @@
         let mut written = Vec::new();
         let mut bytes = 0;
         for number in numbers {
-            let (chunk, record) = (job.chunk(number)?, job.record(number)?);
+            let (chunk, record) = (job.chunk(number)?, job.run_record(number)?);
             bytes += records::size(&record);
             if bytes > MAX_BYTES && !last {
                 break;
             }
             let key = records::run_key(job.id, number);
-            batch.txn.require(key.clone(), chunk.version);
+            batch.txn.require(key.clone(), chunk.record_version);
             batch.txn.changes.push(Change::put(key, value(&record)));
-            written.push((number, chunk.changes));
+            written.push((number, chunk.change_count));
         }
         let job = job.id;
         Some(SplitStep { job, written, last })
@@ -222,10 +224,10 @@
         }
         for (number, changes) in &step.written {
             if let Some(chunk) = job.chunk_mut(*number) {
-                chunk.version = revision;
+                chunk.record_version = revision;
             }
             if let Some(split) = &mut job.record_split {
-                split.prepared.insert(*number, *changes);
+                split.prepared_records.insert(*number, *changes);
             }
         }
         Vec::new()
@@ -237,9 +239,9 @@
             return Vec::new();
         }
         self.splitting.remove(&job.id);
-        self.held.remove(&job.id);
+        self.oversized.remove(&job.id);
         for number in job.finish_split(live) {
-            self.changed(job.id, number, true);
+            self.mark_dirty(job.id, number, true);
         }
         tracing::info!("{}: its run records are split", job.id);
         let numbers = job.chunks.iter().enumerate();
--- a/src/storage/store.rs
+++ b/src/storage/store.rs
@@ -5,31 +5,31 @@
 
 use lichencrank_store::rate_limit::RateLimit;
 use lichencrank_store::request::{HttpRequest, RequestKind};
-pub use lichencrank_store::{Outcome, Request as StateRequest};
+pub use lichencrank_store::{Outcome, Request as StoreRequest};
 
 use crate::transport::{CallError, CallId, Response};
 use crate::types::Time;
 
 /// Who goes first when the budget is short.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Class {
+pub enum RequestClass {
     /// Elections and renewals, which all else depends on.
     Lease,
     /// What users wait for.
     User,
     /// The leader's records.
-    Booking,
+    Allocation,
     /// Status queries.
     Read,
 }
 
 /// Identifies a request to the state service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct StateRequestId(pub u64);
+pub struct StoreRequestId(pub u64);
 
-struct Waiting {
-    id: StateRequestId,
-    ask: StateRequest,
+struct QueuedRequest {
+    id: StoreRequestId,
+    ask: StoreRequest,
     limit: Duration,
     until: Time,
 }
@@ -37,7 +37,7 @@
 /// A request ready to be sent.
 pub struct Outgoing {
     /// The request.
-    pub id: StateRequestId,
+    pub id: StoreRequestId,
     /// HTTP method.
     pub method: &'static str,
     /// HTTP target.
@@ -49,19 +49,19 @@
 }
 
 /// Queues requests to the state service and reads their answers.
-pub struct Store {
+pub struct StoreClient {
     next: u64,
-    turn: u32,
-    queues: BTreeMap<Class, VecDeque<Waiting>>,
-    requests: RateLimit,
+    requests_since_read: u32,
+    queues: BTreeMap<RequestClass, VecDeque<QueuedRequest>>,
+    request_budget: RateLimit,
     /// The budget of puts and deletes.
-    pub writes: RateLimit,
-    sent: HashMap<StateRequestId, (RequestKind, Time)>,
+    pub write_budget: RateLimit,
+    sent: HashMap<StoreRequestId, (RequestKind, Time)>,
     /// The longest that answers took lately, in milliseconds; it fades with each answer.
-    slowest: f64,
-    calls: HashMap<CallId, StateRequestId>,
+    slowest_response_ms: f64,
+    calls: HashMap<CallId, StoreRequestId>,
     /// When the service last answered properly.
-    pub good_at: Option<Time>,
+    pub last_answer_at: Option<Time>,
 }
 
 /// One of so many requests is a read, if any waits.
@@ -74,51 +74,51 @@
 /// Above this share of the request budget there is some to spare.
 const SPARE: f64 = 0.5;
 
-impl Store {
+impl StoreClient {
     /// `rps` and `write_rps` are this node's share of the budgets.
-    pub fn new(rps: f64, write_rps: f64) -> Store {
-        Store {
+    pub fn new(rps: f64, write_rps: f64) -> StoreClient {
+        StoreClient {
             next: 0,
-            turn: 0,
+            requests_since_read: 0,
             queues: BTreeMap::new(),
-            requests: RateLimit::new(rps, rps),
-            writes: RateLimit::new(write_rps, write_rps),
+            request_budget: RateLimit::new(rps, rps),
+            write_budget: RateLimit::new(write_rps, write_rps),
             sent: HashMap::new(),
-            slowest: 0.0,
+            slowest_response_ms: 0.0,
             calls: HashMap::new(),
-            good_at: None,
+            last_answer_at: None,
         }
     }
 
     /// What was spent so far: requests and changes.
     pub fn spent(&self) -> (f64, f64) {
-        (self.requests.spent(), self.writes.spent())
+        (self.request_budget.spent(), self.write_budget.spent())
     }
 
     /// Sets this controller's share of the rate limits.
     pub fn set_rates(&mut self, now: Time, rps: f64, write_rps: f64) {
-        self.requests.set_rate(now, rps);
-        self.writes.set_rate(now, write_rps);
+        self.request_budget.set_rate(now, rps);
+        self.write_budget.set_rate(now, write_rps);
     }
 
     /// Whether requests that can wait may go out beside the others.
-    pub fn has_spare(&mut self, now: Time) -> bool {
-        self.requests.share(now) > SPARE && self.queues.values().all(VecDeque::is_empty)
+    pub fn has_spare_budget(&mut self, now: Time) -> bool {
+        self.request_budget.share(now) > SPARE && self.queues.values().all(VecDeque::is_empty)
     }
 
     /// Queues a request. `limit` is how long an answer is awaited once it is sent; what can't be
     /// sent within that time is refused.
-    pub fn ask(
+    pub fn enqueue(
         &mut self,
         now: Time,
-        class: Class,
-        ask: StateRequest,
+        class: RequestClass,
+        ask: StoreRequest,
         limit: Duration,
-    ) -> StateRequestId {
+    ) -> StoreRequestId {
         self.next += 1;
-        let id = StateRequestId(self.next);
+        let id = StoreRequestId(self.next);
         let until = now.after(limit);
-        let waiting = Waiting {
+        let waiting = QueuedRequest {
             id,
             ask,
             limit,
@@ -131,25 +131,26 @@
     /// Takes the next request that the budget allows; `Err` holds one that waited too long. The
     /// higher class goes first, but every so often reads have their turn: else a backlog of writes
     /// would leave polls unanswered for as long as it lasts.
-    /// `may_book` says that the own lease stands at this moment: bookings that have waited here since
+    /// `may_book` says that the own lease stands at this moment: allocations that have waited here since
     /// it ran out are refused.
     pub fn next_outgoing(
         &mut self,
         now: Time,
         may_book: bool,
-    ) -> Option<Result<Outgoing, StateRequestId>> {
+    ) -> Option<Result<Outgoing, StoreRequestId>> {
         for (class, queue) in &mut self.queues {
-            let void = |first: &Waiting| {
-                let books = *class == Class::Booking && matches!(first.ask, StateRequest::Txn(_));
+            let void = |first: &QueuedRequest| {
+                let books =
+                    *class == RequestClass::Allocation && matches!(first.ask, StoreRequest::Txn(_));
                 now > first.until || books && !may_book
             };
             if queue.front().is_some_and(void) {
                 return queue.pop_front().map(|first| Err(first.id));
             }
         }
-        let mut order: Vec<Class> = self.queues.keys().copied().collect();
-        if self.turn + 1 >= READ_EVERY {
-            order.sort_by_key(|class| !matches!(class, Class::Lease | Class::Read));
+        let mut order: Vec<RequestClass> = self.queues.keys().copied().collect();
+        if self.requests_since_read + 1 >= READ_EVERY {
+            order.sort_by_key(|class| !matches!(class, RequestClass::Lease | RequestClass::Read));
         }
         let mut writes_taken = false;
         for class in order {
@@ -158,31 +159,31 @@
                 continue;
             };
             let writes = match &first.ask {
-                StateRequest::Txn(txn) => txn.changes.len() as f64,
+                StoreRequest::Txn(txn) => txn.changes.len() as f64,
                 _ => 0.0,
             };
             // The lease may run the account into debt: without it all the rest is lost.
-            if class != Class::Lease {
-                if self.requests.available(now) < 1.0 {
+            if class != RequestClass::Lease {
+                if self.request_budget.available(now) < 1.0 {
                     return None;
                 }
                 // Lower classes may read meanwhile, but not take the writes that this one waits for.
-                if writes > 0.0 && (writes_taken || self.writes.available(now) < 1.0) {
+                if writes > 0.0 && (writes_taken || self.write_budget.available(now) < 1.0) {
                     writes_taken = true;
                     continue;
                 }
             }
             let first = self.queues.get_mut(&class)?.pop_front()?;
-            self.turn = (self.turn + 1) % READ_EVERY;
-            self.requests.spend(now, 1.0);
-            self.writes.spend(now, writes);
+            self.requests_since_read = (self.requests_since_read + 1) % READ_EVERY;
+            self.request_budget.spend(now, 1.0);
+            self.write_budget.spend(now, writes);
             return Some(Ok(self.render(first, now)));
         }
         None
     }
 
     /// How many requests wait for the budget, and for how long the oldest has.
-    pub fn backlog(&self, now: Time) -> (usize, Duration) {
+    pub fn request_backlog(&self, now: Time) -> (usize, Duration) {
         let waiting = self.queues.values().flatten();
         let ages = waiting.map(|w| w.limit.saturating_sub(w.until.since(now)));
         (
@@ -191,9 +192,9 @@
         )
     }
 
-    fn render(&mut self, waiting: Waiting, now: Time) -> Outgoing {
+    fn render(&mut self, waiting: QueuedRequest, now: Time) -> Outgoing {
         let held = match &waiting.ask {
-            StateRequest::Watch { hold, .. } => *hold,
+            StoreRequest::Watch { hold, .. } => *hold,
             _ => Duration::ZERO,
         };
         let HttpRequest {
@@ -213,48 +214,49 @@
     }
 
     /// Notes the call that carries a request.
-    pub fn sent_as(&mut self, id: StateRequestId, call: CallId) {
+    pub fn sent_as(&mut self, id: StoreRequestId, call: CallId) {
         self.calls.insert(call, id);
     }
 
     /// Whether the call carries one of the requests.
-    pub fn is_own(&self, call: CallId) -> bool {
+    pub fn owns_call(&self, call: CallId) -> bool {
         self.calls.contains_key(&call)
     }
 
     /// Says what the answer to a call means, if the call was one of the store's.
-    pub fn answered(
+    pub fn on_response(
         &mut self,
         now: Time,
         call: CallId,
         result: Result<Response, CallError>,
-    ) -> Option<(StateRequestId, Outcome)> {
+    ) -> Option<(StoreRequestId, Outcome)> {
         let id = self.calls.remove(&call)?;
         let (kind, sent) = self.sent.remove(&id)?;
-        self.took(now.since(sent), kind, result.is_ok());
+        self.note_response_time(now.since(sent), kind, result.is_ok());
         let outcome = self.interpret(now, kind, result);
         if outcome.is_answer() {
-            self.good_at = Some(now);
+            self.last_answer_at = Some(now);
         }
         Some((id, outcome))
     }
 
     /// Notes how long an answer took. No answer counts as a slow one, save that of a transaction:
     /// those are lost one by one while all else is quick.
-    fn took(&mut self, time: Duration, kind: RequestKind, answered: bool) {
+    fn note_response_time(&mut self, time: Duration, kind: RequestKind, answered: bool) {
         let tells = if answered {
             kind != RequestKind::Watch
         } else {
             !matches!(kind, RequestKind::Watch | RequestKind::Txn)
         };
         if tells {
-            self.slowest = (self.slowest * SLOWEST_KEEP).max(time.as_millis() as f64);
+            self.slowest_response_ms =
+                (self.slowest_response_ms * SLOWEST_KEEP).max(time.as_millis() as f64);
         }
     }
 
     /// How long an answer is worth waiting for before the request counts as lost.
-    pub fn patience(&self) -> Duration {
-        let usual = Duration::from_millis((self.slowest * 3.0) as u64);
+    pub fn response_timeout(&self) -> Duration {
+        let usual = Duration::from_millis((self.slowest_response_ms * 3.0) as u64);
         usual.clamp(LEAST_PATIENCE, MOST_PATIENCE)
     }
 
@@ -270,8 +272,8 @@
             Err(CallError::Lost) => Outcome::Unknown,
         };
         if let Outcome::RateLimited { retry_after } = &outcome {
-            self.requests.back_off(now, *retry_after);
-            self.writes.back_off(now, *retry_after);
+            self.request_budget.back_off(now, *retry_after);
+            self.write_budget.back_off(now, *retry_after);
         }
         outcome
     }
--- a/src/storage/write_batcher/mod.rs
+++ b/src/storage/write_batcher/mod.rs
@@ -7,7 +7,7 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 use super::record_split::SplitStep;
-use super::records::{self, FinalRecord};
+use super::records::{self, ArchivableOutcome};
 use crate::coordination::jobs::{Chunk, Job, JobPhase};
 use crate::types::{JobId, Time, Version};
 use lichencrank_store::{value, Change, Txn};
@@ -49,7 +49,7 @@
 
 /// What a batch has written.
 #[derive(Debug, Default, PartialEq)]
-pub struct Written {
+pub struct CommittedRecords {
     /// Chunks that changed from unwritten to written.
     pub chunks: Vec<(JobId, u32)>,
     /// Jobs whose final state is written.
@@ -58,9 +58,9 @@
 
 /// What the answer to a batch means.
 #[derive(Debug, PartialEq)]
-pub enum Verdict {
+pub enum CommitResult {
     /// It was carried out.
-    Written(Written),
+    Committed(CommittedRecords),
     /// These jobs' records are gone: they were cancelled.
     Conflict {
         /// Jobs that were cancelled.
@@ -69,9 +69,9 @@
         outdated_allowance: bool,
     },
     /// This controller leads no more.
-    Deposed,
+    LeadershipLost,
     /// Nothing was decided; the batch is put together anew.
-    Again,
+    Retry,
 }
 
 /// What a transaction may hold at the most, with room to spare for its own framing.
@@ -82,7 +82,7 @@
 
 /// Gathers what changed and writes it in one transaction after the other.
 pub struct WriteBatcher {
-    holder: Version,
+    leader_key_version: Version,
     urgent: VecDeque<(JobId, u32)>,
     normal: VecDeque<(JobId, u32)>,
     queued: BTreeMap<(JobId, u32), bool>,
@@ -91,24 +91,24 @@
     /// Records whose version must be read before they can be written again.
     version_unknown: BTreeSet<(JobId, u32)>,
     in_flight: InFlight,
-    /// Keys and versions that bookings of a team depend on, beside their own.
-    pub fences: BTreeMap<String, (String, Version)>,
+    /// Keys and versions that allocations of a team depend on, beside their own.
+    pub allowance_fences: BTreeMap<String, (String, Version)>,
     /// What a value and a transaction may hold at the most.
-    pub max_value: usize,
+    pub max_value_bytes: usize,
     /// Changes that a transaction may hold.
-    pub txn_ops: usize,
+    pub max_txn_changes: usize,
     /// Jobs of which a record has become too large, those whose records are being split, and those
     /// that wait until their record is small enough.
     too_large: BTreeSet<JobId>,
     pub(super) splitting: BTreeSet<JobId>,
-    pub(super) held: BTreeSet<JobId>,
+    pub(super) oversized: BTreeSet<JobId>,
 }
 
 impl WriteBatcher {
     /// `holder` is the version of the leader's key, on which every write is conditional.
     pub fn new(holder: Version) -> WriteBatcher {
         WriteBatcher {
-            holder,
+            leader_key_version: holder,
             urgent: VecDeque::new(),
             normal: VecDeque::new(),
             queued: BTreeMap::new(),
@@ -116,12 +116,12 @@
             garbage: BTreeSet::new(),
             version_unknown: BTreeSet::new(),
             in_flight: InFlight::Idle,
-            fences: BTreeMap::new(),
-            max_value: usize::MAX,
-            txn_ops: usize::MAX,
+            allowance_fences: BTreeMap::new(),
+            max_value_bytes: usize::MAX,
+            max_txn_changes: usize::MAX,
             too_large: BTreeSet::new(),
             splitting: BTreeSet::new(),
-            held: BTreeSet::new(),
+            oversized: BTreeSet::new(),
         }
     }
 
@@ -132,16 +132,16 @@
 
     /// Nothing more is booked of a job while its records can't be written.
     pub fn is_held(&self, job: JobId) -> bool {
-        self.held.contains(&job) || self.splitting.contains(&job)
+        self.oversized.contains(&job) || self.splitting.contains(&job)
     }
 
     /// The version of the leader's key.
-    pub fn holder(&self) -> Version {
-        self.holder
+    pub fn leader_key_version(&self) -> Version {
+        self.leader_key_version
     }
 
     /// A chunk changed. Urgent are those that something waits for, such as a start.
-    pub fn changed(&mut self, job: JobId, chunk: u32, urgent: bool) {
+    pub fn mark_dirty(&mut self, job: JobId, chunk: u32, urgent: bool) {
         let before = self.queued.get(&(job, chunk)).copied();
         if urgent && before != Some(true) {
             self.urgent.push_back((job, chunk));
@@ -153,12 +153,12 @@
     }
 
     /// A job is done: its final state has to be written.
-    pub fn finish(&mut self, job: JobId) {
+    pub fn queue_outcome(&mut self, job: JobId) {
         self.finishing.insert(job);
     }
 
     /// A job is over: its run records have to be deleted.
-    pub fn garbage_collect(&mut self, job: JobId) {
+    pub fn queue_deletion(&mut self, job: JobId) {
         self.garbage.insert(job);
     }
 
@@ -170,11 +170,11 @@
     }
 
     /// A record's version is known again.
-    pub fn reread(&mut self, jobs: &mut Jobs, job: JobId, chunk: u32, version: Version) {
+    pub fn on_version_read(&mut self, jobs: &mut Jobs, job: JobId, chunk: u32, version: Version) {
         if let Some(c) = jobs.get_mut(&job).and_then(|j| j.chunk_mut(chunk)) {
-            c.version = version;
+            c.record_version = version;
             c.version_unknown = false;
-            self.changed(job, chunk, true);
+            self.mark_dirty(job, chunk, true);
         }
     }
 
@@ -192,7 +192,7 @@
     }
 
     /// Records that something waits for.
-    pub fn urgent(&self) -> usize {
+    pub fn urgent_count(&self) -> usize {
         self.urgent.len() + self.finishing.len()
     }
 
@@ -203,7 +203,7 @@
 
     /// Records that wait to be written: those that something waits for, and the others.
     pub fn backlog(&self) -> (usize, usize) {
-        (self.urgent(), self.normal.len())
+        (self.urgent_count(), self.normal.len())
     }
 
     /// Whether no answer is awaited.
@@ -227,7 +227,7 @@
             InFlight::Idle => {}
         }
         self.forget_garbage_collected(jobs);
-        let max_changes = max_changes.min(self.txn_ops);
+        let max_changes = max_changes.min(self.max_txn_changes);
         let mut batch = Batch {
             txn: Txn::default(),
             split_step: None,
@@ -236,7 +236,9 @@
             archived: Vec::new(),
             garbage: Vec::new(),
         };
-        batch.txn.require(records::HOLDER.to_owned(), self.holder);
+        batch
+            .txn
+            .require(records::LEADER_KEY.to_owned(), self.leader_key_version);
         let mut bytes = 0;
         self.add_split_step(jobs, max_changes, &mut batch);
         if batch.split_step.is_none() {
@@ -266,8 +268,8 @@
             }
             self.finishing.remove(&id);
             let over = job.outcome();
-            batch.txn.require(records::live_key(id), job.live);
-            let record = value(&FinalRecord { over });
+            batch.txn.require(records::live_key(id), job.record_version);
+            let record = value(&ArchivableOutcome { outcome: over });
             let change = Change::put(records::live_key(id), record);
             batch.txn.changes.push(change);
             *bytes += 200;
@@ -301,7 +303,7 @@
             let QueuedRecord { id, number, .. } = queued;
             let Some(job) = jobs.get(&id) else { continue };
             // The record of a job that is over goes as a whole.
-            if matches!(job.phase, JobPhase::Finishing | JobPhase::GarbageCollected) {
+            if matches!(job.phase, JobPhase::Finishing | JobPhase::GarbageCollecting) {
                 continue;
             }
             if job.record_split.is_some() {
@@ -331,7 +333,7 @@
             }
         }
         for queued in later {
-            self.changed(queued.id, queued.number, queued.urgent);
+            self.mark_dirty(queued.id, queued.number, queued.urgent);
         }
     }
 
@@ -364,35 +366,35 @@
         if added.any(|(job, at, _)| (*job, *at) == (id, number)) {
             return Ok(());
         }
-        let (Some(chunk), Some(record)) = (job.chunk(number), job.record(number)) else {
+        let (Some(chunk), Some(record)) = (job.chunk(number), job.run_record(number)) else {
             return Ok(());
         };
         // What a cancelled job never had written it needs no record of.
-        if job.phase == JobPhase::Cancelled && chunk.version == Version(0) {
+        if job.phase == JobPhase::Cancelled && chunk.record_version == Version(0) {
             return Ok(());
         }
-        let size = if record.surely_fits(self.max_value) {
+        let size = if record.surely_fits(self.max_value_bytes) {
             record.usual_size()
         } else {
             records::size(&record)
         };
-        if size > self.max_value {
+        if size > self.max_value_bytes {
             self.too_large.insert(id);
             return Err(TooLarge);
         }
-        self.held.remove(&id);
+        self.oversized.remove(&id);
         *bytes += size;
         if job.phase == JobPhase::Active {
             // Nothing is booked after a cancellation.
-            batch.txn.require(records::live_key(id), job.live);
-            if let Some((key, version)) = self.fences.get(&job.team) {
+            batch.txn.require(records::live_key(id), job.record_version);
+            if let Some((key, version)) = self.allowance_fences.get(&job.team) {
                 batch.txn.require(key.clone(), *version);
             }
         }
         let key = records::run_key(id, number);
-        batch.txn.require(key.clone(), chunk.version);
+        batch.txn.require(key.clone(), chunk.record_version);
         batch.txn.changes.push(Change::put(key, value(&record)));
-        batch.chunks.push((id, number, chunk.changes));
+        batch.chunks.push((id, number, chunk.change_count));
         Ok(())
     }
 
@@ -400,23 +402,23 @@
         for id in self.garbage.clone() {
             let Some(job) = jobs
                 .get(&id)
-                .filter(|j| j.phase == JobPhase::GarbageCollected)
+                .filter(|j| j.phase == JobPhase::GarbageCollecting)
             else {
                 self.garbage.remove(&id);
                 continue;
             };
-            if job.to_archive.is_some() && !batch.archived.contains(&id) {
+            if job.unarchived_outcome.is_some() && !batch.archived.contains(&id) {
                 if batch.txn.changes.len() + 2 > max {
                     return;
                 }
-                let over = job.to_archive;
-                batch.txn.require(records::live_key(id), job.live);
+                let over = job.unarchived_outcome;
+                batch.txn.require(records::live_key(id), job.record_version);
                 let gone = Change::delete(records::live_key(id));
-                let kept = Change::put(records::over_key(id), value(&over));
+                let kept = Change::put(records::outcome_key(id), value(&over));
                 batch.txn.changes.extend([gone, kept]);
                 batch.archived.push(id);
             }
-            let beyond = job.beyond.keys();
+            let beyond = job.abandoned_records.keys();
             for number in beyond.filter(|n| job.chunk(**n).is_none()) {
                 if batch.txn.changes.len() >= max {
                     return;
@@ -429,7 +431,7 @@
                 let number = number as u32;
                 let known = chunk
                     .as_ref()
-                    .is_some_and(|c| c.version != Version(0) || c.version_unknown);
+                    .is_some_and(|c| c.record_version != Version(0) || c.version_unknown);
                 if known {
                     if batch.txn.changes.len() >= max {
                         return;
--- a/src/storage/write_batcher/outcomes.rs
+++ b/src/storage/write_batcher/outcomes.rs
@@ -4,24 +4,24 @@
 
 impl WriteBatcher {
     /// The transaction under way was carried out at that revision.
-    pub fn applied(&mut self, jobs: &mut Jobs, revision: Version, now: Time) -> Verdict {
+    pub fn on_committed(&mut self, jobs: &mut Jobs, revision: Version, now: Time) -> CommitResult {
         let InFlight::Sent(batch) = std::mem::replace(&mut self.in_flight, InFlight::Idle) else {
-            return Verdict::Again;
+            return CommitResult::Retry;
         };
-        let mut written = Written::default();
+        let mut written = CommittedRecords::default();
         if let Some(step) = &batch.split_step {
             written.chunks = self.step_applied(jobs, step, revision);
         }
         for (id, number, changes) in batch.chunks {
             if let Some(chunk) = jobs.get_mut(&id).and_then(|j| j.chunk_mut(number)) {
-                chunk.version = revision;
-                chunk.written = changes;
+                chunk.record_version = revision;
+                chunk.written_change = changes;
                 written.chunks.push((id, number));
             }
         }
         for (id, number) in batch.garbage {
             if let Some(job) = jobs.get_mut(&id) {
-                job.beyond.remove(&number);
+                job.abandoned_records.remove(&number);
             }
             if let Some(slot) = jobs
                 .get_mut(&id)
@@ -32,29 +32,29 @@
         }
         for id in batch.archived {
             if let Some(job) = jobs.get_mut(&id) {
-                job.to_archive = None;
+                job.unarchived_outcome = None;
             }
         }
         for id in batch.finished {
             if let Some(job) = jobs.get_mut(&id) {
-                job.finished(revision);
-                job.enter(JobPhase::GarbageCollected, now);
+                job.on_outcome_written(revision);
+                job.set_phase(JobPhase::GarbageCollecting, now);
                 self.garbage.insert(id);
                 written.finished.push(id);
             }
         }
         self.forget_garbage_collected(jobs);
-        Verdict::Written(written)
+        CommitResult::Committed(written)
     }
 
     pub(super) fn forget_garbage_collected(&mut self, jobs: &mut Jobs) {
         let swept = |id: &JobId| {
             jobs.get(id).is_none_or(|j| {
-                let unwritten = |c: &Chunk| c.version == Version(0) && !c.version_unknown;
-                let moved = j.to_archive.is_none();
-                j.phase == JobPhase::GarbageCollected
+                let unwritten = |c: &Chunk| c.record_version == Version(0) && !c.version_unknown;
+                let moved = j.unarchived_outcome.is_none();
+                j.phase == JobPhase::GarbageCollecting
                     && moved
-                    && j.beyond.is_empty()
+                    && j.abandoned_records.is_empty()
                     && j.chunks.iter().flatten().all(|c| unwritten(c))
             })
         };
@@ -66,16 +66,16 @@
     }
 
     /// Conditions failed: nothing was written, at least not now.
-    pub fn conflict(&mut self, jobs: &mut Jobs, failed: &[String]) -> Verdict {
+    pub fn on_conflict(&mut self, jobs: &mut Jobs, failed: &[String]) -> CommitResult {
         let InFlight::Sent(batch) = std::mem::replace(&mut self.in_flight, InFlight::Idle) else {
-            return Verdict::Again;
+            return CommitResult::Retry;
         };
-        if failed.iter().any(|key| key == records::HOLDER) {
-            return Verdict::Deposed;
+        if failed.iter().any(|key| key == records::LEADER_KEY) {
+            return CommitResult::LeadershipLost;
         }
         let mut cancelled = Vec::new();
         for key in failed {
-            if let Some(id) = records::parse_live(key) {
+            if let Some(id) = records::parse_live_key(key) {
                 if batch.split_step.as_ref().is_some_and(|step| step.job == id) {
                     // Cancelled, or an earlier transaction, thought lost, was carried out: the watch
                     // says which.
@@ -84,11 +84,11 @@
                 if batch.archived.contains(&id) {
                     // Only we move these: an earlier transaction, thought lost, was carried out.
                     if let Some(job) = jobs.get_mut(&id) {
-                        job.to_archive = None;
+                        job.unarchived_outcome = None;
                     }
                 }
                 cancelled.push(id);
-            } else if let Some((id, number)) = records::parse_run(key) {
+            } else if let Some((id, number)) = records::parse_run_key(key) {
                 // Only we write these: an earlier transaction, thought lost, was carried out.
                 if let Some(chunk) = jobs.get_mut(&id).and_then(|j| j.chunk_mut(number)) {
                     chunk.version_unknown = true;
@@ -96,18 +96,22 @@
                 }
             }
         }
-        let is_fence = |key: &String| self.fences.values().any(|(fence, _)| fence == key);
+        let is_fence = |key: &String| {
+            self.allowance_fences
+                .values()
+                .any(|(fence, _)| fence == key)
+        };
         let outdated_allowance = failed.iter().any(is_fence);
-        self.put_back(batch);
-        Verdict::Conflict {
+        self.requeue(batch);
+        CommitResult::Conflict {
             cancelled,
             outdated_allowance,
         }
     }
 
-    pub(super) fn put_back(&mut self, batch: Batch) {
+    pub(super) fn requeue(&mut self, batch: Batch) {
         for (id, number, _) in batch.chunks {
-            self.changed(id, number, true);
+            self.mark_dirty(id, number, true);
         }
         self.finishing.extend(batch.finished);
         self.garbage.extend(batch.archived);
@@ -115,14 +119,14 @@
     }
 
     /// Surely not carried out: its contents are gathered anew.
-    pub fn refused(&mut self) {
+    pub fn on_refused(&mut self) {
         if let InFlight::Sent(batch) = std::mem::replace(&mut self.in_flight, InFlight::Idle) {
-            self.put_back(batch);
+            self.requeue(batch);
         }
     }
 
     /// Refused for its size. It is split, and what is too large by itself is known to be so.
-    pub fn invalid(&mut self) {
+    pub fn on_invalid(&mut self) {
         let InFlight::Sent(batch) = std::mem::replace(&mut self.in_flight, InFlight::Idle) else {
             return;
         };
@@ -133,23 +137,23 @@
         });
         let largest = values.max().unwrap_or(0);
         if count > LEAST_OPS {
-            self.txn_ops = (count / 2).max(LEAST_OPS);
+            self.max_txn_changes = (count / 2).max(LEAST_OPS);
         } else {
-            self.max_value = self
-                .max_value
+            self.max_value_bytes = self
+                .max_value_bytes
                 .min(largest.saturating_sub(1))
                 .max(LEAST_VALUE);
         }
         tracing::info!(
             "the state service refuses {count} changes, the largest of {largest} bytes: from now on {} and {}",
-            self.txn_ops,
-            self.max_value
+            self.max_txn_changes,
+            self.max_value_bytes
         );
-        self.put_back(batch);
+        self.requeue(batch);
     }
 
     /// No answer: it may be carried out at any time, so only the very same may follow.
-    pub fn lost(&mut self) {
+    pub fn on_response_lost(&mut self) {
         if let InFlight::Sent(batch) = std::mem::replace(&mut self.in_flight, InFlight::Idle) {
             self.in_flight = InFlight::Repeat(batch);
         }
--- a/tests/api.rs
+++ b/tests/api.rs
@@ -4,15 +4,15 @@
 use std::time::Duration;
 
 use ciborium::Value;
-use lichencrank::node::api::{ApiAction, ApiServer, ApiStateRequest, Client, View};
+use lichencrank::node::api::{ApiAction, ApiServer, ApiStoreRequest, Client, View};
 use lichencrank::protocol::cloud::MachineType;
 use lichencrank::protocol::users::JobState;
 use lichencrank::protocol::{decode, encode, Amount};
 use lichencrank::settings::Team;
 use lichencrank::storage::records::{
-    self, BookedRecord, FinalRecord, JobRecord, OverRecord, RunRecord,
+    self, ArchivableOutcome, BookedRecord, JobRecord, OutcomeRecord, RunRecord,
 };
-use lichencrank::storage::store::{Outcome, StateRequest};
+use lichencrank::storage::store::{Outcome, StoreRequest};
 use lichencrank::transport::ConnId;
 use lichencrank::types::{Attempt, HostName, Incarnation, JobId, Time, Version};
 use lichencrank_store::outcome::RATE_LIMIT_PAUSE;
@@ -22,7 +22,7 @@
 struct Desk {
     api: ApiServer,
     next: u64,
-    asked: Vec<(StateRequest, ApiStateRequest)>,
+    asked: Vec<(StoreRequest, ApiStoreRequest)>,
     answers: BTreeMap<u64, (u16, String)>,
     relays: usize,
     /// Cancelled jobs that the leader is asked to take in hand.
@@ -115,7 +115,7 @@
         self.api.pump();
         for act in self.api.take_acts() {
             match act {
-                ApiAction::StateRequest(_, ask, what) => self.asked.push((ask, what)),
+                ApiAction::StoreRequest(_, ask, what) => self.asked.push((ask, what)),
                 ApiAction::Respond(conn, response) => {
                     let fields: BTreeMap<String, Value> =
                         decode(&response.body).unwrap_or_default();
@@ -168,7 +168,7 @@
 
     fn compared(&self, at: usize) -> usize {
         match &self.asked[at].0 {
-            StateRequest::Txn(txn) if txn.changes.is_empty() => txn.conditions.len(),
+            StoreRequest::Txn(txn) if txn.changes.is_empty() => txn.conditions.len(),
             other => panic!("{other:?} is no comparison"),
         }
     }
@@ -206,7 +206,7 @@
     let mut desk = Desk::new();
     // A few are read one by one.
     let alone = desk.poll(1);
-    assert!(matches!(&desk.asked[0].0, StateRequest::Get(key) if key == "live/job-000001"));
+    assert!(matches!(&desk.asked[0].0, StoreRequest::Get(key) if key == "live/job-000001"));
     desk.reply(Outcome::Item(None));
     desk.reply(Outcome::Item(None));
     assert_eq!(desk.answers[&alone].0, 404);
@@ -232,23 +232,23 @@
         })
     };
     assert_eq!(desk.asked.len(), 1);
-    assert!(matches!(&desk.asked[0].0, StateRequest::List { after, .. } if after.is_empty()));
+    assert!(matches!(&desk.asked[0].0, StoreRequest::List { after, .. } if after.is_empty()));
     let first = (1..20).map(|job| item(job, Value::Map(Vec::new())));
     desk.reply(page(first.collect(), true));
     assert!(
-        matches!(&desk.asked[0].0, StateRequest::List { after, .. } if after == "live/job-000019")
+        matches!(&desk.asked[0].0, StoreRequest::List { after, .. } if after == "live/job-000019")
     );
     // One has its final state in place; the last is no longer there, and its final state is read.
-    let over = OverRecord {
+    let over = OutcomeRecord {
         state: JobState::Done,
         tasks: 4,
     };
     let mut second: Vec<Item> = (20..29)
         .map(|job| item(job, Value::Map(Vec::new())))
         .collect();
-    second.push(item(29, value(&FinalRecord { over })));
+    second.push(item(29, value(&ArchivableOutcome { outcome: over })));
     desk.reply(page(second, false));
-    assert!(matches!(&desk.asked[0].0, StateRequest::Get(key) if key == "over/job-000030"));
+    assert!(matches!(&desk.asked[0].0, StoreRequest::Get(key) if key == "over/job-000030"));
     desk.reply(Outcome::Item(None));
     let told: Vec<&str> = asked.iter().map(|id| desk.answers[id].1.as_str()).collect();
     assert!(told[..28].iter().all(|state| *state == "queued"));
@@ -271,14 +271,14 @@
     desk.reply(Outcome::Conflict(vec!["live/job-000001".into()]));
     assert!(!desk.answers.contains_key(&one) && !desk.answers.contains_key(&two));
     // Job 1 got done; its final record stands where its description was.
-    let over = OverRecord {
+    let over = OutcomeRecord {
         state: JobState::Done,
         tasks: 4,
     };
-    assert!(matches!(&desk.asked[0].0, StateRequest::Get(key) if key == "live/job-000001"));
+    assert!(matches!(&desk.asked[0].0, StoreRequest::Get(key) if key == "live/job-000001"));
     desk.reply(Outcome::Item(Some(Item {
         key: "live/job-000001".into(),
-        value: value(&FinalRecord { over }),
+        value: value(&ArchivableOutcome { outcome: over }),
         version: Version(8),
     })));
     assert_eq!(desk.answers[&one], (200, "done".into()));
@@ -321,10 +321,10 @@
         .submit(client, &description(5), &types(), 1000, desk.now);
     desk.pump();
     desk.reply(Outcome::Unknown);
-    assert!(matches!(&desk.asked[0].0, StateRequest::Txn(txn) if txn.changes.len() == 1));
+    assert!(matches!(&desk.asked[0].0, StoreRequest::Txn(txn) if txn.changes.len() == 1));
     // The first was carried out after all.
     desk.reply(Outcome::Conflict(vec!["live/job-000005".into()]));
-    assert!(matches!(&desk.asked[0].0, StateRequest::Get(key) if key == "live/job-000005"));
+    assert!(matches!(&desk.asked[0].0, StoreRequest::Get(key) if key == "live/job-000005"));
     desk.reply(Outcome::Unknown);
     assert_eq!((desk.asked.len(), desk.relays), (0, 1));
 
@@ -343,7 +343,7 @@
     desk.spare = true;
     let user = desk.poll(1);
     desk.reply(Outcome::Committed(Version(9)));
-    assert!(matches!(&desk.asked[0].0, StateRequest::Get(key) if key == "run/job-000001/00000"));
+    assert!(matches!(&desk.asked[0].0, StoreRequest::Get(key) if key == "run/job-000001/00000"));
     desk.reply(Outcome::Refused);
     assert_eq!(desk.answers[&user], (200, "queued".into()));
 }
@@ -400,7 +400,7 @@
         let items = vec![Item {
             key: "run/job-000001/00000".into(),
             value: value(&RunRecord {
-                booked,
+                allocations: booked,
                 ..RunRecord::default()
             }),
             version: Version(9),
@@ -413,14 +413,14 @@
     };
     let one = vec![(0, Attempt(1), HostName::new("vm-1"), Incarnation(1))];
     assert!(
-        matches!(&desk.asked[0].0, StateRequest::List { prefix, .. } if prefix == "run/job-000001/")
+        matches!(&desk.asked[0].0, StoreRequest::List { prefix, .. } if prefix == "run/job-000001/")
     );
     desk.reply(bookings(one.clone()));
     assert_eq!(desk.answers[&user].0, 503);
     // Nor by a poll, nor by a repeated submission.
     let polled = desk.poll(1);
     desk.reply(Outcome::Conflict(vec!["live/job-000001".into()]));
-    let over = OverRecord {
+    let over = OutcomeRecord {
         state: JobState::Cancelled,
         tasks: 0,
     };
@@ -468,7 +468,7 @@
     desk.asked.push(over);
     desk.reply(Outcome::Item(None));
     assert!(!desk.answers.contains_key(&polled));
-    assert!(matches!(&desk.asked[0].0, StateRequest::Get(key) if key == "live/job-000002"));
+    assert!(matches!(&desk.asked[0].0, StoreRequest::Get(key) if key == "live/job-000002"));
 }
 
 /// Where values may only be small, a description that names many machine types is kept without those
@@ -487,7 +487,7 @@
     let body = encode(&body);
     desk.api.submit(client, &body, &types(), 1000, desk.now);
     desk.pump();
-    let StateRequest::Txn(txn) = &desk.asked[0].0 else {
+    let StoreRequest::Txn(txn) = &desk.asked[0].0 else {
         panic!("{:?}", desk.asked[0].0);
     };
     let Change::Put { value, .. } = &txn.changes[0] else {
@@ -525,7 +525,7 @@
         desk.api.submit(client, &body, &types(), 1000, desk.now);
         desk.pump();
         // Whether it is known already is looked up first.
-        if matches!(desk.asked[0].0, StateRequest::Get(_)) {
+        if matches!(desk.asked[0].0, StoreRequest::Get(_)) {
             desk.reply(Outcome::Item(None));
             desk.reply(Outcome::Item(None));
         } else {
--- a/tests/budget.rs
+++ b/tests/budget.rs
@@ -4,38 +4,42 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use lichencrank::storage::store::{Class, StateRequest, StateRequestId, Store};
+use lichencrank::storage::store::{RequestClass, StoreClient, StoreRequest, StoreRequestId};
 use lichencrank::transport::{CallError, CallId, Response};
 use lichencrank::types::{LeaseId, Time};
 use lichencrank_store::rate_limit::share_of;
 use lichencrank_store::{Change, Txn};
 
-fn write(changes: usize) -> StateRequest {
+fn write(changes: usize) -> StoreRequest {
     let mut txn = Txn::default();
     for number in 0..changes {
         txn.changes.push(Change::delete(format!("k/{number}")));
     }
-    StateRequest::Txn(txn)
+    StoreRequest::Txn(txn)
 }
 
 /// Plays ten seconds with the given arrivals every 100 ms; returns how long each request of the
 /// class waited until it was sent, `None` for those refused.
-fn play(store: &mut Store, watched: Class, flood: &[(Class, usize)]) -> Vec<Option<u64>> {
+fn play(
+    store: &mut StoreClient,
+    watched: RequestClass,
+    flood: &[(RequestClass, usize)],
+) -> Vec<Option<u64>> {
     let limit = Duration::from_millis(1700);
-    let mut asked: BTreeMap<StateRequestId, u64> = BTreeMap::new();
+    let mut asked: BTreeMap<StoreRequestId, u64> = BTreeMap::new();
     let mut waits = Vec::new();
     for now in 0..10_000u64 {
         if now % 100 == 0 {
             for (class, changes) in flood {
                 for _ in 0..6 {
-                    store.ask(Time(now), *class, write(*changes), limit);
+                    store.enqueue(Time(now), *class, write(*changes), limit);
                 }
             }
             let ask = match watched {
-                Class::Lease => StateRequest::Extend(LeaseId(1)),
-                _ => StateRequest::Get("live/job-000001".into()),
+                RequestClass::Lease => StoreRequest::Extend(LeaseId(1)),
+                _ => StoreRequest::Get("live/job-000001".into()),
             };
-            asked.insert(store.ask(Time(now), watched, ask, limit), now);
+            asked.insert(store.enqueue(Time(now), watched, ask, limit), now);
         }
         while let Some(next) = store.next_outgoing(Time(now), true) {
             let (id, sent) = match next {
@@ -54,11 +58,11 @@
 /// as long as it lasted: their jobs counted as forgotten.
 #[test]
 fn polls_are_answered_beside_a_backlog_of_writes() {
-    let mut store = Store::new(40.0, 12.0);
+    let mut store = StoreClient::new(40.0, 12.0);
     let waits = play(
         &mut store,
-        Class::Read,
-        &[(Class::User, 1), (Class::Booking, 6)],
+        RequestClass::Read,
+        &[(RequestClass::User, 1), (RequestClass::Allocation, 6)],
     );
     assert!(waits.len() > 80, "{} were looked at", waits.len());
     let refused = waits.iter().filter(|w| w.is_none()).count();
@@ -68,29 +72,32 @@
 /// Operators see in the log how much waits, and for how long.
 #[test]
 fn a_backlog_tells_its_length_and_age() {
-    let mut store = Store::new(2.0, 2.0);
-    assert_eq!(store.backlog(Time(0)), (0, Duration::ZERO));
+    let mut store = StoreClient::new(2.0, 2.0);
+    assert_eq!(store.request_backlog(Time(0)), (0, Duration::ZERO));
     for now in [0, 100, 200, 300] {
-        store.ask(
+        store.enqueue(
             Time(now),
-            Class::Read,
-            StateRequest::Get("types".into()),
+            RequestClass::Read,
+            StoreRequest::Get("types".into()),
             Duration::from_secs(2),
         );
     }
     while let Some(next) = store.next_outgoing(Time(300), true) {
         assert!(next.is_ok());
     }
-    assert_eq!(store.backlog(Time(450)), (2, Duration::from_millis(250)));
+    assert_eq!(
+        store.request_backlog(Time(450)),
+        (2, Duration::from_millis(250))
+    );
 }
 
 #[test]
 fn the_lease_waits_for_nothing() {
-    let mut store = Store::new(5.0, 2.0);
+    let mut store = StoreClient::new(5.0, 2.0);
     let waits = play(
         &mut store,
-        Class::Lease,
-        &[(Class::User, 1), (Class::Booking, 6)],
+        RequestClass::Lease,
+        &[(RequestClass::User, 1), (RequestClass::Allocation, 6)],
     );
     assert!(waits.len() == 100);
     assert!(waits.iter().all(|w| *w == Some(0)), "{waits:?}");
@@ -99,14 +106,14 @@
 /// A booking may not take the writes that a submission waits for.
 #[test]
 fn submissions_get_writes_before_bookings() {
-    let mut store = Store::new(100.0, 6.0);
+    let mut store = StoreClient::new(100.0, 6.0);
     let limit = Duration::from_millis(1700);
     let mut sent = BTreeMap::new();
     let mut classes = BTreeMap::new();
     for now in 0..5000u64 {
         if now % 100 == 0 {
-            for class in [Class::Booking, Class::User] {
-                classes.insert(store.ask(Time(now), class, write(1), limit), class);
+            for class in [RequestClass::Allocation, RequestClass::User] {
+                classes.insert(store.enqueue(Time(now), class, write(1), limit), class);
             }
         }
         while let Some(next) = store.next_outgoing(Time(now), true) {
@@ -115,7 +122,10 @@
             }
         }
     }
-    assert!(sent[&Class::User] >= 3 * sent[&Class::Booking], "{sent:?}");
+    assert!(
+        sent[&RequestClass::User] >= 3 * sent[&RequestClass::Allocation],
+        "{sent:?}"
+    );
 }
 
 /// Three nodes that each took half of a budget overran it together, and renewals were refused with
@@ -145,12 +155,12 @@
 /// all of them. Transactions that are lost one by one while all else is quick are no such sign.
 #[test]
 fn patience_follows_what_answers_take() {
-    let mut store = Store::new(1000.0, 1000.0);
+    let mut store = StoreClient::new(1000.0, 1000.0);
     let mut serial = 0;
-    let mut play = |store: &mut Store, ask: StateRequest, took: u64, lost: bool| {
+    let mut play = |store: &mut StoreClient, ask: StoreRequest, took: u64, lost: bool| {
         serial += 1;
         let at = Time(serial * 10_000);
-        store.ask(at, Class::Read, ask, Duration::from_secs(2));
+        store.enqueue(at, RequestClass::Read, ask, Duration::from_secs(2));
         let Some(Ok(out)) = store.next_outgoing(at, true) else {
             panic!("the budget allows it")
         };
@@ -160,21 +170,21 @@
         } else {
             Ok(Response::new(404, Vec::new()))
         };
-        store.answered(Time(at.0 + took), CallId(serial), answer);
+        store.on_response(Time(at.0 + took), CallId(serial), answer);
     };
-    let get = || StateRequest::Get("types".into());
-    let usual = store.patience();
+    let get = || StoreRequest::Get("types".into());
+    let usual = store.response_timeout();
     for _ in 0..5 {
         play(&mut store, get(), 8, false);
         play(&mut store, write(1), 450, true);
     }
-    assert_eq!(store.patience(), usual);
+    assert_eq!(store.response_timeout(), usual);
     play(&mut store, get(), 400, false);
-    assert_eq!(store.patience(), Duration::from_millis(1200));
+    assert_eq!(store.response_timeout(), Duration::from_millis(1200));
     play(&mut store, get(), 1200, true);
-    assert_eq!(store.patience(), Duration::from_millis(1500));
+    assert_eq!(store.response_timeout(), Duration::from_millis(1500));
     for _ in 0..40 {
         play(&mut store, get(), 8, false);
     }
-    assert_eq!(store.patience(), usual);
+    assert_eq!(store.response_timeout(), usual);
 }
--- a/tests/leadership.rs
+++ b/tests/leadership.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use lichencrank::coordination::leadership::{Leadership, LeadershipAction, Role, Seen, Step};
-use lichencrank::storage::records::HolderRecord;
+use lichencrank::storage::records::LeaderRecord;
 use lichencrank::storage::store::Outcome;
 use lichencrank::types::{LeaseId, Term, Time, Version};
 use lichencrank_store::outcome::RATE_LIMIT_PAUSE;
@@ -15,7 +15,7 @@
 }
 
 fn held_by(node: &str, incarnation: u64, term: u64) -> Option<Seen> {
-    let holder = HolderRecord {
+    let holder = LeaderRecord {
         node: node.into(),
         incarnation,
         lease: LeaseId(7),
@@ -178,7 +178,7 @@
     let lichencrank_store::Change::Put { value, .. } = &txn.changes[0] else {
         panic!("the holder's record comes first")
     };
-    let holder: HolderRecord = value.deserialized().expect("a holder's record");
+    let holder: LeaderRecord = value.deserialized().expect("a holder's record");
     let seen = Seen {
         holder: Some((holder, Version(44))),
         term: Some((Term(4), Version(44))),
--- a/tests/placement.rs
+++ b/tests/placement.rs
@@ -7,7 +7,7 @@
 
 use lichencrank::coordination::resources::Resources;
 use lichencrank::coordination::scoring::{capacity, score};
-use lichencrank::coordination::{Controller, Policy};
+use lichencrank::coordination::{Leader, Policy};
 use lichencrank::protocol::cloud::MachineType;
 use lichencrank::protocol::users::{JobKind, JobSpec, Priority};
 use lichencrank::protocol::workers::WorkerHeartbeat;
@@ -132,7 +132,7 @@
     let mut placed = 0;
     for seed in 0..40 {
         let mut random = fastrand::Rng::with_seed(seed);
-        let mut c = Controller::new(TERM, Version(1), rules(), types(), Time(0));
+        let mut c = Leader::new(TERM, Version(1), rules(), types(), Time(0));
         c.on_loaded(Time(0));
         c.tick(Time(5000), 5000);
         let mut machines = BTreeMap::new();
@@ -157,7 +157,7 @@
                 notice_s: None,
                 tasks: Vec::new(),
             };
-            c.on_report(&report, Time(5000)).expect("our own term");
+            c.on_heartbeat(&report, Time(5000)).expect("our own term");
             machines.insert(name, model);
         }
         // Each job fits at least two types, and all are placed in one pass, so that the exceptions for
@@ -167,13 +167,13 @@
             let id = JobId(number);
             let record = JobRecord {
                 spec: spec(id, &mut random),
-                at_ms: 5000,
-                chunk: 16,
+                submitted_at_ms: 5000,
+                tasks_per_record: 16,
             };
             c.on_job(record.clone(), Version(10 + number));
             records.push(record);
         }
-        c.valid_until = Time(u64::MAX);
+        c.lease_valid_until = Time(u64::MAX);
         c.tick(Time(5000), 5000);
         for record in records {
             let id = record.spec.id;
@@ -184,7 +184,7 @@
                     job: id,
                     index: index as u32,
                 };
-                let chosen = c.hosts.values().find(|h| h.bookings.contains_key(&task));
+                let chosen = c.hosts.values().find(|h| h.allocations.contains_key(&task));
                 let chosen = chosen.map(|h| h.name.clone());
                 assert_eq!(chosen, expected, "seed {seed}, {task}");
                 let Some(name) = chosen else { break };
--- a/tests/quota_leader.rs
+++ b/tests/quota_leader.rs
@@ -1,7 +1,7 @@
 //! What the leader decides with team limits in allowances: nothing before they are claimed, every booking
 //! on their condition, what machines report counts, and borrowed work gives way to guarantees.
 
-use lichencrank::coordination::{Controller, Policy};
+use lichencrank::coordination::{Leader, Policy};
 use lichencrank::features::Features;
 use lichencrank::protocol::cloud::MachineType;
 use lichencrank::protocol::users::{JobKind, JobSpec, Priority};
@@ -67,14 +67,14 @@
             save_s: Amount(0.0),
             deadline_s: None,
         },
-        at_ms: 0,
-        chunk: 100,
+        submitted_at_ms: 0,
+        tasks_per_record: 100,
     }
 }
 
 /// A leader with one machine of eight CPUs, and the state service that takes whatever it writes.
-struct Leader {
-    controller: Controller,
+struct SimulatedLeader {
+    controller: Leader,
     now: Time,
     tick: u64,
     revision: u64,
@@ -82,8 +82,8 @@
     reported: Vec<(TaskId, Attempt)>,
 }
 
-impl Leader {
-    fn new() -> Leader {
+impl SimulatedLeader {
+    fn new() -> SimulatedLeader {
         let settings = Settings::parse(SETTINGS).expect("the settings here");
         let features = Features::parse("quota: {enabled: true}").expect("the features here");
         let tuning = Tuning {
@@ -92,10 +92,10 @@
             ..Tuning::default()
         };
         let rules = Policy::new(&settings.settings, &tuning, &features);
-        let mut controller = Controller::new(TERM, Version(1), rules, vec![kind()], Time(0));
-        controller.valid_until = Time(u64::MAX);
+        let mut controller = Leader::new(TERM, Version(1), rules, vec![kind()], Time(0));
+        controller.lease_valid_until = Time(u64::MAX);
         controller.on_loaded(Time(0));
-        let mut leader = Leader {
+        let mut leader = SimulatedLeader {
             controller,
             now: Time(0),
             tick: 0,
@@ -115,7 +115,7 @@
         let name = HostName::new("vm-000001");
         let booked = self.controller.hosts.get(&name);
         let booked = booked
-            .map(|host| host.bookings.iter())
+            .map(|host| host.allocations.iter())
             .into_iter()
             .flatten();
         let booked = booked.map(|(task, booking)| (*task, booking.attempt));
@@ -140,7 +140,7 @@
         };
         let orders = self
             .controller
-            .on_report(&report, self.now)
+            .on_heartbeat(&report, self.now)
             .expect("its term");
         self.controller.tick(self.now, self.now.0);
         orders
@@ -163,10 +163,10 @@
         let mut written = Vec::new();
         while let Some(txn) = self.controller.next_batch(16, true) {
             self.revision += 1;
-            let Controller { batcher, jobs, .. } = &mut self.controller;
-            let verdict = batcher.applied(jobs, Version(self.revision), self.now);
+            let Leader { batcher, jobs, .. } = &mut self.controller;
+            let verdict = batcher.on_committed(jobs, Version(self.revision), self.now);
             self.controller
-                .on_verdict(verdict, self.now)
+                .on_commit_result(verdict, self.now)
                 .expect("its term");
             written.push(txn);
         }
@@ -181,13 +181,13 @@
     }
 
     fn booked(&self, number: u64) -> u32 {
-        self.controller.jobs[&JobId(number)].booked
+        self.controller.jobs[&JobId(number)].allocated_count
     }
 }
 
 #[test]
 fn nothing_is_booked_before_the_allowances_are_claimed() {
-    let mut leader = Leader::new();
+    let mut leader = SimulatedLeader::new();
     leader.submit(1, "borrower", 10);
     for _ in 0..10 {
         leader.report();
@@ -216,7 +216,7 @@
 /// gone, also above the limit.
 #[test]
 fn what_a_machine_reports_unbooked_counts() {
-    let mut leader = Leader::new();
+    let mut leader = SimulatedLeader::new();
     leader.claim();
     leader.submit(1, "borrower", 3);
     leader.report();
@@ -242,7 +242,7 @@
 /// one, and no more of it than is needed.
 #[test]
 fn borrowed_work_gives_way_to_a_guarantee() {
-    let mut leader = Leader::new();
+    let mut leader = SimulatedLeader::new();
     leader.claim();
     leader.submit(1, "borrower", 4);
     leader.report();
--- a/tests/record_split.rs
+++ b/tests/record_split.rs
@@ -5,14 +5,14 @@
 use std::time::Duration;
 
 use ciborium::Value;
-use lichencrank::coordination::{Controller, Policy};
+use lichencrank::coordination::{Leader, Policy};
 use lichencrank::protocol::cloud::MachineType;
 use lichencrank::protocol::users::{JobKind, JobSpec, Priority};
 use lichencrank::protocol::workers::{AttemptState, AttemptStatus, EndReason, WorkerHeartbeat};
 use lichencrank::protocol::Amount;
 use lichencrank::settings::{Team, Tuning};
 use lichencrank::storage::records::{self, JobRecord, RunRecord};
-use lichencrank::storage::write_batcher::Verdict;
+use lichencrank::storage::write_batcher::CommitResult;
 use lichencrank::types::{
     Attempt, HostName, Incarnation, JobId, SequenceNumber, TaskId, Term, Time, Version,
 };
@@ -69,8 +69,8 @@
     });
     let description = JobRecord {
         spec: spec(),
-        at_ms: 1000,
-        chunk: OLD_CHUNK,
+        submitted_at_ms: 1000,
+        tasks_per_record: OLD_CHUNK,
     };
     let mut changes = vec![
         put("lead/holder", map(vec![])),
@@ -79,11 +79,11 @@
     for number in 0..2 {
         let first = number * OLD_CHUNK;
         let mut record = RunRecord {
-            first,
-            size: OLD_CHUNK,
+            first_task: first,
+            tasks_per_record: OLD_CHUNK,
             team: "open".into(),
             cpus: 1.0,
-            mem: 1.0,
+            memory_gb: 1.0,
             ..RunRecord::default()
         };
         for offset in 0..240 {
@@ -92,7 +92,9 @@
                 record.tried.push((offset, attempt));
             } else {
                 let host = host_of(first + offset);
-                record.booked.push((offset, attempt, host, Incarnation(1)));
+                record
+                    .allocations
+                    .push((offset, attempt, host, Incarnation(1)));
             }
         }
         changes.push(put(&records::run_key(JOB, number), value(&record)));
@@ -144,7 +146,7 @@
 }
 
 /// A new leader of this version reads the records.
-fn take_over(state: &mut StateService) -> Controller {
+fn take_over(state: &mut StateService) -> Leader {
     let types = vec![MachineType {
         name: "c4".into(),
         cpus: Amount(4.0),
@@ -158,14 +160,14 @@
         zones: vec!["a".into()],
     }];
     let holder = items(state, "lead/holder")[0].2;
-    let mut controller = Controller::new(Term(5), Version(holder), rules(), types, NOW);
-    controller.valid_until = Time(u64::MAX);
+    let mut controller = Leader::new(Term(5), Version(holder), rules(), types, NOW);
+    controller.lease_valid_until = Time(u64::MAX);
     for (_, data, version) in items(state, "live/") {
         let record: JobRecord = data.deserialized().expect("a description");
         controller.on_job(record, Version(version));
     }
     for (key, data, version) in items(state, "run/") {
-        let (job, number) = records::parse_run(&key).expect("a run record");
+        let (job, number) = records::parse_run_key(&key).expect("a run record");
         let record: RunRecord = data.deserialized().expect("a run record");
         controller.on_run_record(job, number, &record, Version(version), NOW);
     }
@@ -173,13 +175,13 @@
     controller
 }
 
-fn picture_of(controller: &Controller) -> Picture {
+fn picture_of(controller: &Leader) -> Picture {
     let job = &controller.jobs[&JOB];
     let mut picture = Picture::new();
     for index in 0..TASKS {
         let attempt = job.last_attempt(index).0;
         let holds = |h: &&lichencrank::coordination::hosts::Host| {
-            h.bookings.contains_key(&TaskId { job: JOB, index })
+            h.allocations.contains_key(&TaskId { job: JOB, index })
         };
         let host = controller.hosts.values().find(holds);
         if attempt > 0 {
@@ -194,16 +196,16 @@
     let description: JobRecord = items(state, "live/")[0].1.deserialized().expect("one");
     let mut picture = Picture::new();
     for (key, data, _) in items(state, "run/") {
-        let (_, number) = records::parse_run(&key).expect("a run record");
-        if number >= TASKS.div_ceil(description.chunk) {
+        let (_, number) = records::parse_run_key(&key).expect("a run record");
+        if number >= TASKS.div_ceil(description.tasks_per_record) {
             continue;
         }
         let record: RunRecord = data.deserialized().expect("a run record");
-        let first = number * description.chunk;
+        let first = number * description.tasks_per_record;
         for (offset, attempt) in record.tried {
             picture.insert(first + offset, (attempt.0, None));
         }
-        for (offset, attempt, host, _) in record.booked {
+        for (offset, attempt, host, _) in record.allocations {
             picture.insert(first + offset, (attempt.0, Some(host.to_string())));
         }
     }
@@ -211,7 +213,7 @@
 }
 
 /// One task ends, so that its record has to be written.
-fn end_one(controller: &mut Controller) {
+fn end_one(controller: &mut Leader) {
     let task = TaskId { job: JOB, index: 0 };
     let report = WorkerHeartbeat {
         host: host_of(0),
@@ -224,7 +226,7 @@
         fencing_token: Term(5),
         notice_s: None,
         tasks: controller.hosts[&host_of(0)]
-            .bookings
+            .allocations
             .iter()
             .map(|(t, b)| AttemptStatus {
                 task: *t,
@@ -238,11 +240,11 @@
             })
             .collect(),
     };
-    controller.on_report(&report, NOW).expect("it leads");
+    controller.on_heartbeat(&report, NOW).expect("it leads");
 }
 
 /// Writes the next batch, if there is one; nothing may ever be refused.
-fn step(controller: &mut Controller, state: &mut StateService) -> bool {
+fn step(controller: &mut Leader, state: &mut StateService) -> bool {
     // A record that turns out too large is split from the next batch on.
     let batch = controller.next_batch(5, true);
     let batch = batch.or_else(|| controller.next_batch(5, true));
@@ -252,10 +254,10 @@
     let (status, answer) = state.txn(&value(&txn));
     assert_eq!(status, 200, "{answer:?}");
     let revision = Version(number(&answer, "ledgerRev"));
-    let Controller { batcher, jobs, .. } = controller;
-    let verdict = batcher.applied(jobs, revision, NOW);
-    assert!(matches!(verdict, Verdict::Written(_)));
-    controller.on_verdict(verdict, NOW).expect("it leads");
+    let Leader { batcher, jobs, .. } = controller;
+    let verdict = batcher.on_committed(jobs, revision, NOW);
+    assert!(matches!(verdict, CommitResult::Committed(_)));
+    controller.on_commit_result(verdict, NOW).expect("it leads");
     true
 }
 
@@ -290,7 +292,10 @@
         }
         same(&picture_of(&next));
         let description: JobRecord = items(&mut state, "live/")[0].1.deserialized().expect("one");
-        assert!(description.chunk < OLD_CHUNK, "after {steps} steps");
+        assert!(
+            description.tasks_per_record < OLD_CHUNK,
+            "after {steps} steps"
+        );
         for (key, data, _) in items(&mut state, "run/") {
             assert!(records::size(&data) <= 2048, "{key}");
         }
--- a/tests/simulated/embedder.rs
+++ b/tests/simulated/embedder.rs
@@ -130,7 +130,7 @@
             continue;
         };
         let place = (TeamName::new(&record.team), HolderName::new(LEADER));
-        let booked = record.booked.len() as u64;
+        let booked = record.allocations.len() as u64;
         let usage = Usage::needed(record.cpus, record.gpus).times(booked);
         *ledger.self_accounted.entry(place).or_default() += usage;
     }
--- a/tests/size.rs
+++ b/tests/size.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use ciborium::Value;
-use lichencrank::coordination::{Action, CommandResult, Controller, Policy};
+use lichencrank::coordination::{Action, CommandResult, Leader, Policy};
 use lichencrank::protocol::cloud::MachineType;
 use lichencrank::protocol::users::{JobKind, JobSpec, Priority};
 use lichencrank::protocol::workers::{
@@ -93,8 +93,8 @@
             save_s: Amount(0.0),
             deadline_s: None,
         },
-        at_ms: 0,
-        chunk: records::tasks_per_record(VALUE_KB),
+        submitted_at_ms: 0,
+        tasks_per_record: records::tasks_per_record(VALUE_KB),
     }
 }
 
@@ -189,11 +189,11 @@
         version
     }
 
-    fn begin_leading(&mut self, term: Term, now: Time) -> Controller {
+    fn begin_leading(&mut self, term: Term, now: Time) -> Leader {
         let holder = (Value::Null, Version(term.0));
-        self.items.insert(records::HOLDER.to_owned(), holder);
-        let mut c = Controller::new(term, Version(term.0), rules(), types(), now);
-        c.valid_until = Time(u64::MAX);
+        self.items.insert(records::LEADER_KEY.to_owned(), holder);
+        let mut c = Leader::new(term, Version(term.0), rules(), types(), now);
+        c.lease_valid_until = Time(u64::MAX);
         for (key, (value, version)) in &self.items {
             let (key, value, version) = (key.clone(), value.clone(), *version);
             let item = Item {
@@ -201,13 +201,13 @@
                 value,
                 version,
             };
-            if records::parse_live(&item.key).is_some() {
-                assert!(records::over_in_place(&item.value).is_none());
+            if records::parse_live_key(&item.key).is_some() {
+                assert!(records::outcome_in_place(&item.value).is_none());
                 c.on_job(item.record().expect("a job"), version);
             }
         }
         for (key, (value, version)) in &self.items {
-            if let Some((job, chunk)) = records::parse_run(key) {
+            if let Some((job, chunk)) = records::parse_run_key(key) {
                 let record = value.deserialized().expect("a run record");
                 c.on_run_record(job, chunk, &record, *version, now);
             }
@@ -232,20 +232,20 @@
     });
     let mut now = Time(0);
     let mut c = kept.begin_leading(Term(3), now);
-    assert_eq!(c.jobs[&JOB].live, live);
+    assert_eq!(c.jobs[&JOB].record_version, live);
     let mut workers: BTreeMap<HostName, Worker> = (0..40)
         .map(|n| (HostName::new(&format!("vm-{n:03}")), Worker::default()))
         .collect();
     let mut largest_report = 0;
     let mut rounds = 0;
-    let over = records::over_key(JOB);
+    let over = records::outcome_key(JOB);
     while !kept.items.contains_key(&over) || !c.jobs.is_empty() {
         rounds += 1;
-        assert!(rounds < 2000, "{} tasks done", c.jobs[&JOB].done);
+        assert!(rounds < 2000, "{} tasks done", c.jobs[&JOB].done_count);
         now = now.after(Duration::from_millis(500));
         if rounds == 120 {
             // The leader ends in the middle, whatever it had under way.
-            assert!(c.jobs[&JOB].done > 1000 && c.jobs[&JOB].booked > 0);
+            assert!(c.jobs[&JOB].done_count > 1000 && c.jobs[&JOB].allocated_count > 0);
             c = kept.begin_leading(Term(4), now);
         }
         for (name, worker) in &mut workers {
@@ -254,7 +254,7 @@
             }
             let report = worker.report(name, c.term);
             largest_report = largest_report.max(report.tasks.len());
-            let orders = c.on_report(&report, now).expect("its term");
+            let orders = c.on_heartbeat(&report, now).expect("its term");
             worker.obey(&orders);
         }
         c.tick(now, now.0);
@@ -263,9 +263,9 @@
                 break;
             };
             let version = kept.apply(&txn);
-            let Controller { batcher, jobs, .. } = &mut c;
-            let verdict = batcher.applied(jobs, version, now);
-            c.on_verdict(verdict, now).expect("its term");
+            let Leader { batcher, jobs, .. } = &mut c;
+            let verdict = batcher.on_committed(jobs, version, now);
+            c.on_commit_result(verdict, now).expect("its term");
             for action in c.take_actions() {
                 let Action::SendCommands {
                     host,
@@ -279,8 +279,8 @@
                 let worker = workers.get_mut(&host).expect("a machine of the test");
                 worker.obey(&orders);
                 let report = Box::new(worker.report(&host, c.term));
-                let result = CommandResult::WorkerHeartbeat(report);
-                c.on_commanded(&host, session, &orders, result, now)
+                let result = CommandResult::Heartbeat(report);
+                c.on_command_result(&host, session, &orders, result, now)
                     .expect("its term");
             }
         }
@@ -291,5 +291,5 @@
     // A report may have 64 KiB; one task takes less than 100 bytes of it.
     assert!(largest_report < 600, "{largest_report} tasks in a report");
     let left: Vec<&String> = kept.items.keys().collect();
-    assert_eq!(left, [records::HOLDER, over.as_str()]);
+    assert_eq!(left, [records::LEADER_KEY, over.as_str()]);
 }
--- a/tests/store_contract.rs
+++ b/tests/store_contract.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use ciborium::Value;
-use lichencrank::storage::store::{Class, Store};
+use lichencrank::storage::store::{RequestClass, StoreClient};
 use lichencrank::transport::{CallId, Response};
 use lichencrank::types::{LeaseId, Time, Version};
 use lichencrank_store::codec::encode;
@@ -29,7 +29,7 @@
 
 /// The daemon's queue of requests, with a call of its own for each of them.
 struct QueuedStore {
-    queue: Store,
+    queue: StoreClient,
     address: SocketAddr,
     calls: Cell<u64>,
 }
@@ -37,7 +37,9 @@
 impl ConditionalStore for QueuedStore {
     fn execute(&mut self, request: &Request) -> Outcome {
         let now = Time(self.calls.get() * 1000);
-        let asked = self.queue.ask(now, Class::User, request.clone(), PATIENCE);
+        let asked = self
+            .queue
+            .enqueue(now, RequestClass::User, request.clone(), PATIENCE);
         let next = self.queue.next_outgoing(now, true).expect("it is sent");
         let outgoing = next.expect("it did not wait");
         self.calls.set(self.calls.get() + 1);
@@ -57,7 +59,7 @@
         };
         let (answered, outcome) = self
             .queue
-            .answered(now, id, Ok(response))
+            .on_response(now, id, Ok(response))
             .expect("it is its own");
         assert_eq!(answered, asked);
         outcome
@@ -75,7 +77,7 @@
     test(&mut BlockingClient::new(address, PATIENCE));
     let address = state_service(Arc::new(AtomicBool::new(false)));
     test(&mut QueuedStore {
-        queue: Store::new(LIMITS.requests_per_second, LIMITS.changes_per_second),
+        queue: StoreClient::new(LIMITS.requests_per_second, LIMITS.changes_per_second),
         address,
         calls: Cell::new(0),
     });
--- a/tests/traces.rs
+++ b/tests/traces.rs
@@ -9,8 +9,8 @@
 use std::fs;
 use std::path::Path;
 
-use lichencrank::coordination::fleet::RentalResult;
-use lichencrank::coordination::{Action, CommandResult, Controller, Deposed, Policy};
+use lichencrank::coordination::fleet::ProvisionResult;
+use lichencrank::coordination::{Action, CommandResult, Leader, LeadershipLost, Policy};
 use lichencrank::protocol::cloud::{ListedHost, ListedHostState, MachineType};
 use lichencrank::protocol::users::{JobKind, JobSpec, JobState, Priority};
 use lichencrank::protocol::workers::{
@@ -18,7 +18,7 @@
 };
 use lichencrank::protocol::Amount;
 use lichencrank::settings::{Team, Tuning};
-use lichencrank::storage::records::{JobRecord, OverRecord, RunRecord};
+use lichencrank::storage::records::{JobRecord, OutcomeRecord, RunRecord};
 use lichencrank::types::{
     Attempt, HostName, Incarnation, JobId, SequenceNumber, TaskId, Term, Time, Version,
 };
@@ -75,7 +75,7 @@
 
 /// A trace being replayed.
 struct Replay {
-    controller: Controller,
+    controller: Leader,
     now: Time,
     version: u64,
     out: String,
@@ -134,8 +134,8 @@
             machine("small", 4.0, 16.0, 0.3, &["a", "b"]),
             machine("big", 16.0, 64.0, 1.2, &["a"]),
         ];
-        let mut controller = Controller::new(TERM, Version(1), rules(), types, Time(0));
-        controller.valid_until = FOREVER;
+        let mut controller = Leader::new(TERM, Version(1), rules(), types, Time(0));
+        controller.lease_valid_until = FOREVER;
         Replay {
             controller,
             now: Time(0),
@@ -162,7 +162,7 @@
                     self.say(&format!("command {host}: {}", show_orders(&orders)));
                     self.commands.insert(host.to_string(), (session, orders));
                 }
-                Action::Rent(r) => {
+                Action::ScaleOut(r) => {
                     let spot = if r.spot { "spot" } else { "ordinary" };
                     let (request, count) = (&r.name, r.count);
                     self.say(&format!(
@@ -170,11 +170,11 @@
                         r.machine_type, r.zone
                     ));
                 }
-                Action::Release(hosts) => {
+                Action::ScaleIn(hosts) => {
                     let names: Vec<&str> = hosts.iter().map(HostName::as_str).collect();
                     self.say(&format!("release {}", names.join(" ")));
                 }
-                Action::Remove(hosts) => {
+                Action::ForceRelease(hosts) => {
                     let names: Vec<&str> = hosts.iter().map(HostName::as_str).collect();
                     self.say(&format!("remove {}", names.join(" ")));
                 }
@@ -182,8 +182,8 @@
         }
     }
 
-    fn checked(&mut self, result: Result<(), Deposed>) {
-        if let Err(Deposed(term)) = result {
+    fn checked(&mut self, result: Result<(), LeadershipLost>) {
+        if let Err(LeadershipLost(term)) = result {
             self.say(&format!("deposed by term {term}"));
         }
     }
@@ -230,8 +230,8 @@
         self.version += 1;
         let record = JobRecord {
             spec,
-            at_ms: self.now.0,
-            chunk: 4,
+            submitted_at_ms: self.now.0,
+            tasks_per_record: 4,
         };
         self.controller.on_job(record, Version(self.version));
     }
@@ -296,7 +296,7 @@
                 Change::Put { key, value, .. } => match value.deserialized::<RunRecord>() {
                     Ok(r) => {
                         let booked: Vec<String> = r
-                            .booked
+                            .allocations
                             .iter()
                             .map(|b| format!("{}#{}@{}/{}", b.0, b.1, b.2, b.3))
                             .collect();
@@ -316,31 +316,31 @@
             .collect();
         self.say(&format!("if {}", guards.join(" ")));
         let now = self.now;
-        let Controller { batcher, jobs, .. } = &mut self.controller;
+        let Leader { batcher, jobs, .. } = &mut self.controller;
         let verdict = match how {
             [] => {
                 self.version += 1;
-                batcher.applied(jobs, Version(self.version), now)
+                batcher.on_committed(jobs, Version(self.version), now)
             }
-            ["lost"] => return batcher.lost(),
-            ["refused"] => return batcher.refused(),
+            ["lost"] => return batcher.on_response_lost(),
+            ["refused"] => return batcher.on_refused(),
             ["conflict", keys @ ..] => {
                 let keys: Vec<String> = keys.iter().map(|k| (*k).to_owned()).collect();
-                batcher.conflict(jobs, &keys)
+                batcher.on_conflict(jobs, &keys)
             }
             other => panic!("write {other:?}?"),
         };
-        let result = self.controller.on_verdict(verdict, now);
+        let result = self.controller.on_commit_result(verdict, now);
         self.checked(result);
     }
 
     fn run_record(&mut self, words: &[&str]) {
         // `record 7 0 version 9 booked 0#1@vm-1/1 ... done 2`
         let mut record = RunRecord {
-            size: 4,
+            tasks_per_record: 4,
             team: "open".into(),
             cpus: 2.0,
-            mem: 2.0,
+            memory_gb: 2.0,
             ..RunRecord::default()
         };
         let at = words
@@ -354,7 +354,7 @@
             let (task, place) = word.split_once('@').expect("task@place");
             let (offset, attempt) = task.split_once('#').expect("offset#attempt");
             let (name, session) = place.split_once('/').expect("host/session");
-            record.booked.push((
+            record.allocations.push((
                 offset.parse().expect("an offset"),
                 Attempt(attempt.parse().expect("an attempt")),
                 host(name),
@@ -383,25 +383,25 @@
                 let mut rules = rules();
                 rules.records = words[1].parse().expect("a number");
                 let types = std::mem::take(&mut self.controller.types);
-                self.controller = Controller::new(TERM, Version(1), rules, types, Time(0));
-                self.controller.valid_until = FOREVER;
+                self.controller = Leader::new(TERM, Version(1), rules, types, Time(0));
+                self.controller.lease_valid_until = FOREVER;
             }
             "loaded" => self.controller.on_loaded(now),
-            "cancel" => self.controller.on_job_gone(id(words[1]), now),
-            "told" => self.controller.on_cancelled(id(words[1]), now),
+            "cancel" => self.controller.on_job_deleted(id(words[1]), now),
+            "told" => self.controller.on_cancellation(id(words[1]), now),
             "done" => {
-                let over = OverRecord {
+                let over = OutcomeRecord {
                     state: JobState::Done,
                     tasks: 1,
                 };
                 let id = id(words[1]);
-                self.controller.on_final(id, over, Version(9));
+                self.controller.on_outcome_record(id, over, Version(9));
             }
             "report" => {
                 let report = self.report(rest);
-                match self.controller.on_report(&report, now) {
+                match self.controller.on_heartbeat(&report, now) {
                     Ok(orders) => self.say(&format!("answer: {}", show_orders(&orders))),
-                    Err(Deposed(term)) => self.say(&format!("deposed by term {term}")),
+                    Err(LeadershipLost(term)) => self.say(&format!("deposed by term {term}")),
                 }
             }
             "executed" | "unsent" | "held" | "lost" => {
@@ -409,22 +409,22 @@
                     return self.say("no command is open");
                 };
                 let result = match words[0] {
-                    "executed" => CommandResult::WorkerHeartbeat(Box::new(self.report(rest))),
+                    "executed" => CommandResult::Heartbeat(Box::new(self.report(rest))),
                     "unsent" => CommandResult::NotSent,
-                    "held" => CommandResult::HeldBack,
-                    _ => CommandResult::Lost,
+                    "held" => CommandResult::NotAttempted,
+                    _ => CommandResult::NoResponse,
                 };
                 let name = host(words[1]);
                 let result = self
                     .controller
-                    .on_commanded(&name, session, &orders, result, now);
+                    .on_command_result(&name, session, &orders, result, now);
                 self.checked(result);
             }
             "write" => self.write(&words[1..]),
             "reread" => {
                 for (job, chunk) in self.controller.batcher.take_version_unknown() {
-                    let Controller { batcher, jobs, .. } = &mut self.controller;
-                    batcher.reread(
+                    let Leader { batcher, jobs, .. } = &mut self.controller;
+                    batcher.on_version_read(
                         jobs,
                         job,
                         chunk,
@@ -433,7 +433,7 @@
                 }
             }
             "lease" => {
-                self.controller.valid_until = match words[1] {
+                self.controller.lease_valid_until = match words[1] {
                     "stands" => FOREVER,
                     until => Time((until.parse::<f64>().expect("seconds") * 1000.0) as u64),
                 };
@@ -442,16 +442,16 @@
             "tick" => self.controller.tick(now, now.0),
             "rented" => {
                 let result = match &words[2..] {
-                    ["unknown"] => RentalResult::Unknown,
-                    ["none"] => RentalResult::NoCapacity,
-                    names => RentalResult::Rented(names.iter().map(|n| host(n)).collect()),
+                    ["unknown"] => ProvisionResult::Unknown,
+                    ["none"] => ProvisionResult::NoCapacity,
+                    names => ProvisionResult::Provisioned(names.iter().map(|n| host(n)).collect()),
                 };
-                self.controller.on_rented(words[1], result, now);
+                self.controller.on_provision_result(words[1], result, now);
             }
             "released" => {
                 let confirmed = !words.contains(&"unknown");
                 let names = [host(words[1])];
-                self.controller.on_released(&names, confirmed, now);
+                self.controller.on_release_result(&names, confirmed, now);
             }
             "listed" => {
                 let status = match words[2] {
@@ -468,7 +468,7 @@
                     state: status,
                     age_s: Amount(words.get(4).map_or(0.0, |a| a.parse().expect("an age"))),
                 };
-                self.controller.on_listed(&[item], now);
+                self.controller.on_host_list(&[item], now);
             }
             "machines" => {
                 let known = self.controller.hosts.values();
@@ -479,16 +479,16 @@
             }
             "unheard" => {
                 let zones = words[1..].iter().map(|z| (*z).to_owned());
-                self.controller.unheard_zones = zones.collect();
+                self.controller.zones_without_reachable_peer = zones.collect();
             }
             "show" => match self.controller.jobs.get(&id(words[1])) {
                 Some(j) => {
                     let line = format!(
                         "{:?}: {} waiting, {} booked, {} done",
                         j.phase,
-                        j.waiting(),
-                        j.booked,
-                        j.done
+                        j.waiting_count(),
+                        j.allocated_count,
+                        j.done_count
                     );
                     self.say(&line);
                 }
--- a/tests/versions.rs
+++ b/tests/versions.rs
@@ -12,7 +12,7 @@
 use lichencrank::protocol::{decode, encode};
 use lichencrank::settings::{Settings, Tuning};
 use lichencrank::storage::records::{self, JobRecord, RunRecord};
-use lichencrank::storage::records::{FinalRecord, HolderRecord, OverRecord, TermRecord};
+use lichencrank::storage::records::{ArchivableOutcome, LeaderRecord, OutcomeRecord, TermRecord};
 use lichencrank::transport::{
     CallId, ConnId, ListenerKind, Network, Request, Response, SocketUsage, TransportEvent,
 };
@@ -166,7 +166,10 @@
 #[test]
 fn records_of_production_are_read_and_written_back_whole() {
     let description: JobRecord = stored(DESCRIPTION).deserialized().expect("a description");
-    assert_eq!((description.spec.tasks, description.chunk), (600, 256));
+    assert_eq!(
+        (description.spec.tasks, description.tasks_per_record),
+        (600, 256)
+    );
     let again: OldDescription = value(&description).deserialized().expect("an old one");
     let before: OldDescription = stored(DESCRIPTION).deserialized().expect("an old one");
     assert_eq!((again.at_ms, again.chunk), (before.at_ms, before.chunk));
@@ -175,7 +178,7 @@
 
     let run: RunRecord = stored(RUN).deserialized().expect("a run record");
     let booked = (4, Attempt(2), HostName::new("vm-000231"), Incarnation(1));
-    assert_eq!(run.booked, [booked]);
+    assert_eq!(run.allocations, [booked]);
     let again: OldChunk = value(&run).deserialized().expect("an old one");
     let before: OldChunk = stored(RUN).deserialized().expect("an old one");
     assert_eq!(again, before);
@@ -186,11 +189,11 @@
 fn keys_are_the_same() {
     let job = JobId(412);
     assert_eq!(records::live_key(job), "live/job-000412");
-    assert_eq!(records::over_key(job), "over/job-000412");
+    assert_eq!(records::outcome_key(job), "over/job-000412");
     assert_eq!(records::run_key(job, 3), "run/job-000412/00003");
-    assert_eq!(records::HOLDER, "lead/holder");
-    assert_eq!(records::TERM, "lead/term");
-    assert_eq!(records::TYPES, "types");
+    assert_eq!(records::LEADER_KEY, "lead/holder");
+    assert_eq!(records::TERM_KEY, "lead/term");
+    assert_eq!(records::MACHINE_TYPES_KEY, "types");
 }
 
 /// Production keeps the machine types without the size of their caches.
@@ -277,13 +280,13 @@
             "acknowledged" => drop(kept.message::<AcknowledgedJobs>()),
             "job-array" => assert!(!kept.record::<JobRecord>().spec.is_service()),
             "job-service" => assert!(kept.record::<JobRecord>().spec.is_service()),
-            "final" => drop(kept.record::<FinalRecord>()),
-            "over-done" | "over-cancelled" => drop(kept.record::<OverRecord>()),
-            "holder" => drop(kept.record::<HolderRecord>()),
+            "final" => drop(kept.record::<ArchivableOutcome>()),
+            "over-done" | "over-cancelled" => drop(kept.record::<OutcomeRecord>()),
+            "holder" => drop(kept.record::<LeaderRecord>()),
             "term" => drop(kept.record::<TermRecord>()),
             "run" => {
                 let record: RunRecord = kept.record();
-                bookings += record.booked.len();
+                bookings += record.allocations.len();
                 attempts += record.tried.len();
             }
             "types" => assert_types_survive(&kept),
@@ -371,8 +374,8 @@
         changed[at] = random.u8(..);
         drop(decode::<JobRecord>(&changed));
         drop(decode::<RunRecord>(&changed));
-        drop(decode::<FinalRecord>(&changed));
-        drop(decode::<HolderRecord>(&changed));
+        drop(decode::<ArchivableOutcome>(&changed));
+        drop(decode::<LeaderRecord>(&changed));
         drop(decode::<MachineTypes>(&changed));
     }
 }
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -264,8 +264,8 @@
         };
         let record = JobRecord {
             spec: *spec,
-            at_ms: 1000,
-            chunk: 16,
+            submitted_at_ms: 1000,
+            tasks_per_record: 16,
         };
         assert_eq!(Job::new(record, Version(1)).due_ms(), due, "{shape}");
     }
--- a/tests/zones_leader.rs
+++ b/tests/zones_leader.rs
@@ -2,7 +2,7 @@
 //! nothing is rented, and what the next leader continues with.
 
 use lichencrank::coordination::hosts::HostLifecycle;
-use lichencrank::coordination::{Action, Controller, Policy};
+use lichencrank::coordination::{Action, Leader, Policy};
 use lichencrank::features::Features;
 use lichencrank::protocol::cloud::{ListedHost, ListedHostState, MachineType};
 use lichencrank::protocol::users::{JobKind, JobSpec, Priority};
@@ -67,8 +67,8 @@
             save_s: Amount(0.0),
             deadline_s: None,
         },
-        at_ms: 0,
-        chunk: 100,
+        submitted_at_ms: 0,
+        tasks_per_record: 100,
     }
 }
 
@@ -76,8 +76,8 @@
     HostName::new(&format!("vm-{zone}-{number:04}"))
 }
 
-struct Leader {
-    controller: Controller,
+struct SimulatedLeader {
+    controller: Leader,
     now: Time,
     tick: u64,
     revision: u64,
@@ -87,8 +87,8 @@
     released: Vec<HostName>,
 }
 
-impl Leader {
-    fn new(features: &str) -> Leader {
+impl SimulatedLeader {
+    fn new(features: &str) -> SimulatedLeader {
         let settings = Settings::parse(SETTINGS).expect("the settings here");
         let features = Features::parse(features).expect("the features here");
         let tuning = Tuning {
@@ -96,11 +96,11 @@
             ..Tuning::default()
         };
         let rules = Policy::new(&settings.settings, &tuning, &features);
-        let mut controller = Controller::new(TERM, Version(1), rules, vec![kind()], Time(0));
-        controller.valid_until = Time(u64::MAX);
+        let mut controller = Leader::new(TERM, Version(1), rules, vec![kind()], Time(0));
+        controller.lease_valid_until = Time(u64::MAX);
         controller.on_zones_record(None, Time(0));
         controller.on_loaded(Time(0));
-        let mut leader = Leader {
+        let mut leader = SimulatedLeader {
             controller,
             now: Time(0),
             tick: 0,
@@ -150,7 +150,7 @@
 
     fn report(&mut self, zone: &str, host: HostName) {
         let booked = self.controller.hosts.get(&host);
-        let bookings = booked.into_iter().flat_map(|h| h.bookings.iter());
+        let bookings = booked.into_iter().flat_map(|h| h.allocations.iter());
         let tasks = bookings.map(|(task, booking)| AttemptStatus {
             task: *task,
             attempt: booking.attempt,
@@ -170,7 +170,7 @@
             tasks: tasks.collect(),
         };
         self.controller
-            .on_report(&report, self.now)
+            .on_heartbeat(&report, self.now)
             .expect("its term");
     }
 
@@ -178,10 +178,10 @@
         while let Some(txn) = self.controller.next_batch(16, true) {
             assert!(!txn.conditions.is_empty());
             self.revision += 1;
-            let Controller { batcher, jobs, .. } = &mut self.controller;
-            let verdict = batcher.applied(jobs, Version(self.revision), self.now);
+            let Leader { batcher, jobs, .. } = &mut self.controller;
+            let verdict = batcher.on_committed(jobs, Version(self.revision), self.now);
             self.controller
-                .on_verdict(verdict, self.now)
+                .on_commit_result(verdict, self.now)
                 .expect("its term");
         }
     }
@@ -189,9 +189,9 @@
     fn act(&mut self) {
         for action in self.controller.take_actions() {
             match action {
-                Action::Rent(rental) => self.rented_in.push(rental.zone),
-                Action::Release(hosts) => self.released.extend(hosts),
-                Action::Remove(_) | Action::SendCommands { .. } => {}
+                Action::ScaleOut(rental) => self.rented_in.push(rental.zone),
+                Action::ScaleIn(hosts) => self.released.extend(hosts),
+                Action::ForceRelease(_) | Action::SendCommands { .. } => {}
             }
         }
     }
@@ -203,12 +203,12 @@
     }
 
     fn waiting(&self, number: u64) -> u32 {
-        self.controller.jobs[&JobId(number)].waiting()
+        self.controller.jobs[&JobId(number)].waiting_count()
     }
 
     fn host_of(&self, number: u64) -> HostName {
         let job = &self.controller.jobs[&JobId(number)];
-        job.booked_hosts().next().expect("booked").clone()
+        job.allocated_hosts().next().expect("booked").clone()
     }
 
     fn fill_zone_b(&mut self) {
@@ -232,7 +232,7 @@
 /// The budget of eight machines is two at once and six a minute: urgent machines take all of it first.
 #[test]
 fn urgent_work_is_given_up_first_and_within_the_budget() {
-    let mut leader = Leader::new(ON);
+    let mut leader = SimulatedLeader::new(ON);
     leader.fill_zone_b();
     leader.cut.push("b");
     leader.pass(46);
@@ -250,7 +250,7 @@
 /// Without the feature all go in one pass, as before.
 #[test]
 fn without_the_feature_all_are_given_up_after_three_leases() {
-    let mut leader = Leader::new("");
+    let mut leader = SimulatedLeader::new("");
     leader.fill_zone_b();
     leader.cut.push("b");
     leader.pass(46);
@@ -262,7 +262,7 @@
 /// A booking ends by proof: the task waits until the cloud has confirmed that its machine is gone.
 #[test]
 fn displaced_work_waits_for_the_release_of_its_machine() {
-    let mut leader = Leader::new(ON);
+    let mut leader = SimulatedLeader::new(ON);
     leader.fill_zone_b();
     leader.cut.push("b");
     leader.pass(46);
@@ -272,16 +272,20 @@
         .collect();
     assert_eq!(displaced.len(), 2);
     assert!(displaced.iter().all(|number| leader.waiting(*number) == 0));
-    leader.controller.on_released(&released, false, leader.now);
+    leader
+        .controller
+        .on_release_result(&released, false, leader.now);
     assert!(displaced.iter().all(|number| leader.waiting(*number) == 0));
-    leader.controller.on_released(&released, true, leader.now);
+    leader
+        .controller
+        .on_release_result(&released, true, leader.now);
     assert!(displaced.iter().all(|number| leader.waiting(*number) == 1));
 }
 
 /// What is heard again before it was released keeps its tasks; the rest of the zone is not given up.
 #[test]
 fn machines_that_are_heard_again_keep_their_tasks() {
-    let mut leader = Leader::new(ON);
+    let mut leader = SimulatedLeader::new(ON);
     leader.fill_zone_b();
     leader.cut.push("b");
     leader.pass(46);
@@ -296,7 +300,7 @@
 
 #[test]
 fn nothing_is_rented_in_a_lost_zone() {
-    let mut leader = Leader::new(ON);
+    let mut leader = SimulatedLeader::new(ON);
     leader.fill_zone_b();
     leader.cut.push("b");
     leader.pass(14);
@@ -310,7 +314,7 @@
 
 #[test]
 fn the_next_leader_reads_what_this_one_recorded() {
-    let mut leader = Leader::new(ON);
+    let mut leader = SimulatedLeader::new(ON);
     leader.fill_zone_b();
     assert!(leader.controller.next_zones_record(leader.now).is_none());
     leader.cut.push("b");
@@ -326,7 +330,7 @@
     leader.controller.on_zones_recorded(true, leader.now);
     leader.pass(2);
     assert!(leader.controller.next_zones_record(leader.now).is_none());
-    let mut next = Leader::new(ON);
+    let mut next = SimulatedLeader::new(ON);
     next.cut.push("b");
     next.controller.on_zones_record(Some(&record), next.now);
     assert!(next.controller.tracks_zones());
@@ -336,9 +340,9 @@
 /// they have not done so does not mean that they never booted.
 #[test]
 fn a_new_leader_does_not_take_machines_of_a_cut_zone_for_unbooted() {
-    let mut leader = Leader::new("");
+    let mut leader = SimulatedLeader::new("");
     leader.cut.push("b");
-    leader.controller.unheard_zones = vec!["b".to_owned()];
+    leader.controller.zones_without_reachable_peer = vec!["b".to_owned()];
     let unheard = name("b", 99);
     let listed = ListedHost {
         name: unheard.clone(),
@@ -349,7 +353,7 @@
         state: ListedHostState::Running,
         age_s: Amount(300.0),
     };
-    leader.controller.on_listed(&[listed], leader.now);
+    leader.controller.on_host_list(&[listed], leader.now);
     leader.pass(40);
     assert!(!leader.released.contains(&unheard));
     leader.pass(20);
