--- a/src/coordination/markets.rs
+++ b/src/coordination/markets.rs
@@ -74,7 +74,6 @@
         usable: &[bool],
         now: Time,
     ) -> Option<CapacityPool> {
-        let need = scoring::need(spec);
         // Spot machines serve nearly as well at a third of the price: for work that may use them,
         // an ordinary one is worth its price only when there are none, and the wait is long.
         let spot_left = usable.iter().enumerate().any(|(kind, usable)| {
@@ -95,37 +94,24 @@
         let worth = spec.priority != Priority::BestEffort;
         let ordinary = !spec.spot || (worth && !spot_left && outlook.start > ORDINARY_AFTER_S);
         let mut best: Option<(f64, CapacityPool)> = None;
-        for (kind, t) in self.types.iter().enumerate().filter(|(k, _)| usable[*k]) {
-            let fits = need.times_in(&capacity(t)).max(1);
-            let span = self.ready_after(spec, kind) + outlook.run;
-            let in_time = outlook.due.is_some_and(|due| span <= due);
-            let zones = t.zones.iter();
+        for (type_index, machine_type) in self.types.iter().enumerate() {
+            if !usable[type_index] {
+                continue;
+            }
+            let zones = machine_type.zones.iter();
             for zone in zones.filter(|z| spec.zone.as_ref().is_none_or(|s| s == *z)) {
                 for spot in [true, false] {
                     let pool = CapacityPool {
-                        type_index: kind,
+                        type_index,
                         zone: zone.clone(),
                         spot,
                     };
-                    let busy = self.autoscaler.rentals.values().any(|r| r.pool == pool);
+                    let has_request = self.autoscaler.rentals.values().any(|r| r.pool == pool);
                     let allowed = if spot { spec.spot } else { ordinary };
-                    if self.is_closed(&pool, now) || busy || !allowed {
+                    if self.is_closed(&pool, now) || has_request || !allowed {
                         continue;
                     }
-                    let price = if spot {
-                        t.spot_price.0
-                    } else {
-                        t.on_demand_price.0
-                    };
-                    let machine = price * span.max(LEAST_CHARGED_S);
-                    // What a service leaves of a machine others use; that it is there soon counts more.
-                    let cost = if spec.is_service() {
-                        let ready = self.ready_after(spec, kind);
-                        machine / fits as f64 * self.urgency_factor(ready)
-                    } else {
-                        machine / fits.min(outlook.left) as f64
-                    };
-                    let cost = if in_time { cost } else { cost * LATE_FACTOR };
+                    let cost = self.cost_per_task(spec, outlook, type_index, spot);
                     if best.as_ref().is_none_or(|(c, _)| cost < *c) {
                         best = Some((cost, pool));
                     }
@@ -135,6 +121,38 @@
         best.map(|(_, pool)| pool)
     }
 
+    /// What a task costs on a new machine of that type, counting boot and fetch, and more if it would miss
+    /// its deadline there.
+    fn cost_per_task(
+        &self,
+        spec: &JobSpec,
+        outlook: &Outlook,
+        type_index: usize,
+        spot: bool,
+    ) -> f64 {
+        let machine_type = &self.types[type_index];
+        let fits = scoring::need(spec).times_in(&capacity(machine_type)).max(1);
+        let ready = self.ready_after(spec, type_index);
+        let span = ready + outlook.run;
+        let price = if spot {
+            machine_type.spot_price.0
+        } else {
+            machine_type.on_demand_price.0
+        };
+        let machine_cost = price * span.max(LEAST_CHARGED_S);
+        // What a service leaves of a machine others use; that it is there soon counts more.
+        let cost = if spec.is_service() {
+            machine_cost / fits as f64 * self.urgency_factor(ready)
+        } else {
+            machine_cost / fits.min(outlook.left) as f64
+        };
+        if outlook.due.is_some_and(|due| span <= due) {
+            cost
+        } else {
+            cost * LATE_FACTOR
+        }
+    }
+
     /// How much dearer a machine may be that is there sooner.
     pub(super) fn urgency_factor(&self, ready: f64) -> f64 {
         1.0 + ready / URGENCY_S
