--- a/examples/scale.rs
+++ b/examples/scale.rs
@@ -11,6 +11,7 @@
 use lichencrank::protocol::Amount;
 use lichencrank::settings::{Settings, Tuning};
 use lichencrank::storage::records::{self, JobRecord};
+use lichencrank::storage::store::Outcome;
 use lichencrank::types::{
     Attempt, HostName, Incarnation, JobId, SequenceNumber, TaskId, Term, Time, Version,
 };
@@ -112,7 +113,10 @@
 
 /// What the machines hold, by the records of the leader.
 fn bookings(c: &Leader, host: u64) -> Vec<(TaskId, Attempt)> {
-    let host = c.hosts.get(&HostName::new(&format!("vm-{host:06}")));
+    let host = c
+        .cluster()
+        .hosts()
+        .get(&HostName::new(&format!("vm-{host:06}")));
     let bookings = host.map(|host| host.allocations.iter());
     let bookings = bookings.into_iter().flatten();
     bookings
@@ -134,7 +138,7 @@
     let rules = Policy::new(&settings.settings, &Tuning::default(), &features);
     let mut now = Time(0);
     let mut c = Leader::new(TERM, Version(1), rules, vec![kind()], now);
-    c.lease_valid_until = Time(u64::MAX);
+    c.set_lease_valid_until(Time(u64::MAX));
     c.on_zones_record(None, now);
     c.on_loaded(now);
     let mut measured = CutMeasured {
@@ -161,7 +165,8 @@
             ("a", ControllerReach::Reachable),
             (CUT_ZONE, ControllerReach::Unreachable),
         ];
-        c.zone_controllers = reach.map(|(zone, reach)| (zone.to_owned(), reach)).into();
+        let controllers = reach.map(|(zone, reach)| (zone.to_owned(), reach)).into();
+        c.set_controller_reach(Vec::new(), controllers);
         let began = Instant::now();
         c.tick(now, now.0);
         let pass = began.elapsed();
@@ -194,7 +199,7 @@
     let rules = Policy::new(&settings.settings, &Tuning::default(), &Features::default());
     let mut now = Time(0);
     let mut c = Leader::new(TERM, Version(1), rules, vec![kind()], now);
-    c.lease_valid_until = Time(u64::MAX);
+    c.set_lease_valid_until(Time(u64::MAX));
     c.on_loaded(now);
     let mut reports = Duration::ZERO;
     let mut placements = Duration::ZERO;
@@ -219,7 +224,12 @@
         place_all(&mut c, &mut now);
         placements += began.elapsed();
     }
-    let booked: usize = c.hosts.values().map(|host| host.allocations.len()).sum();
+    let booked: usize = c
+        .cluster()
+        .hosts()
+        .values()
+        .map(|host| host.allocations.len())
+        .sum();
     let began = Instant::now();
     c.tick(now.after(Duration::from_secs(1)), 0);
     let idle_pass = began.elapsed();
@@ -236,9 +246,8 @@
         let mut wrote = false;
         while let Some(txn) = c.next_batch(16, true) {
             wrote = !txn.changes.is_empty();
-            let Leader { batcher, jobs, .. } = c;
-            let verdict = batcher.on_committed(jobs, Version(now.0 + 100), *now);
-            c.on_commit_result(verdict, *now).expect("its term");
+            let outcome = Outcome::Committed(Version(now.0 + 100));
+            c.on_batch_outcome(outcome, *now).expect("its term");
         }
         let commands = c.take_actions();
         for action in commands {
--- a/src/coordination/forecast.rs
+++ b/src/coordination/autoscaling/forecast.rs
@@ -3,12 +3,12 @@
 
 use std::collections::BTreeMap;
 
-use super::fleet::{CapacityPool, ARRIVALS_FOR};
-use super::markets::{Outlook, MARGIN_S};
-use super::resources::Resources;
-use super::scoring;
-use super::timeline::{Starts, Timeline};
-use super::Leader;
+use crate::coordination::autoscaling::pools::{Outlook, MARGIN_S};
+use crate::coordination::autoscaling::provisioning::{CapacityPool, ARRIVALS_FOR};
+use crate::coordination::autoscaling::timeline::{Starts, Timeline};
+use crate::coordination::resources::Resources;
+use crate::coordination::scheduling::scoring;
+use crate::coordination::Leader;
 use crate::protocol::cloud::MAX_PROVISION_COUNT;
 use crate::protocol::users::JobSpec;
 use crate::types::Time;
@@ -111,7 +111,7 @@
     /// Rents what waiting work needs beyond the machines that are here or coming. A forecast tells
     /// when each waiting task would start on those; only where that is too late, and a new machine
     /// would be sooner, one is rented.
-    pub(super) fn rent(&mut self, scarce: &[bool], now: Time) {
+    pub(crate) fn rent(&mut self, scarce: &[bool], now: Time) {
         let coming = self.autoscaler.coming(now);
         let mut works = self.waiting_work(now);
         let waiting_now: u64 = works.iter().map(|w| w.tasks).sum();
@@ -148,7 +148,7 @@
     fn waiting_work(&self, now: Time) -> Vec<Work<'_>> {
         let mut works = Vec::new();
         for rank in self.ranked() {
-            let Some(job) = self.jobs.get(&rank.id) else {
+            let Some(job) = self.cluster.jobs.get(&rank.id) else {
                 continue;
             };
             let Some(spec) = &job.spec else { continue };
@@ -158,7 +158,7 @@
             works.push(Work {
                 spec,
                 run: self.expected_run(job),
-                due: job.due_ms().map(|due| (due - self.day_ms as f64) / 1000.0),
+                due: job.due_in_s(self.clock.day_ms),
                 tasks: u64::from(job.schedulable_count()).min(self.team_room(job)),
                 from: 0.0,
                 to_come: false,
--- a/src/coordination/markets.rs
+++ b/src/coordination/autoscaling/pools.rs
@@ -1,13 +1,13 @@
 //! Which pool a machine is rented from, and whether that is worth its price.
 
-use super::fleet::CapacityPool;
-use super::scoring::{self, capacity};
-use super::Leader;
+use crate::coordination::autoscaling::provisioning::CapacityPool;
+use crate::coordination::scheduling::scoring::{self, capacity};
+use crate::coordination::Leader;
 use crate::protocol::users::{JobSpec, Priority};
 use crate::types::Time;
 
 /// A deadline is taken for kept if the forecast leaves this much.
-pub(super) const MARGIN_S: f64 = 3.0;
+pub(crate) const MARGIN_S: f64 = 3.0;
 /// The longest of a job's tasks takes this much more than the expected one, as a share.
 const MARGIN_SHARE: f64 = 1.0;
 /// How long late work waits for room rather than for a machine of its own.
@@ -22,18 +22,18 @@
 const LEAST_CHARGED_S: f64 = 60.0;
 
 /// What the forecast says of a waiting task; times are seconds from now.
-pub(super) struct Outlook {
+pub(crate) struct Outlook {
     /// When it would start on the machines that are here or coming.
-    pub(super) start: f64,
-    pub(super) run: f64,
-    pub(super) due: Option<f64>,
+    pub(crate) start: f64,
+    pub(crate) run: f64,
+    pub(crate) due: Option<f64>,
     /// How many of the job's tasks wait, with this one.
-    pub(super) left: u64,
+    pub(crate) left: u64,
 }
 
 impl Leader {
     /// The pool to rent from, if the task would start too late otherwise.
-    pub(super) fn worth_renting(
+    pub(crate) fn worth_renting(
         &self,
         spec: &JobSpec,
         outlook: &Outlook,
@@ -59,8 +59,8 @@
     }
 
     /// How soon a task of the job could start on any machine rented now.
-    pub(super) fn least_ready(&self, spec: &JobSpec, usable: &[bool]) -> f64 {
-        let kinds = (0..self.types.len()).filter(|k| usable[*k]);
+    pub(crate) fn least_ready(&self, spec: &JobSpec, usable: &[bool]) -> f64 {
+        let kinds = (0..self.cluster.types.len()).filter(|k| usable[*k]);
         kinds
             .map(|kind| self.ready_after(spec, kind))
             .fold(f64::INFINITY, f64::min)
@@ -77,7 +77,7 @@
         // Spot machines serve nearly as well at a third of the price: for work that may use them,
         // an ordinary one is worth its price only when there are none, and the wait is long.
         let spot_left = usable.iter().enumerate().any(|(kind, usable)| {
-            let mut zones = self.types[kind].zones.iter();
+            let mut zones = self.cluster.types[kind].zones.iter();
             *usable
                 && zones.any(|z| {
                     !self.is_closed(
@@ -94,7 +94,7 @@
         let worth = spec.priority != Priority::BestEffort;
         let ordinary = !spec.spot || (worth && !spot_left && outlook.start > ORDINARY_AFTER_S);
         let mut best: Option<(f64, CapacityPool)> = None;
-        for (type_index, machine_type) in self.types.iter().enumerate() {
+        for (type_index, machine_type) in self.cluster.types.iter().enumerate() {
             if !usable[type_index] {
                 continue;
             }
@@ -130,7 +130,7 @@
         type_index: usize,
         spot: bool,
     ) -> f64 {
-        let machine_type = &self.types[type_index];
+        let machine_type = &self.cluster.types[type_index];
         let fits = scoring::need(spec).times_in(&capacity(machine_type)).max(1);
         let ready = self.ready_after(spec, type_index);
         let span = ready + outlook.run;
@@ -154,13 +154,13 @@
     }
 
     /// How much dearer a machine may be that is there sooner.
-    pub(super) fn urgency_factor(&self, ready: f64) -> f64 {
+    pub(crate) fn urgency_factor(&self, ready: f64) -> f64 {
         1.0 + ready / URGENCY_S
     }
 
     /// How long a machine rented now takes until a task of the job can start on it.
     fn ready_after(&self, spec: &JobSpec, kind: usize) -> f64 {
-        let t = &self.types[kind];
+        let t = &self.cluster.types[kind];
         t.boot_s.0 + spec.image_gb.0 / t.fetch_gb_per_s.0.max(0.01)
     }
 }
--- a/src/coordination/fleet.rs
+++ b/src/coordination/autoscaling/provisioning.rs
@@ -3,8 +3,8 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
 
-use super::hosts::{CordonReason, Host, HostLifecycle};
-use super::{Action, Leader};
+use crate::coordination::cluster::host::{CordonReason, Host, HostLifecycle};
+use crate::coordination::{Action, Leader};
 use crate::protocol::cloud::{
     ListedHost, ListedHostState, ProvisionRequest, MAX_PROVISION_COUNT, MAX_RELEASE_COUNT,
 };
@@ -37,9 +37,9 @@
 }
 
 #[derive(Debug)]
-pub(super) struct OpenRental {
-    pub(super) rental: ProvisionRequest,
-    pub(super) pool: CapacityPool,
+pub(crate) struct OpenRental {
+    pub(crate) rental: ProvisionRequest,
+    pub(crate) pool: CapacityPool,
     at: Time,
     retry_at: Option<Time>,
 }
@@ -49,30 +49,32 @@
 pub struct Autoscaler {
     term: Term,
     counter: u64,
-    pub(super) rentals: BTreeMap<String, OpenRental>,
+    pub(crate) rentals: BTreeMap<String, OpenRental>,
     /// Markets that had nothing to give, until when they are left alone.
-    pub(super) closed: BTreeMap<CapacityPool, Time>,
+    pub(crate) closed: BTreeMap<CapacityPool, Time>,
     to_release: VecDeque<HostName>,
     releasing: BTreeSet<HostName>,
     release_at: Time,
     look_at: Time,
     scarce: BTreeSet<usize>,
     /// The recent demand on the common and on the scarce types.
-    pub(super) peaks: [Peak; 2],
+    pub(crate) peaks: [Peak; 2],
     /// The same of work that may use ordinary machines only.
-    pub(super) ordinary_peak: Peak,
+    pub(crate) ordinary_peak: Peak,
     /// The jobs of the last while.
     arrivals: VecDeque<Arrival>,
+    /// Classes of which this leader has seen a job.
+    pub(crate) seen_classes: BTreeSet<String>,
 }
 
 /// The highest of the values noted within a window of time.
 #[derive(Debug, Default)]
-pub(super) struct Peak {
+pub(crate) struct Peak {
     noted: VecDeque<(Time, f64)>,
 }
 
 impl Peak {
-    pub(super) fn note(&mut self, now: Time, value: f64, window: Duration) -> f64 {
+    pub(crate) fn note(&mut self, now: Time, value: f64, window: Duration) -> f64 {
         // Values that a later one reaches can't be the highest any more.
         while self.noted.back().is_some_and(|(_, v)| *v <= value) {
             self.noted.pop_back();
@@ -115,6 +117,7 @@
             peaks: Default::default(),
             ordinary_peak: Peak::default(),
             arrivals: VecDeque::new(),
+            seen_classes: BTreeSet::new(),
         }
     }
 
@@ -128,13 +131,13 @@
     }
 
     /// The jobs that came in the last while.
-    pub(super) fn lately(&self, now: Time) -> impl Iterator<Item = &JobSpec> {
+    pub(crate) fn lately(&self, now: Time) -> impl Iterator<Item = &JobSpec> {
         let recent = move |a: &&Arrival| now.since(a.at) <= ARRIVALS_FOR;
         self.arrivals.iter().filter(recent).map(|a| &*a.spec)
     }
 
     /// What came in the last while, and how long ago.
-    pub(super) fn coming(&mut self, now: Time) -> Vec<(f64, Box<JobSpec>)> {
+    pub(crate) fn coming(&mut self, now: Time) -> Vec<(f64, Box<JobSpec>)> {
         self.arrivals.retain(|a| now.since(a.at) <= ARRIVALS_FOR);
         let arrivals = self.arrivals.iter();
         arrivals
@@ -163,13 +166,13 @@
 }
 
 impl Leader {
-    pub(super) fn run_fleet(&mut self, now: Time) {
+    pub(crate) fn run_fleet(&mut self, now: Time) {
         self.send_releases(now);
         self.repeat_rentals(now);
         if now < self.autoscaler.look_at {
             return;
         }
-        let pause = LOOK_EVERY + LOOK_PER_HOST * self.hosts.len() as u32;
+        let pause = LOOK_EVERY + LOOK_PER_HOST * self.cluster.hosts.len() as u32;
         self.autoscaler.look_at = now.after(pause);
         let scarce = self.scarce_types();
         let kinds = scarce.iter().enumerate();
@@ -265,10 +268,11 @@
             self.autoscaler.closed.remove(&open.pool);
         }
         for name in names {
-            if self.released_hosts.contains_key(&name) {
+            if self.cluster.released_hosts.contains_key(&name) {
                 continue;
             }
             let host = self
+                .cluster
                 .hosts
                 .entry(name.clone())
                 .or_insert_with(|| Host::new(name, now));
@@ -282,7 +286,7 @@
     /// The cloud's list, whole. It lags: what it lacks proves nothing.
     pub fn on_host_list(&mut self, listed: &[ListedHost], now: Time) {
         let names: BTreeSet<&HostName> = listed.iter().map(|item| &item.name).collect();
-        for host in self.hosts.values_mut() {
+        for host in self.cluster.hosts.values_mut() {
             // Once listed, a machine stays listed until it is gone; only a list from before its
             // time could lack it, and that can't be any more. It is not proof for its allocations, but
             // the cloud's word when it is released is.
@@ -290,12 +294,16 @@
             host.missing_from_list = host.was_listed && long_known && !names.contains(&host.name);
         }
         for item in listed {
-            if self.released_hosts.contains_key(&item.name) {
+            if self.cluster.released_hosts.contains_key(&item.name) {
                 continue;
             }
             let name = item.name.clone();
-            let kind = self.types.iter().position(|t| t.name == item.machine_type);
-            let host = self.hosts.entry(name.clone()).or_insert_with(|| {
+            let kind = self
+                .cluster
+                .types
+                .iter()
+                .position(|t| t.name == item.machine_type);
+            let host = self.cluster.hosts.entry(name.clone()).or_insert_with(|| {
                 tracing::info!("{name}: found in the list");
                 let mut host = Host::new(name.clone(), now);
                 host.provisioned_at = Time(
@@ -329,7 +337,7 @@
     }
 
     /// Asks the cloud for machines, in requests of what one may hold.
-    pub(super) fn order(&mut self, pool: CapacityPool, count: u64, now: Time) {
+    pub(crate) fn order(&mut self, pool: CapacityPool, count: u64, now: Time) {
         let mut count = self.within_rental_budget(count, now);
         while count > 0 {
             let part = count.min(MAX_PROVISION_COUNT);
@@ -338,7 +346,7 @@
             let request = format!("r-{}-{}", self.autoscaler.term, self.autoscaler.counter);
             let rental = ProvisionRequest {
                 name: request.clone(),
-                machine_type: self.types[pool.type_index].name.clone(),
+                machine_type: self.cluster.types[pool.type_index].name.clone(),
                 zone: pool.zone.clone(),
                 spot: pool.spot,
                 count: part,
@@ -354,7 +362,7 @@
         }
     }
 
-    pub(super) fn is_closed(&self, pool: &CapacityPool, now: Time) -> bool {
+    pub(crate) fn is_closed(&self, pool: &CapacityPool, now: Time) -> bool {
         let closed = self.autoscaler.closed.get(pool);
         closed.is_some_and(|until| now < *until) || !self.may_rent_in(&pool.zone)
     }
--- a/src/coordination/scaling.rs
+++ b/src/coordination/autoscaling/scale_in.rs
@@ -3,9 +3,9 @@
 use std::cmp::Ordering;
 use std::time::Duration;
 
-use super::hosts::{CordonReason, HostLifecycle};
-use super::scoring::capacity;
-use super::Leader;
+use crate::coordination::cluster::host::{CordonReason, HostLifecycle};
+use crate::coordination::scheduling::scoring::capacity;
+use crate::coordination::Leader;
 use crate::types::{seconds, HostName, Time};
 
 /// The cloud charges at least a minute; a machine that goes back earlier saves nothing.
@@ -24,7 +24,7 @@
     /// Scale down by cordoning. Headroom spreads work thinly over all machines, so that none ever
     /// idles; what the recent peak of demand does not need is therefore closed, the dearest first,
     /// runs empty, and goes back. When demand rises it is opened again before any is rented.
-    pub(super) fn cordon_surplus(&mut self, scarce: &[bool], now: Time) {
+    pub(crate) fn cordon_surplus(&mut self, scarce: &[bool], now: Time) {
         let window = seconds(self.policy.tuning.idle_return_s);
         let ordinary = self.ordinary_kept(now);
         for group in [false, true] {
@@ -34,13 +34,13 @@
             let candidates = self.scale_in_candidates(scarce, group);
             let mut kept = 0.0;
             for ScaleInCandidate { name, cpus, .. } in candidates {
-                let Some(host) = self.hosts.get_mut(&name) else {
+                let Some(host) = self.cluster.hosts.get_mut(&name) else {
                     continue;
                 };
                 if kept < wanted || ordinary.contains(&name) {
                     kept += cpus;
                     if host.uncordon() {
-                        self.scheduling_requested = true;
+                        self.cluster.scheduling_requested = true;
                     }
                 } else if now >= host.keep_open_until {
                     host.cordon(CordonReason::Surplus);
@@ -56,13 +56,14 @@
     /// cheapest per CPU, then the fullest.
     fn scale_in_candidates(&self, scarce: &[bool], group: bool) -> Vec<ScaleInCandidate> {
         let mut candidates: Vec<ScaleInCandidate> = self
+            .cluster
             .hosts
             .values()
             .filter(|h| h.lifecycle == HostLifecycle::Up)
             .filter(|h| matches!(h.cordon, None | Some(CordonReason::Surplus)))
             .filter_map(|h| {
                 let kind = h.type_index.filter(|k| scarce.get(*k) == Some(&group))?;
-                let machine_type = self.types.get(kind)?;
+                let machine_type = self.cluster.types.get(kind)?;
                 let price = if h.spot {
                     machine_type.spot_price.0
                 } else {
@@ -89,11 +90,11 @@
     /// CPUs that booked and waiting work takes, on the scarce types or on the others.
     fn demand(&self, scarce: &[bool], group: bool) -> f64 {
         let mut demand = 0.0;
-        for host in self.hosts.values() {
+        for host in self.cluster.hosts.values() {
             let Some(kind) = host.type_index.filter(|k| scarce.get(*k) == Some(&group)) else {
                 continue;
             };
-            let Some(t) = self.types.get(kind) else {
+            let Some(t) = self.cluster.types.get(kind) else {
                 continue;
             };
             let whole = capacity(t);
@@ -105,7 +106,7 @@
                 0.0
             };
         }
-        for job in self.jobs.values() {
+        for job in self.cluster.jobs.values() {
             let (Some(spec), true) = (&job.spec, job.waiting_count() > 0) else {
                 continue;
             };
@@ -122,9 +123,9 @@
     }
 
     /// Machines that are closed for good reasons and empty go back.
-    pub(super) fn return_empty(&mut self, now: Time) {
+    pub(crate) fn return_empty(&mut self, now: Time) {
         let mut returned = Vec::new();
-        for host in self.hosts.values_mut() {
+        for host in self.cluster.hosts.values_mut() {
             let empty = host.lifecycle == HostLifecycle::Up && host.allocations.is_empty();
             // What has been paid for anyway may stay.
             let paid = now.since(host.provisioned_at) < MIN_PAID;
--- a/src/coordination/services.rs
+++ b/src/coordination/autoscaling/services.rs
@@ -4,11 +4,13 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-use super::fleet::CapacityPool;
-use super::hosts::{CordonReason, Host, HostLifecycle, Reachability, StopReason};
-use super::jobs::{Job, JobPhase};
-use super::scoring::{self, capacity};
-use super::Leader;
+use crate::coordination::autoscaling::provisioning::CapacityPool;
+use crate::coordination::cluster::host::{
+    CordonReason, Host, HostLifecycle, Reachability, StopReason,
+};
+use crate::coordination::cluster::job::{Job, JobPhase};
+use crate::coordination::scheduling::scoring::{self, capacity};
+use crate::coordination::Leader;
 use crate::protocol::users::JobSpec;
 use crate::types::{seconds, HostName, TaskId, Time};
 
@@ -24,11 +26,14 @@
 const MOVE_EVERY: Duration = Duration::from_secs(15);
 
 impl Leader {
-    pub(super) fn is_service(&self, task: TaskId) -> bool {
-        self.jobs.get(&task.job).is_some_and(|j| j.is_service())
+    pub(crate) fn is_service(&self, task: TaskId) -> bool {
+        self.cluster
+            .jobs
+            .get(&task.job)
+            .is_some_and(|j| j.is_service())
     }
 
-    pub(super) fn holds_replicas(&self, host: &Host) -> bool {
+    pub(crate) fn holds_replicas(&self, host: &Host) -> bool {
         host.allocations.keys().any(|task| self.is_service(*task))
     }
 
@@ -36,7 +41,7 @@
     /// what is booked and waits, and what is likely to come before another could boot.
     fn ordinary_wanted(&mut self, now: Time) -> f64 {
         let mut demand = 0.0;
-        for job in self.jobs.values() {
+        for job in self.cluster.jobs.values() {
             let ordinary = job.spec.as_ref().is_some_and(|s| !s.spot);
             if ordinary && job.phase == JobPhase::Active {
                 let tasks = f64::from(job.allocated_count) + f64::from(job.schedulable_count());
@@ -45,7 +50,9 @@
         }
         for spec in self.autoscaler.lately(now).filter(|s| !s.spot) {
             let ready = self.least_ready(spec, &self.usable_types(spec, &[]));
-            let share = (ready / super::fleet::ARRIVALS_FOR.as_secs_f64()).min(1.0);
+            let share = (ready
+                / crate::coordination::autoscaling::provisioning::ARRIVALS_FOR.as_secs_f64())
+            .min(1.0);
             demand += spec.tasks as f64 * spec.cpus.0 * share;
         }
         let window = seconds(self.policy.tuning.idle_return_s) * 2;
@@ -56,15 +63,16 @@
 
     /// The ordinary machines that are kept for that: first those that hold replicas, which have no end,
     /// then those that are open, then the cheapest.
-    pub(super) fn ordinary_kept(&mut self, now: Time) -> BTreeSet<HostName> {
+    pub(crate) fn ordinary_kept(&mut self, now: Time) -> BTreeSet<HostName> {
         let mut wanted = self.ordinary_wanted(now);
         let mut order = Vec::new();
         for host in self
+            .cluster
             .hosts
             .values()
             .filter(|h| !h.spot && h.lifecycle == HostLifecycle::Up)
         {
-            if let Some(t) = host.type_index.and_then(|k| self.types.get(k)) {
+            if let Some(t) = host.type_index.and_then(|k| self.cluster.types.get(k)) {
                 let cpus = t.cpus.0.max(0.1);
                 let price = t.on_demand_price.0 / cpus * self.urgency_factor(t.boot_s.0);
                 let idle = !self.holds_replicas(host);
@@ -90,14 +98,14 @@
     /// time: they are to begin sooner than any machine boots. So it is for classes of which that is
     /// expected and no job has been seen yet, as nobody knows what they will need.
     fn standby(&self, now: Time) -> f64 {
-        let boots = self.types.iter().map(|t| t.boot_s.0);
+        let boots = self.cluster.types.iter().map(|t| t.boot_s.0);
         let soonest = boots.fold(f64::INFINITY, f64::min);
-        let unseen = |class: &str| !self.seen_classes.contains(class);
+        let unseen = |class: &str| !self.autoscaler.seen_classes.contains(class);
         let hurried = |(class, within): &(String, f64)| *within < soonest && unseen(class);
         // The first jobs of the day are about to tell which classes there are.
         let settled = now.since(self.started_at) > STANDBY_AFTER;
         let unknown = settled && self.policy.hurried.iter().any(hurried);
-        if unknown || self.jobs.values().any(Job::is_service) {
+        if unknown || self.cluster.jobs.values().any(Job::is_service) {
             self.policy.tuning.standby_cpus
         } else {
             0.0
@@ -106,8 +114,8 @@
 
     /// CPUs on ordinary machines, here or to come, that no replica takes.
     fn room_for_services(&self) -> f64 {
-        let cpus = |kind: usize| self.types.get(kind).map_or(0.0, |t| t.cpus.0);
-        let here = self.hosts.values().filter(|h| {
+        let cpus = |kind: usize| self.cluster.types.get(kind).map_or(0.0, |t| t.cpus.0);
+        let here = self.cluster.hosts.values().filter(|h| {
             !h.spot
                 && h.lifecycle != HostLifecycle::Releasing
                 && matches!(h.cordon, None | Some(CordonReason::Surplus))
@@ -119,30 +127,30 @@
         });
         let rentals = self.autoscaler.rentals.values().filter(|r| !r.pool.spot);
         let ordered = rentals.map(|r| cpus(r.pool.type_index) * r.rental.count as f64);
-        let services = self.jobs.values().filter(|j| j.is_service());
+        let services = self.cluster.jobs.values().filter(|j| j.is_service());
         let waiting = services.map(|j| f64::from(j.waiting_count()) * j.task_resources.cpus);
         room.chain(ordered).sum::<f64>() - waiting.sum::<f64>()
     }
 
     /// Rents what the standby lacks: ordinary machines that are cheap and come soon.
-    pub(super) fn rent_standby(&mut self, now: Time) {
+    pub(crate) fn rent_standby(&mut self, now: Time) {
         let wanted = self.standby(now);
         if wanted <= 0.0 {
             return;
         }
         let missing = wanted - self.room_for_services();
-        let cpus = |kind: usize| self.types[kind].cpus.0.max(0.1);
+        let cpus = |kind: usize| self.cluster.types[kind].cpus.0.max(0.1);
         let cost = |kind: &usize| {
-            let t = &self.types[*kind];
+            let t = &self.cluster.types[*kind];
             t.on_demand_price.0 / cpus(*kind) * self.urgency_factor(t.boot_s.0)
         };
-        let pools = (0..self.types.len()).filter_map(|kind| {
+        let pools = (0..self.cluster.types.len()).filter_map(|kind| {
             let on_demand = |zone: &String| CapacityPool {
                 type_index: kind,
                 zone: zone.clone(),
                 spot: false,
             };
-            let mut pools = self.types[kind].zones.iter().map(on_demand);
+            let mut pools = self.cluster.types[kind].zones.iter().map(on_demand);
             pools.find(|pool| !self.is_closed(pool, now))
         });
         let best = pools.min_by(|a, b| cost(&a.type_index).total_cmp(&cost(&b.type_index)));
@@ -156,7 +164,7 @@
 
     /// Opens a machine that was closed as not needed and could take a replica that found no other: those
     /// left open may remember an earlier attempt at it, and it is not to wait for that.
-    pub(super) fn reopen_for(
+    pub(crate) fn reopen_for(
         &mut self,
         job: &Job,
         spec: &JobSpec,
@@ -169,7 +177,7 @@
         let task = TaskId { job: job.id, index };
         let suits = |host: &&Host| {
             let kind = host.type_index.filter(|k| usable.get(*k) == Some(&true));
-            let whole = kind.and_then(|k| self.types.get(k)).map(capacity);
+            let whole = kind.and_then(|k| self.cluster.types.get(k)).map(capacity);
             host.cordon == Some(CordonReason::Surplus)
                 && host.lifecycle == HostLifecycle::Up
                 && now.since(host.last_heartbeat_at) <= self.policy.report * 2
@@ -179,8 +187,13 @@
                 && whole.is_some_and(|w| job.task_resources.fits(&w.minus(&host.allocated)))
                 && !self.knows_of(&host.name, task)
         };
-        let found = self.hosts.values().find(suits).map(|h| h.name.clone());
-        let host = found.and_then(|name| self.hosts.get_mut(&name));
+        let found = self
+            .cluster
+            .hosts
+            .values()
+            .find(suits)
+            .map(|h| h.name.clone());
+        let host = found.and_then(|name| self.cluster.hosts.get_mut(&name));
         host.is_some_and(|host| {
             host.keep_open_until = now.after(REOPENED_FOR);
             host.uncordon()
@@ -189,12 +202,12 @@
 
     /// Moves replicas whose machine is about to go as soon as there is room for them elsewhere, so that
     /// the gap is no longer than a start; and those that alone keep a machine which nobody else needs.
-    pub(super) fn move_replicas(&mut self, now: Time) {
-        if !self.jobs.values().any(Job::is_service) {
+    pub(crate) fn move_replicas(&mut self, now: Time) {
+        if !self.cluster.jobs.values().any(Job::is_service) {
             return;
         }
         let mut moves: Vec<(HostName, TaskId)> = Vec::new();
-        for host in self.hosts.values() {
+        for host in self.cluster.hosts.values() {
             let leaving = host
                 .reclaim_at
                 .filter(|_| host.lifecycle == HostLifecycle::Up);
@@ -211,10 +224,10 @@
                 }
             }
         }
-        if moves.is_empty() && now >= self.next_idle_move_at {
+        if moves.is_empty() && now >= self.scheduler.next_idle_move_at {
             moves.extend(self.idle_replica(now));
             if !moves.is_empty() {
-                self.next_idle_move_at = now.after(MOVE_EVERY);
+                self.scheduler.next_idle_move_at = now.after(MOVE_EVERY);
             }
         }
         for (host, task) in moves {
@@ -226,7 +239,7 @@
     /// A replica on a machine that has long been closed as not needed, and holds nothing but replicas.
     fn idle_replica(&self, now: Time) -> Option<(HostName, TaskId)> {
         let long = |at: Time| now.since(at) > IDLE_FOR;
-        let host = self.hosts.values().find(|host| {
+        let host = self.cluster.hosts.values().find(|host| {
             let idle =
                 host.cordon == Some(CordonReason::Surplus) && host.lifecycle == HostLifecycle::Up;
             let idle = idle && host.surplus_since.is_some_and(long) && !host.allocations.is_empty();
@@ -240,12 +253,17 @@
 
     /// Whether another open machine could take the task at once.
     fn has_room(&self, task: TaskId, but: &Host, now: Time) -> bool {
-        let Some(spec) = self.jobs.get(&task.job).and_then(|j| j.spec.as_ref()) else {
+        let Some(spec) = self
+            .cluster
+            .jobs
+            .get(&task.job)
+            .and_then(|j| j.spec.as_ref())
+        else {
             return false;
         };
         let need = scoring::need(spec);
-        self.hosts.values().any(|host| {
-            let kind = host.type_index.and_then(|k| self.types.get(k));
+        self.cluster.hosts.values().any(|host| {
+            let kind = host.type_index.and_then(|k| self.cluster.types.get(k));
             host.name != but.name
                 && self.is_open(host, now)
                 && (spec.spot || !host.spot)
--- a/src/coordination/timeline.rs
+++ b/src/coordination/autoscaling/timeline.rs
@@ -3,11 +3,11 @@
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-use super::fleet::CapacityPool;
-use super::hosts::{CordonReason, Host, HostLifecycle};
-use super::resources::Resources;
-use super::scoring::{self, capacity};
-use super::Leader;
+use crate::coordination::autoscaling::provisioning::CapacityPool;
+use crate::coordination::cluster::host::{CordonReason, Host, HostLifecycle};
+use crate::coordination::resources::Resources;
+use crate::coordination::scheduling::scoring::{self, capacity};
+use crate::coordination::Leader;
 use crate::protocol::users::JobSpec;
 use crate::types::Time;
 
@@ -18,22 +18,22 @@
 const UNKNOWN_REST_S: f64 = 30.0;
 
 /// A machine that is up or to come, as the forecast sees it; times are seconds from now.
-pub(super) struct Timeline {
-    pub(super) kind: usize,
-    pub(super) zone: String,
-    pub(super) spot: bool,
+pub(crate) struct Timeline {
+    pub(crate) kind: usize,
+    pub(crate) zone: String,
+    pub(crate) spot: bool,
     /// When it is up.
-    pub(super) at: f64,
+    pub(crate) at: f64,
     /// What services leave of it: they preempt all else.
-    pub(super) for_services: Resources,
-    pub(super) free: Resources,
+    pub(crate) for_services: Resources,
+    pub(crate) free: Resources,
     /// What gets free later, in the order of time.
-    pub(super) ends: Vec<(f64, Resources)>,
+    pub(crate) ends: Vec<(f64, Resources)>,
 }
 
 impl Timeline {
     /// When there will be room for a task.
-    pub(super) fn start_of(&self, need: &Resources) -> Option<f64> {
+    pub(crate) fn start_of(&self, need: &Resources) -> Option<f64> {
         let mut free = self.free;
         if need.fits(&free) {
             return Some(self.at);
@@ -48,7 +48,7 @@
     }
 
     /// Gives the room to a task from `start` on.
-    pub(super) fn take(&mut self, start: f64, run: f64, need: &Resources) {
+    pub(crate) fn take(&mut self, start: f64, run: f64, need: &Resources) {
         while let Some((_, freed)) = self.ends.first().filter(|(end, _)| *end <= start) {
             self.free.add(freed);
             self.ends.remove(0);
@@ -63,10 +63,10 @@
 /// When each of the machines that suit a job would take a task of it, the soonest on top. Times are
 /// never negative, so their bits are in the order of their values.
 #[derive(Default)]
-pub(super) struct Starts(BinaryHeap<Reverse<(u64, usize)>>);
+pub(crate) struct Starts(BinaryHeap<Reverse<(u64, usize)>>);
 
 impl Starts {
-    pub(super) fn of(timelines: &[Timeline], spec: &JobSpec, usable: &[bool]) -> Starts {
+    pub(crate) fn of(timelines: &[Timeline], spec: &JobSpec, usable: &[bool]) -> Starts {
         let need = scoring::need(spec);
         let suits = |timeline: &Timeline| {
             usable[timeline.kind]
@@ -84,13 +84,13 @@
     }
 
     /// Infinite if none ever would.
-    pub(super) fn soonest(&self) -> f64 {
+    pub(crate) fn soonest(&self) -> f64 {
         let first = self.0.peek();
         first.map_or(f64::INFINITY, |Reverse((start, _))| f64::from_bits(*start))
     }
 
     /// Gives the next task to the machine that would take it the soonest; false if there is none.
-    pub(super) fn take(
+    pub(crate) fn take(
         &mut self,
         timelines: &mut [Timeline],
         from: f64,
@@ -105,7 +105,7 @@
         true
     }
 
-    pub(super) fn add(&mut self, timelines: &[Timeline], at: usize, need: &Resources) {
+    pub(crate) fn add(&mut self, timelines: &[Timeline], at: usize, need: &Resources) {
         if let Some(next) = timelines[at].start_of(need) {
             self.0.push(Reverse((next.to_bits(), at)));
         }
@@ -114,8 +114,8 @@
 
 impl Leader {
     /// Machines that are here or coming, and when their room gets free.
-    pub(super) fn timelines(&self, now: Time) -> Vec<Timeline> {
-        let hosts = self.hosts.values();
+    pub(crate) fn timelines(&self, now: Time) -> Vec<Timeline> {
+        let hosts = self.cluster.hosts.values();
         let mut timelines: Vec<Timeline> = hosts.filter_map(|h| self.timeline(h, now)).collect();
         for open in self.autoscaler.rentals.values() {
             for _ in 0..open.rental.count {
@@ -126,9 +126,9 @@
     }
 
     /// The timeline of a machine, unless nothing can be expected of it.
-    pub(super) fn timeline(&self, host: &Host, now: Time) -> Option<Timeline> {
+    pub(crate) fn timeline(&self, host: &Host, now: Time) -> Option<Timeline> {
         let kind = host.type_index?;
-        let machine_type = self.types.get(kind)?;
+        let machine_type = self.cluster.types.get(kind)?;
         let at = match host.lifecycle {
             HostLifecycle::Up if matches!(host.cordon, None | Some(CordonReason::Surplus)) => 0.0,
             HostLifecycle::Expected => {
@@ -147,7 +147,7 @@
         let mut ends = Vec::new();
         let mut for_services = capacity(machine_type);
         for (task, allocation) in &host.allocations {
-            let job = self.jobs.get(&task.job);
+            let job = self.cluster.jobs.get(&task.job);
             let rest = job.map_or(UNKNOWN_REST_S, |j| {
                 self.expected_rest(j, allocation.started_at, now)
             });
@@ -168,8 +168,8 @@
         })
     }
 
-    pub(super) fn new_timeline(&self, pool: CapacityPool) -> Timeline {
-        let machine_type = &self.types[pool.type_index];
+    pub(crate) fn new_timeline(&self, pool: CapacityPool) -> Timeline {
+        let machine_type = &self.cluster.types[pool.type_index];
         Timeline {
             kind: pool.type_index,
             zone: pool.zone,
--- a/src/coordination/allocation.rs
+++ b/src/coordination/cluster/allocate.rs
@@ -1,14 +1,14 @@
 //! Allocation a task on a machine: recorded first, run later.
 
-use super::hosts::{Allocation, AllocationPhase};
-use super::jobs::{Job, TaskState};
-use super::Leader;
+use crate::coordination::cluster::host::{Allocation, AllocationPhase};
+use crate::coordination::cluster::job::{Job, TaskState};
+use crate::coordination::Leader;
 use crate::types::{Attempt, HostName, SequenceNumber, TaskId, Time};
 
 impl Leader {
     /// Books a task: recorded first, run later.
-    pub(super) fn book(&mut self, job: &mut Job, task: TaskId, name: &HostName, now: Time) {
-        let Some(host) = self.hosts.get_mut(name) else {
+    pub(crate) fn book(&mut self, job: &mut Job, task: TaskId, name: &HostName, now: Time) {
+        let Some(host) = self.cluster.hosts.get_mut(name) else {
             return;
         };
         let attempt = Attempt(job.last_attempt(task.index).0 + 1);
@@ -44,8 +44,9 @@
             },
         );
         self.charge(&job.team, &job.task_resources);
-        self.batcher.mark_dirty(job.id, number, true);
+        self.cluster.records.mark_dirty(job.id, number, true);
         let recording = self
+            .cluster
             .uncommitted_allocations
             .entry((job.id, number))
             .or_default();
--- a/src/coordination/task_ends.rs
+++ b/src/coordination/cluster/attempt_ends.rs
@@ -1,13 +1,13 @@
 //! What follows when a allocation is proven ended, or a task has failed.
 
-use super::hosts::{CordonReason, Host, StopReason};
-use super::jobs::TaskState;
-use super::Leader;
+use crate::coordination::cluster::host::{CordonReason, Host, StopReason};
+use crate::coordination::cluster::job::TaskState;
+use crate::coordination::Leader;
 use crate::types::{TaskId, Time};
 
 impl Leader {
     /// Ends a allocation that is proven to have ended, and returns the change that holds the outcome.
-    pub(super) fn end_booking(
+    pub(crate) fn end_booking(
         &mut self,
         host: &mut Host,
         task: TaskId,
@@ -17,8 +17,8 @@
         let Some(allocation) = host.free(task, now) else {
             return 0;
         };
-        self.scheduling_requested = true;
-        let Some(job) = self.jobs.get_mut(&task.job) else {
+        self.cluster.scheduling_requested = true;
+        let Some(job) = self.cluster.jobs.get_mut(&task.job) else {
             return 0;
         };
         if job.is_service() && allocation.started_at.is_some() {
@@ -43,7 +43,7 @@
         let mut change = 0;
         if let Some(number) = job.set_task(task.index, state) {
             change = job.chunk(number).map_or(0, |c| c.change_count);
-            self.batcher.mark_dirty(task.job, number, false);
+            self.cluster.records.mark_dirty(task.job, number, false);
         }
         let team = job.team.clone();
         self.discharge(&team, &allocation.resources);
@@ -51,8 +51,8 @@
         change
     }
 
-    pub(super) fn task_failed(&mut self, host: &mut Host, task: TaskId, now: Time) {
-        let Some(job) = self.jobs.get_mut(&task.job) else {
+    pub(crate) fn task_failed(&mut self, host: &mut Host, task: TaskId, now: Time) {
+        let Some(job) = self.cluster.jobs.get_mut(&task.job) else {
             return;
         };
         let before = job.fails_everywhere();
--- a/src/coordination/reports.rs
+++ b/src/coordination/cluster/heartbeats.rs
@@ -3,12 +3,12 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-use super::hosts::{
+use crate::coordination::cluster::host::{
     Allocation, AllocationPhase, CordonReason, EndedAttempt, Host, HostLifecycle, Reachability,
     StopReason,
 };
-use super::jobs::{Job, JobPhase, TaskState, REPLICA_STABLE_AFTER};
-use super::{Leader, LeaderPhase, LeadershipLost};
+use crate::coordination::cluster::job::{Job, JobPhase, TaskState, REPLICA_STABLE_AFTER};
+use crate::coordination::{Leader, LeaderPhase, LeadershipLost};
 use crate::protocol::workers::{
     stop_commands, AttemptState, AttemptStatus, Command, EndReason, WorkerHeartbeat,
 };
@@ -28,34 +28,35 @@
         self.take_in(report, true, now)
     }
 
-    pub(super) fn take_in(
+    pub(crate) fn take_in(
         &mut self,
         report: &WorkerHeartbeat,
         own: bool,
         now: Time,
     ) -> Result<Vec<Command>, LeadershipLost> {
-        if report.fencing_token > self.term {
+        if report.fencing_token > self.term() {
             return Err(LeadershipLost(report.fencing_token));
         }
-        if self.released_hosts.contains_key(&report.host) {
+        if self.cluster.released_hosts.contains_key(&report.host) {
             return Ok(Vec::new());
         }
-        if self.phase == LeaderPhase::LoadingRecords {
+        if self.phase() == LeaderPhase::LoadingRecords {
             // The token alone keeps the worker's lease alive while the records are read. That may
             // take longer than cancelled work has.
             return Ok(stop_commands(report, |job| {
-                self.cancelled_jobs.contains_key(&job)
+                self.cancellations.jobs.contains_key(&job)
             }));
         }
         let name = report.host.clone();
-        if report.fencing_token < self.term {
-            if let Some(mut host) = self.hosts.remove(&name) {
+        if report.fencing_token < self.term() {
+            if let Some(mut host) = self.cluster.hosts.remove(&name) {
                 self.unfenced(&mut host, report, own, now);
-                self.hosts.insert(name, host);
+                self.cluster.hosts.insert(name, host);
             }
             return Ok(Vec::new());
         }
         let mut host = self
+            .cluster
             .hosts
             .remove(&name)
             .unwrap_or_else(|| Host::new(name.clone(), now));
@@ -74,7 +75,7 @@
             );
             Vec::new()
         };
-        self.hosts.insert(name, host);
+        self.cluster.hosts.insert(name, host);
         Ok(commands)
     }
 
@@ -101,6 +102,7 @@
     fn describe(&self, host: &mut Host, report: &WorkerHeartbeat) {
         if host.type_index.is_none() || host.zone.is_empty() {
             host.type_index = self
+                .cluster
                 .types
                 .iter()
                 .position(|t| t.name == report.machine_type);
@@ -128,7 +130,7 @@
         } else if host.reachability == Reachability::Unconfirmed {
             host.set_reachability(Reachability::Confirmed);
         }
-        self.scheduling_requested |= host.reachability != before;
+        self.cluster.scheduling_requested |= host.reachability != before;
         host.fencing_token = report.fencing_token;
         host.last_heartbeat_at = now;
         if host.lifecycle != HostLifecycle::Up {
@@ -136,7 +138,7 @@
             if host.cordon == Some(CordonReason::Lost) && host.lifecycle == HostLifecycle::Up {
                 host.cordon = None;
             }
-            self.scheduling_requested = true;
+            self.cluster.scheduling_requested = true;
         }
         if report.incarnation > host.incarnation {
             self.new_session(host, report.incarnation, own, now);
@@ -179,7 +181,7 @@
         host.incarnation = incarnation;
         host.ended_attempts.clear();
         host.unacknowledged_runs.clear();
-        self.scheduling_requested = true;
+        self.cluster.scheduling_requested = true;
     }
 
     fn reported(&mut self, host: &mut Host, reported: &AttemptStatus, now: Time) {
@@ -227,13 +229,17 @@
             end_reason: cause,
             ..
         } = *reported;
-        let service = self.jobs.get(&task.job).is_some_and(Job::is_service);
+        let service = self
+            .cluster
+            .jobs
+            .get(&task.job)
+            .is_some_and(Job::is_service);
         // A service is never done.
         let done = cause == Some(EndReason::Done) && !service;
         let started = host.allocations.get(&task).and_then(|b| b.started_at);
         let ran = started.map_or(Duration::ZERO, |s| now.since(s));
         if let (Some(EndReason::Done | EndReason::Error), Some(job), true) =
-            (cause, self.jobs.get_mut(&task.job), service)
+            (cause, self.cluster.jobs.get_mut(&task.job), service)
         {
             job.on_replica_ended(ran, now);
             tracing::info!(
@@ -254,7 +260,7 @@
             Some(EndReason::Error) => self.task_failed(host, task, now),
             _ => {
                 tracing::info!("{}: {task} attempt {attempt} refused: {cause:?}", host.name);
-                if let Some(job) = self.jobs.get_mut(&task.job) {
+                if let Some(job) = self.cluster.jobs.get_mut(&task.job) {
                     job.retry_not_before = now.after(Duration::from_secs(1));
                 }
             }
@@ -290,17 +296,21 @@
                 retain_until: kept_until,
             },
         );
-        self.scheduling_requested = true;
+        self.cluster.scheduling_requested = true;
     }
 
     fn image_arrived(&mut self, host: &mut Host, task: TaskId, now: Time) {
-        if let Some(job) = self.jobs.get_mut(&task.job) {
+        if let Some(job) = self.cluster.jobs.get_mut(&task.job) {
             if let Some((since, why)) = job.replica_outages.remove(&task.index) {
                 tracing::info!("{task} runs again after {:?}: {why}", now.since(since));
             }
         }
-        let spec = self.jobs.get(&task.job).and_then(|j| j.spec.as_ref());
-        let kind = host.type_index.and_then(|k| self.types.get(k));
+        let spec = self
+            .cluster
+            .jobs
+            .get(&task.job)
+            .and_then(|j| j.spec.as_ref());
+        let kind = host.type_index.and_then(|k| self.cluster.types.get(k));
         // Only services ask where their image is.
         let spec = spec.filter(|s| s.is_service());
         if let (Some(spec), Some(kind)) = (spec, kind) {
@@ -313,7 +323,7 @@
     fn stray(&mut self, host: &mut Host, task: TaskId, attempt: Attempt, now: Time) {
         tracing::warn!("{}: {task} attempt {attempt} is not booked here", host.name);
         host.unrecorded_attempts.insert((task, attempt));
-        let Some(job) = self.jobs.get_mut(&task.job) else {
+        let Some(job) = self.cluster.jobs.get_mut(&task.job) else {
             return;
         };
         let free = matches!(job.task_state(task.index), Some(TaskState::Waiting { last }) if *last <= attempt);
@@ -331,7 +341,7 @@
             return;
         };
         let change = job.chunk(number).map_or(0, |c| c.change_count);
-        self.batcher.mark_dirty(task.job, number, true);
+        self.cluster.records.mark_dirty(task.job, number, true);
         let team = job.team.clone();
         self.charge(&team, &need);
         host.allocate(
@@ -391,7 +401,7 @@
                 continue;
             }
             let (token, tick) = (report.fencing_token, report.sequence);
-            if host.proves_absence(task, allocation, token, self.term, tick, own) {
+            if host.proves_absence(task, allocation, token, self.term(), tick, own) {
                 self.end_booking(host, task, false, now);
             }
         }
@@ -407,9 +417,9 @@
         }
         host.reclaim_at = Some(now.after(left));
         host.cordon(CordonReason::Reclaimed);
-        self.scheduling_requested = true;
+        self.cluster.scheduling_requested = true;
         for (task, allocation) in &mut host.allocations {
-            let Some(job) = self.jobs.get(&task.job) else {
+            let Some(job) = self.cluster.jobs.get(&task.job) else {
                 continue;
             };
             if job.is_service() {
--- a/src/coordination/hosts.rs
+++ b/src/coordination/cluster/host.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-use super::resources::Resources;
+use crate::coordination::resources::Resources;
 use crate::protocol::workers::{AttemptState, AttemptStatus, WorkerHeartbeat};
 use crate::types::{Attempt, HostName, Incarnation, JobId, SequenceNumber, TaskId, Term, Time};
 
--- a/src/coordination/jobs/mod.rs
+++ b/src/coordination/cluster/job/mod.rs
@@ -5,7 +5,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-use super::resources::Resources;
+use crate::coordination::resources::Resources;
 use crate::protocol::users::{JobSpec, JobState, Priority};
 use crate::storage::records::{JobRecord, OutcomeRecord, RunRecord};
 use crate::types::{Attempt, HostName, Incarnation, JobId, Time, Version};
@@ -30,7 +30,7 @@
     GarbageCollecting,
 }
 
-/// A split of a job's run records, see [`crate::storage::record_split`].
+/// A split of a job's run records, see [`crate::coordination::cluster::record_split`].
 #[derive(Clone, Debug, Default)]
 pub struct RecordSplit {
     /// So many numbers the old records had.
@@ -419,6 +419,11 @@
             .map(|d| self.submitted_at_ms as f64 + d.0 * 1000.0)
     }
 
+    /// Seconds from that time of day until it is due; negative once it is overdue.
+    pub fn due_in_s(&self, day_ms: u64) -> Option<f64> {
+        self.due_ms().map(|due| (due - day_ms as f64) / 1000.0)
+    }
+
     /// Even with all of these CPUs to itself from now on it would miss its deadline.
     pub fn will_miss_deadline(&self, run_s: f64, cpus: f64, day_ms: u64) -> bool {
         let work = f64::from(self.waiting_count()) * self.task_resources.cpus * run_s;
--- a/src/storage/record_split.rs
+++ b/src/coordination/cluster/record_split.rs
@@ -6,16 +6,16 @@
 //! numbers the old ones had, in one transaction. A split that is broken off before that leaves the
 //! old records in force, with every allocation and attempt. Earlier versions of this program read both.
 
-use super::records::{self, JobRecord};
-use super::write_batcher::{Batch, Jobs, WriteBatcher, MAX_BYTES};
-use crate::coordination::jobs::{Chunk, Job, JobPhase, RecordSplit, TaskState};
+use crate::coordination::cluster::job::{Chunk, Job, JobPhase, RecordSplit, TaskState};
+use crate::coordination::cluster::record_writer::{Batch, Jobs, WriteBatcher, MAX_BYTES};
 use crate::protocol::cloud::MachineType;
+use crate::storage::records::{self, JobRecord};
 use crate::types::{JobId, Version};
 use lichencrank_store::{value, Change};
 
 /// What a split's transaction will mean once it is written.
 #[derive(Debug)]
-pub struct SplitStep {
+pub(crate) struct SplitStep {
     /// Job whose records are split.
     pub job: JobId,
     /// The records in it, and up to which change they hold.
@@ -144,7 +144,7 @@
     }
 
     /// Adds the next step of a split, if one is under way; it has the transaction to itself.
-    pub(super) fn add_split_step(&mut self, jobs: &mut Jobs, max: usize, batch: &mut Batch) {
+    pub(crate) fn add_split_step(&mut self, jobs: &mut Jobs, max: usize, batch: &mut Batch) {
         for id in self.splitting.clone() {
             let active = |j: &&mut Job| j.phase == JobPhase::Active && j.record_split.is_some();
             let Some(job) = jobs.get_mut(&id).filter(active) else {
@@ -210,7 +210,7 @@
     }
 
     /// A step of a split is written. Returns the records that count as written by it.
-    pub(super) fn step_applied(
+    pub(crate) fn step_applied(
         &mut self,
         jobs: &mut Jobs,
         step: &SplitStep,
--- a/src/storage/write_batcher/mod.rs
+++ b/src/coordination/cluster/record_writer/mod.rs
@@ -6,9 +6,9 @@
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-use super::record_split::SplitStep;
-use super::records::{self, ArchivableOutcome};
-use crate::coordination::jobs::{Chunk, Job, JobPhase};
+use crate::coordination::cluster::job::{Chunk, Job, JobPhase};
+use crate::coordination::cluster::record_split::SplitStep;
+use crate::storage::records::{self, ArchivableOutcome};
 use crate::types::{JobId, Time, Version};
 use lichencrank_store::{value, Change, Txn};
 
@@ -17,9 +17,9 @@
 
 /// A transaction on its way, and what it will mean once it is written.
 #[derive(Debug)]
-pub(super) struct Batch {
-    pub(super) txn: Txn,
-    pub(super) split_step: Option<SplitStep>,
+pub(crate) struct Batch {
+    pub(crate) txn: Txn,
+    pub(crate) split_step: Option<SplitStep>,
     chunks: Vec<(JobId, u32, u64)>,
     finished: Vec<JobId>,
     archived: Vec<JobId>,
@@ -78,7 +78,7 @@
 /// No transaction is made smaller than this, and no value, whatever is refused.
 const LEAST_OPS: usize = 4;
 const LEAST_VALUE: usize = 400;
-pub(super) const MAX_BYTES: usize = 44 * 1024;
+pub(crate) const MAX_BYTES: usize = 44 * 1024;
 
 /// Gathers what changed and writes it in one transaction after the other.
 pub struct WriteBatcher {
@@ -100,8 +100,8 @@
     /// Jobs of which a record has become too large, those whose records are being split, and those
     /// that wait until their record is small enough.
     too_large: BTreeSet<JobId>,
-    pub(super) splitting: BTreeSet<JobId>,
-    pub(super) oversized: BTreeSet<JobId>,
+    pub(crate) splitting: BTreeSet<JobId>,
+    pub(crate) oversized: BTreeSet<JobId>,
 }
 
 impl WriteBatcher {
--- a/src/storage/write_batcher/outcomes.rs
+++ b/src/coordination/cluster/record_writer/outcomes.rs
@@ -47,7 +47,7 @@
         CommitResult::Committed(written)
     }
 
-    pub(super) fn forget_garbage_collected(&mut self, jobs: &mut Jobs) {
+    pub(crate) fn forget_garbage_collected(&mut self, jobs: &mut Jobs) {
         let swept = |id: &JobId| {
             jobs.get(id).is_none_or(|j| {
                 let unwritten = |c: &Chunk| c.record_version == Version(0) && !c.version_unknown;
@@ -109,7 +109,7 @@
         }
     }
 
-    pub(super) fn requeue(&mut self, batch: Batch) {
+    pub(crate) fn requeue(&mut self, batch: Batch) {
         for (id, number, _) in batch.chunks {
             self.mark_dirty(id, number, true);
         }
--- a/src/coordination/recording.rs
+++ b/src/coordination/cluster/recording.rs
@@ -6,11 +6,13 @@
 
 use lichencrank_store::Txn;
 
-use super::hosts::{Allocation, AllocationPhase, Host, HostLifecycle, StopReason};
-use super::jobs::{Job, JobPhase};
-use super::{Leader, LeaderPhase, LeadershipLost};
+use crate::coordination::cluster::host::{
+    Allocation, AllocationPhase, Host, HostLifecycle, StopReason,
+};
+use crate::coordination::cluster::job::{Job, JobPhase};
+use crate::coordination::cluster::record_writer::{CommitResult, CommittedRecords};
+use crate::coordination::{Leader, LeaderPhase, LeadershipLost};
 use crate::storage::records::RunRecord;
-use crate::storage::write_batcher::{CommitResult, CommittedRecords};
 use crate::types::{HostName, JobId, SequenceNumber, TaskId, Time, Version};
 
 impl Leader {
@@ -24,6 +26,7 @@
         now: Time,
     ) {
         let job = self
+            .cluster
             .jobs
             .entry(id)
             .or_insert_with(|| Job::from_run_record(id, record, now));
@@ -32,6 +35,7 @@
         for (index, attempt, name, incarnation) in job.load_run_record(number, record, version) {
             let task = TaskId { job: id, index };
             let host = self
+                .cluster
                 .hosts
                 .entry(name.clone())
                 .or_insert_with(|| Host::new(name, now));
@@ -66,14 +70,14 @@
         self.enter(LeaderPhase::AwaitingHeartbeats {
             until: now.after(round),
         });
-        let ids: Vec<JobId> = self.jobs.keys().copied().collect();
+        let ids: Vec<JobId> = self.cluster.jobs.keys().copied().collect();
         for id in ids {
-            if let Some(job) = self.jobs.get_mut(&id) {
+            if let Some(job) = self.cluster.jobs.get_mut(&id) {
                 job.finish_loading();
             }
             self.check_completion(id, now);
         }
-        for host in self.hosts.values_mut() {
+        for host in self.cluster.hosts.values_mut() {
             // Only records speak for them; whether they are cut off or gone will show.
             host.last_heartbeat_at = now;
             host.set_lifecycle(HostLifecycle::Unresponsive);
@@ -83,22 +87,23 @@
     /// A record of the job has become too large: they are split. What waits for one of them waits for
     /// the new one that holds it.
     fn split(&mut self, id: JobId) {
-        let Some(job) = self.jobs.get_mut(&id) else {
+        let Some(job) = self.cluster.jobs.get_mut(&id) else {
             return;
         };
         // The last step writes the description too, which production may have left too large.
-        job.shorten_description(self.batcher.max_value_bytes, &self.types);
-        if !self.batcher.split(job) {
+        job.shorten_description(self.cluster.records.max_value_bytes, &self.cluster.types);
+        if !self.cluster.records.split(job) {
             return;
         }
-        let (of_job, others) = std::mem::take(&mut self.uncommitted_allocations)
+        let (of_job, others) = std::mem::take(&mut self.cluster.uncommitted_allocations)
             .into_iter()
             .partition(|((job, _), _)| *job == id);
-        self.uncommitted_allocations = others;
+        self.cluster.uncommitted_allocations = others;
         let of_job: BTreeMap<(JobId, u32), Vec<(HostName, TaskId)>> = of_job;
         for (host, task) in of_job.into_values().flatten() {
             let number = job.chunk_of(task.index);
             let waiting = self
+                .cluster
                 .uncommitted_allocations
                 .entry((id, number))
                 .or_default();
@@ -108,13 +113,15 @@
 
     /// Puts together the next transaction of at most so many changes.
     pub fn next_batch(&mut self, max_changes: usize, spare: bool) -> Option<Txn> {
-        if self.phase == LeaderPhase::LoadingRecords {
+        if self.phase() == LeaderPhase::LoadingRecords {
             return None;
         }
-        for id in self.batcher.take_too_large() {
+        for id in self.cluster.records.take_too_large() {
             self.split(id);
         }
-        self.batcher.next_batch(&mut self.jobs, max_changes, spare)
+        self.cluster
+            .records
+            .next_batch(&mut self.cluster.jobs, max_changes, spare)
     }
 
     /// Takes in what became of a batch.
@@ -129,37 +136,37 @@
                 cancelled,
                 outdated_allowance,
             } => {
-                self.quota_outdated |= outdated_allowance;
+                self.quota.outdated |= outdated_allowance;
                 for id in cancelled {
                     self.on_job_deleted(id, now);
                 }
             }
-            CommitResult::LeadershipLost => return Err(LeadershipLost(self.term)),
+            CommitResult::LeadershipLost => return Err(LeadershipLost(self.term())),
             CommitResult::Retry => {}
         }
         Ok(())
     }
 
     /// Bookings that are now in the records may run.
-    pub(super) fn on_written(&mut self, written: &CommittedRecords, now: Time) {
+    pub(crate) fn on_written(&mut self, written: &CommittedRecords, now: Time) {
         if written.chunks.is_empty() {
             return;
         }
         // Bookings may have waited for room among the records.
-        self.scheduling_requested = true;
+        self.cluster.scheduling_requested = true;
         for (id, _) in &written.chunks {
             self.check_completion(*id, now);
         }
         let mut ready: BTreeSet<HostName> = BTreeSet::new();
         for key in &written.chunks {
-            let Some(waiting) = self.uncommitted_allocations.remove(key) else {
+            let Some(waiting) = self.cluster.uncommitted_allocations.remove(key) else {
                 continue;
             };
-            let done = self.jobs.get(&key.0).and_then(|j| j.chunk(key.1));
+            let done = self.cluster.jobs.get(&key.0).and_then(|j| j.chunk(key.1));
             let done = done.map_or(0, |c| c.written_change);
             let mut later = Vec::new();
             for (name, task) in waiting {
-                let allocation = self.hosts.get_mut(&name);
+                let allocation = self.cluster.hosts.get_mut(&name);
                 let allocation = allocation.and_then(|h| h.allocations.get_mut(&task));
                 let Some(allocation) =
                     allocation.filter(|b| b.phase == AllocationPhase::Persisting)
@@ -174,13 +181,13 @@
                 }
             }
             if !later.is_empty() {
-                self.uncommitted_allocations.insert(*key, later);
+                self.cluster.uncommitted_allocations.insert(*key, later);
             }
         }
         for name in ready {
-            if let Some(mut host) = self.hosts.remove(&name) {
+            if let Some(mut host) = self.cluster.hosts.remove(&name) {
                 self.command(&mut host, now);
-                self.hosts.insert(name, host);
+                self.cluster.hosts.insert(name, host);
             }
         }
     }
--- a/src/coordination/commands.rs
+++ b/src/coordination/dispatch/mod.rs
@@ -1,8 +1,12 @@
 //! What a machine is told: in the answer to its report, or by a command of its own.
 
-use super::hosts::{AllocationPhase, Host, HostLifecycle, Reachability, StopReason};
-use super::jobs::JobPhase;
-use super::{Action, CommandResult, Leader, LeadershipLost};
+use std::collections::VecDeque;
+
+use crate::coordination::cluster::host::{
+    AllocationPhase, Host, HostLifecycle, Reachability, StopReason,
+};
+use crate::coordination::cluster::job::JobPhase;
+use crate::coordination::{Action, CommandResult, Leader, LeadershipLost};
 use crate::protocol::workers::Command;
 use crate::types::{HostName, Incarnation, SequenceNumber, TaskId, Time};
 
@@ -16,9 +20,18 @@
 const SAVE_FACTOR: f64 = 1.2;
 const SAVE_MARGIN_S: f64 = 1.0;
 
+/// Commands and probes that are under way.
+#[derive(Debug, Default)]
+pub(crate) struct CommandDispatcher {
+    pub(crate) probes_in_flight: usize,
+    pub(crate) commands_in_flight: usize,
+    /// Hosts whose commands wait until fewer are in flight.
+    pub(crate) waiting_hosts: VecDeque<HostName>,
+}
+
 impl Leader {
     /// What the worker should do now. In the answer to a report, `run` can't be executed late.
-    pub(super) fn commands(
+    pub(crate) fn commands(
         &mut self,
         host: &mut Host,
         answer_to: Option<SequenceNumber>,
@@ -75,7 +88,7 @@
             if now < ended_attempt.retain_until && !crowded {
                 continue;
             }
-            let job = self.jobs.get(&task.job);
+            let job = self.cluster.jobs.get(&task.job);
             // Once its job is over in the records, nothing more is written of the task.
             let over = job.is_none_or(|j| j.phase == JobPhase::GarbageCollecting);
             let chunk = job.and_then(|j| j.chunk(j.chunk_of(task.index)));
@@ -83,7 +96,7 @@
                 over || chunk.is_none_or(|c| c.written_change >= ended_attempt.record_change);
             let finishing = job.is_some_and(|j| j.phase == JobPhase::Finishing);
             let fenced =
-                host.fencing_token == self.term && !host.is_run_unacknowledged(task, attempt);
+                host.fencing_token == self.term() && !host.is_run_unacknowledged(task, attempt);
             if written && !finishing && fenced {
                 commands.push(Command::Clear { task, attempt });
             }
@@ -93,14 +106,18 @@
 
     /// How long a task that is stopped may take to save its progress.
     fn grace_s(&self, task: TaskId, why: StopReason) -> f64 {
-        let spec = self.jobs.get(&task.job).and_then(|j| j.spec.as_ref());
+        let spec = self
+            .cluster
+            .jobs
+            .get(&task.job)
+            .and_then(|j| j.spec.as_ref());
         let saves = why != StopReason::Cancelled;
         spec.filter(|s| saves && s.checkpoint_s.0 > 0.0)
             .map_or(0.0, |s| s.save_s.0 * SAVE_FACTOR + SAVE_MARGIN_S)
     }
 
     /// Sends a worker its commands directly, so that a start need not wait for the next report.
-    pub(super) fn command(&mut self, host: &mut Host, now: Time) {
+    pub(crate) fn command(&mut self, host: &mut Host, now: Time) {
         let fresh = now.since(host.last_heartbeat_at) <= self.policy.report.mul_f64(1.6);
         let ready = host.lifecycle == HostLifecycle::Up
             && fresh
@@ -109,8 +126,8 @@
         let (true, Some(to)) = (ready, host.address) else {
             return;
         };
-        if self.commands_in_flight >= self.policy.commands {
-            self.hosts_to_command.push_back(host.name.clone());
+        if self.dispatcher.commands_in_flight >= self.policy.commands {
+            self.dispatcher.waiting_hosts.push_back(host.name.clone());
             return;
         }
         let mut commands = self.commands(host, None, now);
@@ -118,7 +135,7 @@
         if commands.is_empty() {
             return;
         }
-        self.commands_in_flight += 1;
+        self.dispatcher.commands_in_flight += 1;
         for command in &commands {
             if let Command::Run { task, attempt } = command {
                 *host
@@ -150,9 +167,10 @@
         now: Time,
     ) -> Result<(), LeadershipLost> {
         if commands.is_empty() {
-            self.probes_in_flight = self.probes_in_flight.saturating_sub(1);
+            self.dispatcher.probes_in_flight = self.dispatcher.probes_in_flight.saturating_sub(1);
         } else {
-            self.commands_in_flight = self.commands_in_flight.saturating_sub(1);
+            self.dispatcher.commands_in_flight =
+                self.dispatcher.commands_in_flight.saturating_sub(1);
         }
         let taken_in = self.commanded(name, incarnation, commands, result, now);
         self.command_next(now);
@@ -161,13 +179,13 @@
 
     /// Commands that waited for others to end go out, in their command.
     fn command_next(&mut self, now: Time) {
-        while self.commands_in_flight < self.policy.commands {
-            let Some(name) = self.hosts_to_command.pop_front() else {
+        while self.dispatcher.commands_in_flight < self.policy.commands {
+            let Some(name) = self.dispatcher.waiting_hosts.pop_front() else {
                 return;
             };
-            if let Some(mut host) = self.hosts.remove(&name) {
+            if let Some(mut host) = self.cluster.hosts.remove(&name) {
                 self.command(&mut host, now);
-                self.hosts.insert(name, host);
+                self.cluster.hosts.insert(name, host);
             }
         }
     }
@@ -180,7 +198,7 @@
         result: CommandResult,
         now: Time,
     ) -> Result<(), LeadershipLost> {
-        let Some(host) = self.hosts.get_mut(name) else {
+        let Some(host) = self.cluster.hosts.get_mut(name) else {
             return Ok(());
         };
         host.command_in_flight = false;
--- a/src/coordination/failure_detector.rs
+++ b/src/coordination/failure_detection/hosts.rs
@@ -3,9 +3,11 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use super::hosts::{CordonReason, Host, HostLifecycle, Reachability, StopReason};
-use super::zones::LATE_FACTOR;
-use super::{Action, Leader};
+use crate::coordination::cluster::host::{
+    CordonReason, Host, HostLifecycle, Reachability, StopReason,
+};
+use crate::coordination::failure_detection::zones::LATE_FACTOR;
+use crate::coordination::{Action, Leader};
 use crate::protocol::cloud::MAX_RELEASE_COUNT;
 use crate::types::{seconds, HostName, Time};
 
@@ -32,7 +34,7 @@
 }
 
 impl Leader {
-    pub(super) fn watch_hosts(&mut self, now: Time, may_act: bool) {
+    pub(crate) fn watch_hosts(&mut self, now: Time, may_act: bool) {
         self.note_silence(now);
         self.observe_zones(now);
         self.note_cut_zones(now);
@@ -42,7 +44,7 @@
         }
         self.probe(now);
         for (name, why) in self.hosts_to_give_up(now) {
-            let host = self.hosts.get_mut(&name);
+            let host = self.cluster.hosts.get_mut(&name);
             if let Some(host) = host.filter(|h| h.lifecycle != HostLifecycle::Releasing) {
                 tracing::info!(
                     "{name}: given up, {:?}, {} booked",
@@ -62,7 +64,7 @@
             .into_iter()
             .map(|name| (name, CordonReason::Lost))
             .collect();
-        for host in self.hosts.values() {
+        for host in self.cluster.hosts.values() {
             if host.lifecycle == HostLifecycle::Releasing {
                 continue;
             }
@@ -82,7 +84,7 @@
         let late = self.policy.report.mul_f64(LATE_FACTOR);
         let mut by_zone: BTreeMap<String, (usize, usize)> = BTreeMap::new();
         let mut everywhere = (0, 0);
-        for host in self.hosts.values() {
+        for host in self.cluster.hosts.values() {
             if matches!(
                 host.lifecycle,
                 HostLifecycle::Up | HostLifecycle::Unresponsive
@@ -106,7 +108,7 @@
     fn note_cut_zones(&mut self, now: Time) {
         for (zone, (silent, all)) in self.silence_by_zone(now) {
             if silent >= FEW_MACHINES && silent * 2 > all {
-                self.partitioned_zones.insert(zone, now);
+                self.failure_detector.partitioned_zones.insert(zone, now);
             }
         }
     }
@@ -115,14 +117,18 @@
     /// have had no time to report.
     fn is_cut_off(&self, zone: &str, now: Time) -> bool {
         let settling_time = longest_report_delay(self.policy.report);
-        let seen_at = self.partitioned_zones.get(zone);
+        let seen_at = self.failure_detector.partitioned_zones.get(zone);
         seen_at.is_some_and(|at| now.since(*at) < settling_time)
     }
 
     fn note_silence(&mut self, now: Time) {
-        let limits = self.hosts.values().map(|host| self.silence_limit(host));
+        let limits = self
+            .cluster
+            .hosts
+            .values()
+            .map(|host| self.silence_limit(host));
         let limits: Vec<Duration> = limits.collect();
-        for (host, limit) in self.hosts.values_mut().zip(limits) {
+        for (host, limit) in self.cluster.hosts.values_mut().zip(limits) {
             if host.lifecycle == HostLifecycle::Up && now.since(host.last_heartbeat_at) > limit {
                 tracing::info!("{}: silent", host.name);
                 host.set_lifecycle(HostLifecycle::Unresponsive);
@@ -151,15 +157,19 @@
                 .is_some_and(|at| now.since(at) < REMOVE_AGAIN);
             !asked
                 && host.allocations.iter().any(|(task, allocation)| {
-                    let cancelled_at = self.jobs.get(&task.job).and_then(|j| j.cancelled_at);
+                    let cancelled_at = self
+                        .cluster
+                        .jobs
+                        .get(&task.job)
+                        .and_then(|j| j.cancelled_at);
                     allocation.stop_reason == Some(StopReason::Cancelled)
                         && cancelled_at.is_some_and(|at| now.since(at) > limit)
                 })
         };
-        let hosts = self.hosts.values().filter(overdue);
+        let hosts = self.cluster.hosts.values().filter(overdue);
         let names: Vec<HostName> = hosts.map(|h| h.name.clone()).collect();
         for name in &names {
-            if let Some(host) = self.hosts.get_mut(name) {
+            if let Some(host) = self.cluster.hosts.get_mut(name) {
                 tracing::info!("{name}: holds cancelled work for too long, returned");
                 host.cordon(CordonReason::Lost);
                 host.set_lifecycle(HostLifecycle::Releasing);
@@ -176,8 +186,8 @@
     /// our token, and from then on they drop the answers of the other, who learns of it from them.
     fn probe(&mut self, now: Time) {
         let patience = self.policy.report.mul_f64(1.5);
-        for host in self.hosts.values_mut() {
-            if self.probes_in_flight >= self.policy.probes {
+        for host in self.cluster.hosts.values_mut() {
+            if self.dispatcher.probes_in_flight >= self.policy.probes {
                 return;
             }
             let wanted = match host.lifecycle {
@@ -194,7 +204,7 @@
             };
             host.next_probe_at = now.after(self.policy.report * 2);
             host.command_in_flight = true;
-            self.probes_in_flight += 1;
+            self.dispatcher.probes_in_flight += 1;
             let incarnation = host.incarnation.max(host.last_unfenced.0);
             let host = host.name.clone();
             self.actions.push(Action::SendCommands {
@@ -211,7 +221,11 @@
         let silent_for = now.since(host.last_heartbeat_at);
         // What is cut off comes back, later.
         let machines_cut = self.is_cut_off(&host.zone, now);
-        let cut = machines_cut || self.zones_without_reachable_peer.contains(&host.zone);
+        let cut = machines_cut
+            || self
+                .failure_detector
+                .zones_without_reachable_peer
+                .contains(&host.zone);
         let taken = host
             .reclaim_at
             .is_some_and(|by| now.since(by) > TAKEN_AFTER);
@@ -251,11 +265,11 @@
 
     /// Whether the machine ought to have reported: it has before, the cloud has said for long that it
     /// runs, or its boot takes far too long.
-    pub(super) fn is_up_or_overdue(&self, host: &Host, now: Time) -> bool {
+    pub(crate) fn is_up_or_overdue(&self, host: &Host, now: Time) -> bool {
         if host.lifecycle != HostLifecycle::Expected {
             return true;
         }
-        let kind = host.type_index.and_then(|k| self.types.get(k));
+        let kind = host.type_index.and_then(|k| self.cluster.types.get(k));
         let boot = kind.map_or(UNKNOWN_BOOT_S, |t| t.boot_s.0);
         let overdue =
             now.since(host.provisioned_at) > seconds(boot * self.policy.tuning.boot_patience);
@@ -271,7 +285,11 @@
         let heard = now.since(host.last_heartbeat_at) <= self.policy.report * 2
             && host.reachability == Reachability::Confirmed;
         host.allocations.iter().any(|(task, allocation)| {
-            let cancelled_at = self.jobs.get(&task.job).and_then(|j| j.cancelled_at);
+            let cancelled_at = self
+                .cluster
+                .jobs
+                .get(&task.job)
+                .and_then(|j| j.cancelled_at);
             let share = if heard { 0.55 } else { 0.25 };
             allocation.stop_reason == Some(StopReason::Cancelled)
                 && cancelled_at.is_some_and(|at| now.since(at) > self.policy.cancel.mul_f64(share))
--- a/src/coordination/zones.rs
+++ b/src/coordination/failure_detection/zones.rs
@@ -5,21 +5,21 @@
 
 use lichencrank_zones::{Candidate, Urgency, ZoneObservation, ZoneState, ZoneTracker, ZonesRecord};
 
-use super::hosts::{Allocation, Host, HostLifecycle, Reachability};
-use super::{longest_report_delay, Leader};
+use crate::coordination::cluster::host::{Allocation, Host, HostLifecycle, Reachability};
+use crate::coordination::{longest_report_delay, Leader};
 use crate::protocol::users::Priority;
 use crate::types::{HostName, TaskId, Time};
 
 /// A machine that missed its report by this factor is late.
-pub(super) const LATE_FACTOR: f64 = 1.8;
+pub(crate) const LATE_FACTOR: f64 = 1.8;
 /// Urgent work in a lost zone is given up after so many leases of silence, other work after more. Until
 /// then it may be running: a controller in the zone answers its worker.
 const URGENT_LEASES: f64 = 2.5;
 const USUAL_LEASES: f64 = 3.0;
 
 /// The zones as the leader sees them, where that feature is on.
-pub(super) struct Zones {
-    pub(super) tracker: ZoneTracker,
+pub(crate) struct Zones {
+    pub(crate) tracker: ZoneTracker,
     /// Whether the record of an earlier leader has been read. Nothing is judged before.
     restored: bool,
     /// The record that is being written.
@@ -32,7 +32,7 @@
 const WRITE_AGAIN: Duration = Duration::from_secs(1);
 
 impl Zones {
-    pub(super) fn new(settings: lichencrank_zones::ZoneSettings, now: Time) -> Zones {
+    pub(crate) fn new(settings: lichencrank_zones::ZoneSettings, now: Time) -> Zones {
         Zones {
             tracker: ZoneTracker::new(settings, now),
             restored: false,
@@ -45,13 +45,15 @@
 impl Leader {
     /// Whether zones are tracked.
     pub fn tracks_zones(&self) -> bool {
-        self.zones.is_some()
+        self.failure_detector.zones.is_some()
     }
 
     /// The record of the earlier leader, or that there is none that can be read.
     pub fn on_zones_record(&mut self, record: Option<&ZonesRecord>, now: Time) {
-        let day_ms = self.day_ms;
-        let Some(zones) = &mut self.zones else { return };
+        let day_ms = self.clock.day_ms;
+        let Some(zones) = &mut self.failure_detector.zones else {
+            return;
+        };
         if let Some(record) = record {
             zones.tracker.restore(record, now, day_ms);
         }
@@ -60,8 +62,8 @@
 
     /// The record to be written next, if it is time for one.
     pub fn next_zones_record(&mut self, now: Time) -> Option<ZonesRecord> {
-        let day_ms = self.day_ms;
-        let zones = self.zones.as_mut()?;
+        let day_ms = self.clock.day_ms;
+        let zones = self.failure_detector.zones.as_mut()?;
         if zones.writing.is_some() || now < zones.write_at {
             return None;
         }
@@ -73,8 +75,10 @@
     /// Whether the record that was being written is in the state service now. Where that is not known
     /// it is written again, which does no harm.
     pub fn on_zones_recorded(&mut self, written: bool, now: Time) {
-        let day_ms = self.day_ms;
-        let Some(zones) = &mut self.zones else { return };
+        let day_ms = self.clock.day_ms;
+        let Some(zones) = &mut self.failure_detector.zones else {
+            return;
+        };
         let record = zones.writing.take();
         if let Some(record) = record.filter(|_| written) {
             zones.tracker.on_recorded(&record, now, day_ms);
@@ -82,9 +86,14 @@
     }
 
     /// Feeds the tracker with what is seen of every zone.
-    pub(super) fn observe_zones(&mut self, now: Time) {
+    pub(crate) fn observe_zones(&mut self, now: Time) {
         let observations = self.zone_observations(now);
-        let Some(zones) = self.zones.as_mut().filter(|zones| zones.restored) else {
+        let Some(zones) = self
+            .failure_detector
+            .zones
+            .as_mut()
+            .filter(|zones| zones.restored)
+        else {
             return;
         };
         for change in zones.tracker.observe(&observations, now) {
@@ -100,17 +109,22 @@
                 seen.ordinary,
                 seen.controllers
             );
-            self.scheduling_requested = true;
+            self.cluster.scheduling_requested = true;
         }
     }
 
     fn zone_observations(&self, now: Time) -> BTreeMap<String, ZoneObservation> {
         let mut observations: BTreeMap<String, ZoneObservation> = BTreeMap::new();
-        for (zone, reach) in &self.zone_controllers {
+        for (zone, reach) in &self.failure_detector.zone_controllers {
             observations.entry(zone.clone()).or_default().controllers = *reach;
         }
         let late = self.policy.report.mul_f64(LATE_FACTOR);
-        for host in self.hosts.values().filter(|host| !host.zone.is_empty()) {
+        for host in self
+            .cluster
+            .hosts
+            .values()
+            .filter(|host| !host.zone.is_empty())
+        {
             if !has_booted(host, now, late) {
                 continue;
             }
@@ -124,19 +138,23 @@
 
     /// Whether the machine's silence is that of its zone, so that only [`Leader::displaced_hosts`]
     /// gives it up for being silent.
-    pub(super) fn zone_explains_silence(&self, host: &Host) -> bool {
-        let zones = self.zones.as_ref().filter(|zones| zones.restored);
+    pub(crate) fn zone_explains_silence(&self, host: &Host) -> bool {
+        let zones = self
+            .failure_detector
+            .zones
+            .as_ref()
+            .filter(|zones| zones.restored);
         zones.is_some_and(|zones| zones.tracker.explains_silence(&host.zone))
     }
 
     /// The silent machines of lost and returning zones that are given up now, the most urgent first,
     /// within the budgets of their zones.
-    pub(super) fn displaced_hosts(&mut self, now: Time) -> Vec<HostName> {
-        if self.zones.is_none() {
+    pub(crate) fn displaced_hosts(&mut self, now: Time) -> Vec<HostName> {
+        if self.failure_detector.zones.is_none() {
             return Vec::new();
         }
         let overdue = |host: &&Host| self.zone_explains_silence(host) && self.is_overdue(host, now);
-        let hosts = self.hosts.values().filter(overdue);
+        let hosts = self.cluster.hosts.values().filter(overdue);
         let candidates: Vec<Candidate<HostName>> = hosts
             .map(|host| Candidate {
                 machine: host.name.clone(),
@@ -144,7 +162,7 @@
                 urgency: self.urgency(host, now),
             })
             .collect();
-        match &mut self.zones {
+        match &mut self.failure_detector.zones {
             Some(zones) => zones.tracker.displace(candidates, now),
             None => Vec::new(),
         }
@@ -164,7 +182,7 @@
     }
 
     fn patience(&self, host: &Host, now: Time) -> Duration {
-        let state = self.zones.as_ref().map(|zones| {
+        let state = self.failure_detector.zones.as_ref().map(|zones| {
             let tracker = &zones.tracker;
             (tracker.state(&host.zone), tracker.lasted(&host.zone, now))
         });
@@ -179,7 +197,7 @@
 
     fn holds_urgent_work(&self, host: &Host) -> bool {
         host.allocations.keys().any(|task| {
-            let job = self.jobs.get(&task.job);
+            let job = self.cluster.jobs.get(&task.job);
             job.is_some_and(|job| job.priority() <= Priority::High || job.is_service())
         })
     }
@@ -205,7 +223,7 @@
     }
 
     fn urgency_of(&self, task: TaskId, allocation: &Allocation, now: Time) -> Option<Urgency> {
-        let job = self.jobs.get(&task.job)?;
+        let job = self.cluster.jobs.get(&task.job)?;
         Some(Urgency {
             priority: job.priority() as u8,
             beyond_guarantee: self.is_beyond_guarantee(&job.team),
@@ -220,7 +238,12 @@
         };
         let (cpus, gpus) = known.guaranteed();
         let guaranteed = lichencrank_quota::Usage::guaranteed(cpus, gpus);
-        let used = self.team_usage.get(team).copied().unwrap_or_default();
+        let used = self
+            .cluster
+            .team_usage
+            .get(team)
+            .copied()
+            .unwrap_or_default();
         !used.fits(&guaranteed)
     }
 
@@ -230,7 +253,11 @@
             return 0;
         };
         let ran_ms = now.since(started).as_millis() as u64;
-        let spec = self.jobs.get(&task.job).and_then(|job| job.spec.as_ref());
+        let spec = self
+            .cluster
+            .jobs
+            .get(&task.job)
+            .and_then(|job| job.spec.as_ref());
         let checkpoint_ms = spec.map_or(0.0, |spec| spec.checkpoint_s.0 * 1000.0) as u64;
         if checkpoint_ms > 0 {
             ran_ms % checkpoint_ms
@@ -240,14 +267,14 @@
     }
 
     /// Whether machines may be rented in the zone.
-    pub(super) fn may_rent_in(&self, zone: &str) -> bool {
-        let zones = self.zones.as_ref();
+    pub(crate) fn may_rent_in(&self, zone: &str) -> bool {
+        let zones = self.failure_detector.zones.as_ref();
         zones.is_none_or(|zones| zones.tracker.may_rent_in(zone))
     }
 
     /// How many of the wanted machines the budget of rentals allows now.
-    pub(super) fn within_rental_budget(&mut self, wanted: u64, now: Time) -> u64 {
-        let Some(zones) = &mut self.zones else {
+    pub(crate) fn within_rental_budget(&mut self, wanted: u64, now: Time) -> u64 {
+        let Some(zones) = &mut self.failure_detector.zones else {
             return wanted;
         };
         let Some(left) = zones.tracker.rentals_left(now) else {
@@ -259,16 +286,16 @@
     }
 
     /// Zones that take only so many new tasks now.
-    pub(super) fn limited_zones(&mut self, now: Time) -> BTreeMap<String, usize> {
-        match &mut self.zones {
+    pub(crate) fn limited_zones(&mut self, now: Time) -> BTreeMap<String, usize> {
+        match &mut self.failure_detector.zones {
             Some(zones) => zones.tracker.limited_zones(now),
             None => BTreeMap::new(),
         }
     }
 
     /// A new task was placed in the zone.
-    pub(super) fn on_placed_in(&mut self, zone: &str) {
-        if let Some(zones) = &mut self.zones {
+    pub(crate) fn on_placed_in(&mut self, zone: &str) {
+        if let Some(zones) = &mut self.failure_detector.zones {
             zones.tracker.on_placed(zone, 1);
         }
     }
--- a/src/coordination/summary.rs
+++ b/src/coordination/leader/status.rs
@@ -1,6 +1,13 @@
 //! What the leader tells of itself: to the node, about which machines it hears, and to the log.
 
-use super::*;
+use std::collections::BTreeMap;
+
+use crate::coordination::cluster::host::{Host, HostLifecycle};
+use crate::coordination::cluster::job::Job;
+use crate::coordination::failure_detection::zones;
+use crate::coordination::scheduling::scoring;
+use crate::coordination::{Leader, LeaderPhase};
+use crate::types::Time;
 
 /// How many machines the leader hears.
 #[derive(Clone, Debug, Default, PartialEq)]
@@ -20,13 +27,22 @@
     }
 }
 
+/// CPUs of the hosts that are up.
+#[derive(Clone, Copy, Debug, Default)]
+struct CpuUsage {
+    allocated: f64,
+    /// Free on hosts that are cordoned.
+    cordoned: f64,
+    total: f64,
+}
+
 impl Leader {
     /// How many of the machines that were up this leader still hears, and where most of them are.
     pub fn worker_reach(&self, now: Time) -> WorkerReach {
         let late = self.policy.report.mul_f64(zones::LATE_FACTOR);
         let mut reach = WorkerReach::default();
         let mut zones: BTreeMap<&str, usize> = BTreeMap::new();
-        for host in self.hosts.values() {
+        for host in self.cluster.hosts.values() {
             if host.zone.is_empty()
                 || !matches!(
                     host.lifecycle,
@@ -51,12 +67,13 @@
         let unbegun =
             |j: &&Job| j.waiting_count() > 0 && j.allocated_count == 0 && j.done_count == 0;
         let job = self
+            .cluster
             .jobs
             .values()
             .filter(unbegun)
             .min_by_key(|j| j.submitted_at_ms)?;
         let spec = job.spec.as_ref()?;
-        let waited = self.day_ms.saturating_sub(job.submitted_at_ms) / 1000;
+        let waited = self.clock.day_ms.saturating_sub(job.submitted_at_ms) / 1000;
         let why = if !self.may_act(now) {
             "the state service does not answer here".to_owned()
         } else if matches!(
@@ -68,15 +85,18 @@
             format!("it failed {} times", job.failures_in_a_row)
         } else if self.team_room(job) == 0 {
             format!("{} is at its limit", job.team)
-        } else if self.batcher.urgent_count() >= self.policy.records {
-            format!("{} records wait to be written", self.batcher.urgent_count())
+        } else if self.cluster.records.urgent_count() >= self.policy.records {
+            format!(
+                "{} records wait to be written",
+                self.cluster.records.urgent_count()
+            )
         } else {
             let suits = |h: &&Host| {
-                let kind = h.type_index.and_then(|k| self.types.get(k));
+                let kind = h.type_index.and_then(|k| self.cluster.types.get(k));
                 kind.is_some_and(|t| scoring::type_suits(spec, t)) && (spec.spot || !h.spot)
             };
             let count = |life| {
-                let hosts = self.hosts.values().filter(suits);
+                let hosts = self.cluster.hosts.values().filter(suits);
                 hosts.filter(|h| h.lifecycle == life).count()
             };
             let (up, expected) = (count(HostLifecycle::Up), count(HostLifecycle::Expected));
@@ -87,14 +107,27 @@
 
     /// A line for the log that tells operators how things stand.
     pub fn summary(&self) -> String {
-        let count = |life| self.hosts.values().filter(|h| h.lifecycle == life).count();
+        let count = |life| {
+            self.cluster
+                .hosts
+                .values()
+                .filter(|h| h.lifecycle == life)
+                .count()
+        };
         let waiting: u64 = self
+            .cluster
             .jobs
             .values()
             .map(|j| u64::from(j.waiting_count()))
             .sum();
-        let booked: usize = self.hosts.values().map(|h| h.allocations.len()).sum();
+        let booked: usize = self
+            .cluster
+            .hosts
+            .values()
+            .map(|h| h.allocations.len())
+            .sum();
         let fetching: usize = self
+            .cluster
             .hosts
             .values()
             .map(|h| {
@@ -104,29 +137,36 @@
                     .count()
             })
             .sum();
-        let (mut used, mut closed, mut all) = (0.0, 0.0, 0.0);
+        let cpus = self.cpu_usage();
+        let (used, closed, all) = (cpus.allocated, cpus.cordoned, cpus.total);
+        format!(
+            "{} jobs, {waiting} tasks waiting, {booked} booked, {fetching} of them not started; {used} of {all} CPUs used, {closed} closed; machines: {} up, {} expected, {} silent, {} returning",
+            self.cluster.jobs.len(),
+            count(HostLifecycle::Up),
+            count(HostLifecycle::Expected),
+            count(HostLifecycle::Unresponsive),
+            count(HostLifecycle::Releasing),
+        )
+    }
+
+    fn cpu_usage(&self) -> CpuUsage {
+        let mut usage = CpuUsage::default();
         for host in self
+            .cluster
             .hosts
             .values()
             .filter(|h| h.lifecycle == HostLifecycle::Up)
         {
             let cpus = host
                 .type_index
-                .and_then(|k| self.types.get(k))
+                .and_then(|k| self.cluster.types.get(k))
                 .map_or(0.0, |t| t.cpus.0);
-            used += host.allocated.cpus;
-            all += cpus;
+            usage.allocated += host.allocated.cpus;
+            usage.total += cpus;
             if host.cordon.is_some() {
-                closed += cpus - host.allocated.cpus;
+                usage.cordoned += cpus - host.allocated.cpus;
             }
         }
-        format!(
-            "{} jobs, {waiting} tasks waiting, {booked} booked, {fetching} of them not started; {used} of {all} CPUs used, {closed} closed; machines: {} up, {} expected, {} silent, {} returning",
-            self.jobs.len(),
-            count(HostLifecycle::Up),
-            count(HostLifecycle::Expected),
-            count(HostLifecycle::Unresponsive),
-            count(HostLifecycle::Releasing),
-        )
+        usage
     }
 }
--- a/src/coordination/policy.rs
+++ b/src/coordination/policy.rs
@@ -1,7 +1,11 @@
 //! What follows from the settings for every decision.
 
-use super::*;
+use std::time::Duration;
+
+use crate::coordination::quota_policy;
 use crate::features::Features;
+use crate::settings::{Service, Team, Tuning};
+use crate::types::seconds;
 
 /// The settings that decisions depend on.
 #[derive(Clone, Debug)]
--- a/src/coordination/quota.rs
+++ b/src/coordination/quota.rs
@@ -6,16 +6,16 @@
 use lichencrank_quota::{Demand, LeaderAccounts, TeamName, TeamPolicy, Usage};
 use lichencrank_store::{Item, Txn, Version};
 
-use super::jobs::{Job, JobPhase};
-use super::resources::Resources;
-use super::Leader;
+use crate::coordination::cluster::job::{Job, JobPhase};
+use crate::coordination::resources::Resources;
+use crate::coordination::{Leader, Policy};
 use crate::features::QuotaFeature;
 use crate::protocol::users::Priority;
 use crate::settings::Team;
-use crate::types::TaskId;
+use crate::types::{TaskId, Term};
 
 /// What a task counts as.
-pub(super) fn usage(need: &Resources) -> Usage {
+pub(crate) fn usage(need: &Resources) -> Usage {
     Usage::needed(need.cpus, need.gpus)
 }
 
@@ -61,32 +61,63 @@
     }
 }
 
+/// What teams may use beside what their allocations take.
+pub(crate) struct TeamQuota {
+    /// What hosts report of each team that is not allocated there.
+    unrecorded_usage: BTreeMap<String, Usage>,
+    /// The allowances that allocations are charged to, where that feature is on.
+    accounts: Option<LeaderAccounts>,
+    /// An allocation failed, as its allowance has changed: the accounts have to be read again.
+    pub(crate) outdated: bool,
+}
+
+impl TeamQuota {
+    pub(crate) fn new(term: Term, policy: &Policy) -> TeamQuota {
+        let accounts = policy.quota.clone();
+        TeamQuota {
+            unrecorded_usage: BTreeMap::new(),
+            accounts: accounts.map(|accounts| LeaderAccounts::new(term.0, accounts)),
+            outdated: false,
+        }
+    }
+}
+
 impl Leader {
     /// A allocation counts from here on.
-    pub(super) fn charge(&mut self, team: &str, need: &Resources) {
-        *self.team_usage.entry(team.to_owned()).or_default() += usage(need);
+    pub(crate) fn charge(&mut self, team: &str, need: &Resources) {
+        *self.cluster.team_usage.entry(team.to_owned()).or_default() += usage(need);
     }
 
     /// A allocation is proven ended.
-    pub(super) fn discharge(&mut self, team: &str, need: &Resources) {
-        if let Some(used) = self.team_usage.get_mut(team) {
+    pub(crate) fn discharge(&mut self, team: &str, need: &Resources) {
+        if let Some(used) = self.cluster.team_usage.get_mut(team) {
             *used = used.without(&usage(need));
         }
     }
 
     /// What counts for a team: its allocations, and what machines reported that is not booked there.
     fn counted(&self, team: &str) -> Usage {
-        let booked = self.team_usage.get(team).copied().unwrap_or_default();
-        let unbooked = self.unrecorded_usage.get(team).copied().unwrap_or_default();
+        let booked = self
+            .cluster
+            .team_usage
+            .get(team)
+            .copied()
+            .unwrap_or_default();
+        let unbooked = self
+            .quota
+            .unrecorded_usage
+            .get(team)
+            .copied()
+            .unwrap_or_default();
         booked + unbooked
     }
 
     /// How many more tasks of this size the team may have booked.
-    pub(super) fn team_room(&self, job: &Job) -> u64 {
+    pub(crate) fn team_room(&self, job: &Job) -> u64 {
         let Some(team) = self.policy.team(&job.team) else {
             return 0;
         };
-        let allowed = match &self.accounts {
+        let allowed = match &self.quota.accounts {
             // Before the allowance is claimed nothing is booked.
             Some(accounts) => accounts
                 .granted(&TeamName::new(&job.team))
@@ -99,8 +130,8 @@
 
     /// Whether it is known what teams may use. Before that all work seems to need no machines, and they
     /// would be returned.
-    pub(super) fn has_claimed_allowances(&self) -> bool {
-        let Some(accounts) = &self.accounts else {
+    pub(crate) fn has_claimed_allowances(&self) -> bool {
+        let Some(accounts) = &self.quota.accounts else {
             return true;
         };
         let mut teams = self.policy.teams.iter();
@@ -109,8 +140,8 @@
 
     /// Whether a task of that priority may be stopped for the job, by the rules of preemption. Borrowed
     /// work gives way to guarantees where the feature is on.
-    pub(super) fn may_preempt(&self, victim: &Job, by: &Job) -> bool {
-        let by_guarantee = self.accounts.is_some()
+    pub(crate) fn may_preempt(&self, victim: &Job, by: &Job) -> bool {
+        let by_guarantee = self.quota.accounts.is_some()
             && victim.team != by.team
             && self.team_use(&by.team).covers(&usage(&by.task_resources));
         let borrowed = self
@@ -125,7 +156,7 @@
     }
 
     /// Whether stopping tasks of the other job serves the guarantee of this one's team.
-    pub(super) fn serves_guarantee(&self, victim: &Job, by: &Job) -> bool {
+    pub(crate) fn serves_guarantee(&self, victim: &Job, by: &Job) -> bool {
         victim.priority() <= by.priority() && self.may_preempt(victim, by)
     }
 
@@ -138,19 +169,24 @@
 
     /// Sums up what machines report and nobody booked there. It is rare, so looking is cheap where there
     /// is none.
-    pub(super) fn count_unbooked(&mut self) {
-        self.unrecorded_usage.clear();
-        if self.accounts.is_none() {
+    pub(crate) fn count_unbooked(&mut self) {
+        self.quota.unrecorded_usage.clear();
+        if self.quota.accounts.is_none() {
             return;
         }
         let unrecorded_attempts = self
+            .cluster
             .hosts
             .values()
             .flat_map(|host| &host.unrecorded_attempts);
         let tasks: Vec<TaskId> = unrecorded_attempts.map(|(task, _)| *task).collect();
         for task in tasks {
-            if let Some(job) = self.jobs.get(&task.job) {
-                let counted = self.unrecorded_usage.entry(job.team.clone()).or_default();
+            if let Some(job) = self.cluster.jobs.get(&task.job) {
+                let counted = self
+                    .quota
+                    .unrecorded_usage
+                    .entry(job.team.clone())
+                    .or_default();
                 *counted += usage(&job.task_resources);
             }
         }
@@ -158,6 +194,16 @@
 
     // ---- the accounts
 
+    /// Whether the accounts have to be read again, which is then taken for done.
+    pub fn take_quota_outdated(&mut self) -> bool {
+        std::mem::take(&mut self.quota.outdated)
+    }
+
+    /// The accounts have to be read again.
+    pub fn mark_quota_outdated(&mut self) {
+        self.quota.outdated = true;
+    }
+
     /// The policy of the accounts, where the feature is on.
     pub fn rules_quota(&self) -> Option<&lichencrank_quota::Policy> {
         self.policy.quota.as_ref()
@@ -165,28 +211,29 @@
 
     /// Whether a change of the accounts is under way.
     pub fn is_writing_quota(&self) -> bool {
-        self.accounts
+        self.quota
+            .accounts
             .as_ref()
             .is_some_and(LeaderAccounts::is_writing)
     }
 
     /// Begins to read the accounts' records anew.
     pub fn begin_reading_quota(&mut self) {
-        if let Some(accounts) = &mut self.accounts {
+        if let Some(accounts) = &mut self.quota.accounts {
             accounts.begin_reading();
         }
     }
 
     /// Takes in a record of the accounts.
     pub fn on_quota_record(&mut self, item: &Item) {
-        if let Some(accounts) = &mut self.accounts {
+        if let Some(accounts) = &mut self.quota.accounts {
             accounts.take(item);
         }
     }
 
     /// All records of the accounts are read.
     pub fn on_quota_read(&mut self) {
-        if let Some(accounts) = &mut self.accounts {
+        if let Some(accounts) = &mut self.quota.accounts {
             accounts.all_read();
         }
         self.quota_changed();
@@ -195,21 +242,25 @@
     /// The next change of the accounts, on condition that this controller still leads.
     pub fn next_quota_txn(&mut self) -> Option<Txn> {
         self.count_unbooked();
-        let ready = self.accounts.as_ref().is_some_and(LeaderAccounts::is_ready);
+        let ready = self
+            .quota
+            .accounts
+            .as_ref()
+            .is_some_and(LeaderAccounts::is_ready);
         if !ready {
             return None;
         }
         let demands = self.demands();
-        let most = self.batcher.max_txn_changes;
-        let mut txn = self.accounts.as_mut()?.plan(&demands, most)?;
+        let most = self.cluster.records.max_txn_changes;
+        let mut txn = self.quota.accounts.as_mut()?.plan(&demands, most)?;
         let holder = crate::storage::records::LEADER_KEY.to_owned();
-        txn.require(holder, self.batcher.leader_key_version());
+        txn.require(holder, self.cluster.records.leader_key_version());
         Some(txn)
     }
 
     /// A change of the accounts was written.
     pub fn on_quota_written(&mut self, version: Version) {
-        if let Some(accounts) = &mut self.accounts {
+        if let Some(accounts) = &mut self.quota.accounts {
             accounts.committed(version);
         }
         self.quota_changed();
@@ -217,24 +268,24 @@
 
     /// A change of the accounts was surely not written.
     pub fn on_quota_refused(&mut self) {
-        if let Some(accounts) = &mut self.accounts {
+        if let Some(accounts) = &mut self.quota.accounts {
             accounts.refused();
         }
     }
 
     /// Every allocation depends on the version of its team's allowance.
     fn quota_changed(&mut self) {
-        let Some(accounts) = &self.accounts else {
+        let Some(accounts) = &self.quota.accounts else {
             return;
         };
         let teams = self.policy.teams.iter();
-        self.batcher.allowance_fences = teams
+        self.cluster.records.allowance_fences = teams
             .filter_map(|team| {
                 let fence = accounts.fence(&TeamName::new(&team.name))?;
                 Some((team.name.clone(), fence))
             })
             .collect();
-        self.scheduling_requested = true;
+        self.cluster.scheduling_requested = true;
     }
 
     fn demands(&self) -> BTreeMap<TeamName, Demand> {
@@ -247,7 +298,11 @@
             };
             demands.insert(TeamName::new(&team.name), demand);
         }
-        let active = self.jobs.values().filter(|j| j.phase == JobPhase::Active);
+        let active = self
+            .cluster
+            .jobs
+            .values()
+            .filter(|j| j.phase == JobPhase::Active);
         for job in active.filter(|j| j.waiting_count() > 0) {
             let Some(demand) = demands.get_mut(&TeamName::new(&job.team)) else {
                 continue;
--- a/src/coordination/placement.rs
+++ b/src/coordination/scheduling/placement.rs
@@ -5,16 +5,19 @@
 
 use std::cmp::Ordering;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
+use std::time::Duration;
 
-use super::hosts::{Host, HostLifecycle, Reachability};
-use super::jobs::Job;
-use super::ranking::Rank;
-use super::resources::Resources;
-use super::scoring::{capacity, score};
-use super::{Leader, AVOID};
+use crate::coordination::cluster::host::{Host, HostLifecycle, Reachability};
+use crate::coordination::cluster::job::Job;
+use crate::coordination::resources::Resources;
+use crate::coordination::scheduling::ranking::Rank;
+use crate::coordination::scheduling::scoring::{capacity, score};
+use crate::coordination::Leader;
 use crate::protocol::users::{JobSpec, Priority};
 use crate::types::{Attempt, HostName, JobId, TaskId, Time};
 
+/// A failure on a host keeps the job's tasks away from it for this long.
+const AVOID_FAILED_HOST_FOR: Duration = Duration::from_secs(20);
 /// Tasks booked in one pass; the rest waits for the next, so that a pass never takes long.
 const MAX_BOOKINGS: u64 = 400;
 /// A machine with room, as one pass over the waiting tasks sees it.
@@ -101,7 +104,7 @@
 
 impl Leader {
     /// One pass over the waiting tasks.
-    pub(super) fn place(&mut self, now: Time) {
+    pub(crate) fn place(&mut self, now: Time) {
         self.count_unbooked();
         let ranks = self.ranked();
         if ranks.is_empty() {
@@ -118,27 +121,27 @@
         for rank in ranks {
             if pass.left == 0 {
                 // The rest follows once reports and users have had their turn.
-                self.scheduling_requested = true;
+                self.cluster.scheduling_requested = true;
                 return;
             }
-            let Some(mut job) = self.jobs.remove(&rank.id) else {
+            let Some(mut job) = self.cluster.jobs.remove(&rank.id) else {
                 continue;
             };
             if let Some(spec) = job.spec.clone() {
                 self.place_job(&mut job, &spec, &rank, &scarce, &mut pass);
             }
-            self.jobs.insert(rank.id, job);
+            self.cluster.jobs.insert(rank.id, job);
         }
     }
 
     /// The machines that are open and have room, in the order of their names.
     fn open_machines(&self, now: Time) -> Vec<Open> {
         let mut open = Vec::new();
-        for host in self.hosts.values() {
+        for host in self.cluster.hosts.values() {
             let Some(kind) = host.type_index else {
                 continue;
             };
-            let Some(t) = self.types.get(kind) else {
+            let Some(t) = self.cluster.types.get(kind) else {
                 continue;
             };
             let whole = capacity(t);
@@ -170,19 +173,14 @@
         pass: &mut Pass,
     ) {
         let _job = tracing::debug_span!("job", id = %job.id).entered();
-        let priority = if rank.patient {
-            spec.priority
-        } else {
-            Priority::Critical
-        };
-        let records = self.policy.records * (1 + Priority::BestEffort as usize - priority as usize);
-        if pass.now < job.retry_not_before || self.batcher.is_held(job.id) {
+        let records = self.max_waiting_records(rank, spec);
+        if pass.now < job.retry_not_before || self.cluster.records.is_held(job.id) {
             return;
         }
         let plain =
             spec.machine_types.is_none() && spec.zone.is_none() && !spec.same_zone && !spec.spread;
         let mut usable = self.usable_types(spec, scarce);
-        let due_in = job.due_ms().map(|due| (due - self.day_ms as f64) / 1000.0);
+        let due_in = job.due_in_s(self.clock.day_ms);
         let mut more = self.overflow_types(spec, &usable, self.expected_run(job), due_in);
         let shape = TaskShape {
             need: job.task_resources,
@@ -202,9 +200,9 @@
                 return;
             };
             let task = TaskId { job: job.id, index };
-            // A allocation that waits long for its record would only hold the machine idle.
-            let queued = self.batcher.is_urgent(job.id, job.chunk_of(index));
-            if !queued && self.batcher.urgent_count() >= records {
+            // An allocation that waits long for its record would only hold the machine idle.
+            let queued = self.cluster.records.is_urgent(job.id, job.chunk_of(index));
+            if !queued && self.cluster.records.urgent_count() >= records {
                 return;
             }
             let Some(best) = self.best_host(spec, task, &mut ranked, &siblings, pass) else {
@@ -223,6 +221,16 @@
         }
     }
 
+    /// How many urgent records may wait to be written before nothing more of the job is allocated.
+    fn max_waiting_records(&self, rank: &Rank, spec: &JobSpec) -> usize {
+        let priority = if rank.patient {
+            spec.priority
+        } else {
+            Priority::Critical
+        };
+        self.policy.records * (1 + Priority::BestEffort as usize - priority as usize)
+    }
+
     /// Books the task on that machine, which stays among those that may take another one if it has
     /// room for it.
     fn book_on(
@@ -261,7 +269,7 @@
         pass: &mut Pass,
     ) {
         if spec.is_service() && self.reopen_for(job, spec, usable, pass.now) {
-            self.scheduling_requested = true;
+            self.cluster.scheduling_requested = true;
             return;
         }
         if !rank.patient {
@@ -300,19 +308,19 @@
     /// The exception to the order by score: a service is to run within moments, and an image may take
     /// longer than that. Steps of half a second.
     fn fetch_steps(&self, spec: &JobSpec, name: &HostName) -> u32 {
-        let host = self.hosts.get(name).filter(|_| spec.is_service());
+        let host = self.cluster.hosts.get(name).filter(|_| spec.is_service());
         let Some(host) = host.filter(|h| !h.has_cached_image(&spec.image)) else {
             return 0;
         };
-        let kind = host.type_index.and_then(|k| self.types.get(k));
+        let kind = host.type_index.and_then(|k| self.cluster.types.get(k));
         let rate = kind.map_or(0.01, |t| t.fetch_gb_per_s.0.max(0.01));
         1 + (spec.image_gb.0 / rate * 2.0) as u32
     }
 
     fn failed_lately(&self, name: &HostName, job: JobId, now: Time) -> bool {
-        let host = self.hosts.get(name);
+        let host = self.cluster.hosts.get(name);
         let failed_at = host.and_then(|h| h.failed_jobs.get(&job));
-        failed_at.is_some_and(|at| now.since(*at) < AVOID)
+        failed_at.is_some_and(|at| now.since(*at) < AVOID_FAILED_HOST_FOR)
     }
 
     /// Takes the best machine for the task from those that may take one of its job.
@@ -345,8 +353,8 @@
     }
 
     /// An earlier attempt at the task is still in the machine's reports, or under way to it.
-    pub(super) fn knows_of(&self, name: &HostName, task: TaskId) -> bool {
-        self.hosts.get(name).is_some_and(|host| {
+    pub(crate) fn knows_of(&self, name: &HostName, task: TaskId) -> bool {
+        self.cluster.hosts.get(name).is_some_and(|host| {
             let attempts = (task, Attempt(0))..=(task, Attempt(u64::MAX));
             host.ended_attempts.range(attempts.clone()).next().is_some()
                 || host.unacknowledged_runs.range(attempts).next().is_some()
@@ -375,7 +383,7 @@
     fn siblings(&self, job: &Job, spec: &JobSpec) -> BTreeMap<String, u64> {
         let mut zones = BTreeMap::new();
         if job.allocated_count > 0 && (spec.same_zone || spec.spread) {
-            for host in self.hosts.values() {
+            for host in self.cluster.hosts.values() {
                 let count = host.allocations.keys().filter(|t| t.job == job.id).count() as u64;
                 if count > 0 {
                     *zones.entry(host.zone.clone()).or_default() += count;
@@ -385,7 +393,7 @@
         zones
     }
 
-    pub(super) fn zone_allowed(
+    pub(crate) fn zone_allowed(
         spec: &JobSpec,
         zone: &str,
         siblings: &BTreeMap<String, u64>,
@@ -408,7 +416,7 @@
         true
     }
 
-    pub(super) fn is_open(&self, host: &Host, now: Time) -> bool {
+    pub(crate) fn is_open(&self, host: &Host, now: Time) -> bool {
         let fresh = now.since(host.last_heartbeat_at) <= self.policy.report * 2;
         host.lifecycle == HostLifecycle::Up
             && host.cordon.is_none()
--- a/src/coordination/preemption.rs
+++ b/src/coordination/scheduling/preemption.rs
@@ -3,11 +3,11 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use super::hosts::{Allocation, Host, StopReason};
-use super::jobs::Job;
-use super::resources::Resources;
-use super::scoring::capacity;
-use super::Leader;
+use crate::coordination::cluster::host::{Allocation, Host, StopReason};
+use crate::coordination::cluster::job::Job;
+use crate::coordination::resources::Resources;
+use crate::coordination::scheduling::scoring::capacity;
+use crate::coordination::Leader;
 use crate::protocol::users::{JobSpec, Priority};
 use crate::types::{seconds, HostName, TaskId, Time};
 
@@ -39,23 +39,23 @@
 impl Leader {
     /// Makes room for a job of higher priority by stopping tasks of lower priority that lose little by
     /// it. The next pass sees what came of it.
-    pub(super) fn preempt(&mut self, job: &Job, spec: &JobSpec, usable: &[bool], now: Time) {
+    pub(crate) fn preempt(&mut self, job: &Job, spec: &JobSpec, usable: &[bool], now: Time) {
         let under_way = |h: &Host| {
             let mut allocations = h.allocations.values();
             allocations.any(|b| b.stop_reason == Some(StopReason::Preempted))
         };
         let lowest = spec.priority == Priority::BestEffort;
-        if spec.same_zone || spec.spread || lowest || now < self.next_preemption_at {
+        if spec.same_zone || spec.spread || lowest || now < self.scheduler.next_preemption_at {
             return;
         }
-        self.next_preemption_at = now.after(PREEMPT_EVERY);
-        if self.hosts.values().any(under_way) {
+        self.scheduler.next_preemption_at = now.after(PREEMPT_EVERY);
+        if self.cluster.hosts.values().any(under_way) {
             return;
         }
         let room = self.team_room(job).min(u64::from(job.schedulable_count()));
         let most = (room as usize).min(MAX_PREEMPTED);
         let mut ways: Vec<Way> = Vec::new();
-        for host in self.hosts.values() {
+        for host in self.cluster.hosts.values() {
             let suits = host
                 .type_index
                 .is_some_and(|k| usable.get(k) == Some(&true));
@@ -93,7 +93,7 @@
     /// The tasks on the machine whose stopping makes room for one of the job, and the run time that
     /// is lost by it.
     fn way_to_room(&self, host: &Host, job: &Job, spec: &JobSpec, now: Time) -> Option<Way> {
-        let kind = self.types.get(host.type_index?)?;
+        let kind = self.cluster.types.get(host.type_index?)?;
         let mut victims: Vec<(f64, TaskId, Resources)> = host
             .allocations
             .iter()
@@ -115,7 +115,7 @@
             stopped.push(task);
         }
         let lowest = |task: &TaskId| {
-            let job = self.jobs.get(&task.job);
+            let job = self.cluster.jobs.get(&task.job);
             job.is_some_and(|j| j.priority() == Priority::BestEffort)
         };
         (job.task_resources.fits(&free) && !stopped.is_empty()).then(|| Way {
@@ -135,7 +135,7 @@
         by: &JobSpec,
         now: Time,
     ) -> Option<f64> {
-        let job = self.jobs.get(&task.job)?;
+        let job = self.cluster.jobs.get(&task.job)?;
         let spec = job.spec.as_ref()?;
         let ran = allocation
             .started_at
@@ -146,7 +146,7 @@
         let may = self.may_preempt(job, for_job) && allocation.stop_reason.is_none();
         // The first tasks of a job that has waited too long are to have begun for good.
         let starve_after = seconds(self.policy.tuning.starve_after_s);
-        let waited = Duration::from_millis(self.day_ms.saturating_sub(job.submitted_at_ms));
+        let waited = Duration::from_millis(self.clock.day_ms.saturating_sub(job.submitted_at_ms));
         let young = ran < BEGUN_S && job.done_count == 0 && job.allocated_count <= FEW;
         if waited >= starve_after && young {
             return None;
--- a/src/coordination/ranking.rs
+++ b/src/coordination/scheduling/ranking.rs
@@ -2,9 +2,9 @@
 
 use std::collections::BTreeMap;
 
-use super::hosts::HostLifecycle;
-use super::jobs::{Job, JobPhase};
-use super::Leader;
+use crate::coordination::cluster::host::HostLifecycle;
+use crate::coordination::cluster::job::{Job, JobPhase};
+use crate::coordination::Leader;
 use crate::protocol::users::{JobSpec, Priority};
 use crate::types::{seconds, JobId, Version};
 
@@ -53,10 +53,11 @@
 
 impl Leader {
     /// All jobs with waiting tasks, in the order in which they are served.
-    pub(super) fn ranked(&self) -> Vec<Rank> {
+    pub(crate) fn ranked(&self) -> Vec<Rank> {
         let cpus = self.cpus_to_be();
         let starve_after = seconds(self.policy.tuning.starve_after_s);
         let mut by_arrival: Vec<&Job> = self
+            .cluster
             .jobs
             .values()
             .filter(|j| j.phase == JobPhase::Active)
@@ -78,8 +79,9 @@
             let within = claimed.0 <= guaranteed.0
                 && (claimed.1 <= guaranteed.1 || job.task_resources.gpus == 0.0);
             if job.waiting_count() > 0 {
-                let waited =
-                    seconds((self.day_ms.saturating_sub(job.submitted_at_ms)) as f64 / 1000.0);
+                let waited = seconds(
+                    (self.clock.day_ms.saturating_sub(job.submitted_at_ms)) as f64 / 1000.0,
+                );
                 let aged = waited >= starve_after;
                 let begun = job.allocated_count > 0 || job.done_count > 0;
                 let rank = Rank {
@@ -87,7 +89,7 @@
                     borrowing: !within,
                     priority: spec.priority,
                     late: waited < starve_after * 2
-                        && job.will_miss_deadline(self.expected_run(job), cpus, self.day_ms),
+                        && job.will_miss_deadline(self.expected_run(job), cpus, self.clock.day_ms),
                     due: job.due_ms().map_or(u64::MAX, |due| due as u64),
                     work: self.work_class(job, spec),
                     arrival: job.record_version,
@@ -115,10 +117,11 @@
     /// CPUs of all machines that are here or coming.
     fn cpus_to_be(&self) -> f64 {
         let here = self
+            .cluster
             .hosts
             .values()
             .filter(|h| matches!(h.lifecycle, HostLifecycle::Up | HostLifecycle::Expected));
-        let kinds = here.filter_map(|h| h.type_index.and_then(|k| self.types.get(k)));
+        let kinds = here.filter_map(|h| h.type_index.and_then(|k| self.cluster.types.get(k)));
         kinds.map(|t| t.cpus.0).sum()
     }
 }
--- a/src/coordination/scoring.rs
+++ b/src/coordination/scheduling/scoring.rs
@@ -1,6 +1,6 @@
 //! The design's weighted headroom score, and whether a machine type can take a task at all.
 
-use super::resources::Resources;
+use crate::coordination::resources::Resources;
 use crate::protocol::cloud::MachineType;
 use crate::protocol::users::JobSpec;
 
--- a/src/coordination/type_eligibility.rs
+++ b/src/coordination/scheduling/type_eligibility.rs
@@ -1,15 +1,20 @@
 //! Which machine types the tasks of a job may use, with regard to work that has no other type.
 
-use super::jobs::JobPhase;
-use super::scoring::type_suits;
-use super::Leader;
+use crate::coordination::cluster::job::JobPhase;
+use crate::coordination::scheduling::scoring::type_suits;
+use crate::coordination::Leader;
 use crate::protocol::users::JobSpec;
 
 impl Leader {
     /// Types that some waiting or running work needs because no other type fits it.
-    pub(super) fn scarce_types(&self) -> Vec<bool> {
-        let mut scarce = vec![false; self.types.len()];
-        for job in self.jobs.values().filter(|j| j.phase == JobPhase::Active) {
+    pub(crate) fn scarce_types(&self) -> Vec<bool> {
+        let mut scarce = vec![false; self.cluster.types.len()];
+        for job in self
+            .cluster
+            .jobs
+            .values()
+            .filter(|j| j.phase == JobPhase::Active)
+        {
             let Some(spec) = &job.spec else { continue };
             let suited: Vec<usize> = self.suited(spec);
             if let [only] = suited[..] {
@@ -24,24 +29,25 @@
         scarce
     }
 
-    pub(super) fn suited(&self, spec: &JobSpec) -> Vec<usize> {
-        let all = self.types.iter().enumerate();
+    pub(crate) fn suited(&self, spec: &JobSpec) -> Vec<usize> {
+        let all = self.cluster.types.iter().enumerate();
         all.filter(|(_, t)| type_suits(spec, t))
             .map(|(i, _)| i)
             .collect()
     }
 
     /// For each machine type, whether the job's tasks may go there.
-    pub(super) fn usable_types(&self, spec: &JobSpec, scarce: &[bool]) -> Vec<bool> {
+    pub(crate) fn usable_types(&self, spec: &JobSpec, scarce: &[bool]) -> Vec<bool> {
         let suits = |kind: usize| {
-            type_suits(spec, &self.types[kind]) && !self.kept_for_others(spec, Some(kind), scarce)
+            type_suits(spec, &self.cluster.types[kind])
+                && !self.kept_for_others(spec, Some(kind), scarce)
         };
-        (0..self.types.len()).map(suits).collect()
+        (0..self.cluster.types.len()).map(suits).collect()
     }
 
     /// The exception to eligibility: work that fits another type stays off a type that other work
     /// can't do without, as headroom would otherwise fill the large machines with small tasks.
-    pub(super) fn kept_for_others(
+    pub(crate) fn kept_for_others(
         &self,
         spec: &JobSpec,
         kind: Option<usize>,
@@ -63,7 +69,7 @@
     /// it waited for another machine of its own kinds, and is in time if it starts now. Work that has
     /// no other kind keeps what is scarce if it has the same or a higher priority, or has waited
     /// for too long.
-    pub(super) fn overflow_types(
+    pub(crate) fn overflow_types(
         &self,
         spec: &JobSpec,
         usable: &[bool],
@@ -78,19 +84,20 @@
         // As with late work, which gives way no longer after twice that time.
         let starve_after_ms = self.policy.tuning.starve_after_s * 2000.0;
         let outranks = |kind: usize| {
-            let mut others = self.jobs.values().filter(|j| j.waiting_count() > 0);
+            let mut others = self.cluster.jobs.values().filter(|j| j.waiting_count() > 0);
             others.all(|j| {
                 let starves =
-                    self.day_ms.saturating_sub(j.submitted_at_ms) as f64 >= starve_after_ms;
+                    self.clock.day_ms.saturating_sub(j.submitted_at_ms) as f64 >= starve_after_ms;
                 let other = j.spec.as_ref();
                 other.is_none_or(|o| {
                     o.priority > spec.priority && !starves || self.suited(o) != [kind]
                 })
             })
         };
-        let more =
-            |kind: usize| usable[kind] || type_suits(spec, &self.types[kind]) && outranks(kind);
-        let more: Vec<bool> = (0..self.types.len()).map(more).collect();
+        let more = |kind: usize| {
+            usable[kind] || type_suits(spec, &self.cluster.types[kind]) && outranks(kind)
+        };
+        let more: Vec<bool> = (0..self.cluster.types.len()).map(more).collect();
         (more != usable).then_some(more)
     }
 }
--- a/src/node/api/mod.rs
+++ b/src/node/api/mod.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use super::peer_messages;
-use crate::coordination::scoring;
+use crate::coordination::scheduling::scoring;
 use crate::protocol::cloud::MachineType;
 use crate::protocol::encode;
 use crate::protocol::peers::{RelayedRequest, RelayedResponse};
--- a/src/node/leader_duties/cloud.rs
+++ b/src/node/leader_duties/cloud.rs
@@ -72,13 +72,13 @@
 
     /// Keeps the types for restarts during an outage of the cloud, once a term.
     pub(super) fn write_types(&mut self) {
-        if self.types_written || self.controller.types.is_empty() {
+        if self.types_written || self.controller.machine_types().is_empty() {
             return;
         }
         let types = MachineTypes {
-            types: self.controller.types.clone(),
+            types: self.controller.machine_types().to_vec(),
         };
-        if records::size(&types) > self.controller.batcher.max_value_bytes {
+        if records::size(&types) > self.controller.max_value_bytes() {
             // Nodes ask the cloud then.
             tracing::info!("the machine types are too large to be kept");
             self.types_written = true;
@@ -87,7 +87,7 @@
         let mut txn = Txn::default();
         txn.require(
             records::LEADER_KEY.to_owned(),
-            self.controller.batcher.leader_key_version(),
+            self.controller.leader_key_version(),
         );
         txn.changes.push(Change::put(
             records::MACHINE_TYPES_KEY.to_owned(),
--- a/src/node/leader_duties/loading.rs
+++ b/src/node/leader_duties/loading.rs
@@ -59,16 +59,13 @@
                 _ => self.read_runs(after),
             },
             LeaderRequest::Watch => self.on_watch(outcome, now),
-            LeaderRequest::Batch => return self.on_batch(outcome, now),
+            LeaderRequest::Batch => return self.controller.on_batch_outcome(outcome, now),
             LeaderRequest::Reread(job, chunk) => {
-                let Leader { batcher, jobs, .. } = &mut self.controller;
-                match outcome {
-                    Outcome::Item(item) => {
-                        let version = item.map_or(Version(0), |i| i.version);
-                        batcher.on_version_read(jobs, job, chunk, version);
-                    }
-                    _ => batcher.version_still_unknown(job, chunk),
-                }
+                let version = match outcome {
+                    Outcome::Item(item) => Some(item.map_or(Version(0), |i| i.version)),
+                    _ => None,
+                };
+                self.controller.on_run_record_version(job, chunk, version);
             }
             LeaderRequest::Quota { prefix, after } => {
                 self.on_quota_page(prefix, after, outcome, now)
@@ -112,9 +109,7 @@
         if self.loaded {
             let gone: Vec<JobId> = self
                 .controller
-                .jobs
-                .keys()
-                .copied()
+                .job_ids()
                 .filter(|id| !seen.contains(id))
                 .collect();
             for id in gone {
@@ -180,25 +175,4 @@
             _ => self.watch(),
         }
     }
-
-    pub(super) fn on_batch(&mut self, outcome: Outcome, now: Time) -> Result<(), LeadershipLost> {
-        let Leader { batcher, jobs, .. } = &mut self.controller;
-        let verdict = match outcome {
-            Outcome::Committed(revision) => batcher.on_committed(jobs, revision, now),
-            Outcome::Conflict(failed) => batcher.on_conflict(jobs, &failed),
-            Outcome::Unknown => {
-                batcher.on_response_lost();
-                return Ok(());
-            }
-            Outcome::Invalid => {
-                batcher.on_invalid();
-                return Ok(());
-            }
-            _ => {
-                batcher.on_refused();
-                return Ok(());
-            }
-        };
-        self.controller.on_commit_result(verdict, now)
-    }
 }
--- a/src/node/leader_duties/mod.rs
+++ b/src/node/leader_duties/mod.rs
@@ -12,7 +12,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use crate::coordination::fleet::ProvisionResult;
+use crate::coordination::autoscaling::provisioning::ProvisionResult;
 use crate::coordination::{Action, CommandResult, Leader, LeadershipLost};
 use crate::protocol::cloud::{
     HostList, HostNames, ListedHost, MachineTypes, ProvisionRequest, LIST_PAGE,
@@ -156,7 +156,7 @@
         now: Time,
     ) -> LeaderDuties {
         let mut duties = LeaderDuties {
-            span: tracing::info_span!("leader", term = controller.term.0),
+            span: tracing::info_span!("leader", term = controller.term().0),
             controller,
             cloud,
             cloud_budget: RateLimit::new(cloud_rps * 0.8, cloud_rps),
@@ -212,7 +212,7 @@
             self.keep_zones_record(writes, now);
             self.commit(writes, now);
         }
-        for (job, chunk) in self.controller.batcher.take_version_unknown() {
+        for (job, chunk) in self.controller.take_records_of_unknown_version() {
             let ask = StoreRequest::Get(records::run_key(job, chunk));
             self.pending.push((
                 RequestClass::Allocation,
@@ -233,24 +233,23 @@
 
     /// Asks the clock anew: the turn may have begun long ago.
     fn may_act(&self, net: &impl Network) -> bool {
-        net.now() < self.controller.lease_valid_until
+        net.now() < self.controller.lease_valid_until()
     }
 
     fn commit(&mut self, writes: &mut RateLimit, now: Time) {
-        let batcher = &self.controller.batcher;
-        if !batcher.is_idle() || now < self.batch_at || self.is_changing_accounts() {
+        if !self.controller.is_write_idle() || now < self.batch_at || self.is_changing_accounts() {
             return;
         }
         let spare = writes.share(now) > SPARE;
-        if !batcher.has_urgent() && !spare {
+        if !self.controller.has_urgent_writes() && !spare {
             return;
         }
         // Many in one transaction where many wait: each is a request of its own.
         let affordable = writes.available(now).max(0.0) as usize;
         let most = affordable.min(self.txn_ops);
-        let (urgent, others) = batcher.backlog();
+        let backlog = self.controller.write_backlog();
         let worth = FULL_BATCH.min(self.txn_ops);
-        if most < (urgent + others).clamp(LEAST_BATCH, worth) {
+        if most < (backlog.urgent + backlog.other).clamp(LEAST_BATCH, worth) {
             return;
         }
         if let Some(txn) = self.controller.next_batch(most, spare) {
@@ -285,7 +284,7 @@
                     );
                     return;
                 }
-                let token = self.controller.term;
+                let token = self.controller.term();
                 let body = encode(&CommandRequest {
                     fencing_token: token,
                     incarnation,
@@ -369,8 +368,10 @@
 
     /// Tells of a job's tasks without a read, if this leader has it in its picture.
     pub(super) fn counts(&self, job: JobId) -> Option<(u64, u64)> {
-        let job = self.controller.jobs.get(&job).filter(|_| self.loaded)?;
-        Some((u64::from(job.done_count), u64::from(job.allocated_count)))
+        if !self.loaded {
+            return None;
+        }
+        self.controller.task_counts(job)
     }
 }
 
--- a/src/node/leader_duties/quota.rs
+++ b/src/node/leader_duties/quota.rs
@@ -18,7 +18,7 @@
         if self.controller.rules_quota().is_none() {
             return;
         }
-        if std::mem::take(&mut self.controller.quota_outdated) {
+        if self.controller.take_quota_outdated() {
             self.quota.due = now;
         }
         if self.quota.starts(now) {
@@ -31,7 +31,7 @@
             return;
         }
         self.accounts_at = now.after(ACCOUNTS_EVERY);
-        let free = !self.quota.busy && self.controller.batcher.is_idle();
+        let free = !self.quota.busy && self.controller.is_write_idle();
         if !free || writes.available(now) < QUOTA_CHANGES {
             return;
         }
@@ -92,12 +92,12 @@
         match outcome {
             Outcome::Committed(version) => self.controller.on_quota_written(version),
             Outcome::Conflict(failed) if failed.iter().any(|key| key == records::LEADER_KEY) => {
-                return Err(LeadershipLost(self.controller.term));
+                return Err(LeadershipLost(self.controller.term()));
             }
             // It may have been carried out, or may yet be: versions tell, and let it be so only once.
             Outcome::Conflict(_) | Outcome::Unknown => {
                 self.controller.on_quota_refused();
-                self.controller.quota_outdated = true;
+                self.controller.mark_quota_outdated();
             }
             _ => self.controller.on_quota_refused(),
         }
--- a/src/node/leader_duties/zones.rs
+++ b/src/node/leader_duties/zones.rs
@@ -45,7 +45,7 @@
             return;
         };
         let mut txn = Txn::default();
-        let holder = self.controller.batcher.leader_key_version();
+        let holder = self.controller.leader_key_version();
         txn.require(records::LEADER_KEY.to_owned(), holder);
         txn.require(KEY.to_owned(), version);
         txn.changes
@@ -66,7 +66,7 @@
         match outcome {
             Outcome::Committed(version) => self.zones_version = Some(version),
             Outcome::Conflict(failed) if failed.iter().any(|key| key == records::LEADER_KEY) => {
-                return Err(LeadershipLost(self.controller.term));
+                return Err(LeadershipLost(self.controller.term()));
             }
             // It may have been carried out, or may yet be.
             Outcome::Conflict(_) | Outcome::Unknown => {
--- a/src/node/leader_locality.rs
+++ b/src/node/leader_locality.rs
@@ -102,8 +102,7 @@
         let Some(duties) = &mut self.duties else {
             return;
         };
-        duties.controller.zones_without_reachable_peer = unheard;
-        duties.controller.zone_controllers = controllers;
+        duties.controller.set_controller_reach(unheard, controllers);
         let reach = duties.controller.worker_reach(now);
         if reach.home_zone.is_some() {
             self.locality.home.clone_from(&reach.home_zone);
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -15,7 +15,7 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::time::{Duration, Instant};
 
-use crate::coordination::leadership::{Leadership, LeadershipAction, Seen, Step};
+use crate::coordination::election::{Leadership, LeadershipAction, Seen, Step};
 use crate::coordination::{Leader, LeadershipLost, Policy};
 use crate::features::Features;
 use crate::protocol::cloud::{MachineType, MachineTypes};
--- a/src/node/periodic.rs
+++ b/src/node/periodic.rs
@@ -10,8 +10,9 @@
         self.grant(action);
         self.send_heartbeats(now);
         if let Some(duties) = &self.duties {
-            if !duties.controller.types.is_empty() && self.types.is_empty() {
-                self.types = duties.controller.types.clone();
+            let known_types = duties.controller.machine_types();
+            if !known_types.is_empty() && self.types.is_empty() {
+                self.types = known_types.to_vec();
             }
         }
         if self.types.is_empty() && now >= self.types_due {
@@ -60,8 +61,12 @@
             if let Some(wait) = duties.controller.longest_wait(self.net.now()) {
                 tracing::info!("{wait}");
             }
-            let (urgent, others) = duties.controller.batcher.backlog();
-            tracing::debug!("records to write: {urgent} urgent, {others} others");
+            let backlog = duties.controller.write_backlog();
+            tracing::debug!(
+                "records to write: {} urgent, {} others",
+                backlog.urgent,
+                backlog.other
+            );
         }
         if let Some(turns) = &mut self.turns {
             tracing::debug!(
@@ -79,9 +84,11 @@
     pub(super) fn pump(&mut self) {
         let now = self.net.now();
         if let Some(duties) = &mut self.duties {
-            duties.controller.lease_valid_until = self.leadership.valid_until();
+            duties
+                .controller
+                .set_lease_valid_until(self.leadership.valid_until());
             duties.turn(&mut self.net, &mut self.store.write_budget, now);
-            let term = duties.controller.term;
+            let term = duties.controller.term();
             for (class, ask, limit, what) in duties.take_pending() {
                 let id = self.store.enqueue(now, class, ask, limit);
                 self.purposes.insert(id, Purpose::LeaderDuties(term, what));
--- a/src/node/replies.rs
+++ b/src/node/replies.rs
@@ -62,7 +62,7 @@
             }
             Some(Purpose::LeaderDuties(term, ask)) => {
                 // What an earlier term of this process asked is of no interest any more.
-                if let Some(duties) = self.duties.as_mut().filter(|o| o.controller.term == term) {
+                if let Some(duties) = self.duties.as_mut().filter(|o| o.controller.term() == term) {
                     if let Err(LeadershipLost(term)) = duties.on_outcome(ask, outcome, now) {
                         self.deposed(term);
                     }
--- a/src/node/requests.rs
+++ b/src/node/requests.rs
@@ -122,7 +122,7 @@
             }
             match duties.controller.on_heartbeat(&report, now) {
                 Ok(commands) => {
-                    let token = duties.controller.term;
+                    let token = duties.controller.term();
                     return Response::new(
                         200,
                         encode(&HeartbeatResponse {
--- a/src/storage/mod.rs
+++ b/src/storage/mod.rs
@@ -1,6 +1,4 @@
-//! Records in the state service: their form, the requests for them, rate limits and group commit.
+//! The records in the key-value store: their form and keys, and the queue of requests under rate limits.
 
-pub mod record_split;
 pub mod records;
 pub mod store;
-pub mod write_batcher;
--- a/tests/leadership.rs
+++ b/tests/leadership.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use lichencrank::coordination::leadership::{Leadership, LeadershipAction, Role, Seen, Step};
+use lichencrank::coordination::election::{Leadership, LeadershipAction, Role, Seen, Step};
 use lichencrank::storage::records::LeaderRecord;
 use lichencrank::storage::store::Outcome;
 use lichencrank::types::{LeaseId, Term, Time, Version};
--- a/tests/placement.rs
+++ b/tests/placement.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use lichencrank::coordination::resources::Resources;
-use lichencrank::coordination::scoring::{capacity, score};
+use lichencrank::coordination::scheduling::scoring::{capacity, score};
 use lichencrank::coordination::{Leader, Policy};
 use lichencrank::protocol::cloud::MachineType;
 use lichencrank::protocol::users::{JobKind, JobSpec, Priority};
@@ -173,7 +173,7 @@
             c.on_job(record.clone(), Version(10 + number));
             records.push(record);
         }
-        c.lease_valid_until = Time(u64::MAX);
+        c.set_lease_valid_until(Time(u64::MAX));
         c.tick(Time(5000), 5000);
         for record in records {
             let id = record.spec.id;
@@ -184,7 +184,11 @@
                     job: id,
                     index: index as u32,
                 };
-                let chosen = c.hosts.values().find(|h| h.allocations.contains_key(&task));
+                let chosen = c
+                    .cluster()
+                    .hosts()
+                    .values()
+                    .find(|h| h.allocations.contains_key(&task));
                 let chosen = chosen.map(|h| h.name.clone());
                 assert_eq!(chosen, expected, "seed {seed}, {task}");
                 let Some(name) = chosen else { break };
--- a/tests/quota_leader.rs
+++ b/tests/quota_leader.rs
@@ -9,6 +9,7 @@
 use lichencrank::protocol::Amount;
 use lichencrank::settings::{Settings, Tuning};
 use lichencrank::storage::records::JobRecord;
+use lichencrank::storage::store::Outcome;
 use lichencrank::types::{
     Attempt, HostName, Incarnation, JobId, SequenceNumber, TaskId, Term, Time, Version,
 };
@@ -93,7 +94,7 @@
         };
         let rules = Policy::new(&settings.settings, &tuning, &features);
         let mut controller = Leader::new(TERM, Version(1), rules, vec![kind()], Time(0));
-        controller.lease_valid_until = Time(u64::MAX);
+        controller.set_lease_valid_until(Time(u64::MAX));
         controller.on_loaded(Time(0));
         let mut leader = SimulatedLeader {
             controller,
@@ -113,7 +114,7 @@
         self.now = Time(self.now.0 + 3000);
         self.tick += 1;
         let name = HostName::new("vm-000001");
-        let booked = self.controller.hosts.get(&name);
+        let booked = self.controller.cluster().hosts().get(&name);
         let booked = booked
             .map(|host| host.allocations.iter())
             .into_iter()
@@ -163,10 +164,9 @@
         let mut written = Vec::new();
         while let Some(txn) = self.controller.next_batch(16, true) {
             self.revision += 1;
-            let Leader { batcher, jobs, .. } = &mut self.controller;
-            let verdict = batcher.on_committed(jobs, Version(self.revision), self.now);
+            let outcome = Outcome::Committed(Version(self.revision));
             self.controller
-                .on_commit_result(verdict, self.now)
+                .on_batch_outcome(outcome, self.now)
                 .expect("its term");
             written.push(txn);
         }
@@ -181,7 +181,7 @@
     }
 
     fn booked(&self, number: u64) -> u32 {
-        self.controller.jobs[&JobId(number)].allocated_count
+        self.controller.cluster().jobs()[&JobId(number)].allocated_count
     }
 }
 
@@ -195,7 +195,7 @@
     assert_eq!(leader.booked(1), 0);
     // Work that may not begin yet seems to need no machine, which stays all the same.
     assert_eq!(leader.controller.take_actions(), []);
-    let machine = leader.controller.hosts.values().next();
+    let machine = leader.controller.cluster().hosts().values().next();
     assert!(machine.is_some_and(|host| host.cordon.is_none()));
     let claims = leader.claim();
     for txn in &claims {
--- a/tests/record_split.rs
+++ b/tests/record_split.rs
@@ -12,7 +12,7 @@
 use lichencrank::protocol::Amount;
 use lichencrank::settings::{Team, Tuning};
 use lichencrank::storage::records::{self, JobRecord, RunRecord};
-use lichencrank::storage::write_batcher::CommitResult;
+use lichencrank::storage::store::Outcome;
 use lichencrank::types::{
     Attempt, HostName, Incarnation, JobId, SequenceNumber, TaskId, Term, Time, Version,
 };
@@ -161,7 +161,7 @@
     }];
     let holder = items(state, "lead/holder")[0].2;
     let mut controller = Leader::new(Term(5), Version(holder), rules(), types, NOW);
-    controller.lease_valid_until = Time(u64::MAX);
+    controller.set_lease_valid_until(Time(u64::MAX));
     for (_, data, version) in items(state, "live/") {
         let record: JobRecord = data.deserialized().expect("a description");
         controller.on_job(record, Version(version));
@@ -176,14 +176,14 @@
 }
 
 fn picture_of(controller: &Leader) -> Picture {
-    let job = &controller.jobs[&JOB];
+    let job = &controller.cluster().jobs()[&JOB];
     let mut picture = Picture::new();
     for index in 0..TASKS {
         let attempt = job.last_attempt(index).0;
-        let holds = |h: &&lichencrank::coordination::hosts::Host| {
+        let holds = |h: &&lichencrank::coordination::cluster::host::Host| {
             h.allocations.contains_key(&TaskId { job: JOB, index })
         };
-        let host = controller.hosts.values().find(holds);
+        let host = controller.cluster().hosts().values().find(holds);
         if attempt > 0 {
             picture.insert(index, (attempt, host.map(|h| h.name.to_string())));
         }
@@ -225,7 +225,7 @@
         sequence: SequenceNumber(100),
         fencing_token: Term(5),
         notice_s: None,
-        tasks: controller.hosts[&host_of(0)]
+        tasks: controller.cluster().hosts()[&host_of(0)]
             .allocations
             .iter()
             .map(|(t, b)| AttemptStatus {
@@ -254,10 +254,9 @@
     let (status, answer) = state.txn(&value(&txn));
     assert_eq!(status, 200, "{answer:?}");
     let revision = Version(number(&answer, "ledgerRev"));
-    let Leader { batcher, jobs, .. } = controller;
-    let verdict = batcher.on_committed(jobs, revision, NOW);
-    assert!(matches!(verdict, CommitResult::Committed(_)));
-    controller.on_commit_result(verdict, NOW).expect("it leads");
+    assert!(!controller.is_write_idle(), "a batch awaits its outcome");
+    let outcome = Outcome::Committed(revision);
+    controller.on_batch_outcome(outcome, NOW).expect("it leads");
     true
 }
 
--- a/tests/size.rs
+++ b/tests/size.rs
@@ -14,6 +14,7 @@
 use lichencrank::protocol::Amount;
 use lichencrank::settings::{Team, Tuning};
 use lichencrank::storage::records::{self, JobRecord};
+use lichencrank::storage::store::Outcome;
 use lichencrank::types::{
     Attempt, HostName, Incarnation, JobId, SequenceNumber, TaskId, Term, Time, Version,
 };
@@ -193,7 +194,7 @@
         let holder = (Value::Null, Version(term.0));
         self.items.insert(records::LEADER_KEY.to_owned(), holder);
         let mut c = Leader::new(term, Version(term.0), rules(), types(), now);
-        c.lease_valid_until = Time(u64::MAX);
+        c.set_lease_valid_until(Time(u64::MAX));
         for (key, (value, version)) in &self.items {
             let (key, value, version) = (key.clone(), value.clone(), *version);
             let item = Item {
@@ -232,27 +233,34 @@
     });
     let mut now = Time(0);
     let mut c = kept.begin_leading(Term(3), now);
-    assert_eq!(c.jobs[&JOB].record_version, live);
+    assert_eq!(c.cluster().jobs()[&JOB].record_version, live);
     let mut workers: BTreeMap<HostName, Worker> = (0..40)
         .map(|n| (HostName::new(&format!("vm-{n:03}")), Worker::default()))
         .collect();
     let mut largest_report = 0;
     let mut rounds = 0;
     let over = records::outcome_key(JOB);
-    while !kept.items.contains_key(&over) || !c.jobs.is_empty() {
+    while !kept.items.contains_key(&over) || !c.cluster().jobs().is_empty() {
         rounds += 1;
-        assert!(rounds < 2000, "{} tasks done", c.jobs[&JOB].done_count);
+        assert!(
+            rounds < 2000,
+            "{} tasks done",
+            c.cluster().jobs()[&JOB].done_count
+        );
         now = now.after(Duration::from_millis(500));
         if rounds == 120 {
             // The leader ends in the middle, whatever it had under way.
-            assert!(c.jobs[&JOB].done_count > 1000 && c.jobs[&JOB].allocated_count > 0);
+            assert!(
+                c.cluster().jobs()[&JOB].done_count > 1000
+                    && c.cluster().jobs()[&JOB].allocated_count > 0
+            );
             c = kept.begin_leading(Term(4), now);
         }
         for (name, worker) in &mut workers {
             for ended in worker.tasks.values_mut() {
                 *ended = true;
             }
-            let report = worker.report(name, c.term);
+            let report = worker.report(name, c.term());
             largest_report = largest_report.max(report.tasks.len());
             let orders = c.on_heartbeat(&report, now).expect("its term");
             worker.obey(&orders);
@@ -263,9 +271,8 @@
                 break;
             };
             let version = kept.apply(&txn);
-            let Leader { batcher, jobs, .. } = &mut c;
-            let verdict = batcher.on_committed(jobs, version, now);
-            c.on_commit_result(verdict, now).expect("its term");
+            c.on_batch_outcome(Outcome::Committed(version), now)
+                .expect("its term");
             for action in c.take_actions() {
                 let Action::SendCommands {
                     host,
@@ -278,7 +285,7 @@
                 };
                 let worker = workers.get_mut(&host).expect("a machine of the test");
                 worker.obey(&orders);
-                let report = Box::new(worker.report(&host, c.term));
+                let report = Box::new(worker.report(&host, c.term()));
                 let result = CommandResult::Heartbeat(report);
                 c.on_command_result(&host, session, &orders, result, now)
                     .expect("its term");
--- a/tests/traces.rs
+++ b/tests/traces.rs
@@ -9,7 +9,7 @@
 use std::fs;
 use std::path::Path;
 
-use lichencrank::coordination::fleet::ProvisionResult;
+use lichencrank::coordination::autoscaling::provisioning::ProvisionResult;
 use lichencrank::coordination::{Action, CommandResult, Leader, LeadershipLost, Policy};
 use lichencrank::protocol::cloud::{ListedHost, ListedHostState, MachineType};
 use lichencrank::protocol::users::{JobKind, JobSpec, JobState, Priority};
@@ -19,6 +19,7 @@
 use lichencrank::protocol::Amount;
 use lichencrank::settings::{Team, Tuning};
 use lichencrank::storage::records::{JobRecord, OutcomeRecord, RunRecord};
+use lichencrank::storage::store::Outcome;
 use lichencrank::types::{
     Attempt, HostName, Incarnation, JobId, SequenceNumber, TaskId, Term, Time, Version,
 };
@@ -135,7 +136,7 @@
             machine("big", 16.0, 64.0, 1.2, &["a"]),
         ];
         let mut controller = Leader::new(TERM, Version(1), rules(), types, Time(0));
-        controller.lease_valid_until = FOREVER;
+        controller.set_lease_valid_until(FOREVER);
         Replay {
             controller,
             now: Time(0),
@@ -316,21 +317,19 @@
             .collect();
         self.say(&format!("if {}", guards.join(" ")));
         let now = self.now;
-        let Leader { batcher, jobs, .. } = &mut self.controller;
-        let verdict = match how {
+        let outcome = match how {
             [] => {
                 self.version += 1;
-                batcher.on_committed(jobs, Version(self.version), now)
+                Outcome::Committed(Version(self.version))
             }
-            ["lost"] => return batcher.on_response_lost(),
-            ["refused"] => return batcher.on_refused(),
+            ["lost"] => Outcome::Unknown,
+            ["refused"] => Outcome::Refused,
             ["conflict", keys @ ..] => {
-                let keys: Vec<String> = keys.iter().map(|k| (*k).to_owned()).collect();
-                batcher.on_conflict(jobs, &keys)
+                Outcome::Conflict(keys.iter().map(|k| (*k).to_owned()).collect())
             }
             other => panic!("write {other:?}?"),
         };
-        let result = self.controller.on_commit_result(verdict, now);
+        let result = self.controller.on_batch_outcome(outcome, now);
         self.checked(result);
     }
 
@@ -382,9 +381,9 @@
             "records" => {
                 let mut rules = rules();
                 rules.records = words[1].parse().expect("a number");
-                let types = std::mem::take(&mut self.controller.types);
+                let types = self.controller.machine_types().to_vec();
                 self.controller = Leader::new(TERM, Version(1), rules, types, Time(0));
-                self.controller.lease_valid_until = FOREVER;
+                self.controller.set_lease_valid_until(FOREVER);
             }
             "loaded" => self.controller.on_loaded(now),
             "cancel" => self.controller.on_job_deleted(id(words[1]), now),
@@ -422,21 +421,17 @@
             }
             "write" => self.write(&words[1..]),
             "reread" => {
-                for (job, chunk) in self.controller.batcher.take_version_unknown() {
-                    let Leader { batcher, jobs, .. } = &mut self.controller;
-                    batcher.on_version_read(
-                        jobs,
-                        job,
-                        chunk,
-                        Version(words[1].parse().expect("a version")),
-                    );
+                let version = Version(words[1].parse().expect("a version"));
+                for (job, chunk) in self.controller.take_records_of_unknown_version() {
+                    let version = Some(version);
+                    self.controller.on_run_record_version(job, chunk, version);
                 }
             }
             "lease" => {
-                self.controller.lease_valid_until = match words[1] {
+                self.controller.set_lease_valid_until(match words[1] {
                     "stands" => FOREVER,
                     until => Time((until.parse::<f64>().expect("seconds") * 1000.0) as u64),
-                };
+                });
             }
             "thaw" => self.controller.resumed_after_pause(),
             "tick" => self.controller.tick(now, now.0),
@@ -471,7 +466,7 @@
                 self.controller.on_host_list(&[item], now);
             }
             "machines" => {
-                let known = self.controller.hosts.values();
+                let known = self.controller.cluster().hosts().values();
                 let known: Vec<String> = known
                     .map(|h| format!("{} {:?}", h.name, h.lifecycle))
                     .collect();
@@ -479,9 +474,10 @@
             }
             "unheard" => {
                 let zones = words[1..].iter().map(|z| (*z).to_owned());
-                self.controller.zones_without_reachable_peer = zones.collect();
+                self.controller
+                    .set_controller_reach(zones.collect(), BTreeMap::new());
             }
-            "show" => match self.controller.jobs.get(&id(words[1])) {
+            "show" => match self.controller.cluster().jobs().get(&id(words[1])) {
                 Some(j) => {
                     let line = format!(
                         "{:?}: {} waiting, {} booked, {} done",
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -1,7 +1,7 @@
 //! Tables for what comes over the wire: good, odd, and hostile.
 
 use ciborium::Value;
-use lichencrank::coordination::jobs::Job;
+use lichencrank::coordination::cluster::job::Job;
 use lichencrank::protocol::users::{read_submission, Submission};
 use lichencrank::protocol::{decode, encode, workers};
 use lichencrank::storage::records::JobRecord;
--- a/tests/zones_leader.rs
+++ b/tests/zones_leader.rs
@@ -1,7 +1,7 @@
 //! What the leader decides while a zone is lost: who is given up first, what waits for proof, where
 //! nothing is rented, and what the next leader continues with.
 
-use lichencrank::coordination::hosts::HostLifecycle;
+use lichencrank::coordination::cluster::host::HostLifecycle;
 use lichencrank::coordination::{Action, Leader, Policy};
 use lichencrank::features::Features;
 use lichencrank::protocol::cloud::{ListedHost, ListedHostState, MachineType};
@@ -10,6 +10,7 @@
 use lichencrank::protocol::Amount;
 use lichencrank::settings::{Settings, Tuning};
 use lichencrank::storage::records::JobRecord;
+use lichencrank::storage::store::Outcome;
 use lichencrank::types::{HostName, Incarnation, JobId, SequenceNumber, Term, Time, Version};
 use lichencrank_zones::{ControllerReach, ZoneState, ZonesRecord};
 
@@ -83,6 +84,8 @@
     revision: u64,
     /// Zones that are cut off.
     cut: Vec<&'static str>,
+    /// Zones of which the leader reaches no controller.
+    without_peer: Vec<String>,
     rented_in: Vec<String>,
     released: Vec<HostName>,
 }
@@ -97,7 +100,7 @@
         };
         let rules = Policy::new(&settings.settings, &tuning, &features);
         let mut controller = Leader::new(TERM, Version(1), rules, vec![kind()], Time(0));
-        controller.lease_valid_until = Time(u64::MAX);
+        controller.set_lease_valid_until(Time(u64::MAX));
         controller.on_zones_record(None, Time(0));
         controller.on_loaded(Time(0));
         let mut leader = SimulatedLeader {
@@ -106,6 +109,7 @@
             tick: 0,
             revision: 10,
             cut: Vec::new(),
+            without_peer: Vec::new(),
             rented_in: Vec::new(),
             released: Vec::new(),
         };
@@ -128,7 +132,9 @@
                 }
             };
             let controllers = ["a", "b"].map(|zone| (zone.to_owned(), reach(zone)));
-            self.controller.zone_controllers = controllers.into();
+            let without_peer = self.without_peer.clone();
+            self.controller
+                .set_controller_reach(without_peer, controllers.into());
             self.controller.tick(self.now, self.now.0);
             self.write();
             self.act();
@@ -149,7 +155,7 @@
     }
 
     fn report(&mut self, zone: &str, host: HostName) {
-        let booked = self.controller.hosts.get(&host);
+        let booked = self.controller.cluster().hosts().get(&host);
         let bookings = booked.into_iter().flat_map(|h| h.allocations.iter());
         let tasks = bookings.map(|(task, booking)| AttemptStatus {
             task: *task,
@@ -178,10 +184,9 @@
         while let Some(txn) = self.controller.next_batch(16, true) {
             assert!(!txn.conditions.is_empty());
             self.revision += 1;
-            let Leader { batcher, jobs, .. } = &mut self.controller;
-            let verdict = batcher.on_committed(jobs, Version(self.revision), self.now);
+            let outcome = Outcome::Committed(Version(self.revision));
             self.controller
-                .on_commit_result(verdict, self.now)
+                .on_batch_outcome(outcome, self.now)
                 .expect("its term");
         }
     }
@@ -203,11 +208,11 @@
     }
 
     fn waiting(&self, number: u64) -> u32 {
-        self.controller.jobs[&JobId(number)].waiting_count()
+        self.controller.cluster().jobs()[&JobId(number)].waiting_count()
     }
 
     fn host_of(&self, number: u64) -> HostName {
-        let job = &self.controller.jobs[&JobId(number)];
+        let job = &self.controller.cluster().jobs()[&JobId(number)];
         job.allocated_hosts().next().expect("booked").clone()
     }
 
@@ -293,7 +298,7 @@
     leader.cut.clear();
     leader.pass(60);
     assert_eq!(leader.released.len(), released);
-    let hosts = leader.controller.hosts.values();
+    let hosts = leader.controller.cluster().hosts().values();
     let up = hosts.filter(|h| h.zone == "b" && h.lifecycle == HostLifecycle::Up);
     assert_eq!(up.count(), MACHINES as usize - released);
 }
@@ -342,7 +347,7 @@
 fn a_new_leader_does_not_take_machines_of_a_cut_zone_for_unbooted() {
     let mut leader = SimulatedLeader::new("");
     leader.cut.push("b");
-    leader.controller.zones_without_reachable_peer = vec!["b".to_owned()];
+    leader.without_peer.push("b".to_owned());
     let unheard = name("b", 99);
     let listed = ListedHost {
         name: unheard.clone(),
