--- a/src/coordination/autoscaling/forecast.rs
+++ b/src/coordination/autoscaling/forecast.rs
@@ -8,7 +8,7 @@
 use crate::coordination::autoscaling::timeline::{Starts, Timeline};
 use crate::coordination::resources::Resources;
 use crate::coordination::scheduling::scoring;
-use crate::coordination::Leader;
+use crate::coordination::{Leader, View};
 use crate::protocol::cloud::MAX_PROVISION_COUNT;
 use crate::protocol::users::JobSpec;
 use crate::types::Time;
@@ -77,9 +77,9 @@
     }
 
     /// Counts one more machine of that pool, unless enough are wanted there.
-    fn may_want(&mut self, pool: &CapacityPool, controller: &Leader) -> bool {
+    fn may_want(&mut self, pool: &CapacityPool, view: &View<'_>) -> bool {
         // Where there was nothing lately, one request is enough to ask again.
-        let doubtful = controller.autoscaler.closed.contains_key(pool);
+        let doubtful = view.autoscaler.closed.contains_key(pool);
         let most = if doubtful {
             MAX_PROVISION_COUNT
         } else {
@@ -107,48 +107,12 @@
     overflow_ready: f64,
 }
 
-impl Leader {
-    /// Rents what waiting work needs beyond the machines that are here or coming. A forecast tells
-    /// when each waiting task would start on those; only where that is too late, and a new machine
-    /// would be sooner, one is rented.
-    pub(crate) fn rent(&mut self, scarce: &[bool], now: Time) {
-        let coming = self.autoscaler.coming(now);
-        let mut works = self.waiting_work(now);
-        let waiting_now: u64 = works.iter().map(|w| w.tasks).sum();
-        works.extend(self.all_work_to_come(&coming, scarce));
-        if works.is_empty() {
-            return;
-        }
-        let mut forecast = Forecast {
-            timelines: self.timelines(now),
-            wanted: BTreeMap::new(),
-            tasks: 0,
-            now,
-        };
-        for work in &works {
-            self.forecast_work(work, scarce, &mut forecast);
-        }
-        let Forecast {
-            timelines,
-            wanted,
-            tasks,
-            ..
-        } = forecast;
-        tracing::debug!(
-            "forecast: {tasks} tasks, {waiting_now} waiting now, on {} machines; {} more wanted",
-            timelines.len(),
-            wanted.values().sum::<u64>()
-        );
-        for (pool, count) in wanted {
-            self.order(pool, count, now);
-        }
-    }
-
+impl View<'_> {
     /// The tasks that wait, in the order in which they are served.
     fn waiting_work(&self, now: Time) -> Vec<Work<'_>> {
         let mut works = Vec::new();
         for rank in self.ranked() {
-            let Some(job) = self.cluster.jobs.get(&rank.id) else {
+            let Some(job) = self.cluster.jobs().get(&rank.id) else {
                 continue;
             };
             let Some(spec) = &job.spec else { continue };
@@ -157,7 +121,7 @@
             }
             works.push(Work {
                 spec,
-                run: self.expected_run(job),
+                run: self.run_times.expected_s(job),
                 due: job.due_in_s(self.clock.day_ms),
                 tasks: u64::from(job.schedulable_count()).min(self.team_room(job)),
                 from: 0.0,
@@ -312,7 +276,7 @@
         let horizon = self.least_ready(spec, &self.usable_types(spec, scarce));
         let share = (horizon / window).min(1.0);
         let from = (window - age) * share;
-        let run = self.expected_run_of(spec);
+        let run = self.run_times.expected_of_spec_s(spec);
         Some(Work {
             spec,
             run,
@@ -324,3 +288,42 @@
         .filter(|w| w.tasks > 0)
     }
 }
+
+impl Leader {
+    /// Rents what waiting work needs beyond the machines that are here or coming. A forecast tells
+    /// when each waiting task would start on those; only where that is too late, and a new machine
+    /// would be sooner, one is rented.
+    pub(crate) fn rent(&mut self, scarce: &[bool], now: Time) {
+        let coming = self.autoscaler.coming(now);
+        let view = self.view();
+        let mut works = view.waiting_work(now);
+        let waiting_now: u64 = works.iter().map(|w| w.tasks).sum();
+        works.extend(self.view().all_work_to_come(&coming, scarce));
+        if works.is_empty() {
+            return;
+        }
+        let mut forecast = Forecast {
+            timelines: self.view().timelines(now),
+            wanted: BTreeMap::new(),
+            tasks: 0,
+            now,
+        };
+        for work in &works {
+            self.view().forecast_work(work, scarce, &mut forecast);
+        }
+        let Forecast {
+            timelines,
+            wanted,
+            tasks,
+            ..
+        } = forecast;
+        tracing::debug!(
+            "forecast: {tasks} tasks, {waiting_now} waiting now, on {} machines; {} more wanted",
+            timelines.len(),
+            wanted.values().sum::<u64>()
+        );
+        for (pool, count) in wanted {
+            self.order(pool, count, now);
+        }
+    }
+}
--- a/src/coordination/autoscaling/pools.rs
+++ b/src/coordination/autoscaling/pools.rs
@@ -2,7 +2,7 @@
 
 use crate::coordination::autoscaling::provisioning::CapacityPool;
 use crate::coordination::scheduling::scoring::{self, capacity};
-use crate::coordination::Leader;
+use crate::coordination::View;
 use crate::protocol::users::{JobSpec, Priority};
 use crate::types::Time;
 
@@ -31,7 +31,7 @@
     pub(crate) left: u64,
 }
 
-impl Leader {
+impl View<'_> {
     /// The pool to rent from, if the task would start too late otherwise.
     pub(crate) fn worth_renting(
         &self,
@@ -60,7 +60,7 @@
 
     /// How soon a task of the job could start on any machine rented now.
     pub(crate) fn least_ready(&self, spec: &JobSpec, usable: &[bool]) -> f64 {
-        let kinds = (0..self.cluster.types.len()).filter(|k| usable[*k]);
+        let kinds = (0..self.cluster.machine_types().len()).filter(|k| usable[*k]);
         kinds
             .map(|kind| self.ready_after(spec, kind))
             .fold(f64::INFINITY, f64::min)
@@ -77,7 +77,7 @@
         // Spot machines serve nearly as well at a third of the price: for work that may use them,
         // an ordinary one is worth its price only when there are none, and the wait is long.
         let spot_left = usable.iter().enumerate().any(|(kind, usable)| {
-            let mut zones = self.cluster.types[kind].zones.iter();
+            let mut zones = self.cluster.machine_types()[kind].zones.iter();
             *usable
                 && zones.any(|z| {
                     !self.is_closed(
@@ -94,7 +94,7 @@
         let worth = spec.priority != Priority::BestEffort;
         let ordinary = !spec.spot || (worth && !spot_left && outlook.start > ORDINARY_AFTER_S);
         let mut best: Option<(f64, CapacityPool)> = None;
-        for (type_index, machine_type) in self.cluster.types.iter().enumerate() {
+        for (type_index, machine_type) in self.cluster.machine_types().iter().enumerate() {
             if !usable[type_index] {
                 continue;
             }
@@ -130,7 +130,7 @@
         type_index: usize,
         spot: bool,
     ) -> f64 {
-        let machine_type = &self.cluster.types[type_index];
+        let machine_type = &self.cluster.machine_types()[type_index];
         let fits = scoring::need(spec).times_in(&capacity(machine_type)).max(1);
         let ready = self.ready_after(spec, type_index);
         let span = ready + outlook.run;
@@ -160,7 +160,7 @@
 
     /// How long a machine rented now takes until a task of the job can start on it.
     fn ready_after(&self, spec: &JobSpec, kind: usize) -> f64 {
-        let t = &self.cluster.types[kind];
+        let t = &self.cluster.machine_types()[kind];
         t.boot_s.0 + spec.image_gb.0 / t.fetch_gb_per_s.0.max(0.01)
     }
 }
--- a/src/coordination/autoscaling/provisioning.rs
+++ b/src/coordination/autoscaling/provisioning.rs
@@ -3,10 +3,10 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
 
-use crate::coordination::cluster::host::{CordonReason, Host, HostLifecycle};
-use crate::coordination::{Action, Leader};
+use crate::coordination::cluster::ProvisionedHosts;
+use crate::coordination::{Action, Leader, View};
 use crate::protocol::cloud::{
-    ListedHost, ListedHostState, ProvisionRequest, MAX_PROVISION_COUNT, MAX_RELEASE_COUNT,
+    ListedHost, ProvisionRequest, MAX_PROVISION_COUNT, MAX_RELEASE_COUNT,
 };
 use crate::protocol::users::JobSpec;
 use crate::types::{HostName, Term, Time};
@@ -94,6 +94,8 @@
 /// What came in this time is taken for the usual rhythm.
 pub const ARRIVALS_FOR: Duration = Duration::from_secs(90);
 const MAX_ARRIVALS: usize = 1000;
+/// Classes that are remembered.
+const MAX_CLASSES: usize = 1000;
 const LOOK_EVERY: Duration = Duration::from_millis(500);
 /// Each machine known makes the looks this much rarer, so that they take the same share of the
 /// processor at any size.
@@ -121,13 +123,19 @@
         }
     }
 
-    /// Notes a job that came at that time.
-    pub fn arrived(&mut self, at: Time, spec: &JobSpec) {
-        let spec = Box::new(spec.clone());
-        self.arrivals.push_back(Arrival { at, spec });
+    /// Notes a job that was submitted at that time.
+    pub(crate) fn on_job_arrived(&mut self, at: Time, spec: &JobSpec) {
+        let arrival = Arrival {
+            at,
+            spec: Box::new(spec.clone()),
+        };
+        self.arrivals.push_back(arrival);
         if self.arrivals.len() > MAX_ARRIVALS {
             self.arrivals.pop_front();
         }
+        if !self.seen_classes.contains(&spec.class) && self.seen_classes.len() < MAX_CLASSES {
+            self.seen_classes.insert(spec.class.clone());
+        }
     }
 
     /// The jobs that came in the last while.
@@ -165,16 +173,23 @@
     spec: Box<JobSpec>,
 }
 
+impl View<'_> {
+    pub(crate) fn is_closed(&self, pool: &CapacityPool, now: Time) -> bool {
+        let closed = self.autoscaler.closed.get(pool);
+        closed.is_some_and(|until| now < *until) || !self.may_rent_in(&pool.zone)
+    }
+}
+
 impl Leader {
-    pub(crate) fn run_fleet(&mut self, now: Time) {
+    pub(crate) fn run_autoscaler(&mut self, now: Time) {
         self.send_releases(now);
         self.repeat_rentals(now);
         if now < self.autoscaler.look_at {
             return;
         }
-        let pause = LOOK_EVERY + LOOK_PER_HOST * self.cluster.hosts.len() as u32;
+        let pause = LOOK_EVERY + LOOK_PER_HOST * self.cluster.hosts().len() as u32;
         self.autoscaler.look_at = now.after(pause);
-        let scarce = self.scarce_types();
+        let scarce = self.view().scarce_types();
         let kinds = scarce.iter().enumerate();
         self.autoscaler
             .scarce
@@ -264,75 +279,26 @@
             self.autoscaler
                 .closed
                 .insert(open.pool, now.after(CLOSED_FOR));
-        } else if !self.is_closed(&open.pool, now) {
+        } else if !self.view().is_closed(&open.pool, now) {
             self.autoscaler.closed.remove(&open.pool);
         }
-        for name in names {
-            if self.cluster.released_hosts.contains_key(&name) {
-                continue;
-            }
-            let host = self
-                .cluster
-                .hosts
-                .entry(name.clone())
-                .or_insert_with(|| Host::new(name, now));
-            host.type_index = Some(type_index);
-            host.zone = zone.clone();
-            host.spot = spot;
-            host.provisioned_at = open.at;
-        }
+        self.cluster.add_provisioned(
+            ProvisionedHosts {
+                names,
+                type_index,
+                zone,
+                spot,
+                requested_at: open.at,
+            },
+            now,
+        );
     }
 
-    /// The cloud's list, whole. It lags: what it lacks proves nothing.
+    /// Takes in the cloud's list of hosts, whole. It lags: what it lacks proves nothing.
     pub fn on_host_list(&mut self, listed: &[ListedHost], now: Time) {
-        let names: BTreeSet<&HostName> = listed.iter().map(|item| &item.name).collect();
-        for host in self.cluster.hosts.values_mut() {
-            // Once listed, a machine stays listed until it is gone; only a list from before its
-            // time could lack it, and that can't be any more. It is not proof for its allocations, but
-            // the cloud's word when it is released is.
-            let long_known = now.since(host.provisioned_at) > self.policy.list_lag * 2;
-            host.missing_from_list = host.was_listed && long_known && !names.contains(&host.name);
-        }
-        for item in listed {
-            if self.cluster.released_hosts.contains_key(&item.name) {
-                continue;
-            }
-            let name = item.name.clone();
-            let kind = self
-                .cluster
-                .types
-                .iter()
-                .position(|t| t.name == item.machine_type);
-            let host = self.cluster.hosts.entry(name.clone()).or_insert_with(|| {
-                tracing::info!("{name}: found in the list");
-                let mut host = Host::new(name.clone(), now);
-                host.provisioned_at = Time(
-                    now.0
-                        .saturating_sub((item.age_s.0.max(0.0) * 1000.0) as u64),
-                );
-                host
-            });
-            host.type_index = host.type_index.or(kind);
-            if host.zone.is_empty() {
-                host.zone = item.zone.clone();
-                host.spot = item.spot;
-            }
-            host.was_listed = true;
-            if host.address.is_none() {
-                host.address = item.address.parse().ok();
-            }
-            match item.state {
-                ListedHostState::Running => {
-                    host.listed_running_since.get_or_insert(now);
-                }
-                ListedHostState::Failed if host.lifecycle != HostLifecycle::Releasing => {
-                    tracing::info!("{name}: failed, says the cloud");
-                    host.cordon(CordonReason::Lost);
-                    host.set_lifecycle(HostLifecycle::Releasing);
-                    self.autoscaler.release(name);
-                }
-                ListedHostState::Failed | ListedHostState::Starting | ListedHostState::Other => {}
-            }
+        let max_lag = self.policy.list_lag * 2;
+        for failed in self.cluster.on_host_list(listed, max_lag, now) {
+            self.autoscaler.release(failed);
         }
     }
 
@@ -346,7 +312,7 @@
             let request = format!("r-{}-{}", self.autoscaler.term, self.autoscaler.counter);
             let rental = ProvisionRequest {
                 name: request.clone(),
-                machine_type: self.cluster.types[pool.type_index].name.clone(),
+                machine_type: self.cluster.machine_types()[pool.type_index].name.clone(),
                 zone: pool.zone.clone(),
                 spot: pool.spot,
                 count: part,
@@ -361,9 +327,4 @@
             self.actions.push(Action::ScaleOut(rental));
         }
     }
-
-    pub(crate) fn is_closed(&self, pool: &CapacityPool, now: Time) -> bool {
-        let closed = self.autoscaler.closed.get(pool);
-        closed.is_some_and(|until| now < *until) || !self.may_rent_in(&pool.zone)
-    }
 }
--- a/src/coordination/autoscaling/scale_in.rs
+++ b/src/coordination/autoscaling/scale_in.rs
@@ -3,9 +3,9 @@
 use std::cmp::Ordering;
 use std::time::Duration;
 
-use crate::coordination::cluster::host::{CordonReason, HostLifecycle};
+use crate::coordination::cluster::host::{CordonReason, Host, HostLifecycle};
 use crate::coordination::scheduling::scoring::capacity;
-use crate::coordination::Leader;
+use crate::coordination::{Leader, View};
 use crate::types::{seconds, HostName, Time};
 
 /// The cloud charges at least a minute; a machine that goes back earlier saves nothing.
@@ -20,50 +20,19 @@
     cpus: f64,
 }
 
-impl Leader {
-    /// Scale down by cordoning. Headroom spreads work thinly over all machines, so that none ever
-    /// idles; what the recent peak of demand does not need is therefore closed, the dearest first,
-    /// runs empty, and goes back. When demand rises it is opened again before any is rented.
-    pub(crate) fn cordon_surplus(&mut self, scarce: &[bool], now: Time) {
-        let window = seconds(self.policy.tuning.idle_return_s);
-        let ordinary = self.ordinary_kept(now);
-        for group in [false, true] {
-            let demand = self.demand(scarce, group);
-            let peak = self.autoscaler.peaks[usize::from(group)].note(now, demand, window);
-            let wanted = peak * (1.0 + self.policy.tuning.spare_share);
-            let candidates = self.scale_in_candidates(scarce, group);
-            let mut kept = 0.0;
-            for ScaleInCandidate { name, cpus, .. } in candidates {
-                let Some(host) = self.cluster.hosts.get_mut(&name) else {
-                    continue;
-                };
-                if kept < wanted || ordinary.contains(&name) {
-                    kept += cpus;
-                    if host.uncordon() {
-                        self.cluster.scheduling_requested = true;
-                    }
-                } else if now >= host.keep_open_until {
-                    host.cordon(CordonReason::Surplus);
-                    if host.cordon == Some(CordonReason::Surplus) {
-                        host.surplus_since.get_or_insert(now);
-                    }
-                }
-            }
-        }
-    }
-
+impl View<'_> {
     /// The hosts of the group that may be kept or cordoned as surplus, those to be kept first: the
     /// cheapest per CPU, then the fullest.
     fn scale_in_candidates(&self, scarce: &[bool], group: bool) -> Vec<ScaleInCandidate> {
         let mut candidates: Vec<ScaleInCandidate> = self
             .cluster
-            .hosts
+            .hosts()
             .values()
             .filter(|h| h.lifecycle == HostLifecycle::Up)
             .filter(|h| matches!(h.cordon, None | Some(CordonReason::Surplus)))
             .filter_map(|h| {
                 let kind = h.type_index.filter(|k| scarce.get(*k) == Some(&group))?;
-                let machine_type = self.cluster.types.get(kind)?;
+                let machine_type = self.cluster.machine_types().get(kind)?;
                 let price = if h.spot {
                     machine_type.spot_price.0
                 } else {
@@ -90,11 +59,11 @@
     /// CPUs that booked and waiting work takes, on the scarce types or on the others.
     fn demand(&self, scarce: &[bool], group: bool) -> f64 {
         let mut demand = 0.0;
-        for host in self.cluster.hosts.values() {
+        for host in self.cluster.hosts().values() {
             let Some(kind) = host.type_index.filter(|k| scarce.get(*k) == Some(&group)) else {
                 continue;
             };
-            let Some(t) = self.cluster.types.get(kind) else {
+            let Some(t) = self.cluster.machine_types().get(kind) else {
                 continue;
             };
             let whole = capacity(t);
@@ -106,7 +75,7 @@
                 0.0
             };
         }
-        for job in self.cluster.jobs.values() {
+        for job in self.cluster.jobs().values() {
             let (Some(spec), true) = (&job.spec, job.waiting_count() > 0) else {
                 continue;
             };
@@ -121,21 +90,50 @@
         }
         demand
     }
+}
+
+impl Leader {
+    /// Scale down by cordoning. Headroom spreads work thinly over all machines, so that none ever
+    /// idles; what the recent peak of demand does not need is therefore closed, the dearest first,
+    /// runs empty, and goes back. When demand rises it is opened again before any is rented.
+    pub(crate) fn cordon_surplus(&mut self, scarce: &[bool], now: Time) {
+        let window = seconds(self.policy.tuning.idle_return_s);
+        let ordinary = self.ordinary_kept(now);
+        for group in [false, true] {
+            let demand = self.view().demand(scarce, group);
+            let peak = self.autoscaler.peaks[usize::from(group)].note(now, demand, window);
+            let wanted = peak * (1.0 + self.policy.tuning.spare_share);
+            let candidates = self.view().scale_in_candidates(scarce, group);
+            let mut kept = 0.0;
+            for ScaleInCandidate { name, cpus, .. } in candidates {
+                let Some(host) = self.cluster.host(&name) else {
+                    continue;
+                };
+                if kept < wanted || ordinary.contains(&name) {
+                    kept += cpus;
+                    self.cluster.uncordon_surplus(&name);
+                } else if now >= host.keep_open_until {
+                    self.cluster.cordon_surplus(&name, now);
+                }
+            }
+        }
+    }
 
     /// Machines that are closed for good reasons and empty go back.
     pub(crate) fn return_empty(&mut self, now: Time) {
-        let mut returned = Vec::new();
-        for host in self.cluster.hosts.values_mut() {
-            let empty = host.lifecycle == HostLifecycle::Up && host.allocations.is_empty();
+        let is_releasable = |host: &&Host| {
+            let is_empty = host.is_up() && host.allocations.is_empty();
             // What has been paid for anyway may stay.
-            let paid = now.since(host.provisioned_at) < MIN_PAID;
-            let closed = host.cordon.is_some_and(|c| c != CordonReason::Reclaimed);
-            if empty && closed && !paid {
-                host.set_lifecycle(HostLifecycle::Releasing);
-                returned.push(host.name.clone());
-            }
-        }
-        for name in returned {
+            let is_paid_for = now.since(host.provisioned_at) < MIN_PAID;
+            let is_cordoned = host
+                .cordon
+                .is_some_and(|reason| reason != CordonReason::Reclaimed);
+            is_empty && is_cordoned && !is_paid_for
+        };
+        let releasable = self.cluster.hosts().values().filter(is_releasable);
+        let names: Vec<HostName> = releasable.map(|host| host.name.clone()).collect();
+        for name in names {
+            self.cluster.release_empty(&name);
             self.autoscaler.release(name);
         }
     }
--- a/src/coordination/autoscaling/timeline.rs
+++ b/src/coordination/autoscaling/timeline.rs
@@ -7,7 +7,7 @@
 use crate::coordination::cluster::host::{CordonReason, Host, HostLifecycle};
 use crate::coordination::resources::Resources;
 use crate::coordination::scheduling::scoring::{self, capacity};
-use crate::coordination::Leader;
+use crate::coordination::View;
 use crate::protocol::users::JobSpec;
 use crate::types::Time;
 
@@ -112,10 +112,10 @@
     }
 }
 
-impl Leader {
+impl View<'_> {
     /// Machines that are here or coming, and when their room gets free.
     pub(crate) fn timelines(&self, now: Time) -> Vec<Timeline> {
-        let hosts = self.cluster.hosts.values();
+        let hosts = self.cluster.hosts().values();
         let mut timelines: Vec<Timeline> = hosts.filter_map(|h| self.timeline(h, now)).collect();
         for open in self.autoscaler.rentals.values() {
             for _ in 0..open.rental.count {
@@ -128,7 +128,7 @@
     /// The timeline of a machine, unless nothing can be expected of it.
     pub(crate) fn timeline(&self, host: &Host, now: Time) -> Option<Timeline> {
         let kind = host.type_index?;
-        let machine_type = self.cluster.types.get(kind)?;
+        let machine_type = self.cluster.machine_types().get(kind)?;
         let at = match host.lifecycle {
             HostLifecycle::Up if matches!(host.cordon, None | Some(CordonReason::Surplus)) => 0.0,
             HostLifecycle::Expected => {
@@ -147,9 +147,10 @@
         let mut ends = Vec::new();
         let mut for_services = capacity(machine_type);
         for (task, allocation) in &host.allocations {
-            let job = self.cluster.jobs.get(&task.job);
+            let job = self.cluster.jobs().get(&task.job);
             let rest = job.map_or(UNKNOWN_REST_S, |j| {
-                self.expected_rest(j, allocation.started_at, now)
+                self.run_times
+                    .expected_remaining_s(j, allocation.started_at, now)
             });
             ends.push((rest, allocation.resources));
             if self.is_service(*task) {
@@ -169,7 +170,7 @@
     }
 
     pub(crate) fn new_timeline(&self, pool: CapacityPool) -> Timeline {
-        let machine_type = &self.cluster.types[pool.type_index];
+        let machine_type = &self.cluster.machine_types()[pool.type_index];
         Timeline {
             kind: pool.type_index,
             zone: pool.zone,
--- a/src/coordination/cluster/host.rs
+++ b/src/coordination/cluster/host.rs
@@ -1,197 +1,162 @@
-//! A machine's life, and what is booked on it.
+//! A host as the leader knows it: its lifecycle, its reachability and what is allocated on it.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
+pub use super::allocation::{Allocation, AllocationPhase, StopReason};
 use crate::coordination::resources::Resources;
-use crate::protocol::workers::{AttemptState, AttemptStatus, WorkerHeartbeat};
+use crate::protocol::workers::WorkerHeartbeat;
 use crate::types::{Attempt, HostName, Incarnation, JobId, SequenceNumber, TaskId, Term, Time};
 
-/// Where a machine is in its life.
+/// So many commands in a row without an effect make a host half-open: a lost message or two prove nothing.
+const HALF_OPEN_AFTER: u32 = 3;
+
+/// Where a host is in its life.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HostLifecycle {
-    /// Rented or listed, but its worker has not reported to this leader.
+    /// Provisioned or listed; its worker has not sent a heartbeat to this leader.
     Expected,
-    /// Reports come.
+    /// Heartbeats arrive.
     Up,
-    /// Reports have stopped.
+    /// It missed heartbeats for too long.
     Unresponsive,
-    /// The cloud has been told to take it back; there is no way back from here.
+    /// It is being released. This is final.
     Releasing,
 }
 
-/// Why nothing new is placed on a machine.
+/// Why nothing new is placed on a host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CordonReason {
-    /// Not needed for the work there is; opened again if that grows.
+    /// The present demand does not need it. It is uncordoned if demand rises.
     Surplus,
-    /// The cloud takes it back.
+    /// The cloud has given notice that it reclaims the host.
     Reclaimed,
-    /// It fails tasks.
+    /// It fails tasks that succeed elsewhere.
     Faulty,
-    /// It has been silent, or never came up.
+    /// It is declared lost: it missed heartbeats for too long, or never came up.
     Lost,
 }
 
-/// Whether what this leader says reaches the machine. Reports alone don't prove it.
+/// Whether commands reach the worker. That its heartbeats arrive does not prove it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reachability {
     /// Nothing speaks against it.
     Confirmed,
-    /// A command got no answer, or it was silent: nothing new goes there until the next sign.
+    /// A command had no effect, or the host was silent: nothing new is placed there until the next sign.
     Unconfirmed,
-    /// Its reports come, but answers and commands don't reach it.
+    /// Its heartbeats arrive, but neither responses nor commands reach it.
     HalfOpen {
         /// When that was found.
         since: Time,
     },
 }
 
-/// How far a allocation is.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum AllocationPhase {
-    /// The allocation is not known to be written; no `run` may leave.
-    Persisting,
-    /// Written; `run` may be sent, and may have been.
-    Committed,
-    /// The worker has reported it alive.
-    Observed,
-}
-
-/// Why a task is to be stopped.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum StopReason {
-    /// Its job was cancelled.
-    Cancelled,
-    /// Its machine is about to go.
-    Drained,
-    /// Work of a higher priority needs the room.
-    Preempted,
-}
-
-/// A task's place on a machine, from before its start until it is proven to have ended.
-#[derive(Clone, Debug)]
-pub struct Allocation {
-    /// Which attempt at the task.
-    pub attempt: Attempt,
-    /// Incarnation of the worker for which it was booked.
+/// Orders the messages of one worker: by incarnation, then by sequence number.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
+pub struct HeartbeatId {
+    /// Incarnation of the worker.
     pub incarnation: Incarnation,
-    /// What the task takes.
-    pub resources: Resources,
-    /// How far it is.
-    pub phase: AllocationPhase,
-    /// The change of its chunk that holds the allocation.
-    pub record_change: u64,
-    /// A `run` of it may have left, under this leader or an earlier one.
-    pub run_sent: bool,
-    /// This leader sent a `run` of it directly, so copies may come late.
-    pub run_sent_directly: bool,
-    /// The last report in whose answer `run` went out.
-    pub run_sent_in_response_to: SequenceNumber,
-    /// The last report in whose answer `stop` went out.
-    pub stop_sent_in_response_to: SequenceNumber,
-    /// It is to be stopped, and why.
-    pub stop_reason: Option<StopReason>,
-    /// The worker said that it saves its progress.
-    pub saving: bool,
-    /// The worker said that it waits for its image.
-    pub fetching: bool,
-    /// When it was booked, or read from the records.
-    pub allocated_at: Time,
-    /// When it was first seen to run.
-    pub started_at: Option<Time>,
+    /// Sequence number within the incarnation.
+    pub sequence: SequenceNumber,
 }
 
-/// An attempt that ended and is still in the worker's reports.
+/// An attempt that ended and is still listed in the worker's heartbeats.
 #[derive(Clone, Copy, Debug)]
 pub struct EndedAttempt {
-    /// The change of its chunk that holds the outcome; `clear` waits for it.
+    /// The change of its run record that holds the outcome; it is cleared once that is written.
     pub record_change: u64,
-    /// The worker is to remember it until then, so that a late copy of its `run` finds it there.
+    /// The worker has to remember it until then, so that a late copy of its `run` does not start it again.
     pub retain_until: Time,
 }
 
-/// A machine as the leader knows it.
+/// An image that is likely in the host's cache.
+#[derive(Clone, Debug)]
+struct CachedImage {
+    name: String,
+    size_gb: f64,
+}
+
+/// A host as the leader knows it. Only [`super::ClusterState`] hands out hosts, and only to read.
 #[derive(Debug)]
 pub struct Host {
     /// Its name.
     pub name: HostName,
-    /// Index of its type, once that is known.
+    /// Index of its machine type, once that is known.
     pub type_index: Option<usize>,
-    /// Its zone.
+    /// Its zone; empty as long as it is not known.
     pub zone: String,
-    /// Whether it is a spot machine.
+    /// Whether it is a spot host.
     pub spot: bool,
-    /// Address for direct commands, once it has reported.
+    /// Address for direct commands, once it is known.
     pub address: Option<SocketAddr>,
     /// Where it is in its life.
     pub lifecycle: HostLifecycle,
-    /// Why nothing new is placed there, if so.
+    /// Why nothing new is placed on it, if so.
     pub cordon: Option<CordonReason>,
+    /// Whether commands reach its worker.
+    pub reachability: Reachability,
+
     /// Incarnation of its worker.
     pub incarnation: Incarnation,
-    /// SequenceNumber of the newest message of that incarnation.
+    /// Sequence number of the newest message of that incarnation.
     pub sequence: SequenceNumber,
-    /// The highest token its worker has seen, by its own word.
+    /// The highest fencing token that its worker has seen, by its own word.
     pub fencing_token: Term,
-    /// When this leader first knew of it, and when it last heard from it.
+    /// The newest heartbeat that its worker made before it saw this leader's fencing token.
+    pub last_unfenced: HeartbeatId,
+
+    /// When this leader first knew of it.
     pub first_seen_at: Time,
-    /// When this leader last heard from it.
-    pub last_heartbeat_at: Time,
-    /// When it was rented, or first seen.
+    /// When it was provisioned, or first seen.
     pub provisioned_at: Time,
-    /// When its first report came.
+    /// When its first heartbeat of this term arrived.
     pub first_heartbeat_at: Option<Time>,
-    /// When the cloud takes it away, if it gave notice.
+    /// When its last heartbeat arrived.
+    pub last_heartbeat_at: Time,
+    /// When the cloud reclaims it, if it has given notice.
     pub reclaim_at: Option<Time>,
-    /// Tasks that are booked there.
-    pub allocations: BTreeMap<TaskId, Allocation>,
-    /// Ended attempts that its worker still reports.
-    pub ended_attempts: BTreeMap<(TaskId, Attempt), EndedAttempt>,
-    /// Images that are likely there, the most recently used last, and their sizes.
-    pub cached_images: Vec<(String, f64)>,
-    /// Since when it has been closed as surplus.
+    /// Whether the cloud's list has named it.
+    pub was_listed: bool,
+    /// Whether the cloud's list has named it and no longer does.
+    pub missing_from_list: bool,
+    /// When the cloud's list first showed it as running.
+    pub listed_running_since: Option<Time>,
+    /// Since when it has been cordoned as surplus.
     pub surplus_since: Option<Time>,
-    /// It was opened for a task that is to find it open until then.
+    /// It is not cordoned as surplus before, as it was uncordoned for a certain task.
     pub keep_open_until: Time,
-    /// Attempts in its last report that are booked nowhere and wanted by nobody.
-    pub unrecorded_attempts: BTreeSet<(TaskId, Attempt)>,
-    /// Direct `run`s without an answer: each may still be executed, even minutes from now.
-    pub unacknowledged_runs: BTreeMap<(TaskId, Attempt), u32>,
+    /// When its release was last forced, as a cancelled task was still on it.
+    pub force_released_at: Option<Time>,
+
+    /// The tasks that are allocated to it.
+    pub allocations: BTreeMap<TaskId, Allocation>,
     /// What its allocations take.
     pub allocated: Resources,
-    /// Since when it has had no allocation.
-    pub idle_since: Option<Time>,
-    /// Jobs whose tasks failed there, and when.
+    /// Ended attempts that its worker still lists.
+    pub ended_attempts: BTreeMap<(TaskId, Attempt), EndedAttempt>,
+    /// Attempts in its last heartbeat that no record places there and nobody wants.
+    pub unrecorded_attempts: BTreeSet<(TaskId, Attempt)>,
+    /// How many `run` commands of each attempt were sent directly without a response. Each may still be executed,
+    /// even minutes from now.
+    unacknowledged_runs: BTreeMap<(TaskId, Attempt), u32>,
+    /// The most recently used image is the last.
+    cached_images: Vec<CachedImage>,
+    /// Jobs whose tasks failed on it, and when.
     pub failed_jobs: BTreeMap<JobId, Time>,
-    /// Failures in a row.
+    /// Failures since a task last succeeded on it.
     pub consecutive_failures: u32,
-    /// A direct command is on its way; the next one waits for its answer.
+
+    /// Whether a direct command or a probe is under way; the next one waits for its response.
     pub command_in_flight: bool,
-    /// Whether commands are known to reach it.
-    pub reachability: Reachability,
-    /// How many answers and commands in a row have shown no effect.
-    pub commands_without_effect: u32,
-    /// The last report that does not count, as its worker had not seen our token.
-    pub last_unfenced: (Incarnation, SequenceNumber),
-    /// No probe goes there before.
+    /// No probe is sent before.
     pub next_probe_at: Time,
-    /// When it was last asked for to be taken back in a hurry.
-    pub force_released_at: Option<Time>,
-    /// The cloud's list has named it, and the last one doesn't any more.
-    pub was_listed: bool,
-    /// The cloud's list once named it, and does no more.
-    pub missing_from_list: bool,
-    /// When the cloud's list first called it running.
-    pub listed_running_since: Option<Time>,
+    /// How many commands in a row had no effect.
+    commands_without_effect: u32,
 }
 
-/// So many answers and commands in a row without an effect make a machine deaf.
-const HALF_OPEN_AFTER: u32 = 3;
-
 impl Host {
-    /// A machine of which only the name is known.
-    pub fn new(name: HostName, now: Time) -> Host {
+    /// A host of which only the name is known.
+    pub(super) fn new(name: HostName, now: Time) -> Host {
         Host {
             name,
             type_index: None,
@@ -200,137 +165,181 @@
             address: None,
             lifecycle: HostLifecycle::Expected,
             cordon: None,
+            reachability: Reachability::Confirmed,
             incarnation: Incarnation(0),
             sequence: SequenceNumber(0),
             fencing_token: Term(0),
+            last_unfenced: HeartbeatId::default(),
             first_seen_at: now,
-            last_heartbeat_at: now,
             provisioned_at: now,
             first_heartbeat_at: None,
+            last_heartbeat_at: now,
             reclaim_at: None,
-            allocations: BTreeMap::new(),
-            ended_attempts: BTreeMap::new(),
-            cached_images: Vec::new(),
+            was_listed: false,
+            missing_from_list: false,
+            listed_running_since: None,
             surplus_since: None,
             keep_open_until: Time::default(),
+            force_released_at: None,
+            allocations: BTreeMap::new(),
+            allocated: Resources::default(),
+            ended_attempts: BTreeMap::new(),
             unrecorded_attempts: BTreeSet::new(),
             unacknowledged_runs: BTreeMap::new(),
-            allocated: Resources::default(),
-            idle_since: Some(now),
+            cached_images: Vec::new(),
             failed_jobs: BTreeMap::new(),
             consecutive_failures: 0,
             command_in_flight: false,
-            reachability: Reachability::Confirmed,
-            commands_without_effect: 0,
-            last_unfenced: (Incarnation(0), SequenceNumber(0)),
             next_probe_at: now,
-            force_released_at: None,
-            was_listed: false,
-            missing_from_list: false,
-            listed_running_since: None,
+            commands_without_effect: 0,
+        }
+    }
+
+    /// Whether its heartbeats arrive.
+    pub fn is_up(&self) -> bool {
+        self.lifecycle == HostLifecycle::Up
+    }
+
+    /// Whether its heartbeats arrive, but neither responses nor commands reach it.
+    pub fn is_half_open(&self) -> bool {
+        matches!(self.reachability, Reachability::HalfOpen { .. })
+    }
+
+    /// Whether the heartbeat is newer than all that arrived before; older ones count for nothing.
+    pub fn is_newer(&self, heartbeat: &WorkerHeartbeat) -> bool {
+        (heartbeat.incarnation, heartbeat.sequence) > (self.incarnation, self.sequence)
+    }
+
+    /// Whether the image is likely in its cache.
+    pub fn has_cached_image(&self, image: &str) -> bool {
+        self.cached_images.iter().any(|cached| cached.name == image)
+    }
+
+    /// Whether the host still lists an earlier attempt at the task, or one may still arrive there.
+    pub fn remembers_task(&self, task: TaskId) -> bool {
+        let attempts = (task, Attempt(0))..=(task, Attempt(u64::MAX));
+        self.ended_attempts.range(attempts.clone()).next().is_some()
+            || self.unacknowledged_runs.range(attempts).next().is_some()
+    }
+
+    /// Whether the host remembers earlier attempts at any tasks; see [`Host::remembers_task`].
+    pub fn remembers_any_task(&self) -> bool {
+        !self.ended_attempts.is_empty() || !self.unacknowledged_runs.is_empty()
+    }
+
+    /// Whether a direct `run` of the attempt got no response, so that it may still be executed.
+    pub fn is_run_unacknowledged(&self, task: TaskId, attempt: Attempt) -> bool {
+        self.unacknowledged_runs.contains_key(&(task, attempt))
+    }
+
+    /// The one place where the lifecycle changes.
+    pub(super) fn set_lifecycle(&mut self, lifecycle: HostLifecycle) {
+        if self.lifecycle != lifecycle && self.lifecycle != HostLifecycle::Releasing {
+            tracing::debug!("{}: {:?} -> {lifecycle:?}", self.name, self.lifecycle);
+            self.lifecycle = lifecycle;
         }
     }
 
-    /// The one place where a machine's life changes.
-    pub fn set_lifecycle(&mut self, life: HostLifecycle) {
-        if self.lifecycle != life && self.lifecycle != HostLifecycle::Releasing {
-            tracing::debug!("{}: {:?} -> {life:?}", self.name, self.lifecycle);
-            self.lifecycle = life;
+    /// Cordons it and marks it as being released. Returns false if it was already.
+    pub(super) fn begin_release(&mut self, reason: CordonReason) -> bool {
+        if self.lifecycle == HostLifecycle::Releasing {
+            return false;
         }
+        self.cordon(reason);
+        self.set_lifecycle(HostLifecycle::Releasing);
+        true
     }
 
-    /// The one place where the machine's ear changes.
-    pub fn set_reachability(&mut self, reachability: Reachability) {
+    /// The one place where the reachability changes.
+    pub(super) fn set_reachability(&mut self, reachability: Reachability) {
         if self.reachability != reachability {
             tracing::debug!("{}: {:?} -> {reachability:?}", self.name, self.reachability);
             self.reachability = reachability;
         }
     }
 
-    /// It did as it was told, so what is said comes through.
-    pub fn command_took_effect(&mut self) {
+    /// A command took effect, so commands reach the worker.
+    pub(super) fn command_took_effect(&mut self) {
         self.commands_without_effect = 0;
         self.set_reachability(Reachability::Confirmed);
     }
 
-    /// Something that was said shows no effect. A lost message or two prove nothing.
-    pub fn command_had_no_effect(&mut self, now: Time) {
+    /// A command should have taken effect by now and has not.
+    pub(super) fn command_had_no_effect(&mut self, now: Time) {
         self.commands_without_effect += 1;
-        if matches!(self.reachability, Reachability::HalfOpen { .. }) {
+        if self.is_half_open() {
             return;
         }
         if self.commands_without_effect >= HALF_OPEN_AFTER {
-            tracing::info!("{}: reports, but does not hear", self.name);
+            tracing::info!(
+                "{}: half-open, its heartbeats arrive but commands do not",
+                self.name
+            );
             self.set_reachability(Reachability::HalfOpen { since: now });
         } else {
             self.set_reachability(Reachability::Unconfirmed);
         }
     }
 
-    /// Closes it for new tasks. The first reason stands, save that a worse one replaces `Surplus`.
-    pub fn cordon(&mut self, why: CordonReason) {
-        if self.cordon.is_none() || self.cordon == Some(CordonReason::Surplus) {
-            tracing::debug!("{}: cordoned, {why:?}", self.name);
-            self.cordon = Some(why);
+    /// Closes it for new tasks. The first reason stands, but any other replaces `Surplus`.
+    pub(super) fn cordon(&mut self, reason: CordonReason) {
+        if matches!(self.cordon, None | Some(CordonReason::Surplus)) {
+            tracing::debug!("{}: cordoned, {reason:?}", self.name);
+            self.cordon = Some(reason);
         }
     }
 
-    /// Opens a machine that was only closed as surplus; true if that changed anything.
-    pub fn uncordon(&mut self) -> bool {
-        let closed = self.cordon == Some(CordonReason::Surplus);
-        if closed {
-            tracing::debug!("{}: open again", self.name);
+    /// Uncordons it if it was cordoned as surplus. Returns whether it was.
+    pub(super) fn uncordon(&mut self) -> bool {
+        let was_surplus = self.cordon == Some(CordonReason::Surplus);
+        if was_surplus {
+            tracing::debug!("{}: uncordoned", self.name);
             self.cordon = None;
             self.surplus_since = None;
         }
-        closed
+        was_surplus
     }
 
-    /// A task has its image there. The most recently used are kept, as far as the cache goes.
-    pub fn cache_image(&mut self, image: &str, gb: f64, cache_gb: f64) {
-        self.cached_images.retain(|(name, _)| name != image);
-        self.cached_images.push((image.to_owned(), gb));
-        let mut kept: f64 = self.cached_images.iter().map(|(_, gb)| gb).sum();
-        while kept > cache_gb && self.cached_images.len() > 1 {
-            kept -= self.cached_images.remove(0).1;
+    /// A task has its image there. The most recently used images are kept, as far as the cache goes.
+    pub(super) fn cache_image(&mut self, image: &str, size_gb: f64, cache_gb: f64) {
+        self.cached_images.retain(|cached| cached.name != image);
+        self.cached_images.push(CachedImage {
+            name: image.to_owned(),
+            size_gb,
+        });
+        let mut total_gb: f64 = self.cached_images.iter().map(|cached| cached.size_gb).sum();
+        while total_gb > cache_gb && self.cached_images.len() > 1 {
+            total_gb -= self.cached_images.remove(0).size_gb;
         }
     }
 
-    /// Whether the image is likely there.
-    pub fn has_cached_image(&self, image: &str) -> bool {
-        self.cached_images.iter().any(|(name, _)| name == image)
-    }
-
-    /// True if the report is newer than all that was heard before; older ones count for nothing.
-    pub fn is_newer(&self, report: &WorkerHeartbeat) -> bool {
-        (report.incarnation, report.sequence) > (self.incarnation, self.sequence)
-    }
-
-    /// Books a task.
-    pub fn allocate(&mut self, task: TaskId, allocation: Allocation) {
+    /// Allocates a task to it.
+    pub(super) fn allocate(&mut self, task: TaskId, allocation: Allocation) {
         self.allocated.add(&allocation.resources);
-        self.idle_since = None;
         self.allocations.insert(task, allocation);
     }
 
-    /// Ends a allocation.
-    pub fn free(&mut self, task: TaskId, now: Time) -> Option<Allocation> {
+    /// Frees the allocation of a task.
+    pub(super) fn free(&mut self, task: TaskId) -> Option<Allocation> {
         let allocation = self.allocations.remove(&task)?;
         self.allocated.remove(&allocation.resources);
         if self.allocations.is_empty() {
+            // Sums of decimals are not exact.
             self.allocated = Resources::default();
-            self.idle_since = Some(now);
         }
         Some(allocation)
     }
 
-    /// Whether a direct `run` of the attempt has no answer.
-    pub fn is_run_unacknowledged(&self, task: TaskId, attempt: Attempt) -> bool {
-        self.unacknowledged_runs.contains_key(&(task, attempt))
+    /// A `run` is sent by a direct command.
+    pub(super) fn on_run_sent_directly(&mut self, task: TaskId, attempt: Attempt) {
+        *self.unacknowledged_runs.entry((task, attempt)).or_default() += 1;
+        if let Some(allocation) = self.allocations.get_mut(&task) {
+            allocation.run_sent_directly = true;
+        }
     }
 
-    /// A direct `run` got its answer, or surely never left.
-    pub fn on_run_acknowledged(&mut self, task: TaskId, attempt: Attempt) {
+    /// A direct `run` got its response, or surely was not executed.
+    pub(super) fn on_run_acknowledged(&mut self, task: TaskId, attempt: Attempt) {
         if let Some(count) = self.unacknowledged_runs.get_mut(&(task, attempt)) {
             *count -= 1;
             if *count == 0 {
@@ -339,34 +348,10 @@
         }
     }
 
-    /// Whether the absence of a task from a report proves that it is not there and can't come:
-    /// older leaders' late commands are fenced, and none of ours is still under way.
-    pub fn proves_absence(
-        &self,
-        task: TaskId,
-        allocation: &Allocation,
-        token: Term,
-        term: Term,
-        tick: SequenceNumber,
-        own_report: bool,
-    ) -> bool {
-        if !allocation.run_sent {
-            return true;
-        }
-        let by_answer = allocation.run_sent_in_response_to == SequenceNumber(0)
-            || (own_report && tick > allocation.run_sent_in_response_to);
-        token == term && by_answer && !self.is_run_unacknowledged(task, allocation.attempt)
-    }
-}
-
-impl Allocation {
-    /// Takes in what the worker says of it.
-    pub fn observe(&mut self, reported: &AttemptStatus, now: Time) {
-        self.phase = AllocationPhase::Observed;
-        self.saving = reported.state == AttemptState::Saving;
-        self.fetching = reported.state == AttemptState::Fetching;
-        if !self.fetching {
-            self.started_at.get_or_insert(now);
-        }
+    /// The worker began a new incarnation, so it has forgotten all attempts and executes no older command.
+    pub(super) fn begin_incarnation(&mut self, incarnation: Incarnation) {
+        self.incarnation = incarnation;
+        self.ended_attempts.clear();
+        self.unacknowledged_runs.clear();
     }
 }
--- a/src/coordination/cluster/job/run_records.rs
+++ b/src/coordination/cluster/job/run_records.rs
@@ -1,15 +1,33 @@
 //! A job's run records: what is read from them after an election, and what is written of the job.
 
-use super::*;
+use super::{Chunk, Job, JobPhase, TaskState};
+use crate::storage::records::RunRecord;
+use crate::types::{Attempt, HostName, Incarnation, Version};
+
+/// Numbers of run records beyond this are no job's.
+const MAX_RECORD_NUMBER: usize = 100_000;
+
+/// An allocation as a run record holds it.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct RecordedAllocation {
+    /// Number of the task in its job.
+    pub index: u32,
+    /// Which attempt it is.
+    pub attempt: Attempt,
+    /// The host.
+    pub host: HostName,
+    /// Incarnation of the worker that the attempt is meant for.
+    pub incarnation: Incarnation,
+}
 
 impl Job {
     /// Takes in a run record; returns the allocations it holds.
-    pub fn load_run_record(
+    pub(crate) fn load_run_record(
         &mut self,
         number: u32,
         record: &RunRecord,
         version: Version,
-    ) -> Vec<(u32, Attempt, HostName, Incarnation)> {
+    ) -> Vec<RecordedAllocation> {
         let at = number as usize;
         let chunks = self.chunks.iter().flatten();
         let split = self.spec.is_none() && record.tasks_per_record != self.tasks_per_record;
@@ -23,7 +41,7 @@
         if self.spec.is_none() {
             self.tasks_per_record = record.tasks_per_record.max(1);
         }
-        if self.spec.is_none() && at >= self.chunks.len() && at < 100_000 {
+        if self.spec.is_none() && at >= self.chunks.len() && at < MAX_RECORD_NUMBER {
             self.chunks.resize_with(at + 1, || None);
         }
         if at >= self.chunks.len() {
@@ -44,7 +62,12 @@
                     incarnation,
                 } => {
                     self.allocated_count += 1;
-                    allocations.push((index, *attempt, host.clone(), *incarnation));
+                    allocations.push(RecordedAllocation {
+                        index,
+                        attempt: *attempt,
+                        host: host.clone(),
+                        incarnation: *incarnation,
+                    });
                 }
                 TaskState::Done => self.done_count += 1,
             }
@@ -54,7 +77,7 @@
     }
 
     /// After all run records are in: chunks without one hold untouched tasks.
-    pub fn finish_loading(&mut self) {
+    pub(crate) fn finish_loading(&mut self) {
         if self.phase != JobPhase::Active {
             self.retry_queue.clear();
             return;
@@ -76,7 +99,7 @@
     }
 
     /// A run record as it is to be written.
-    pub fn run_record(&self, number: u32) -> Option<RunRecord> {
+    pub(crate) fn run_record(&self, number: u32) -> Option<RunRecord> {
         let chunk = self.chunk(number)?;
         let mut record = RunRecord {
             first_task: number * self.tasks_per_record,
@@ -87,7 +110,7 @@
             memory_gb: self.task_resources.memory_gb,
             ..RunRecord::default()
         };
-        for (offset, task) in chunk.tasks.iter().enumerate() {
+        for (offset, task) in chunk.tasks().iter().enumerate() {
             let offset = offset as u32;
             match task {
                 TaskState::Waiting { last: Attempt(0) } => {}
--- /dev/null
+++ b/src/coordination/cluster/jobs.rs
@@ -0,0 +1,124 @@
+//! Jobs as their records come and go.
+
+use std::collections::BTreeSet;
+
+use super::job::{Job, JobPhase};
+use super::{AllocatedTask, ClusterState};
+use crate::protocol::users::JobSpec;
+use crate::storage::records::{JobRecord, OutcomeRecord};
+use crate::types::{HostName, JobId, Term, Time, Version};
+
+/// What the record of a job brought about.
+#[derive(Debug)]
+pub(crate) enum JobRecordEffect {
+    /// The job is new.
+    Added,
+    /// The job was known already, and nothing changed.
+    Known,
+    /// The record is the last step of a split, whose outcome was lost. These hosts have tasks that may be started
+    /// now.
+    SplitCommitted {
+        /// Their names.
+        hosts_to_command: BTreeSet<HostName>,
+    },
+}
+
+impl ClusterState {
+    /// Takes in the record of a job that is not over.
+    pub(crate) fn on_job_record(
+        &mut self,
+        record: JobRecord,
+        version: Version,
+        now: Time,
+    ) -> JobRecordEffect {
+        let id = record.spec.id;
+        if let Some(job) = self.jobs.get_mut(&id).filter(|job| job.spec.is_some()) {
+            if job.record_split.is_some() && record.tasks_per_record == job.tasks_per_record {
+                let written = self.records.split_in_force(job, version);
+                let hosts_to_command = self.on_records_written(&written, now);
+                return JobRecordEffect::SplitCommitted { hosts_to_command };
+            }
+            return JobRecordEffect::Known;
+        }
+        log_new_job(&record.spec);
+        self.jobs.insert(id, Job::new(record, version));
+        self.request_scheduling();
+        JobRecordEffect::Added
+    }
+
+    /// Takes in an outcome that stands in the place of the job's description: the job was finished by an earlier
+    /// leader, or by this one and the response was lost.
+    pub(crate) fn on_outcome_record(
+        &mut self,
+        id: JobId,
+        outcome: OutcomeRecord,
+        version: Version,
+        now: Time,
+    ) {
+        let job = self
+            .jobs
+            .entry(id)
+            .or_insert_with(|| Job::finished_earlier(id, outcome, version));
+        if job.phase == JobPhase::Active {
+            // Its tasks decide.
+            return;
+        }
+        if job.record_version != version {
+            job.record_version = version;
+            job.unarchived_outcome = Some(outcome);
+            job.set_phase(JobPhase::GarbageCollecting, now);
+        }
+        self.records.queue_deletion(id);
+    }
+
+    /// Cancels a job. Returns its allocated tasks, which have to be stopped; `None` if it is over already.
+    /// [`ClusterState::finish_cancelling`] has to follow once they are.
+    pub(crate) fn begin_cancelling(&mut self, id: JobId, now: Time) -> Option<Vec<AllocatedTask>> {
+        let job = self.jobs.get_mut(&id)?;
+        if !matches!(job.phase, JobPhase::Active | JobPhase::Finishing) {
+            return None;
+        }
+        tracing::debug!(job = %id, allocated = job.allocated_count, "cancelled");
+        job.set_phase(JobPhase::Cancelled, now);
+        let allocated = self.hosts.values().flat_map(|host| {
+            host.allocations
+                .keys()
+                .map(|task| (host.name.clone(), *task))
+        });
+        Some(allocated.filter(|(_, task)| task.job == id).collect())
+    }
+
+    /// The tasks of a cancelled job are marked to be stopped. Allocations that were not written are freed by that,
+    /// and no record of them will come.
+    pub(crate) fn finish_cancelling(&mut self, id: JobId, now: Time) {
+        self.uncommitted_allocations
+            .retain(|(job, _), _| *job != id);
+        self.check_completion(id, now);
+        self.request_scheduling();
+    }
+
+    /// Whether no other leader can command a task of the job: the workers that may hold one have seen the fencing
+    /// token of `term`, so they obey no earlier leader. A later leader reads the records first.
+    pub(crate) fn is_sole_commander(&self, id: JobId, term: Term) -> bool {
+        let Some(job) = self.jobs.get(&id).filter(|job| job.allocated_count > 0) else {
+            return true;
+        };
+        let mut hosts = job
+            .allocated_hosts()
+            .filter_map(|name| self.hosts.get(name));
+        hosts.all(|host| host.fencing_token == term)
+    }
+}
+
+fn log_new_job(spec: &JobSpec) {
+    tracing::debug!(
+        "{}: {} tasks, {:?}, {} CPUs, about {} s each, saves every {} s, due in {} s",
+        spec.id,
+        spec.tasks,
+        spec.priority,
+        spec.cpus.0,
+        spec.estimate_s.0,
+        spec.checkpoint_s.0,
+        spec.deadline_s.map_or(f64::INFINITY, |d| d.0)
+    );
+}
--- a/src/coordination/cluster/record_split.rs
+++ b/src/coordination/cluster/record_split.rs
@@ -6,10 +6,9 @@
 //! numbers the old ones had, in one transaction. A split that is broken off before that leaves the
 //! old records in force, with every allocation and attempt. Earlier versions of this program read both.
 
-use crate::coordination::cluster::job::{Chunk, Job, JobPhase, RecordSplit, TaskState};
-use crate::coordination::cluster::record_writer::{Batch, Jobs, WriteBatcher, MAX_BYTES};
-use crate::protocol::cloud::MachineType;
-use crate::storage::records::{self, JobRecord};
+use crate::coordination::cluster::job::{Job, JobPhase};
+use crate::coordination::cluster::record_writer::{Batch, Jobs, RecordWriter, MAX_BYTES};
+use crate::storage::records;
 use crate::types::{JobId, Version};
 use lichencrank_store::{value, Change};
 
@@ -24,103 +23,16 @@
     pub last: bool,
 }
 
-impl Job {
-    /// Begins to split its records so that each holds `size` tasks at the most. What happens to its
-    /// tasks from here on is kept in memory and written once the split is in force.
-    pub fn begin_split(&mut self, size: u32) -> bool {
-        let unsure = self.chunks.iter().flatten().any(|c| c.version_unknown);
-        if self.record_split.is_some()
-            || unsure
-            || size >= self.tasks_per_record
-            || self.spec.is_none()
-        {
-            return false;
-        }
-        let old = std::mem::take(&mut self.chunks);
-        let old_size = self.tasks_per_record;
-        self.tasks_per_record = size;
-        // What waits for a change of an old record is satisfied by the new ones.
-        let newest = old.iter().flatten().map(|c| c.change_count).max();
-        let changes = newest.unwrap_or(0) + 1;
-        for number in 0..self.task_count.div_ceil(size) {
-            let first = number * size;
-            let tasks = (first..self.task_count.min(first + size)).map(|index| {
-                let chunk = old.get((index / old_size) as usize);
-                let chunk = chunk.and_then(Option::as_ref);
-                chunk.and_then(|c| c.tasks.get((index % old_size) as usize))
-            });
-            let tasks: Vec<TaskState> = tasks.map(|t| t.cloned().unwrap_or_default()).collect();
-            let before = old.get(number as usize).and_then(Option::as_ref);
-            let version = before
-                .map(|c| c.record_version)
-                .or(self.abandoned_records.remove(&number))
-                .unwrap_or(Version(0));
-            let chunk = Chunk::new(tasks, version, changes);
-            let needed = version != Version(0) || !chunk.is_untouched();
-            self.chunks.push(needed.then(|| Box::new(chunk)));
-        }
-        self.record_split = Some(RecordSplit {
-            old_record_count: old.len() as u32,
-            ..RecordSplit::default()
-        });
-        true
-    }
-
-    /// The split is in force, by the description's version.
-    pub fn finish_split(&mut self, live: Version) -> Vec<u32> {
-        let Some(split) = self.record_split.take() else {
-            return Vec::new();
-        };
-        self.record_version = live;
-        let mut dirty = Vec::new();
-        for (number, slot) in self.chunks.iter_mut().enumerate() {
-            let number = number as u32;
-            let Some(chunk) = slot else { continue };
-            if number < split.old_record_count {
-                chunk.record_version = live;
-                chunk.written_change = split.final_records.get(&number).copied().unwrap_or(0);
-            } else {
-                chunk.written_change = split.prepared_records.get(&number).copied().unwrap_or(0);
-            }
-            if chunk.written_change < chunk.change_count {
-                dirty.push(number);
-            }
-        }
-        dirty
-    }
-
-    /// See [`JobRecord::shorten`].
-    pub fn shorten_description(&mut self, max_value: usize, offered: &[MachineType]) {
-        if let Some(mut record) = self.description() {
-            record.shorten(max_value, offered);
-            self.spec = Some(Box::new(record.spec));
-        }
-    }
-
-    fn description_size(&self) -> usize {
-        self.description().map_or(usize::MAX, |d| records::size(&d))
-    }
-
-    fn description(&self) -> Option<JobRecord> {
-        let spec = self.spec.as_deref()?.clone();
-        Some(JobRecord {
-            spec,
-            submitted_at_ms: self.submitted_at_ms,
-            tasks_per_record: self.tasks_per_record,
-        })
-    }
-}
-
 /// The records that the last step writes beside the description.
 fn last_numbers(job: &Job, old_count: u32) -> Vec<u32> {
     let numbers = 0..old_count.min(job.chunks.len() as u32);
     numbers.filter(|n| job.chunk(*n).is_some()).collect()
 }
 
-impl WriteBatcher {
+impl RecordWriter {
     /// Begins to split the records of a job of which one is too large. `false`: it can't be done in
     /// transactions of this size, and the record waits until enough of its tasks have ended.
-    pub fn split(&mut self, job: &mut Job) -> bool {
+    pub(crate) fn split(&mut self, job: &mut Job) -> bool {
         let small = records::tasks_per_record(self.max_value_bytes as f64 / 1024.0);
         let size = if small < job.tasks_per_record {
             small
@@ -234,7 +146,7 @@
     }
 
     /// The description says so, or the answer to the last step.
-    pub fn split_in_force(&mut self, job: &mut Job, live: Version) -> Vec<(JobId, u32)> {
+    pub(crate) fn split_in_force(&mut self, job: &mut Job, live: Version) -> Vec<(JobId, u32)> {
         if job.record_split.is_none() {
             return Vec::new();
         }
--- a/src/coordination/cluster/record_writer/mod.rs
+++ b/src/coordination/cluster/record_writer/mod.rs
@@ -13,7 +13,7 @@
 use lichencrank_store::{value, Change, Txn};
 
 /// The jobs of a leader.
-pub type Jobs = BTreeMap<JobId, Job>;
+pub(crate) type Jobs = BTreeMap<JobId, Job>;
 
 /// A transaction on its way, and what it will mean once it is written.
 #[derive(Debug)]
@@ -47,20 +47,11 @@
     Repeat(Batch),
 }
 
-/// What a batch has written.
-#[derive(Debug, Default, PartialEq)]
-pub struct CommittedRecords {
-    /// Chunks that changed from unwritten to written.
-    pub chunks: Vec<(JobId, u32)>,
-    /// Jobs whose final state is written.
-    pub finished: Vec<JobId>,
-}
-
 /// What the answer to a batch means.
 #[derive(Debug, PartialEq)]
-pub enum CommitResult {
-    /// It was carried out.
-    Committed(CommittedRecords),
+pub(crate) enum CommitResult {
+    /// It was committed, and with it these run records.
+    Committed(Vec<(JobId, u32)>),
     /// These jobs' records are gone: they were cancelled.
     Conflict {
         /// Jobs that were cancelled.
@@ -81,7 +72,7 @@
 pub(crate) const MAX_BYTES: usize = 44 * 1024;
 
 /// Gathers what changed and writes it in one transaction after the other.
-pub struct WriteBatcher {
+pub(crate) struct RecordWriter {
     leader_key_version: Version,
     urgent: VecDeque<(JobId, u32)>,
     normal: VecDeque<(JobId, u32)>,
@@ -92,23 +83,28 @@
     version_unknown: BTreeSet<(JobId, u32)>,
     in_flight: InFlight,
     /// Keys and versions that allocations of a team depend on, beside their own.
-    pub allowance_fences: BTreeMap<String, (String, Version)>,
-    /// What a value and a transaction may hold at the most.
-    pub max_value_bytes: usize,
-    /// Changes that a transaction may hold.
-    pub max_txn_changes: usize,
+    allowance_fences: BTreeMap<String, (String, Version)>,
+    /// The most bytes that a value may have.
+    pub(super) max_value_bytes: usize,
+    /// The most changes that a transaction may have.
+    pub(super) max_txn_changes: usize,
     /// Jobs of which a record has become too large, those whose records are being split, and those
     /// that wait until their record is small enough.
     too_large: BTreeSet<JobId>,
-    pub(crate) splitting: BTreeSet<JobId>,
-    pub(crate) oversized: BTreeSet<JobId>,
+    pub(super) splitting: BTreeSet<JobId>,
+    pub(super) oversized: BTreeSet<JobId>,
 }
 
-impl WriteBatcher {
-    /// `holder` is the version of the leader's key, on which every write is conditional.
-    pub fn new(holder: Version) -> WriteBatcher {
-        WriteBatcher {
-            leader_key_version: holder,
+impl RecordWriter {
+    /// A writer with nothing to write. `leader_key_version` is the version of the leader's key, on which every write is
+    /// conditional; the limits are those of the store.
+    pub(crate) fn new(
+        leader_key_version: Version,
+        max_value_bytes: usize,
+        max_txn_changes: usize,
+    ) -> RecordWriter {
+        RecordWriter {
+            leader_key_version,
             urgent: VecDeque::new(),
             normal: VecDeque::new(),
             queued: BTreeMap::new(),
@@ -117,31 +113,46 @@
             version_unknown: BTreeSet::new(),
             in_flight: InFlight::Idle,
             allowance_fences: BTreeMap::new(),
-            max_value_bytes: usize::MAX,
-            max_txn_changes: usize::MAX,
+            max_value_bytes,
+            max_txn_changes,
             too_large: BTreeSet::new(),
             splitting: BTreeSet::new(),
             oversized: BTreeSet::new(),
         }
     }
 
+    /// The most bytes that a value may have.
+    pub(crate) fn max_value_bytes(&self) -> usize {
+        self.max_value_bytes
+    }
+
+    /// The most changes that a transaction may have.
+    pub(crate) fn max_txn_changes(&self) -> usize {
+        self.max_txn_changes
+    }
+
+    /// Sets the keys and versions that allocations of each team depend on, beside their own.
+    pub(crate) fn set_allowance_fences(&mut self, fences: BTreeMap<String, (String, Version)>) {
+        self.allowance_fences = fences;
+    }
+
     /// Takes the jobs of which a record has become too large.
-    pub fn take_too_large(&mut self) -> Vec<JobId> {
+    pub(crate) fn take_too_large(&mut self) -> Vec<JobId> {
         std::mem::take(&mut self.too_large).into_iter().collect()
     }
 
     /// Nothing more is booked of a job while its records can't be written.
-    pub fn is_held(&self, job: JobId) -> bool {
+    pub(crate) fn is_held(&self, job: JobId) -> bool {
         self.oversized.contains(&job) || self.splitting.contains(&job)
     }
 
     /// The version of the leader's key.
-    pub fn leader_key_version(&self) -> Version {
+    pub(crate) fn leader_key_version(&self) -> Version {
         self.leader_key_version
     }
 
     /// A chunk changed. Urgent are those that something waits for, such as a start.
-    pub fn mark_dirty(&mut self, job: JobId, chunk: u32, urgent: bool) {
+    pub(crate) fn mark_dirty(&mut self, job: JobId, chunk: u32, urgent: bool) {
         let before = self.queued.get(&(job, chunk)).copied();
         if urgent && before != Some(true) {
             self.urgent.push_back((job, chunk));
@@ -153,24 +164,30 @@
     }
 
     /// A job is done: its final state has to be written.
-    pub fn queue_outcome(&mut self, job: JobId) {
+    pub(crate) fn queue_outcome(&mut self, job: JobId) {
         self.finishing.insert(job);
     }
 
     /// A job is over: its run records have to be deleted.
-    pub fn queue_deletion(&mut self, job: JobId) {
+    pub(crate) fn queue_deletion(&mut self, job: JobId) {
         self.garbage.insert(job);
     }
 
     /// Takes the records whose versions have to be read.
-    pub fn take_version_unknown(&mut self) -> Vec<(JobId, u32)> {
+    pub(crate) fn take_version_unknown(&mut self) -> Vec<(JobId, u32)> {
         std::mem::take(&mut self.version_unknown)
             .into_iter()
             .collect()
     }
 
     /// A record's version is known again.
-    pub fn on_version_read(&mut self, jobs: &mut Jobs, job: JobId, chunk: u32, version: Version) {
+    pub(crate) fn on_version_read(
+        &mut self,
+        jobs: &mut Jobs,
+        job: JobId,
+        chunk: u32,
+        version: Version,
+    ) {
         if let Some(c) = jobs.get_mut(&job).and_then(|j| j.chunk_mut(chunk)) {
             c.record_version = version;
             c.version_unknown = false;
@@ -179,12 +196,12 @@
     }
 
     /// The version could not be read; it has to be tried again.
-    pub fn version_still_unknown(&mut self, job: JobId, chunk: u32) {
+    pub(crate) fn version_still_unknown(&mut self, job: JobId, chunk: u32) {
         self.version_unknown.insert((job, chunk));
     }
 
     /// Whether something waits for a record to be written.
-    pub fn has_urgent(&self) -> bool {
+    pub(crate) fn has_urgent(&self) -> bool {
         !self.urgent.is_empty()
             || !self.finishing.is_empty()
             || !self.splitting.is_empty()
@@ -192,28 +209,33 @@
     }
 
     /// Records that something waits for.
-    pub fn urgent_count(&self) -> usize {
+    pub(crate) fn urgent_count(&self) -> usize {
         self.urgent.len() + self.finishing.len()
     }
 
     /// Whether the record is among those that something waits for.
-    pub fn is_urgent(&self, job: JobId, chunk: u32) -> bool {
+    pub(crate) fn is_urgent(&self, job: JobId, chunk: u32) -> bool {
         self.queued.get(&(job, chunk)) == Some(&true)
     }
 
     /// Records that wait to be written: those that something waits for, and the others.
-    pub fn backlog(&self) -> (usize, usize) {
+    pub(crate) fn backlog(&self) -> (usize, usize) {
         (self.urgent_count(), self.normal.len())
     }
 
     /// Whether no answer is awaited.
-    pub fn is_idle(&self) -> bool {
+    pub(crate) fn is_idle(&self) -> bool {
         !matches!(self.in_flight, InFlight::Sent(_))
     }
 
     /// Puts together the next transaction of at most `max_changes`, if there is one to send. What
     /// nothing waits for goes along if the budget has some to spare.
-    pub fn next_batch(&mut self, jobs: &mut Jobs, max_changes: usize, spare: bool) -> Option<Txn> {
+    pub(crate) fn next_batch(
+        &mut self,
+        jobs: &mut Jobs,
+        max_changes: usize,
+        spare: bool,
+    ) -> Option<Txn> {
         match std::mem::replace(&mut self.in_flight, InFlight::Idle) {
             InFlight::Sent(batch) => {
                 self.in_flight = InFlight::Sent(batch);
--- a/src/coordination/cluster/record_writer/outcomes.rs
+++ b/src/coordination/cluster/record_writer/outcomes.rs
@@ -2,21 +2,26 @@
 
 use super::*;
 
-impl WriteBatcher {
+impl RecordWriter {
     /// The transaction under way was carried out at that revision.
-    pub fn on_committed(&mut self, jobs: &mut Jobs, revision: Version, now: Time) -> CommitResult {
+    pub(crate) fn on_committed(
+        &mut self,
+        jobs: &mut Jobs,
+        revision: Version,
+        now: Time,
+    ) -> CommitResult {
         let InFlight::Sent(batch) = std::mem::replace(&mut self.in_flight, InFlight::Idle) else {
             return CommitResult::Retry;
         };
-        let mut written = CommittedRecords::default();
+        let mut written = Vec::new();
         if let Some(step) = &batch.split_step {
-            written.chunks = self.step_applied(jobs, step, revision);
+            written = self.step_applied(jobs, step, revision);
         }
         for (id, number, changes) in batch.chunks {
             if let Some(chunk) = jobs.get_mut(&id).and_then(|j| j.chunk_mut(number)) {
                 chunk.record_version = revision;
                 chunk.written_change = changes;
-                written.chunks.push((id, number));
+                written.push((id, number));
             }
         }
         for (id, number) in batch.garbage {
@@ -40,7 +45,6 @@
                 job.on_outcome_written(revision);
                 job.set_phase(JobPhase::GarbageCollecting, now);
                 self.garbage.insert(id);
-                written.finished.push(id);
             }
         }
         self.forget_garbage_collected(jobs);
@@ -50,7 +54,7 @@
     pub(crate) fn forget_garbage_collected(&mut self, jobs: &mut Jobs) {
         let swept = |id: &JobId| {
             jobs.get(id).is_none_or(|j| {
-                let unwritten = |c: &Chunk| c.record_version == Version(0) && !c.version_unknown;
+                let unwritten = |c: &Chunk| !c.may_have_record();
                 let moved = j.unarchived_outcome.is_none();
                 j.phase == JobPhase::GarbageCollecting
                     && moved
@@ -66,7 +70,7 @@
     }
 
     /// Conditions failed: nothing was written, at least not now.
-    pub fn on_conflict(&mut self, jobs: &mut Jobs, failed: &[String]) -> CommitResult {
+    pub(crate) fn on_conflict(&mut self, jobs: &mut Jobs, failed: &[String]) -> CommitResult {
         let InFlight::Sent(batch) = std::mem::replace(&mut self.in_flight, InFlight::Idle) else {
             return CommitResult::Retry;
         };
@@ -119,14 +123,14 @@
     }
 
     /// Surely not carried out: its contents are gathered anew.
-    pub fn on_refused(&mut self) {
+    pub(crate) fn on_refused(&mut self) {
         if let InFlight::Sent(batch) = std::mem::replace(&mut self.in_flight, InFlight::Idle) {
             self.requeue(batch);
         }
     }
 
     /// Refused for its size. It is split, and what is too large by itself is known to be so.
-    pub fn on_invalid(&mut self) {
+    pub(crate) fn on_invalid(&mut self) {
         let InFlight::Sent(batch) = std::mem::replace(&mut self.in_flight, InFlight::Idle) else {
             return;
         };
@@ -153,7 +157,7 @@
     }
 
     /// No answer: it may be carried out at any time, so only the very same may follow.
-    pub fn on_response_lost(&mut self) {
+    pub(crate) fn on_response_lost(&mut self) {
         if let InFlight::Sent(batch) = std::mem::replace(&mut self.in_flight, InFlight::Idle) {
             self.in_flight = InFlight::Repeat(batch);
         }
--- a/src/coordination/failure_detection/hosts.rs
+++ b/src/coordination/failure_detection/hosts.rs
@@ -1,15 +1,16 @@
 //! Silence: which machines are cut off, broken or gone, and what is done about it.
 
 use std::collections::BTreeMap;
+use std::net::SocketAddr;
 use std::time::Duration;
 
 use crate::coordination::cluster::host::{
     CordonReason, Host, HostLifecycle, Reachability, StopReason,
 };
 use crate::coordination::failure_detection::zones::LATE_FACTOR;
-use crate::coordination::{Action, Leader};
+use crate::coordination::{Action, Leader, View};
 use crate::protocol::cloud::MAX_RELEASE_COUNT;
-use crate::types::{seconds, HostName, Time};
+use crate::types::{seconds, HostName, Incarnation, Time};
 
 /// A machine that is to be taken and was not heard after its time is gone this much later.
 const TAKEN_AFTER: Duration = Duration::from_millis(500);
@@ -33,50 +34,28 @@
     report.mul_f64(LATEST_REPORT) + LONGEST_RETRY
 }
 
-impl Leader {
-    pub(crate) fn watch_hosts(&mut self, now: Time, may_act: bool) {
-        self.note_silence(now);
-        self.observe_zones(now);
-        self.note_cut_zones(now);
-        self.remove_overdue(now);
-        if !may_act {
-            return;
-        }
-        self.probe(now);
-        for (name, why) in self.hosts_to_give_up(now) {
-            let host = self.cluster.hosts.get_mut(&name);
-            if let Some(host) = host.filter(|h| h.lifecycle != HostLifecycle::Releasing) {
-                tracing::info!(
-                    "{name}: given up, {:?}, {} booked",
-                    host.lifecycle,
-                    host.allocations.len()
-                );
-                host.cordon(why);
-                host.set_lifecycle(HostLifecycle::Releasing);
-                self.autoscaler.release(name);
-            }
-        }
-    }
+/// A host is probed once it was silent for so many heartbeat intervals.
+const PROBED_AFTER_INTERVALS: f64 = 1.5;
 
-    fn hosts_to_give_up(&mut self, now: Time) -> Vec<(HostName, CordonReason)> {
-        let displaced = self.displaced_hosts(now);
-        let mut give_up: Vec<(HostName, CordonReason)> = displaced
-            .into_iter()
-            .map(|name| (name, CordonReason::Lost))
-            .collect();
-        for host in self.cluster.hosts.values() {
-            if host.lifecycle == HostLifecycle::Releasing {
-                continue;
-            }
-            if self.host_is_lost(host, now) || self.holds_a_cancelled_task(host, now) {
-                give_up.push((host.name.clone(), CordonReason::Lost));
-            } else if host.cordon == Some(CordonReason::Faulty) {
-                give_up.push((host.name.clone(), CordonReason::Faulty));
-            }
-        }
-        give_up
+/// A command request without commands, to find out whether the host hears this leader.
+struct Probe {
+    host: HostName,
+    address: SocketAddr,
+    incarnation: Incarnation,
+}
+
+impl Probe {
+    /// The probe to that host; `None` if its address is not known.
+    fn to(host: &Host) -> Option<Probe> {
+        Some(Probe {
+            host: host.name.clone(),
+            address: host.address?,
+            incarnation: host.incarnation.max(host.last_unfenced.incarnation),
+        })
     }
+}
 
+impl View<'_> {
     /// How many machines of each zone are silent, and how many there are. In a cut the first machine is
     /// past the limit while the others are merely late: all that missed a report count, or each would be
     /// given up alone, one after the other.
@@ -84,7 +63,7 @@
         let late = self.policy.report.mul_f64(LATE_FACTOR);
         let mut by_zone: BTreeMap<String, (usize, usize)> = BTreeMap::new();
         let mut everywhere = (0, 0);
-        for host in self.cluster.hosts.values() {
+        for host in self.cluster.hosts().values() {
             if matches!(
                 host.lifecycle,
                 HostLifecycle::Up | HostLifecycle::Unresponsive
@@ -104,15 +83,6 @@
         by_zone
     }
 
-    /// Many machines at once are cut off rather than broken.
-    fn note_cut_zones(&mut self, now: Time) {
-        for (zone, (silent, all)) in self.silence_by_zone(now) {
-            if silent >= FEW_MACHINES && silent * 2 > all {
-                self.failure_detector.partitioned_zones.insert(zone, now);
-            }
-        }
-    }
-
     /// Whether most machines of the zone are silent, or were until so short a while ago that the others
     /// have had no time to report.
     fn is_cut_off(&self, zone: &str, now: Time) -> bool {
@@ -121,21 +91,6 @@
         seen_at.is_some_and(|at| now.since(*at) < settling_time)
     }
 
-    fn note_silence(&mut self, now: Time) {
-        let limits = self
-            .cluster
-            .hosts
-            .values()
-            .map(|host| self.silence_limit(host));
-        let limits: Vec<Duration> = limits.collect();
-        for (host, limit) in self.cluster.hosts.values_mut().zip(limits) {
-            if host.lifecycle == HostLifecycle::Up && now.since(host.last_heartbeat_at) > limit {
-                tracing::info!("{}: silent", host.name);
-                host.set_lifecycle(HostLifecycle::Unresponsive);
-            }
-        }
-    }
-
     /// How long a machine may be silent before it is given up. Replicas are missed at every moment:
     /// one that holds some is given up as soon as a healthy worker would have been heard.
     fn silence_limit(&self, host: &Host) -> Duration {
@@ -147,73 +102,17 @@
         }
     }
 
-    /// Cancelled work whose time is nearly up goes with its machine, whether or not this leader has
-    /// its lease: in an outage nobody else could do it.
-    fn remove_overdue(&mut self, now: Time) {
-        let limit = self.policy.cancel.mul_f64(OVERDUE_PART);
-        let overdue = |host: &&Host| {
-            let asked = host
-                .force_released_at
-                .is_some_and(|at| now.since(at) < REMOVE_AGAIN);
-            !asked
-                && host.allocations.iter().any(|(task, allocation)| {
-                    let cancelled_at = self
-                        .cluster
-                        .jobs
-                        .get(&task.job)
-                        .and_then(|j| j.cancelled_at);
-                    allocation.stop_reason == Some(StopReason::Cancelled)
-                        && cancelled_at.is_some_and(|at| now.since(at) > limit)
-                })
+    fn needs_probe(&self, host: &Host, now: Time) -> bool {
+        let max_silence = self.policy.report.mul_f64(PROBED_AFTER_INTERVALS);
+        let is_wanted = match host.lifecycle {
+            HostLifecycle::Up => host.reachability != Reachability::Confirmed,
+            HostLifecycle::Unresponsive => now.since(host.last_heartbeat_at) > max_silence,
+            HostLifecycle::Expected => host
+                .listed_running_since
+                .is_some_and(|at| now.since(at) > max_silence),
+            HostLifecycle::Releasing => false,
         };
-        let hosts = self.cluster.hosts.values().filter(overdue);
-        let names: Vec<HostName> = hosts.map(|h| h.name.clone()).collect();
-        for name in &names {
-            if let Some(host) = self.cluster.hosts.get_mut(name) {
-                tracing::info!("{name}: holds cancelled work for too long, returned");
-                host.cordon(CordonReason::Lost);
-                host.set_lifecycle(HostLifecycle::Releasing);
-                host.force_released_at = Some(now);
-            }
-        }
-        for names in names.chunks(MAX_RELEASE_COUNT) {
-            self.actions.push(Action::ForceRelease(names.to_vec()));
-        }
-    }
-
-    /// Asks machines whether they hear: those that seem not to, and those that are silent here. The
-    /// latter may still report to an earlier leader that is cut off with them; the command carries
-    /// our token, and from then on they drop the answers of the other, who learns of it from them.
-    fn probe(&mut self, now: Time) {
-        let patience = self.policy.report.mul_f64(1.5);
-        for host in self.cluster.hosts.values_mut() {
-            if self.dispatcher.probes_in_flight >= self.policy.probes {
-                return;
-            }
-            let wanted = match host.lifecycle {
-                HostLifecycle::Up => host.reachability != Reachability::Confirmed,
-                HostLifecycle::Unresponsive => now.since(host.last_heartbeat_at) > patience,
-                HostLifecycle::Expected => host
-                    .listed_running_since
-                    .is_some_and(|at| now.since(at) > patience),
-                HostLifecycle::Releasing => false,
-            };
-            let due = wanted && now >= host.next_probe_at && !host.command_in_flight;
-            let (true, Some(to)) = (due, host.address) else {
-                continue;
-            };
-            host.next_probe_at = now.after(self.policy.report * 2);
-            host.command_in_flight = true;
-            self.dispatcher.probes_in_flight += 1;
-            let incarnation = host.incarnation.max(host.last_unfenced.0);
-            let host = host.name.clone();
-            self.actions.push(Action::SendCommands {
-                host,
-                to,
-                incarnation,
-                commands: Vec::new(),
-            });
-        }
+        is_wanted && now >= host.next_probe_at && !host.command_in_flight
     }
 
     fn host_is_lost(&self, host: &Host, now: Time) -> bool {
@@ -269,7 +168,9 @@
         if host.lifecycle != HostLifecycle::Expected {
             return true;
         }
-        let kind = host.type_index.and_then(|k| self.cluster.types.get(k));
+        let kind = host
+            .type_index
+            .and_then(|k| self.cluster.machine_types().get(k));
         let boot = kind.map_or(UNKNOWN_BOOT_S, |t| t.boot_s.0);
         let overdue =
             now.since(host.provisioned_at) > seconds(boot * self.policy.tuning.boot_patience);
@@ -287,7 +188,7 @@
         host.allocations.iter().any(|(task, allocation)| {
             let cancelled_at = self
                 .cluster
-                .jobs
+                .jobs()
                 .get(&task.job)
                 .and_then(|j| j.cancelled_at);
             let share = if heard { 0.55 } else { 0.25 };
@@ -296,3 +197,121 @@
         })
     }
 }
+
+impl Leader {
+    pub(crate) fn check_hosts(&mut self, now: Time, may_act: bool) {
+        self.mark_unresponsive_hosts(now);
+        self.observe_zones(now);
+        self.note_cut_zones(now);
+        self.remove_overdue(now);
+        if !may_act {
+            return;
+        }
+        self.send_probes(now);
+        for (name, why) in self.hosts_to_give_up(now) {
+            let Some(host) = self.cluster.host(&name) else {
+                continue;
+            };
+            let (lifecycle, allocated) = (host.lifecycle, host.allocations.len());
+            if self.cluster.begin_release(&name, why) {
+                tracing::info!("{name}: declared lost, {lifecycle:?}, {allocated} allocated");
+                self.autoscaler.release(name);
+            }
+        }
+    }
+
+    fn hosts_to_give_up(&mut self, now: Time) -> Vec<(HostName, CordonReason)> {
+        let displaced = self.displaced_hosts(now);
+        let mut give_up: Vec<(HostName, CordonReason)> = displaced
+            .into_iter()
+            .map(|name| (name, CordonReason::Lost))
+            .collect();
+        for host in self.cluster.hosts().values() {
+            if host.lifecycle == HostLifecycle::Releasing {
+                continue;
+            }
+            if self.view().host_is_lost(host, now) || self.view().holds_a_cancelled_task(host, now)
+            {
+                give_up.push((host.name.clone(), CordonReason::Lost));
+            } else if host.cordon == Some(CordonReason::Faulty) {
+                give_up.push((host.name.clone(), CordonReason::Faulty));
+            }
+        }
+        give_up
+    }
+
+    /// Many machines at once are cut off rather than broken.
+    fn note_cut_zones(&mut self, now: Time) {
+        for (zone, (silent, all)) in self.view().silence_by_zone(now) {
+            if silent >= FEW_MACHINES && silent * 2 > all {
+                self.failure_detector.partitioned_zones.insert(zone, now);
+            }
+        }
+    }
+
+    fn mark_unresponsive_hosts(&mut self, now: Time) {
+        let is_overdue = |host: &&Host| {
+            host.is_up() && now.since(host.last_heartbeat_at) > self.view().silence_limit(host)
+        };
+        let overdue = self.cluster.hosts().values().filter(is_overdue);
+        let names: Vec<HostName> = overdue.map(|host| host.name.clone()).collect();
+        for name in names {
+            tracing::info!("{name}: missed heartbeats");
+            self.cluster.mark_unresponsive(&name);
+        }
+    }
+
+    /// Cancelled work whose time is nearly up goes with its machine, whether or not this leader has
+    /// its lease: in an outage nobody else could do it.
+    fn remove_overdue(&mut self, now: Time) {
+        let limit = self.policy.cancel.mul_f64(OVERDUE_PART);
+        let overdue = |host: &&Host| {
+            let asked = host
+                .force_released_at
+                .is_some_and(|at| now.since(at) < REMOVE_AGAIN);
+            !asked
+                && host.allocations.iter().any(|(task, allocation)| {
+                    let cancelled_at = self
+                        .cluster
+                        .jobs()
+                        .get(&task.job)
+                        .and_then(|j| j.cancelled_at);
+                    allocation.stop_reason == Some(StopReason::Cancelled)
+                        && cancelled_at.is_some_and(|at| now.since(at) > limit)
+                })
+        };
+        let hosts = self.cluster.hosts().values().filter(overdue);
+        let names: Vec<HostName> = hosts.map(|h| h.name.clone()).collect();
+        for name in &names {
+            tracing::info!("{name}: a cancelled task is on it for too long, release is forced");
+            self.cluster.begin_forced_release(name, now);
+        }
+        for names in names.chunks(MAX_RELEASE_COUNT) {
+            self.actions.push(Action::ForceRelease(names.to_vec()));
+        }
+    }
+
+    /// Asks machines whether they hear: those that seem not to, and those that are silent here. The
+    /// latter may still report to an earlier leader that is cut off with them; the command carries
+    /// our token, and from then on they drop the answers of the other, who learns of it from them.
+    fn send_probes(&mut self, now: Time) {
+        let max_new = self
+            .policy
+            .probes
+            .saturating_sub(self.dispatcher.probes_in_flight());
+        let hosts = self.cluster.hosts().values();
+        let due = hosts.filter(|host| self.view().needs_probe(host, now));
+        let probes: Vec<Probe> = due.filter_map(Probe::to).take(max_new).collect();
+        for probe in probes {
+            let next_probe_at = now.after(self.policy.report * 2);
+            self.cluster.on_probe_sent(&probe.host, next_probe_at);
+            self.dispatcher.on_probe_sent();
+            self.actions.push(Action::SendCommands {
+                host: probe.host,
+                to: probe.address,
+                incarnation: probe.incarnation,
+                commands: Vec::new(),
+            });
+        }
+    }
+}
--- a/src/coordination/failure_detection/mod.rs
+++ b/src/coordination/failure_detection/mod.rs
@@ -9,10 +9,15 @@
 
 use lichencrank_zones::ControllerReach;
 
+use std::time::Duration;
+
 use crate::coordination::Policy;
 use crate::types::Time;
 use zones::Zones;
 
+/// How often hosts are checked for missed heartbeats.
+const CHECK_INTERVAL: Duration = Duration::from_millis(250);
+
 /// What is known of unreachable hosts and zones.
 pub(crate) struct FailureDetector {
     /// Zones of which this node reaches no other node: what is silent there is partitioned.
@@ -23,7 +28,7 @@
     pub zone_controllers: BTreeMap<String, ControllerReach>,
     /// The states of zones, where they are tracked.
     pub(crate) zones: Option<Zones>,
-    pub(crate) next_check_at: Time,
+    next_check_at: Time,
 }
 
 impl FailureDetector {
@@ -37,4 +42,13 @@
             next_check_at: now,
         }
     }
+
+    /// Whether the hosts are to be checked now; the next check follows after the interval.
+    pub(crate) fn starts_check(&mut self, now: Time) -> bool {
+        let is_due = now >= self.next_check_at;
+        if is_due {
+            self.next_check_at = now.after(CHECK_INTERVAL);
+        }
+        is_due
+    }
 }
--- a/src/coordination/failure_detection/zones.rs
+++ b/src/coordination/failure_detection/zones.rs
@@ -6,7 +6,7 @@
 use lichencrank_zones::{Candidate, Urgency, ZoneObservation, ZoneState, ZoneTracker, ZonesRecord};
 
 use crate::coordination::cluster::host::{Allocation, Host, HostLifecycle, Reachability};
-use crate::coordination::{longest_report_delay, Leader};
+use crate::coordination::{longest_report_delay, Leader, View};
 use crate::protocol::users::Priority;
 use crate::types::{HostName, TaskId, Time};
 
@@ -42,77 +42,7 @@
     }
 }
 
-impl Leader {
-    /// Whether zones are tracked.
-    pub fn tracks_zones(&self) -> bool {
-        self.failure_detector.zones.is_some()
-    }
-
-    /// The record of the earlier leader, or that there is none that can be read.
-    pub fn on_zones_record(&mut self, record: Option<&ZonesRecord>, now: Time) {
-        let day_ms = self.clock.day_ms;
-        let Some(zones) = &mut self.failure_detector.zones else {
-            return;
-        };
-        if let Some(record) = record {
-            zones.tracker.restore(record, now, day_ms);
-        }
-        zones.restored = true;
-    }
-
-    /// The record to be written next, if it is time for one.
-    pub fn next_zones_record(&mut self, now: Time) -> Option<ZonesRecord> {
-        let day_ms = self.clock.day_ms;
-        let zones = self.failure_detector.zones.as_mut()?;
-        if zones.writing.is_some() || now < zones.write_at {
-            return None;
-        }
-        zones.write_at = now.after(WRITE_AGAIN);
-        zones.writing = zones.tracker.record_due(now, day_ms);
-        zones.writing.clone()
-    }
-
-    /// Whether the record that was being written is in the state service now. Where that is not known
-    /// it is written again, which does no harm.
-    pub fn on_zones_recorded(&mut self, written: bool, now: Time) {
-        let day_ms = self.clock.day_ms;
-        let Some(zones) = &mut self.failure_detector.zones else {
-            return;
-        };
-        let record = zones.writing.take();
-        if let Some(record) = record.filter(|_| written) {
-            zones.tracker.on_recorded(&record, now, day_ms);
-        }
-    }
-
-    /// Feeds the tracker with what is seen of every zone.
-    pub(crate) fn observe_zones(&mut self, now: Time) {
-        let observations = self.zone_observations(now);
-        let Some(zones) = self
-            .failure_detector
-            .zones
-            .as_mut()
-            .filter(|zones| zones.restored)
-        else {
-            return;
-        };
-        for change in zones.tracker.observe(&observations, now) {
-            let seen = change.evidence;
-            tracing::info!(
-                "zone {}: {} -> {}: {} of {} machines silent, {} of {} ordinary ones, controllers: {:?}",
-                change.zone,
-                change.from,
-                change.to,
-                seen.silent,
-                seen.machines,
-                seen.ordinary_silent,
-                seen.ordinary,
-                seen.controllers
-            );
-            self.cluster.scheduling_requested = true;
-        }
-    }
-
+impl View<'_> {
     fn zone_observations(&self, now: Time) -> BTreeMap<String, ZoneObservation> {
         let mut observations: BTreeMap<String, ZoneObservation> = BTreeMap::new();
         for (zone, reach) in &self.failure_detector.zone_controllers {
@@ -121,7 +51,7 @@
         let late = self.policy.report.mul_f64(LATE_FACTOR);
         for host in self
             .cluster
-            .hosts
+            .hosts()
             .values()
             .filter(|host| !host.zone.is_empty())
         {
@@ -147,27 +77,6 @@
         zones.is_some_and(|zones| zones.tracker.explains_silence(&host.zone))
     }
 
-    /// The silent machines of lost and returning zones that are given up now, the most urgent first,
-    /// within the budgets of their zones.
-    pub(crate) fn displaced_hosts(&mut self, now: Time) -> Vec<HostName> {
-        if self.failure_detector.zones.is_none() {
-            return Vec::new();
-        }
-        let overdue = |host: &&Host| self.zone_explains_silence(host) && self.is_overdue(host, now);
-        let hosts = self.cluster.hosts.values().filter(overdue);
-        let candidates: Vec<Candidate<HostName>> = hosts
-            .map(|host| Candidate {
-                machine: host.name.clone(),
-                zone: host.zone.clone(),
-                urgency: self.urgency(host, now),
-            })
-            .collect();
-        match &mut self.failure_detector.zones {
-            Some(zones) => zones.tracker.displace(candidates, now),
-            None => Vec::new(),
-        }
-    }
-
     /// Whether a machine has been silent for longer than work like that on it waits for its zone.
     fn is_overdue(&self, host: &Host, now: Time) -> bool {
         let silent_for = match (host.lifecycle, host.reachability) {
@@ -197,7 +106,7 @@
 
     fn holds_urgent_work(&self, host: &Host) -> bool {
         host.allocations.keys().any(|task| {
-            let job = self.cluster.jobs.get(&task.job);
+            let job = self.cluster.jobs().get(&task.job);
             job.is_some_and(|job| job.priority() <= Priority::High || job.is_service())
         })
     }
@@ -223,7 +132,7 @@
     }
 
     fn urgency_of(&self, task: TaskId, allocation: &Allocation, now: Time) -> Option<Urgency> {
-        let job = self.cluster.jobs.get(&task.job)?;
+        let job = self.cluster.jobs().get(&task.job)?;
         Some(Urgency {
             priority: job.priority() as u8,
             beyond_guarantee: self.is_beyond_guarantee(&job.team),
@@ -238,12 +147,7 @@
         };
         let (cpus, gpus) = known.guaranteed();
         let guaranteed = lichencrank_quota::Usage::guaranteed(cpus, gpus);
-        let used = self
-            .cluster
-            .team_usage
-            .get(team)
-            .copied()
-            .unwrap_or_default();
+        let used = self.cluster.team_usage(team);
         !used.fits(&guaranteed)
     }
 
@@ -255,7 +159,7 @@
         let ran_ms = now.since(started).as_millis() as u64;
         let spec = self
             .cluster
-            .jobs
+            .jobs()
             .get(&task.job)
             .and_then(|job| job.spec.as_ref());
         let checkpoint_ms = spec.map_or(0.0, |spec| spec.checkpoint_s.0 * 1000.0) as u64;
@@ -271,6 +175,101 @@
         let zones = self.failure_detector.zones.as_ref();
         zones.is_none_or(|zones| zones.tracker.may_rent_in(zone))
     }
+}
+
+impl Leader {
+    /// Whether zones are tracked.
+    pub fn tracks_zones(&self) -> bool {
+        self.failure_detector.zones.is_some()
+    }
+
+    /// The record of the earlier leader, or that there is none that can be read.
+    pub fn on_zones_record(&mut self, record: Option<&ZonesRecord>, now: Time) {
+        let day_ms = self.clock.day_ms;
+        let Some(zones) = &mut self.failure_detector.zones else {
+            return;
+        };
+        if let Some(record) = record {
+            zones.tracker.restore(record, now, day_ms);
+        }
+        zones.restored = true;
+    }
+
+    /// The record to be written next, if it is time for one.
+    pub fn next_zones_record(&mut self, now: Time) -> Option<ZonesRecord> {
+        let day_ms = self.clock.day_ms;
+        let zones = self.failure_detector.zones.as_mut()?;
+        if zones.writing.is_some() || now < zones.write_at {
+            return None;
+        }
+        zones.write_at = now.after(WRITE_AGAIN);
+        zones.writing = zones.tracker.record_due(now, day_ms);
+        zones.writing.clone()
+    }
+
+    /// Whether the record that was being written is in the state service now. Where that is not known
+    /// it is written again, which does no harm.
+    pub fn on_zones_recorded(&mut self, written: bool, now: Time) {
+        let day_ms = self.clock.day_ms;
+        let Some(zones) = &mut self.failure_detector.zones else {
+            return;
+        };
+        let record = zones.writing.take();
+        if let Some(record) = record.filter(|_| written) {
+            zones.tracker.on_recorded(&record, now, day_ms);
+        }
+    }
+
+    /// Feeds the tracker with what is seen of every zone.
+    pub(crate) fn observe_zones(&mut self, now: Time) {
+        let observations = self.view().zone_observations(now);
+        let Some(zones) = self
+            .failure_detector
+            .zones
+            .as_mut()
+            .filter(|zones| zones.restored)
+        else {
+            return;
+        };
+        for change in zones.tracker.observe(&observations, now) {
+            let seen = change.evidence;
+            tracing::info!(
+                "zone {}: {} -> {}: {} of {} machines silent, {} of {} ordinary ones, controllers: {:?}",
+                change.zone,
+                change.from,
+                change.to,
+                seen.silent,
+                seen.machines,
+                seen.ordinary_silent,
+                seen.ordinary,
+                seen.controllers
+            );
+            self.cluster.request_scheduling();
+        }
+    }
+
+    /// The silent machines of lost and returning zones that are given up now, the most urgent first,
+    /// within the budgets of their zones.
+    pub(crate) fn displaced_hosts(&mut self, now: Time) -> Vec<HostName> {
+        if self.failure_detector.zones.is_none() {
+            return Vec::new();
+        }
+        let overdue = |host: &&Host| {
+            self.view().zone_explains_silence(host) && self.view().is_overdue(host, now)
+        };
+        let hosts = self.cluster.hosts().values().filter(overdue);
+        let candidates: Vec<Candidate<HostName>> = hosts
+            .map(|host| Candidate {
+                machine: host.name.clone(),
+                zone: host.zone.clone(),
+                urgency: self.view().urgency(host, now),
+            })
+            .collect();
+        match &mut self.failure_detector.zones {
+            Some(zones) => zones.tracker.displace(candidates, now),
+            None => Vec::new(),
+        }
+    }
 
     /// How many of the wanted machines the budget of rentals allows now.
     pub(crate) fn within_rental_budget(&mut self, wanted: u64, now: Time) -> u64 {
--- /dev/null
+++ b/src/coordination/leader/heartbeats.rs
@@ -0,0 +1,117 @@
+//! Heartbeats of workers and the outcomes of direct commands.
+
+use crate::coordination::cluster::{HeartbeatSource, Reconciliation};
+use crate::coordination::{CommandResult, Leader, LeaderPhase, LeadershipLost};
+use crate::protocol::workers::{stop_commands, Command, WorkerHeartbeat};
+use crate::types::{HostName, Incarnation, Time};
+
+impl Leader {
+    /// Takes in the heartbeat that a worker sent. Returns the commands for the response.
+    ///
+    /// # Errors
+    ///
+    /// The worker has seen the fencing token of a later leader.
+    pub fn on_heartbeat(
+        &mut self,
+        heartbeat: &WorkerHeartbeat,
+        now: Time,
+    ) -> Result<Vec<Command>, LeadershipLost> {
+        if self.phase == LeaderPhase::LoadingRecords {
+            return self.commands_while_loading(heartbeat);
+        }
+        if !self.reconcile(heartbeat, HeartbeatSource::Worker, now)? {
+            return Ok(Vec::new());
+        }
+        let context = self.command_context(now);
+        Ok(self
+            .cluster
+            .commands_in_response(&heartbeat.host, heartbeat.sequence, context))
+    }
+
+    /// While the records are read, the fencing token alone keeps the worker's lease alive. That may take longer than
+    /// cancelled work has, so it is stopped.
+    fn commands_while_loading(
+        &self,
+        heartbeat: &WorkerHeartbeat,
+    ) -> Result<Vec<Command>, LeadershipLost> {
+        if heartbeat.fencing_token > self.term {
+            return Err(LeadershipLost(heartbeat.fencing_token));
+        }
+        Ok(stop_commands(heartbeat, |job| {
+            self.cancellations.contains(job)
+        }))
+    }
+
+    /// Squares a heartbeat with the state. Returns whether it counted, as the newest of its host.
+    fn reconcile(
+        &mut self,
+        heartbeat: &WorkerHeartbeat,
+        source: HeartbeatSource,
+        now: Time,
+    ) -> Result<bool, LeadershipLost> {
+        if heartbeat.fencing_token > self.term {
+            return Err(LeadershipLost(heartbeat.fencing_token));
+        }
+        if self.phase == LeaderPhase::LoadingRecords || self.cluster.was_released(&heartbeat.host) {
+            return Ok(false);
+        }
+        let mut reconciliation = Reconciliation {
+            cluster: &mut self.cluster,
+            run_times: &mut self.run_times,
+            policy: &self.policy,
+            term: self.term,
+            source,
+            now,
+        };
+        if heartbeat.fencing_token < self.term {
+            reconciliation.apply_unfenced(heartbeat);
+            return Ok(false);
+        }
+        Ok(reconciliation.apply(heartbeat))
+    }
+
+    /// Takes in what became of direct commands, or of a probe if there were none.
+    ///
+    /// # Errors
+    ///
+    /// The worker has seen the fencing token of a later leader.
+    pub fn on_command_result(
+        &mut self,
+        name: &HostName,
+        incarnation: Incarnation,
+        commands: &[Command],
+        result: CommandResult,
+        now: Time,
+    ) -> Result<(), LeadershipLost> {
+        self.dispatcher.on_done(commands);
+        let applied = self.apply_command_result(name, incarnation, commands, result, now);
+        self.send_waiting_commands(now);
+        applied
+    }
+
+    fn apply_command_result(
+        &mut self,
+        name: &HostName,
+        incarnation: Incarnation,
+        commands: &[Command],
+        result: CommandResult,
+        now: Time,
+    ) -> Result<(), LeadershipLost> {
+        if self.cluster.host(name).is_none() {
+            return Ok(());
+        }
+        let is_outcome_known = !matches!(result, CommandResult::NoResponse);
+        self.cluster
+            .on_direct_commands_done(name, incarnation, commands, is_outcome_known);
+        match result {
+            CommandResult::Heartbeat(heartbeat) => {
+                self.reconcile(&heartbeat, HeartbeatSource::CommandResponse, now)?;
+            }
+            CommandResult::NotSent | CommandResult::NoResponse => {
+                self.cluster.on_commands_unanswered(name, now);
+            }
+            CommandResult::NotAttempted => {}
+        }
+        Ok(())
+    }
+}
--- a/src/coordination/leader/mod.rs
+++ b/src/coordination/leader/mod.rs
@@ -1,28 +1,30 @@
 //! The leader of one term: hands events to its components and collects the actions that they ask for.
 
-mod job_events;
+mod heartbeats;
+mod jobs;
 mod records;
 mod status;
 
 pub use records::WriteBacklog;
 pub use status::WorkerReach;
 
+use jobs::Cancellations;
+
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use lichencrank_zones::ControllerReach;
 
 use crate::coordination::autoscaling::Autoscaler;
-use crate::coordination::cluster::host::HostLifecycle;
 use crate::coordination::cluster::ClusterState;
 use crate::coordination::dispatch::CommandDispatcher;
 use crate::coordination::failure_detection::FailureDetector;
 use crate::coordination::quota::TeamQuota;
 use crate::coordination::run_times::RunTimes;
 use crate::coordination::scheduling::Scheduler;
-use crate::coordination::{Action, Policy};
+use crate::coordination::{Action, Policy, View};
 use crate::protocol::cloud::MachineType;
-use crate::types::{HostName, JobId, TaskId, Term, Time, Version};
+use crate::types::{HostName, JobId, Term, Time, Version};
 
 /// How far a leader's picture is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -58,7 +60,7 @@
     /// Which hosts and zones are unreachable.
     pub(crate) failure_detector: FailureDetector,
     pub(crate) dispatcher: CommandDispatcher,
-    pub(crate) cancellations: Cancellations,
+    cancellations: Cancellations,
     /// What teams may use.
     pub(crate) quota: TeamQuota,
     pub(crate) run_times: RunTimes,
@@ -74,20 +76,10 @@
     pub(crate) day_ms: u64,
 }
 
-/// Jobs that some node told its user were cancelled, and when this leader heard of it.
-#[derive(Debug, Default)]
-pub(crate) struct Cancellations {
-    pub(crate) jobs: BTreeMap<JobId, Time>,
-}
-
-/// Names of released machines are kept as long as a list or a late report may still show them.
-const KEPT_RELEASED: Duration = Duration::from_secs(600);
-/// How often the machines are looked through for silent ones.
-const WATCH_EVERY: Duration = Duration::from_millis(250);
-/// The longest time between two passes over the waiting tasks.
-const PLACE_EVERY: Duration = Duration::from_secs(1);
-/// Machines that have reported get work after this part of the first report round.
-const EARLY_PART: u32 = 4;
+/// The round of heartbeats is over after this if no host is known.
+const EMPTY_ROUND: Duration = Duration::from_millis(500);
+/// Hosts that have been heard are used after this part of the first heartbeat interval.
+const EARLY_ROUND_PART: u32 = 4;
 
 impl Leader {
     /// A leader that has read nothing yet. `leader_key` is the version of its key in the store.
@@ -124,17 +116,17 @@
 
     /// The machine types, as far as they are known.
     pub fn machine_types(&self) -> &[MachineType] {
-        &self.cluster.types
+        self.cluster.machine_types()
     }
 
     /// The jobs that are not over, or whose records are not deleted yet.
     pub fn job_ids(&self) -> impl Iterator<Item = JobId> + '_ {
-        self.cluster.jobs.keys().copied()
+        self.cluster.jobs().keys().copied()
     }
 
     /// How many tasks of the job are done, and how many are allocated.
     pub fn task_counts(&self, job: JobId) -> Option<(u64, u64)> {
-        let job = self.cluster.jobs.get(&job)?;
+        let job = self.cluster.jobs().get(&job)?;
         Some((u64::from(job.done_count), u64::from(job.allocated_count)))
     }
 
@@ -168,6 +160,20 @@
         self.failure_detector.zone_controllers = by_zone;
     }
 
+    /// What decisions read.
+    pub(crate) fn view(&self) -> View<'_> {
+        View {
+            policy: &self.policy,
+            cluster: &self.cluster,
+            autoscaler: &self.autoscaler,
+            failure_detector: &self.failure_detector,
+            quota: &self.quota,
+            run_times: &self.run_times,
+            clock: self.clock,
+            started_at: self.started_at,
+        }
+    }
+
     /// Takes what is to be done outside.
     pub fn take_actions(&mut self) -> Vec<Action> {
         std::mem::take(&mut self.actions)
@@ -178,108 +184,80 @@
         now < self.lease_valid_until
     }
 
-    /// The process stood still for longer than its lease, while the world went on. What was heard
-    /// before is old, and so is what comes in now: it waited here for as long. A machine is used
-    /// again once it has been heard twice, or has answered a probe.
+    /// The process was paused for longer than its lease, while the world went on.
     pub fn resumed_after_pause(&mut self) {
-        for host in self.cluster.hosts.values_mut() {
-            if host.lifecycle == HostLifecycle::Up {
-                host.set_lifecycle(HostLifecycle::Unresponsive);
-            }
-        }
+        self.cluster.mark_all_unresponsive();
     }
 
-    /// The one place where the controller changes its phase.
-    pub(crate) fn enter(&mut self, phase: LeaderPhase) {
+    /// The one place where the phase changes.
+    fn set_phase(&mut self, phase: LeaderPhase) {
         tracing::info!("term {}: {:?} -> {phase:?}", self.term, self.phase);
         self.phase = phase;
-        self.cluster.scheduling_requested = true;
+        self.cluster.request_scheduling();
     }
 
-    // ---- time
-
-    /// Does what time alone calls for.
+    /// Does what is due. `day_ms` is the time of day in milliseconds.
     pub fn tick(&mut self, now: Time, day_ms: u64) {
-        let may_act = self.may_act(now);
-        self.clock.day_ms = day_ms;
-        self.clock.now = now;
+        self.clock = Clock { now, day_ms };
         match self.phase {
             LeaderPhase::LoadingRecords => return,
-            LeaderPhase::AwaitingHeartbeats { until } => {
-                let all_up = self
-                    .cluster
-                    .hosts
-                    .values()
-                    .all(|h| h.lifecycle == HostLifecycle::Up);
-                let round_over =
-                    now >= until || (all_up && now.since(self.started_at) >= self.policy.report);
-                let nothing_known = self.cluster.hosts.is_empty()
-                    && now.since(self.started_at) >= Duration::from_millis(500);
-                if !round_over && !nothing_known {
-                    // What has reported may be used meanwhile: the records hold what is booked on
-                    // the others, and none of these takes anything before it has reported.
-                    let early = now.since(self.started_at) >= self.policy.report / EARLY_PART;
-                    if may_act && early {
-                        if std::mem::take(&mut self.cluster.scheduling_requested) {
-                            self.place(now);
-                        }
-                        self.rent_standby(now);
-                    }
-                    return;
-                }
-                self.enter(LeaderPhase::Scheduling);
+            LeaderPhase::AwaitingHeartbeats { until } if !self.is_round_over(until, now) => {
+                return self.schedule_early(now);
             }
+            LeaderPhase::AwaitingHeartbeats { .. } => self.set_phase(LeaderPhase::Scheduling),
             LeaderPhase::Scheduling => {}
         }
-        if now >= self.failure_detector.next_check_at {
-            self.failure_detector.next_check_at = now.after(WATCH_EVERY);
-            self.watch_hosts(now, may_act);
+        let may_act = self.may_act(now);
+        if self.failure_detector.starts_check(now) {
+            self.check_hosts(now, may_act);
             if may_act {
                 self.move_replicas(now);
             }
         }
         if may_act {
-            // Jobs that were told to wait after a failure come back without any event.
-            if std::mem::take(&mut self.cluster.scheduling_requested)
-                || now >= self.scheduler.next_pass_at
-            {
-                self.scheduler.next_pass_at = now.after(PLACE_EVERY);
+            // Jobs that were told to wait after a failure become ready without any event.
+            let is_requested = self.cluster.take_scheduling_request();
+            if is_requested || self.scheduler.is_pass_due(now) {
+                self.scheduler.begin_pass(now);
                 self.place(now);
             }
             if self.has_claimed_allowances() {
-                self.run_fleet(now);
+                self.run_autoscaler(now);
             }
         }
     }
 
-    /// The cloud confirmed: these machines and all on them are gone.
-    pub fn on_hosts_gone(&mut self, names: &[HostName], now: Time) {
-        for name in names {
-            if let Some(mut host) = self.cluster.hosts.remove(name) {
-                let tasks: Vec<TaskId> = host.allocations.keys().copied().collect();
-                for task in tasks {
-                    self.end_booking(&mut host, task, false, now);
-                }
-            }
-            self.cluster.released_hosts.insert(name.clone(), now);
-        }
-        self.cluster
-            .released_hosts
-            .retain(|_, at| now.since(*at) <= KEPT_RELEASED);
-        self.cluster.scheduling_requested = true;
+    /// Whether the round of heartbeats is over in which a new leader completes its view: at the latest at `until`, sooner
+    /// if all known hosts have been heard or none is known.
+    fn is_round_over(&self, until: Time, now: Time) -> bool {
+        let elapsed = now.since(self.started_at);
+        let hosts = self.cluster.hosts();
+        let all_up = hosts.values().all(|host| host.is_up());
+        now >= until
+            || all_up && elapsed >= self.policy.report
+            || hosts.is_empty() && elapsed >= EMPTY_ROUND
     }
 
-    /// Takes in the machine types.
-    pub fn on_machine_types(&mut self, types: Vec<MachineType>) {
-        if types == self.cluster.types {
+    /// Uses the hosts that have been heard before the round is over. The records hold what is allocated to the others, and
+    /// none of these takes anything before it has been heard.
+    fn schedule_early(&mut self, now: Time) {
+        let is_early = now.since(self.started_at) < self.policy.report / EARLY_ROUND_PART;
+        if is_early || !self.may_act(now) {
             return;
         }
-        let names: Vec<String> = self.cluster.types.iter().map(|t| t.name.clone()).collect();
-        for host in self.cluster.hosts.values_mut() {
-            let kind = host.type_index.and_then(|k| names.get(k));
-            host.type_index = kind.and_then(|k| types.iter().position(|t| t.name == *k));
+        if self.cluster.take_scheduling_request() {
+            self.place(now);
         }
-        self.cluster.types = types;
-        self.cluster.scheduling_requested = true;
+        self.rent_standby(now);
+    }
+
+    /// The cloud confirmed that these hosts and all on them are gone.
+    pub fn on_hosts_gone(&mut self, names: &[HostName], now: Time) {
+        self.cluster.remove_hosts(names, now);
+    }
+
+    /// Takes in the machine types that the cloud offers.
+    pub fn on_machine_types(&mut self, machine_types: Vec<MachineType>) {
+        self.cluster.set_machine_types(machine_types);
     }
 }
--- a/src/coordination/leader/records.rs
+++ b/src/coordination/leader/records.rs
@@ -1,9 +1,18 @@
-//! The leader's records: the next batch of writes and what became of the one before.
+//! The leader's records: reading them at the start, the next batch of writes, and what became of the last one.
 
-use lichencrank_store::Outcome;
+use std::collections::BTreeSet;
+use std::time::Duration;
 
-use crate::coordination::{Leader, LeadershipLost};
-use crate::types::{JobId, Time, Version};
+use lichencrank_store::{Outcome, Txn};
+
+use crate::coordination::cluster::BatchResult;
+use crate::coordination::{Leader, LeaderPhase, LeadershipLost};
+use crate::storage::records::RunRecord;
+use crate::types::{HostName, JobId, Time, Version};
+
+/// A new leader awaits the heartbeats of all hosts for so many intervals, and a margin.
+const HEARTBEAT_ROUND_INTERVALS: f64 = 1.25;
+const HEARTBEAT_ROUND_MARGIN: Duration = Duration::from_millis(500);
 
 /// Records that wait to be written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -15,73 +24,101 @@
 }
 
 impl Leader {
+    /// Takes in a run record while the records are read.
+    pub fn on_run_record(
+        &mut self,
+        job: JobId,
+        number: u32,
+        record: &RunRecord,
+        version: Version,
+        now: Time,
+    ) {
+        self.cluster
+            .load_run_record(job, number, record, version, now);
+    }
+
+    /// All records are read: from now on heartbeats complete the view of the cluster.
+    pub fn on_loaded(&mut self, now: Time) {
+        let round = self.policy.report.mul_f64(HEARTBEAT_ROUND_INTERVALS) + HEARTBEAT_ROUND_MARGIN;
+        self.started_at = now;
+        self.set_phase(LeaderPhase::AwaitingHeartbeats {
+            until: now.after(round),
+        });
+        self.cluster.finish_loading(now);
+    }
+
+    /// Puts together the next transaction of at most `max_changes`, if there is one to send. With `has_spare_budget` it
+    /// takes in records that nothing waits for.
+    pub fn next_batch(&mut self, max_changes: usize, has_spare_budget: bool) -> Option<Txn> {
+        self.cluster.next_batch(max_changes, has_spare_budget)
+    }
+
     /// Takes in the outcome of the batch that was put together last.
+    ///
+    /// # Errors
+    ///
+    /// The leader's key has changed.
     pub fn on_batch_outcome(&mut self, outcome: Outcome, now: Time) -> Result<(), LeadershipLost> {
-        let cluster = &mut self.cluster;
-        let result = match outcome {
-            Outcome::Committed(revision) => {
-                cluster
-                    .records
-                    .on_committed(&mut cluster.jobs, revision, now)
+        match self.cluster.on_batch_outcome(outcome, now) {
+            BatchResult::Committed { hosts_to_command } => {
+                self.send_commands_to(&hosts_to_command, now);
             }
-            Outcome::Conflict(keys) => cluster.records.on_conflict(&mut cluster.jobs, &keys),
-            Outcome::Unknown => {
-                cluster.records.on_response_lost();
-                return Ok(());
+            BatchResult::Conflict {
+                cancelled,
+                outdated_allowance,
+            } => {
+                if outdated_allowance {
+                    self.mark_quota_outdated();
+                }
+                for id in cancelled {
+                    self.on_job_deleted(id, now);
+                }
             }
-            Outcome::Invalid => {
-                cluster.records.on_invalid();
-                return Ok(());
-            }
-            _ => {
-                cluster.records.on_refused();
-                return Ok(());
-            }
-        };
-        self.on_commit_result(result, now)
+            BatchResult::LeadershipLost => return Err(LeadershipLost(self.term)),
+            BatchResult::Retry => {}
+        }
+        Ok(())
+    }
+
+    pub(super) fn send_commands_to(&mut self, hosts: &BTreeSet<HostName>, now: Time) {
+        for name in hosts {
+            self.send_commands(name, now);
+        }
     }
 
     /// Takes the run records whose versions have to be read before they can be written again.
     pub fn take_records_of_unknown_version(&mut self) -> Vec<(JobId, u32)> {
-        self.cluster.records.take_version_unknown()
+        self.cluster.take_records_of_unknown_version()
     }
 
     /// The version of a run record was read; `None` if it could not be, and has to be read again.
     pub fn on_run_record_version(&mut self, job: JobId, number: u32, version: Option<Version>) {
-        let cluster = &mut self.cluster;
-        match version {
-            Some(version) => {
-                cluster
-                    .records
-                    .on_version_read(&mut cluster.jobs, job, number, version);
-            }
-            None => cluster.records.version_still_unknown(job, number),
-        }
+        self.cluster.on_run_record_version(job, number, version);
     }
 
     /// How many records wait to be written.
     pub fn write_backlog(&self) -> WriteBacklog {
-        let (urgent, other) = self.cluster.records.backlog();
+        let (urgent, other) = self.cluster.records().backlog();
         WriteBacklog { urgent, other }
     }
 
     /// Whether something waits for a record to be written.
     pub fn has_urgent_writes(&self) -> bool {
-        self.cluster.records.has_urgent()
+        self.cluster.records().has_urgent()
     }
 
     /// Whether no batch is under way.
     pub fn is_write_idle(&self) -> bool {
-        self.cluster.records.is_idle()
+        self.cluster.records().is_idle()
     }
 
     /// The most bytes that a stored value may have.
     pub fn max_value_bytes(&self) -> usize {
-        self.cluster.records.max_value_bytes
+        self.cluster.records().max_value_bytes()
     }
 
     /// The version of the leader's key, on which every write is conditional.
     pub fn leader_key_version(&self) -> Version {
-        self.cluster.records.leader_key_version()
+        self.cluster.records().leader_key_version()
     }
 }
--- a/src/coordination/leader/status.rs
+++ b/src/coordination/leader/status.rs
@@ -6,7 +6,7 @@
 use crate::coordination::cluster::job::Job;
 use crate::coordination::failure_detection::zones;
 use crate::coordination::scheduling::scoring;
-use crate::coordination::{Leader, LeaderPhase};
+use crate::coordination::{Leader, LeaderPhase, View};
 use crate::types::Time;
 
 /// How many machines the leader hears.
@@ -36,13 +36,36 @@
     total: f64,
 }
 
+impl View<'_> {
+    fn cpu_usage(&self) -> CpuUsage {
+        let mut usage = CpuUsage::default();
+        for host in self
+            .cluster
+            .hosts()
+            .values()
+            .filter(|h| h.lifecycle == HostLifecycle::Up)
+        {
+            let cpus = host
+                .type_index
+                .and_then(|k| self.cluster.machine_types().get(k))
+                .map_or(0.0, |t| t.cpus.0);
+            usage.allocated += host.allocated.cpus;
+            usage.total += cpus;
+            if host.cordon.is_some() {
+                usage.cordoned += cpus - host.allocated.cpus;
+            }
+        }
+        usage
+    }
+}
+
 impl Leader {
     /// How many of the machines that were up this leader still hears, and where most of them are.
     pub fn worker_reach(&self, now: Time) -> WorkerReach {
         let late = self.policy.report.mul_f64(zones::LATE_FACTOR);
         let mut reach = WorkerReach::default();
         let mut zones: BTreeMap<&str, usize> = BTreeMap::new();
-        for host in self.cluster.hosts.values() {
+        for host in self.cluster.hosts().values() {
             if host.zone.is_empty()
                 || !matches!(
                     host.lifecycle,
@@ -68,7 +91,7 @@
             |j: &&Job| j.waiting_count() > 0 && j.allocated_count == 0 && j.done_count == 0;
         let job = self
             .cluster
-            .jobs
+            .jobs()
             .values()
             .filter(unbegun)
             .min_by_key(|j| j.submitted_at_ms)?;
@@ -83,20 +106,22 @@
             "a new leader is making its picture".to_owned()
         } else if job.fails_everywhere() || now < job.retry_not_before {
             format!("it failed {} times", job.failures_in_a_row)
-        } else if self.team_room(job) == 0 {
+        } else if self.view().team_room(job) == 0 {
             format!("{} is at its limit", job.team)
-        } else if self.cluster.records.urgent_count() >= self.policy.records {
+        } else if self.cluster.records().urgent_count() >= self.policy.records {
             format!(
                 "{} records wait to be written",
-                self.cluster.records.urgent_count()
+                self.cluster.records().urgent_count()
             )
         } else {
             let suits = |h: &&Host| {
-                let kind = h.type_index.and_then(|k| self.cluster.types.get(k));
+                let kind = h
+                    .type_index
+                    .and_then(|k| self.cluster.machine_types().get(k));
                 kind.is_some_and(|t| scoring::type_suits(spec, t)) && (spec.spot || !h.spot)
             };
             let count = |life| {
-                let hosts = self.cluster.hosts.values().filter(suits);
+                let hosts = self.cluster.hosts().values().filter(suits);
                 hosts.filter(|h| h.lifecycle == life).count()
             };
             let (up, expected) = (count(HostLifecycle::Up), count(HostLifecycle::Expected));
@@ -109,26 +134,26 @@
     pub fn summary(&self) -> String {
         let count = |life| {
             self.cluster
-                .hosts
+                .hosts()
                 .values()
                 .filter(|h| h.lifecycle == life)
                 .count()
         };
         let waiting: u64 = self
             .cluster
-            .jobs
+            .jobs()
             .values()
             .map(|j| u64::from(j.waiting_count()))
             .sum();
         let booked: usize = self
             .cluster
-            .hosts
+            .hosts()
             .values()
             .map(|h| h.allocations.len())
             .sum();
         let fetching: usize = self
             .cluster
-            .hosts
+            .hosts()
             .values()
             .map(|h| {
                 h.allocations
@@ -137,36 +162,15 @@
                     .count()
             })
             .sum();
-        let cpus = self.cpu_usage();
+        let cpus = self.view().cpu_usage();
         let (used, closed, all) = (cpus.allocated, cpus.cordoned, cpus.total);
         format!(
             "{} jobs, {waiting} tasks waiting, {booked} booked, {fetching} of them not started; {used} of {all} CPUs used, {closed} closed; machines: {} up, {} expected, {} silent, {} returning",
-            self.cluster.jobs.len(),
+            self.cluster.jobs().len(),
             count(HostLifecycle::Up),
             count(HostLifecycle::Expected),
             count(HostLifecycle::Unresponsive),
             count(HostLifecycle::Releasing),
         )
     }
-
-    fn cpu_usage(&self) -> CpuUsage {
-        let mut usage = CpuUsage::default();
-        for host in self
-            .cluster
-            .hosts
-            .values()
-            .filter(|h| h.lifecycle == HostLifecycle::Up)
-        {
-            let cpus = host
-                .type_index
-                .and_then(|k| self.cluster.types.get(k))
-                .map_or(0.0, |t| t.cpus.0);
-            usage.allocated += host.allocated.cpus;
-            usage.total += cpus;
-            if host.cordon.is_some() {
-                usage.cordoned += cpus - host.allocated.cpus;
-            }
-        }
-        usage
-    }
 }
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -23,9 +23,11 @@
 pub mod resources;
 mod run_times;
 pub mod scheduling;
+mod view;
 
 pub use actions::{Action, CommandResult, LeadershipLost};
 pub use failure_detection::longest_report_delay;
 pub use leader::{Leader, LeaderPhase, WorkerReach};
 pub use policy::Policy;
 pub use quota::quota_policy;
+pub(crate) use view::View;
--- a/src/coordination/quota.rs
+++ b/src/coordination/quota.rs
@@ -8,7 +8,7 @@
 
 use crate::coordination::cluster::job::{Job, JobPhase};
 use crate::coordination::resources::Resources;
-use crate::coordination::{Leader, Policy};
+use crate::coordination::{Leader, Policy, View};
 use crate::features::QuotaFeature;
 use crate::protocol::users::Priority;
 use crate::settings::Team;
@@ -82,27 +82,10 @@
     }
 }
 
-impl Leader {
-    /// A allocation counts from here on.
-    pub(crate) fn charge(&mut self, team: &str, need: &Resources) {
-        *self.cluster.team_usage.entry(team.to_owned()).or_default() += usage(need);
-    }
-
-    /// A allocation is proven ended.
-    pub(crate) fn discharge(&mut self, team: &str, need: &Resources) {
-        if let Some(used) = self.cluster.team_usage.get_mut(team) {
-            *used = used.without(&usage(need));
-        }
-    }
-
+impl View<'_> {
     /// What counts for a team: its allocations, and what machines reported that is not booked there.
     fn counted(&self, team: &str) -> Usage {
-        let booked = self
-            .cluster
-            .team_usage
-            .get(team)
-            .copied()
-            .unwrap_or_default();
+        let booked = self.cluster.team_usage(team);
         let unbooked = self
             .quota
             .unrecorded_usage
@@ -128,16 +111,6 @@
         usage(&job.task_resources).times_in(&room)
     }
 
-    /// Whether it is known what teams may use. Before that all work seems to need no machines, and they
-    /// would be returned.
-    pub(crate) fn has_claimed_allowances(&self) -> bool {
-        let Some(accounts) = &self.quota.accounts else {
-            return true;
-        };
-        let mut teams = self.policy.teams.iter();
-        teams.all(|team| accounts.granted(&TeamName::new(&team.name)).is_some())
-    }
-
     /// Whether a task of that priority may be stopped for the job, by the rules of preemption. Borrowed
     /// work gives way to guarantees where the feature is on.
     pub(crate) fn may_preempt(&self, victim: &Job, by: &Job) -> bool {
@@ -167,6 +140,44 @@
         }
     }
 
+    fn demands(&self) -> BTreeMap<TeamName, Demand> {
+        let mut demands: BTreeMap<TeamName, Demand> = BTreeMap::new();
+        for team in &self.policy.teams {
+            let used = self.counted(&team.name);
+            let demand = Demand {
+                used,
+                ..Demand::default()
+            };
+            demands.insert(TeamName::new(&team.name), demand);
+        }
+        let active = self
+            .cluster
+            .jobs()
+            .values()
+            .filter(|j| j.phase == JobPhase::Active);
+        for job in active.filter(|j| j.waiting_count() > 0) {
+            let Some(demand) = demands.get_mut(&TeamName::new(&job.team)) else {
+                continue;
+            };
+            let one = usage(&job.task_resources);
+            demand.waiting += one.times(u64::from(job.waiting_count()));
+            demand.front = demand.front.at_least(&one);
+        }
+        demands
+    }
+}
+
+impl Leader {
+    /// Whether it is known what teams may use. Before that all work seems to need no machines, and they
+    /// would be returned.
+    pub(crate) fn has_claimed_allowances(&self) -> bool {
+        let Some(accounts) = &self.quota.accounts else {
+            return true;
+        };
+        let mut teams = self.policy.teams.iter();
+        teams.all(|team| accounts.granted(&TeamName::new(&team.name)).is_some())
+    }
+
     /// Sums up what machines report and nobody booked there. It is rare, so looking is cheap where there
     /// is none.
     pub(crate) fn count_unbooked(&mut self) {
@@ -176,12 +187,12 @@
         }
         let unrecorded_attempts = self
             .cluster
-            .hosts
+            .hosts()
             .values()
             .flat_map(|host| &host.unrecorded_attempts);
         let tasks: Vec<TaskId> = unrecorded_attempts.map(|(task, _)| *task).collect();
         for task in tasks {
-            if let Some(job) = self.cluster.jobs.get(&task.job) {
+            if let Some(job) = self.cluster.jobs().get(&task.job) {
                 let counted = self
                     .quota
                     .unrecorded_usage
@@ -250,11 +261,11 @@
         if !ready {
             return None;
         }
-        let demands = self.demands();
-        let most = self.cluster.records.max_txn_changes;
+        let demands = self.view().demands();
+        let most = self.cluster.records().max_txn_changes();
         let mut txn = self.quota.accounts.as_mut()?.plan(&demands, most)?;
         let holder = crate::storage::records::LEADER_KEY.to_owned();
-        txn.require(holder, self.cluster.records.leader_key_version());
+        txn.require(holder, self.cluster.records().leader_key_version());
         Some(txn)
     }
 
@@ -279,38 +290,12 @@
             return;
         };
         let teams = self.policy.teams.iter();
-        self.cluster.records.allowance_fences = teams
+        let fences = teams
             .filter_map(|team| {
                 let fence = accounts.fence(&TeamName::new(&team.name))?;
                 Some((team.name.clone(), fence))
             })
             .collect();
-        self.cluster.scheduling_requested = true;
-    }
-
-    fn demands(&self) -> BTreeMap<TeamName, Demand> {
-        let mut demands: BTreeMap<TeamName, Demand> = BTreeMap::new();
-        for team in &self.policy.teams {
-            let used = self.counted(&team.name);
-            let demand = Demand {
-                used,
-                ..Demand::default()
-            };
-            demands.insert(TeamName::new(&team.name), demand);
-        }
-        let active = self
-            .cluster
-            .jobs
-            .values()
-            .filter(|j| j.phase == JobPhase::Active);
-        for job in active.filter(|j| j.waiting_count() > 0) {
-            let Some(demand) = demands.get_mut(&TeamName::new(&job.team)) else {
-                continue;
-            };
-            let one = usage(&job.task_resources);
-            demand.waiting += one.times(u64::from(job.waiting_count()));
-            demand.front = demand.front.at_least(&one);
-        }
-        demands
+        self.cluster.set_allowance_fences(fences);
     }
 }
--- a/src/coordination/run_times.rs
+++ b/src/coordination/run_times.rs
@@ -1,79 +1,80 @@
-//! How long tasks run, as far as it can be told from those that ended.
+//! How long tasks run, learnt from those that completed.
 
 use std::collections::BTreeMap;
+use std::time::Duration;
 
 use crate::coordination::cluster::job::Job;
-use crate::coordination::Leader;
 use crate::protocol::users::JobSpec;
-use crate::types::{TaskId, Time};
+use crate::types::Time;
 
-const LEARN_KEEP: f64 = 0.98;
-
-/// Nobody knows when a replica ends: forecasts take it for long.
+/// What earlier runs still count for when the next one completes, so that a new day is noticed.
+const DECAY: f64 = 0.98;
+/// Nobody knows when a replica ends: forecasts assume so many seconds.
 const SERVICE_RUN_S: f64 = 600.0;
+/// The owner's estimate counts as so many runs, so that the first completed ones do not decide alone.
+const PRIOR_RUNS: f64 = 4.0;
+/// The bounds of the factor between the owner's estimate and the expected run time.
+const MIN_FACTOR: f64 = 0.4;
+const MAX_FACTOR: f64 = 2.5;
+/// A task that has run longer than expected is expected to run on for this share of the time it has run.
+const OVERRUN_SHARE: f64 = 0.25;
+/// A running task is expected to run on for so many seconds at the least.
+const MIN_REMAINING_S: f64 = 1.0;
+
+/// Run times by the class of the job. Owners' estimates are often wrong, and on some days all in one direction.
+#[derive(Debug, Default)]
+pub(crate) struct RunTimes {
+    by_class: BTreeMap<String, ClassRunTimes>,
+}
 
-/// Run times of one class of jobs, as sums in seconds in which older runs fade.
+/// Run times of one class of jobs: sums in seconds in which older runs decay.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct ClassRunTimes {
-    /// How long its tasks ran.
+struct ClassRunTimes {
     actual_s: f64,
-    /// How long their owners had estimated.
     estimated_s: f64,
 }
 
-/// Run times by the class of the job.
-pub(crate) type RunTimes = BTreeMap<String, ClassRunTimes>;
-
-impl Leader {
-    /// Owners' guesses are often wrong, and some days all in the same direction.
-    pub(crate) fn learn(&mut self, task: TaskId, ran: Option<f64>) {
-        let spec = self
-            .cluster
-            .jobs
-            .get(&task.job)
-            .and_then(|j| j.spec.as_ref());
-        let (Some(spec), Some(ran)) = (spec, ran) else {
-            return;
-        };
-        let class = self.run_times.entry(spec.class.clone()).or_default();
-        // Older runs fade, so that a new day is noticed.
-        class.actual_s = class.actual_s * LEARN_KEEP + ran;
-        class.estimated_s = class.estimated_s * LEARN_KEEP + spec.estimate_s.0;
+impl RunTimes {
+    /// A task of the job completed after it had run for so long.
+    pub(crate) fn observe(&mut self, spec: &JobSpec, ran_for: Duration) {
+        let class = self.by_class.entry(spec.class.clone()).or_default();
+        class.actual_s = class.actual_s * DECAY + ran_for.as_secs_f64();
+        class.estimated_s = class.estimated_s * DECAY + spec.estimate_s.0;
     }
 
-    /// How long a task of the job is likely to run.
-    pub(crate) fn expected_run(&self, job: &Job) -> f64 {
-        if job.is_service() {
-            return SERVICE_RUN_S;
-        }
-        let expected = match &job.spec {
-            Some(spec) => self.expected_run_of(spec),
+    /// How long a task of the job is likely to run, in seconds.
+    pub(crate) fn expected_s(&self, job: &Job) -> f64 {
+        match &job.spec {
+            Some(spec) => self.expected_of_spec_s(spec),
             None => job.estimated_run_s(),
-        };
-        // The job's own finished tasks tell more than any guess.
-        let (own, count) = job.completed_runs;
-        (expected + own) / (1.0 + count)
+        }
     }
 
-    /// How long a task of such a job is likely to run, by its owner's guess and the class's runs.
-    pub(crate) fn expected_run_of(&self, spec: &JobSpec) -> f64 {
+    /// How long a task of such a job is likely to run, in seconds.
+    pub(crate) fn expected_of_spec_s(&self, spec: &JobSpec) -> f64 {
         if spec.is_service() {
             return SERVICE_RUN_S;
         }
-        let class = self.run_times.get(&spec.class).copied().unwrap_or_default();
-        let estimate = spec.estimate_s.0.max(1.0);
-        // A few guesses taken at their word keep the first runs from deciding alone.
-        let prior = estimate * 4.0;
-        estimate * ((class.actual_s + prior) / (class.estimated_s + prior)).clamp(0.4, 2.5)
+        let class = self.by_class.get(&spec.class).copied().unwrap_or_default();
+        let estimate_s = spec.estimate_s.0.max(1.0);
+        let prior_s = estimate_s * PRIOR_RUNS;
+        let factor = (class.actual_s + prior_s) / (class.estimated_s + prior_s);
+        estimate_s * factor.clamp(MIN_FACTOR, MAX_FACTOR)
     }
 
-    /// How much longer a running task will take. One past its time shows that the guess was bad.
-    pub(crate) fn expected_rest(&self, job: &Job, started: Option<Time>, now: Time) -> f64 {
+    /// How much longer a task is likely to run that started then, in seconds. One that overruns shows that the estimate
+    /// was wrong.
+    pub(crate) fn expected_remaining_s(
+        &self,
+        job: &Job,
+        started_at: Option<Time>,
+        now: Time,
+    ) -> f64 {
         if job.is_service() {
             return f64::MAX;
         }
-        let run = self.expected_run(job);
-        let ran = started.map_or(0.0, |s| now.since(s).as_secs_f64());
-        (run - ran).max(ran * 0.25).max(1.0)
+        let ran_s = started_at.map_or(0.0, |at| now.since(at).as_secs_f64());
+        let remaining_s = self.expected_s(job) - ran_s;
+        remaining_s.max(ran_s * OVERRUN_SHARE).max(MIN_REMAINING_S)
     }
 }
--- a/src/coordination/scheduling/placement.rs
+++ b/src/coordination/scheduling/placement.rs
@@ -1,223 +1,162 @@
-//! Eligibility, score, order and limits: on which machine each waiting task goes.
-//!
-//! The design: among the eligible machines, the one with the highest weighted headroom; machines
-//! without a sibling task first; ties by name.
+//! Placement: a pass over the waiting tasks, in the order of the queue, that puts each on the eligible host with the
+//! highest weighted headroom. Hosts without another task of the job come first; ties go to the first name.
 
-use std::cmp::Ordering;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 use std::time::Duration;
 
-use crate::coordination::cluster::host::{Host, HostLifecycle, Reachability};
+use super::candidates::{CandidateHost, ScoredHost};
+use super::ranking::Rank;
+use super::scoring::capacity;
+use crate::coordination::cluster::host::{Host, Reachability};
 use crate::coordination::cluster::job::Job;
 use crate::coordination::resources::Resources;
-use crate::coordination::scheduling::ranking::Rank;
-use crate::coordination::scheduling::scoring::{capacity, score};
-use crate::coordination::Leader;
+use crate::coordination::{Leader, View};
 use crate::protocol::users::{JobSpec, Priority};
-use crate::types::{Attempt, HostName, JobId, TaskId, Time};
+use crate::types::{HostName, JobId, TaskId, Time};
 
+/// Tasks allocated in one pass; the rest waits for the next, so that a pass never takes long.
+const MAX_ALLOCATIONS: u64 = 400;
 /// A failure on a host keeps the job's tasks away from it for this long.
 const AVOID_FAILED_HOST_FOR: Duration = Duration::from_secs(20);
-/// Tasks booked in one pass; the rest waits for the next, so that a pass never takes long.
-const MAX_BOOKINGS: u64 = 400;
-/// A machine with room, as one pass over the waiting tasks sees it.
-struct Open {
-    name: HostName,
-    kind: usize,
-    zone: String,
-    spot: bool,
-    whole: Resources,
-    used: Resources,
-    /// Failures may speak against some jobs.
-    failed: bool,
-    /// Ended attempts or unanswered commands may speak against some tasks.
-    remembers: bool,
-    /// Kept free for a job that has waited too long.
-    held: bool,
-}
-
-impl Open {
-    fn free(&self) -> Resources {
-        self.whole.minus(&self.used)
-    }
-
-    fn ranked(&self, at: usize, alone: bool, fetch: u32, needs_gpu: bool) -> Ranked {
-        let score = score(&self.whole, &self.used, needs_gpu);
-        Ranked {
-            alone,
-            fetch,
-            score,
-            at,
-        }
-    }
-}
+/// Steps of an image's fetch time in a second.
+const FETCH_STEPS_PER_S: f64 = 2.0;
+/// The slowest rate of image fetches that is reckoned with, in GB a second.
+const MIN_FETCH_GB_PER_S: f64 = 0.01;
 
 /// What one pass over the waiting tasks keeps.
-struct Pass {
-    open: Vec<Open>,
-    /// What found no machine.
-    full: Vec<TaskShape>,
-    left: u64,
-    /// Zones that take only so many more tasks.
-    limited_zones: BTreeMap<String, usize>,
+struct PlacementPass {
+    candidates: Vec<CandidateHost>,
+    /// Profiles of tasks that found no host.
+    unplaceable: Vec<TaskProfile>,
+    allocations_left: u64,
+    /// How many more tasks the zones take that are limited.
+    zone_allowances: BTreeMap<String, usize>,
     now: Time,
 }
 
-/// What matters for whether some machine has room.
+/// What decides whether some host has room for a task that may run anywhere.
 #[derive(Clone, Copy, PartialEq)]
-struct TaskShape {
-    need: Resources,
+struct TaskProfile {
+    resources: Resources,
     spot: bool,
-    /// It may use types that are scarce for others.
+    /// Whether it may use types that are scarce for others.
     overflows: bool,
 }
 
-/// A machine's place among those that may take a task: without a sibling task first, then, for a
-/// service, where its image is there the soonest, then by score, then by name.
-#[derive(PartialEq)]
-struct Ranked {
-    alone: bool,
-    /// How long a service's image takes, in steps.
-    fetch: u32,
-    score: f64,
-    at: usize,
+/// The placement of one job's waiting tasks within a pass.
+struct JobPlacement {
+    id: JobId,
+    spec: Box<JobSpec>,
+    resources: Resources,
+    profile: TaskProfile,
+    /// Whether the job may run anywhere, so that its profile alone decides.
+    is_unconstrained: bool,
+    /// Whether the job has waited too long for a first start.
+    is_starving: bool,
+    /// The machine types that its tasks may use, by index.
+    usable_types: Vec<bool>,
+    /// More types that they may use if there is no room on those.
+    overflow_types: Option<Vec<bool>>,
+    /// How many of its tasks each zone holds.
+    siblings_by_zone: BTreeMap<String, u64>,
+    /// The hosts that may take a task, the best on top.
+    eligible: BinaryHeap<ScoredHost>,
+    /// How many more tasks its team's quota and the pass allow.
+    tasks_left: u64,
+    /// How many urgent records may wait to be written before no more is allocated.
+    max_waiting_records: usize,
 }
 
-impl Eq for Ranked {}
-
-impl PartialOrd for Ranked {
-    fn partial_cmp(&self, other: &Ranked) -> Option<Ordering> {
-        Some(self.cmp(other))
-    }
-}
-
-impl Ord for Ranked {
-    fn cmp(&self, other: &Ranked) -> Ordering {
-        let by_score = self.score.total_cmp(&other.score);
-        // Machines stand in the order of their names, so a tie goes to the first.
-        let by_name = other.at.cmp(&self.at);
-        let by_place = self.alone.cmp(&other.alone);
-        let by_image = other.fetch.cmp(&self.fetch);
-        by_place.then(by_image).then(by_score).then(by_name)
-    }
+/// What to do next for a job.
+enum NextStep {
+    /// Allocate the task to the candidate of that index.
+    Allocate(TaskId, usize),
+    /// No host has room for its next task.
+    MakeRoom,
+    /// Nothing more in this pass.
+    Finish,
 }
 
-impl Leader {
-    /// One pass over the waiting tasks.
-    pub(crate) fn place(&mut self, now: Time) {
-        self.count_unbooked();
-        let ranks = self.ranked();
-        if ranks.is_empty() {
-            return;
-        }
-        let scarce = self.scarce_types();
-        let mut pass = Pass {
-            open: self.open_machines(now),
-            full: Vec::new(),
-            left: MAX_BOOKINGS,
-            limited_zones: self.limited_zones(now),
-            now,
-        };
-        for rank in ranks {
-            if pass.left == 0 {
-                // The rest follows once reports and users have had their turn.
-                self.cluster.scheduling_requested = true;
-                return;
-            }
-            let Some(mut job) = self.cluster.jobs.remove(&rank.id) else {
-                continue;
-            };
-            if let Some(spec) = job.spec.clone() {
-                self.place_job(&mut job, &spec, &rank, &scarce, &mut pass);
-            }
-            self.cluster.jobs.insert(rank.id, job);
-        }
-    }
-
-    /// The machines that are open and have room, in the order of their names.
-    fn open_machines(&self, now: Time) -> Vec<Open> {
-        let mut open = Vec::new();
-        for host in self.cluster.hosts.values() {
-            let Some(kind) = host.type_index else {
-                continue;
-            };
-            let Some(t) = self.cluster.types.get(kind) else {
-                continue;
-            };
-            let whole = capacity(t);
-            let free = whole.minus(&host.allocated);
-            if !self.is_open(host, now) || free.cpus <= 0.0 || free.memory_gb <= 0.0 {
-                continue;
+impl View<'_> {
+    /// The hosts that take new tasks and have room, in the order of their names.
+    fn candidates(&self, now: Time) -> Vec<CandidateHost> {
+        let hosts = self.cluster.hosts().values();
+        let candidates = hosts.filter_map(|host| {
+            let machine_type = self.cluster.type_of(host)?;
+            if !self.is_open(host, now) {
+                return None;
             }
-            open.push(Open {
-                name: host.name.clone(),
-                kind,
-                zone: host.zone.clone(),
-                spot: host.spot,
-                whole,
-                used: host.allocated,
-                failed: !host.failed_jobs.is_empty(),
-                remembers: !host.ended_attempts.is_empty() || !host.unacknowledged_runs.is_empty(),
-                held: false,
-            });
-        }
-        open
+            CandidateHost::new(host, host.type_index?, capacity(machine_type))
+        });
+        candidates.collect()
     }
 
-    fn place_job(
-        &mut self,
-        job: &mut Job,
-        spec: &JobSpec,
+    /// Prepares the placement of a job; `None` if none of its tasks can be placed in this pass.
+    fn begin_placement(
+        &self,
         rank: &Rank,
         scarce: &[bool],
-        pass: &mut Pass,
-    ) {
-        let _job = tracing::debug_span!("job", id = %job.id).entered();
-        let records = self.max_waiting_records(rank, spec);
-        if pass.now < job.retry_not_before || self.cluster.records.is_held(job.id) {
-            return;
+        pass: &PlacementPass,
+    ) -> Option<JobPlacement> {
+        let job = self.cluster.job(rank.id)?;
+        let spec = job.spec.clone()?;
+        if pass.now < job.retry_not_before || self.cluster.records().is_held(job.id) {
+            return None;
         }
-        let plain =
-            spec.machine_types.is_none() && spec.zone.is_none() && !spec.same_zone && !spec.spread;
-        let mut usable = self.usable_types(spec, scarce);
-        let due_in = job.due_in_s(self.clock.day_ms);
-        let mut more = self.overflow_types(spec, &usable, self.expected_run(job), due_in);
-        let shape = TaskShape {
-            need: job.task_resources,
+        let usable_types = self.usable_types(&spec, scarce);
+        let due_in_s = job.due_in_s(self.clock.day_ms);
+        let run_s = self.run_times.expected_s(job);
+        let overflow_types = self.overflow_types(&spec, &usable_types, run_s, due_in_s);
+        let profile = TaskProfile {
+            resources: job.task_resources,
             spot: spec.spot,
-            overflows: more.is_some(),
+            overflows: overflow_types.is_some(),
         };
-        // A job like one that found no machine in this pass won't find one either.
-        if plain && pass.full.contains(&shape) {
-            return;
+        let is_unconstrained = is_unconstrained(&spec);
+        if is_unconstrained && pass.unplaceable.contains(&profile) {
+            return None;
         }
-        let placeable = u64::from(job.schedulable_count());
-        let mut room = self.team_room(job).min(pass.left).min(placeable);
-        let mut siblings = self.siblings(job, spec);
-        let mut ranked = self.eligible(job, spec, &usable, pass);
-        while room > 0 {
-            let Some(index) = job.next_waiting_task() else {
-                return;
-            };
-            let task = TaskId { job: job.id, index };
-            // An allocation that waits long for its record would only hold the machine idle.
-            let queued = self.cluster.records.is_urgent(job.id, job.chunk_of(index));
-            if !queued && self.cluster.records.urgent_count() >= records {
-                return;
+        let schedulable = u64::from(job.schedulable_count());
+        let allowed = self.team_room(job).min(pass.allocations_left);
+        Some(JobPlacement {
+            id: job.id,
+            resources: job.task_resources,
+            profile,
+            is_unconstrained,
+            is_starving: !rank.patient,
+            overflow_types,
+            siblings_by_zone: self.siblings_by_zone(job, &spec),
+            eligible: self.eligible_hosts(job, &spec, &usable_types, pass),
+            tasks_left: allowed.min(schedulable),
+            max_waiting_records: self.max_waiting_records(rank, &spec),
+            usable_types,
+            spec,
+        })
+    }
+
+    fn next_step(&self, placement: &mut JobPlacement, pass: &PlacementPass) -> NextStep {
+        let Some(job) = self.cluster.job(placement.id) else {
+            return NextStep::Finish;
+        };
+        let Some(index) = job.next_waiting_task() else {
+            return NextStep::Finish;
+        };
+        // An allocation that waits long for its record would only hold the host idle.
+        let records = self.cluster.records();
+        let is_queued = records.is_urgent(job.id, job.chunk_of(index));
+        if !is_queued && records.urgent_count() >= placement.max_waiting_records {
+            return NextStep::Finish;
+        }
+        let task = TaskId { job: job.id, index };
+        loop {
+            if let Some(candidate) = self.take_best_host(task, placement, pass) {
+                return NextStep::Allocate(task, candidate);
             }
-            let Some(best) = self.best_host(spec, task, &mut ranked, &siblings, pass) else {
-                if let Some(more) = more.take() {
-                    usable = more;
-                    ranked = self.eligible(job, spec, &usable, pass);
-                    continue;
-                }
-                let full = (plain && rank.patient).then_some(shape);
-                return self.make_room(job, spec, rank, &usable, full, pass);
+            let Some(overflow_types) = placement.overflow_types.take() else {
+                return NextStep::MakeRoom;
             };
-            let zone = pass.open[best].zone.clone();
-            *siblings.entry(zone).or_default() += 1;
-            self.book_on(job, spec, task, best, &mut ranked, pass);
-            room -= 1;
+            placement.eligible = self.eligible_hosts(job, &placement.spec, &overflow_types, pass);
+            placement.usable_types = overflow_types;
         }
     }
 
@@ -231,196 +170,250 @@
         self.policy.records * (1 + Priority::BestEffort as usize - priority as usize)
     }
 
-    /// Books the task on that machine, which stays among those that may take another one if it has
-    /// room for it.
-    fn book_on(
-        &mut self,
-        job: &mut Job,
-        spec: &JobSpec,
-        task: TaskId,
-        best: usize,
-        ranked: &mut BinaryHeap<Ranked>,
-        pass: &mut Pass,
-    ) {
-        let open = &mut pass.open[best];
-        open.used.add(&job.task_resources);
-        if job.task_resources.fits(&open.free()) {
-            let fetch = self.fetch_steps(spec, &open.name);
-            ranked.push(open.ranked(best, false, fetch, job.task_resources.gpus > 0.0));
-        }
-        let name = open.name.clone();
-        self.book(job, task, &name, pass.now);
-        pass.left -= 1;
-        if let Some(left) = pass.limited_zones.get_mut(&pass.open[best].zone) {
-            *left = left.saturating_sub(1);
-            self.on_placed_in(&pass.open[best].zone);
-        }
-    }
-
-    /// No machine has room for the next task of the job. `full` is noted so that jobs like it are not
-    /// tried in this pass.
-    fn make_room(
-        &mut self,
-        job: &Job,
-        spec: &JobSpec,
-        rank: &Rank,
-        usable: &[bool],
-        full: Option<TaskShape>,
-        pass: &mut Pass,
-    ) {
-        if spec.is_service() && self.reopen_for(job, spec, usable, pass.now) {
-            self.cluster.scheduling_requested = true;
-            return;
-        }
-        if !rank.patient {
-            Self::reserve_room(job, spec, usable, pass);
-        }
-        pass.full.extend(full);
-        self.preempt(job, spec, usable, pass.now);
-    }
-
-    /// The machines that may take a task of the job, the best on top.
-    fn eligible(
+    /// The candidates that may take a task of the job, the best on top.
+    fn eligible_hosts(
         &self,
         job: &Job,
         spec: &JobSpec,
-        usable: &[bool],
-        pass: &Pass,
-    ) -> BinaryHeap<Ranked> {
-        let holding: BTreeSet<&HostName> = job.allocated_hosts().collect();
+        usable_types: &[bool],
+        pass: &PlacementPass,
+    ) -> BinaryHeap<ScoredHost> {
+        let hosts_of_job: BTreeSet<&HostName> = job.allocated_hosts().collect();
         let needs_gpu = job.task_resources.gpus > 0.0;
-        let mut ranked = Vec::new();
-        for (at, open) in pass.open.iter().enumerate() {
-            let eligible = usable.get(open.kind) == Some(&true)
-                && !open.held
-                && job.task_resources.fits(&open.free())
-                && (spec.spot || !open.spot)
-                && !(open.failed && self.failed_lately(&open.name, job.id, pass.now));
-            if eligible {
-                let alone = !holding.contains(&open.name);
-                let fetch = self.fetch_steps(spec, &open.name);
-                ranked.push(open.ranked(at, alone, fetch, needs_gpu));
+        let mut eligible = Vec::new();
+        for (index, candidate) in pass.candidates.iter().enumerate() {
+            let is_eligible = usable_types.get(candidate.type_index) == Some(&true)
+                && !candidate.is_reserved
+                && job.task_resources.fits(&candidate.free())
+                && (spec.spot || !candidate.spot)
+                && !(candidate.has_failed_jobs
+                    && self.failed_lately(&candidate.name, job.id, pass.now));
+            if is_eligible {
+                let has_sibling = hosts_of_job.contains(&candidate.name);
+                let fetch_steps = self.fetch_steps(spec, &candidate.name);
+                eligible.push(candidate.scored(index, has_sibling, fetch_steps, needs_gpu));
             }
         }
-        ranked.into()
+        eligible.into()
     }
 
-    /// The exception to the order by score: a service is to run within moments, and an image may take
-    /// longer than that. Steps of half a second.
+    /// How long the host takes to fetch the image of a service, in steps; 0 for other jobs. This is the exception to the
+    /// order by score: a service is to run within moments, and an image may take longer than that.
     fn fetch_steps(&self, spec: &JobSpec, name: &HostName) -> u32 {
-        let host = self.cluster.hosts.get(name).filter(|_| spec.is_service());
-        let Some(host) = host.filter(|h| !h.has_cached_image(&spec.image)) else {
+        let host = self.cluster.host(name).filter(|_| spec.is_service());
+        let Some(host) = host.filter(|host| !host.has_cached_image(&spec.image)) else {
             return 0;
         };
-        let kind = host.type_index.and_then(|k| self.cluster.types.get(k));
-        let rate = kind.map_or(0.01, |t| t.fetch_gb_per_s.0.max(0.01));
-        1 + (spec.image_gb.0 / rate * 2.0) as u32
+        let machine_type = self.cluster.type_of(host);
+        let gb_per_s = machine_type.map_or(MIN_FETCH_GB_PER_S, |machine_type| {
+            machine_type.fetch_gb_per_s.0.max(MIN_FETCH_GB_PER_S)
+        });
+        1 + (spec.image_gb.0 / gb_per_s * FETCH_STEPS_PER_S) as u32
     }
 
     fn failed_lately(&self, name: &HostName, job: JobId, now: Time) -> bool {
-        let host = self.cluster.hosts.get(name);
-        let failed_at = host.and_then(|h| h.failed_jobs.get(&job));
+        let host = self.cluster.host(name);
+        let failed_at = host.and_then(|host| host.failed_jobs.get(&job));
         failed_at.is_some_and(|at| now.since(*at) < AVOID_FAILED_HOST_FOR)
     }
 
-    /// Takes the best machine for the task from those that may take one of its job.
-    fn best_host(
+    /// Takes the best candidate for the task from those that are eligible for its job.
+    fn take_best_host(
         &self,
-        spec: &JobSpec,
         task: TaskId,
-        ranked: &mut BinaryHeap<Ranked>,
-        siblings: &BTreeMap<String, u64>,
-        pass: &Pass,
+        placement: &mut JobPlacement,
+        pass: &PlacementPass,
     ) -> Option<usize> {
-        let mut aside = Vec::new();
+        let mut set_aside = Vec::new();
         let mut best = None;
-        while let Some(next) = ranked.pop() {
-            let open = &pass.open[next.at];
-            let zone_is_full = pass.limited_zones.get(&open.zone) == Some(&0);
-            if zone_is_full || !Self::zone_allowed(spec, &open.zone, siblings) {
-                // During the pass the zone takes no more, and its siblings only get more.
+        while let Some(next) = placement.eligible.pop() {
+            let candidate = &pass.candidates[next.index];
+            let is_zone_full = pass.zone_allowances.get(&candidate.zone) == Some(&0);
+            let siblings = &placement.siblings_by_zone;
+            if is_zone_full || !is_zone_allowed(&placement.spec, &candidate.zone, siblings) {
+                // That does not change in this pass, as siblings only become more.
                 continue;
             }
-            if open.remembers && self.knows_of(&open.name, task) {
-                aside.push(next);
+            if candidate.remembers_tasks && self.remembers_task(&candidate.name, task) {
+                set_aside.push(next);
                 continue;
             }
-            best = Some(next.at);
+            best = Some(next.index);
             break;
         }
-        ranked.extend(aside);
+        placement.eligible.extend(set_aside);
         best
     }
 
-    /// An earlier attempt at the task is still in the machine's reports, or under way to it.
-    pub(crate) fn knows_of(&self, name: &HostName, task: TaskId) -> bool {
-        self.cluster.hosts.get(name).is_some_and(|host| {
-            let attempts = (task, Attempt(0))..=(task, Attempt(u64::MAX));
-            host.ended_attempts.range(attempts.clone()).next().is_some()
-                || host.unacknowledged_runs.range(attempts).next().is_some()
-        })
+    /// Whether an earlier attempt at the task is still listed by the host, or may still arrive there.
+    fn remembers_task(&self, name: &HostName, task: TaskId) -> bool {
+        let host = self.cluster.host(name);
+        host.is_some_and(|host| host.remembers_task(task))
+    }
+
+    /// How many of the job's tasks each zone holds, with those on unresponsive hosts; empty where that does not matter.
+    fn siblings_by_zone(&self, job: &Job, spec: &JobSpec) -> BTreeMap<String, u64> {
+        let mut by_zone = BTreeMap::new();
+        if job.allocated_count > 0 && (spec.same_zone || spec.spread) {
+            for host in self.cluster.hosts().values() {
+                let tasks = host.allocations.keys();
+                let count = tasks.filter(|task| task.job == job.id).count() as u64;
+                if count > 0 {
+                    *by_zone.entry(host.zone.clone()).or_default() += count;
+                }
+            }
+        }
+        by_zone
+    }
+
+    /// Whether new tasks may be placed on the host.
+    pub(crate) fn is_open(&self, host: &Host, now: Time) -> bool {
+        let is_fresh = now.since(host.last_heartbeat_at) <= self.policy.report * 2;
+        host.is_up()
+            && host.cordon.is_none()
+            && is_fresh
+            && host.reachability == Reachability::Confirmed
     }
+}
 
-    /// A job that has waited too long finds no room, since smaller work takes whatever gets free:
-    /// the machine where most is free takes nothing else until the job fits there.
-    fn reserve_room(job: &Job, spec: &JobSpec, usable: &[bool], pass: &mut Pass) {
-        let suits = |open: &Open| {
-            usable.get(open.kind) == Some(&true)
-                && !open.held
-                && (spec.spot || !open.spot)
-                && spec.zone.as_ref().is_none_or(|z| *z == open.zone)
-                && job.task_resources.fits(&open.whole)
-                && !job.task_resources.fits(&open.free())
+impl Leader {
+    /// One pass over the waiting tasks.
+    pub(crate) fn place(&mut self, now: Time) {
+        self.count_unbooked();
+        let ranks = self.view().ranked();
+        if ranks.is_empty() {
+            return;
+        }
+        let scarce = self.view().scarce_types();
+        let mut pass = PlacementPass {
+            candidates: self.view().candidates(now),
+            unplaceable: Vec::new(),
+            allocations_left: MAX_ALLOCATIONS,
+            zone_allowances: self.limited_zones(now),
+            now,
         };
-        let free = |open: &Open| open.free().cpus;
-        let open = pass.open.iter_mut().filter(|o| suits(o));
-        if let Some(best) = open.max_by(|a, b| free(a).total_cmp(&free(b))) {
-            best.held = true;
+        for rank in ranks {
+            if pass.allocations_left == 0 {
+                // The rest follows once heartbeats and users have had their turn.
+                self.cluster.request_scheduling();
+                return;
+            }
+            self.place_job(&rank, &scarce, &mut pass);
         }
     }
 
-    /// How many of the job's tasks each zone holds now, silent machines included.
-    fn siblings(&self, job: &Job, spec: &JobSpec) -> BTreeMap<String, u64> {
-        let mut zones = BTreeMap::new();
-        if job.allocated_count > 0 && (spec.same_zone || spec.spread) {
-            for host in self.cluster.hosts.values() {
-                let count = host.allocations.keys().filter(|t| t.job == job.id).count() as u64;
-                if count > 0 {
-                    *zones.entry(host.zone.clone()).or_default() += count;
+    /// Places the waiting tasks of one job.
+    fn place_job(&mut self, rank: &Rank, scarce: &[bool], pass: &mut PlacementPass) {
+        let _job = tracing::debug_span!("job", id = %rank.id).entered();
+        let Some(mut placement) = self.view().begin_placement(rank, scarce, pass) else {
+            return;
+        };
+        while placement.tasks_left > 0 {
+            match self.view().next_step(&mut placement, pass) {
+                NextStep::Allocate(task, index) => {
+                    self.allocate_to(task, index, &mut placement, pass);
                 }
+                NextStep::MakeRoom => return self.make_room(&placement, pass),
+                NextStep::Finish => return,
             }
         }
-        zones
     }
 
-    pub(crate) fn zone_allowed(
-        spec: &JobSpec,
-        zone: &str,
-        siblings: &BTreeMap<String, u64>,
-    ) -> bool {
-        if spec.zone.as_ref().is_some_and(|z| z != zone) {
-            return false;
+    /// Allocates the task to the candidate, which stays eligible for another one if it has room for it.
+    fn allocate_to(
+        &mut self,
+        task: TaskId,
+        index: usize,
+        placement: &mut JobPlacement,
+        pass: &mut PlacementPass,
+    ) {
+        let candidate = &mut pass.candidates[index];
+        let zone = candidate.zone.clone();
+        *placement.siblings_by_zone.entry(zone).or_default() += 1;
+        candidate.allocated.add(&placement.resources);
+        if placement.resources.fits(&candidate.free()) {
+            let fetch_steps = self.view().fetch_steps(&placement.spec, &candidate.name);
+            let needs_gpu = placement.resources.gpus > 0.0;
+            let scored = candidate.scored(index, true, fetch_steps, needs_gpu);
+            placement.eligible.push(scored);
         }
-        // A booked machine whose zone is not known yet could be anywhere.
-        let unknown = siblings.contains_key("");
-        if spec.same_zone && (unknown || siblings.keys().any(|z| z != zone)) {
-            return false;
+        self.cluster.allocate(task, &candidate.name);
+        placement.tasks_left -= 1;
+        pass.allocations_left -= 1;
+        if let Some(left) = pass.zone_allowances.get_mut(&candidate.zone) {
+            *left = left.saturating_sub(1);
+            self.on_placed_in(&candidate.zone);
         }
-        if spec.spread {
-            let here =
-                siblings.get(zone).copied().unwrap_or(0) + siblings.get("").copied().unwrap_or(0);
-            if here + 1 > spec.tasks.div_ceil(2) {
-                return false;
-            }
+    }
+
+    /// No host has room for the next task of the job: makes room if the job may have that.
+    fn make_room(&mut self, placement: &JobPlacement, pass: &mut PlacementPass) {
+        let JobPlacement {
+            id,
+            spec,
+            usable_types,
+            ..
+        } = placement;
+        if spec.is_service() && self.reopen_for(*id, spec, usable_types, pass.now) {
+            self.cluster.request_scheduling();
+            return;
+        }
+        if placement.is_starving {
+            reserve_host(placement, pass);
+        } else if placement.is_unconstrained {
+            pass.unplaceable.push(placement.profile);
         }
-        true
+        self.preempt(*id, spec, usable_types, pass.now);
     }
+}
 
-    pub(crate) fn is_open(&self, host: &Host, now: Time) -> bool {
-        let fresh = now.since(host.last_heartbeat_at) <= self.policy.report * 2;
-        host.lifecycle == HostLifecycle::Up
-            && host.cordon.is_none()
-            && fresh
-            && host.reachability == Reachability::Confirmed
+fn is_unconstrained(spec: &JobSpec) -> bool {
+    spec.machine_types.is_none() && spec.zone.is_none() && !spec.same_zone && !spec.spread
+}
+
+/// Reserves the host where most is free for a job that has waited too long and finds no room, as smaller tasks take
+/// whatever gets free. It takes nothing else until the job fits there.
+fn reserve_host(placement: &JobPlacement, pass: &mut PlacementPass) {
+    let spec = &placement.spec;
+    let suits = |candidate: &CandidateHost| {
+        placement.usable_types.get(candidate.type_index) == Some(&true)
+            && !candidate.is_reserved
+            && (spec.spot || !candidate.spot)
+            && spec
+                .zone
+                .as_ref()
+                .is_none_or(|zone| *zone == candidate.zone)
+            && placement.resources.fits(&candidate.capacity)
+            && !placement.resources.fits(&candidate.free())
+    };
+    let free_cpus = |candidate: &CandidateHost| candidate.free().cpus;
+    let suited = pass.candidates.iter_mut().filter(|c| suits(c));
+    if let Some(best) = suited.max_by(|a, b| free_cpus(a).total_cmp(&free_cpus(b))) {
+        best.is_reserved = true;
+    }
+}
+
+/// Whether a task of the job may be placed in the zone, given how many of its tasks each zone holds.
+pub(crate) fn is_zone_allowed(
+    spec: &JobSpec,
+    zone: &str,
+    siblings_by_zone: &BTreeMap<String, u64>,
+) -> bool {
+    if spec.zone.as_ref().is_some_and(|only| only != zone) {
+        return false;
+    }
+    // A host whose zone is not known yet could be in any zone.
+    let in_unknown_zone = siblings_by_zone.get("").copied();
+    let is_elsewhere = |other: &String| other != zone;
+    if spec.same_zone && (in_unknown_zone.is_some() || siblings_by_zone.keys().any(is_elsewhere)) {
+        return false;
+    }
+    if spec.spread {
+        let in_zone = siblings_by_zone.get(zone).copied().unwrap_or(0);
+        let with_this = in_zone + in_unknown_zone.unwrap_or(0) + 1;
+        if with_this > spec.tasks.div_ceil(2) {
+            return false;
+        }
     }
+    true
 }
--- a/src/coordination/scheduling/preemption.rs
+++ b/src/coordination/scheduling/preemption.rs
@@ -6,10 +6,11 @@
 use crate::coordination::cluster::host::{Allocation, Host, StopReason};
 use crate::coordination::cluster::job::Job;
 use crate::coordination::resources::Resources;
+use crate::coordination::scheduling::placement::is_zone_allowed;
 use crate::coordination::scheduling::scoring::capacity;
-use crate::coordination::Leader;
+use crate::coordination::{Leader, View};
 use crate::protocol::users::{JobSpec, Priority};
-use crate::types::{seconds, HostName, TaskId, Time};
+use crate::types::{seconds, HostName, JobId, TaskId, Time};
 
 /// A task is preempted only if it loses no more than this.
 const PREEMPT_LOSS_S: f64 = 4.0;
@@ -24,8 +25,6 @@
 const BEGUN_S: f64 = 30.0;
 /// Machines on which room is made at once.
 const MAX_PREEMPTED: usize = 24;
-/// How often room is looked for by preemption.
-const PREEMPT_EVERY: Duration = Duration::from_millis(250);
 
 /// How one machine could make room.
 struct Way {
@@ -36,64 +35,11 @@
     tasks: Vec<TaskId>,
 }
 
-impl Leader {
-    /// Makes room for a job of higher priority by stopping tasks of lower priority that lose little by
-    /// it. The next pass sees what came of it.
-    pub(crate) fn preempt(&mut self, job: &Job, spec: &JobSpec, usable: &[bool], now: Time) {
-        let under_way = |h: &Host| {
-            let mut allocations = h.allocations.values();
-            allocations.any(|b| b.stop_reason == Some(StopReason::Preempted))
-        };
-        let lowest = spec.priority == Priority::BestEffort;
-        if spec.same_zone || spec.spread || lowest || now < self.scheduler.next_preemption_at {
-            return;
-        }
-        self.scheduler.next_preemption_at = now.after(PREEMPT_EVERY);
-        if self.cluster.hosts.values().any(under_way) {
-            return;
-        }
-        let room = self.team_room(job).min(u64::from(job.schedulable_count()));
-        let most = (room as usize).min(MAX_PREEMPTED);
-        let mut ways: Vec<Way> = Vec::new();
-        for host in self.cluster.hosts.values() {
-            let suits = host
-                .type_index
-                .is_some_and(|k| usable.get(k) == Some(&true));
-            let open = suits && self.is_open(host, now) && (spec.spot || !host.spot);
-            if open && Self::zone_allowed(spec, &host.zone, &BTreeMap::new()) {
-                ways.extend(self.way_to_room(host, job, spec, now));
-            }
-        }
-        ways.sort_by(|a, b| {
-            a.idle
-                .cmp(&b.idle)
-                .reverse()
-                .then(a.lost.total_cmp(&b.lost))
-        });
-        // Only what is there to use what idles makes room on many machines at once: the others' tasks
-        // have just begun, and their images were fetched for nothing.
-        let idle = ways.iter().filter(|w| w.idle).count();
-        let many = if spec.is_service() { most } else { idle };
-        let many = many.min(most).max(1);
-        for way in ways.into_iter().take(many) {
-            let Way {
-                lost, name, tasks, ..
-            } = way;
-            tracing::debug!(
-                "{}: {} tasks on {name} make room, {lost} s lost",
-                job.id,
-                tasks.len()
-            );
-            for task in tasks {
-                self.stop(&name, task, StopReason::Preempted, now);
-            }
-        }
-    }
-
+impl View<'_> {
     /// The tasks on the machine whose stopping makes room for one of the job, and the run time that
     /// is lost by it.
     fn way_to_room(&self, host: &Host, job: &Job, spec: &JobSpec, now: Time) -> Option<Way> {
-        let kind = self.cluster.types.get(host.type_index?)?;
+        let kind = self.cluster.machine_types().get(host.type_index?)?;
         let mut victims: Vec<(f64, TaskId, Resources)> = host
             .allocations
             .iter()
@@ -115,7 +61,7 @@
             stopped.push(task);
         }
         let lowest = |task: &TaskId| {
-            let job = self.cluster.jobs.get(&task.job);
+            let job = self.cluster.jobs().get(&task.job);
             job.is_some_and(|j| j.priority() == Priority::BestEffort)
         };
         (job.task_resources.fits(&free) && !stopped.is_empty()).then(|| Way {
@@ -135,7 +81,7 @@
         by: &JobSpec,
         now: Time,
     ) -> Option<f64> {
-        let job = self.cluster.jobs.get(&task.job)?;
+        let job = self.cluster.jobs().get(&task.job)?;
         let spec = job.spec.as_ref()?;
         let ran = allocation
             .started_at
@@ -152,7 +98,10 @@
             return None;
         }
         // What ends by itself that soon makes room without being stopped.
-        let ends = self.expected_rest(job, allocation.started_at, now) < SOON_S;
+        let ends = self
+            .run_times
+            .expected_remaining_s(job, allocation.started_at, now)
+            < SOON_S;
         let most = if self.serves_guarantee(job, for_job) {
             // A guarantee holds whatever it costs those who borrow.
             f64::INFINITY
@@ -166,3 +115,62 @@
         (may && !ends && lost <= most).then_some(lost)
     }
 }
+
+impl Leader {
+    /// Makes room for a job of higher priority by stopping tasks of lower priority that lose little by
+    /// it. The next pass sees what came of it.
+    pub(crate) fn preempt(&mut self, id: JobId, spec: &JobSpec, usable: &[bool], now: Time) {
+        let under_way = |h: &Host| {
+            let mut allocations = h.allocations.values();
+            allocations.any(|b| b.stop_reason == Some(StopReason::Preempted))
+        };
+        let lowest = spec.priority == Priority::BestEffort;
+        if spec.same_zone || spec.spread || lowest || !self.scheduler.starts_preemption(now) {
+            return;
+        }
+        if self.cluster.hosts().values().any(under_way) {
+            return;
+        }
+        let Some(job) = self.cluster.job(id) else {
+            return;
+        };
+        let room = self
+            .view()
+            .team_room(job)
+            .min(u64::from(job.schedulable_count()));
+        let most = (room as usize).min(MAX_PREEMPTED);
+        let mut ways: Vec<Way> = Vec::new();
+        for host in self.cluster.hosts().values() {
+            let suits = host
+                .type_index
+                .is_some_and(|k| usable.get(k) == Some(&true));
+            let open = suits && self.view().is_open(host, now) && (spec.spot || !host.spot);
+            if open && is_zone_allowed(spec, &host.zone, &BTreeMap::new()) {
+                ways.extend(self.view().way_to_room(host, job, spec, now));
+            }
+        }
+        ways.sort_by(|a, b| {
+            a.idle
+                .cmp(&b.idle)
+                .reverse()
+                .then(a.lost.total_cmp(&b.lost))
+        });
+        // Only what is there to use what idles makes room on many machines at once: the others' tasks
+        // have just begun, and their images were fetched for nothing.
+        let idle = ways.iter().filter(|w| w.idle).count();
+        let many = if spec.is_service() { most } else { idle };
+        let many = many.min(most).max(1);
+        for way in ways.into_iter().take(many) {
+            let Way {
+                lost, name, tasks, ..
+            } = way;
+            tracing::debug!(
+                "{id}: {} tasks on {name} make room, {lost} s lost",
+                tasks.len()
+            );
+            for task in tasks {
+                self.stop_task(&name, task, StopReason::Preempted, now);
+            }
+        }
+    }
+}
--- a/src/coordination/scheduling/ranking.rs
+++ b/src/coordination/scheduling/ranking.rs
@@ -1,10 +1,11 @@
 //! The order in which waiting jobs are served, and how much of a team's limit is left.
 
 use std::collections::BTreeMap;
+use std::time::Duration;
 
 use crate::coordination::cluster::host::HostLifecycle;
 use crate::coordination::cluster::job::{Job, JobPhase};
-use crate::coordination::Leader;
+use crate::coordination::View;
 use crate::protocol::users::{JobSpec, Priority};
 use crate::types::{seconds, JobId, Version};
 
@@ -51,66 +52,88 @@
     }
 }
 
-impl Leader {
+/// What the unfinished tasks of a team's jobs take, up to the one that is looked at.
+#[derive(Clone, Copy, Debug, Default)]
+struct Demand {
+    cpus: f64,
+    gpus: f64,
+}
+
+impl Demand {
+    fn add(&mut self, job: &Job) {
+        let unfinished = f64::from(job.task_count - job.done_count);
+        self.cpus += unfinished * job.task_resources.cpus;
+        self.gpus += unfinished * job.task_resources.gpus;
+    }
+}
+
+impl View<'_> {
     /// All jobs with waiting tasks, in the order in which they are served.
     pub(crate) fn ranked(&self) -> Vec<Rank> {
         let cpus = self.cpus_to_be();
         let starve_after = seconds(self.policy.tuning.starve_after_s);
         let mut by_arrival: Vec<&Job> = self
             .cluster
-            .jobs
+            .jobs()
             .values()
             .filter(|j| j.phase == JobPhase::Active)
             .collect();
         by_arrival.sort_by_key(|j| j.record_version);
-        let mut claimed: BTreeMap<&str, (f64, f64)> = BTreeMap::new();
+        let mut demand_of_teams: BTreeMap<&str, Demand> = BTreeMap::new();
         let mut ranks = Vec::new();
-        let mut lifted = 0;
+        let mut starving_count = 0;
         for job in by_arrival {
             let Some(spec) = &job.spec else { continue };
-            let guaranteed = self
-                .policy
-                .team(&job.team)
-                .map_or((0.0, 0.0), |t| t.guaranteed());
-            let claimed = claimed.entry(&job.team).or_default();
-            let open = f64::from(job.task_count - job.done_count);
-            claimed.0 += open * job.task_resources.cpus;
-            claimed.1 += open * job.task_resources.gpus;
-            let within = claimed.0 <= guaranteed.0
-                && (claimed.1 <= guaranteed.1 || job.task_resources.gpus == 0.0);
-            if job.waiting_count() > 0 {
-                let waited = seconds(
-                    (self.clock.day_ms.saturating_sub(job.submitted_at_ms)) as f64 / 1000.0,
-                );
-                let aged = waited >= starve_after;
-                let begun = job.allocated_count > 0 || job.done_count > 0;
-                let rank = Rank {
-                    patient: true,
-                    borrowing: !within,
-                    priority: spec.priority,
-                    late: waited < starve_after * 2
-                        && job.will_miss_deadline(self.expected_run(job), cpus, self.clock.day_ms),
-                    due: job.due_ms().map_or(u64::MAX, |due| due as u64),
-                    work: self.work_class(job, spec),
-                    arrival: job.record_version,
-                    id: job.id,
-                };
-                // A few at a time, the oldest first: in bulk they would pass all urgent work.
-                let starving = aged && !begun && lifted < MAX_LIFTED;
-                lifted += usize::from(starving);
-                ranks.push(if starving { rank.starving() } else { rank });
+            let demand = demand_of_teams.entry(&job.team).or_default();
+            demand.add(job);
+            if job.waiting_count() == 0 {
+                continue;
             }
+            let waited = self.waited(job);
+            let rank = Rank {
+                patient: true,
+                borrowing: !self.is_within_guarantee(job, demand),
+                priority: spec.priority,
+                late: waited < starve_after * 2
+                    && job.will_miss_deadline(
+                        self.run_times.expected_s(job),
+                        cpus,
+                        self.clock.day_ms,
+                    ),
+                due: job.due_ms().map_or(u64::MAX, |due| due as u64),
+                work: self.work_class(job, spec),
+                arrival: job.record_version,
+                id: job.id,
+            };
+            // A few at a time, the oldest first: in bulk they would pass all urgent work.
+            let has_begun = job.allocated_count > 0 || job.done_count > 0;
+            let is_starving = waited >= starve_after && !has_begun && starving_count < MAX_LIFTED;
+            starving_count += usize::from(is_starving);
+            ranks.push(if is_starving { rank.starving() } else { rank });
         }
         ranks.sort();
         ranks
     }
 
+    /// How long ago the job was submitted.
+    fn waited(&self, job: &Job) -> Duration {
+        let waited_ms = self.clock.day_ms.saturating_sub(job.submitted_at_ms);
+        seconds(waited_ms as f64 / 1000.0)
+    }
+
+    /// Whether the job fits into its team's guarantee together with the team's earlier jobs.
+    fn is_within_guarantee(&self, job: &Job, demand: &Demand) -> bool {
+        let guaranteed = self.policy.team(&job.team).map(|team| team.guaranteed());
+        let (cpus, gpus) = guaranteed.unwrap_or_default();
+        demand.cpus <= cpus && (demand.gpus <= gpus || job.task_resources.gpus == 0.0)
+    }
+
     fn work_class(&self, job: &Job, spec: &JobSpec) -> u32 {
         if spec.priority != Priority::BestEffort || spec.deadline_s.is_some() {
             return 0;
         }
         let open = f64::from(job.task_count - job.done_count);
-        let work = open * job.task_resources.cpus.max(0.1) * self.expected_run(job);
+        let work = open * job.task_resources.cpus.max(0.1) * self.run_times.expected_s(job);
         work.max(1.0).log2() as u32
     }
 
@@ -118,10 +141,13 @@
     fn cpus_to_be(&self) -> f64 {
         let here = self
             .cluster
-            .hosts
+            .hosts()
             .values()
             .filter(|h| matches!(h.lifecycle, HostLifecycle::Up | HostLifecycle::Expected));
-        let kinds = here.filter_map(|h| h.type_index.and_then(|k| self.cluster.types.get(k)));
+        let kinds = here.filter_map(|h| {
+            h.type_index
+                .and_then(|k| self.cluster.machine_types().get(k))
+        });
         kinds.map(|t| t.cpus.0).sum()
     }
 }
--- a/src/coordination/scheduling/type_eligibility.rs
+++ b/src/coordination/scheduling/type_eligibility.rs
@@ -2,16 +2,16 @@
 
 use crate::coordination::cluster::job::JobPhase;
 use crate::coordination::scheduling::scoring::type_suits;
-use crate::coordination::Leader;
+use crate::coordination::View;
 use crate::protocol::users::JobSpec;
 
-impl Leader {
+impl View<'_> {
     /// Types that some waiting or running work needs because no other type fits it.
     pub(crate) fn scarce_types(&self) -> Vec<bool> {
-        let mut scarce = vec![false; self.cluster.types.len()];
+        let mut scarce = vec![false; self.cluster.machine_types().len()];
         for job in self
             .cluster
-            .jobs
+            .jobs()
             .values()
             .filter(|j| j.phase == JobPhase::Active)
         {
@@ -30,7 +30,7 @@
     }
 
     pub(crate) fn suited(&self, spec: &JobSpec) -> Vec<usize> {
-        let all = self.cluster.types.iter().enumerate();
+        let all = self.cluster.machine_types().iter().enumerate();
         all.filter(|(_, t)| type_suits(spec, t))
             .map(|(i, _)| i)
             .collect()
@@ -39,10 +39,10 @@
     /// For each machine type, whether the job's tasks may go there.
     pub(crate) fn usable_types(&self, spec: &JobSpec, scarce: &[bool]) -> Vec<bool> {
         let suits = |kind: usize| {
-            type_suits(spec, &self.cluster.types[kind])
+            type_suits(spec, &self.cluster.machine_types()[kind])
                 && !self.kept_for_others(spec, Some(kind), scarce)
         };
-        (0..self.cluster.types.len()).map(suits).collect()
+        (0..self.cluster.machine_types().len()).map(suits).collect()
     }
 
     /// The exception to eligibility: work that fits another type stays off a type that other work
@@ -84,7 +84,11 @@
         // As with late work, which gives way no longer after twice that time.
         let starve_after_ms = self.policy.tuning.starve_after_s * 2000.0;
         let outranks = |kind: usize| {
-            let mut others = self.cluster.jobs.values().filter(|j| j.waiting_count() > 0);
+            let mut others = self
+                .cluster
+                .jobs()
+                .values()
+                .filter(|j| j.waiting_count() > 0);
             others.all(|j| {
                 let starves =
                     self.clock.day_ms.saturating_sub(j.submitted_at_ms) as f64 >= starve_after_ms;
@@ -95,9 +99,9 @@
             })
         };
         let more = |kind: usize| {
-            usable[kind] || type_suits(spec, &self.cluster.types[kind]) && outranks(kind)
+            usable[kind] || type_suits(spec, &self.cluster.machine_types()[kind]) && outranks(kind)
         };
-        let more: Vec<bool> = (0..self.cluster.types.len()).map(more).collect();
+        let more: Vec<bool> = (0..self.cluster.machine_types().len()).map(more).collect();
         (more != usable).then_some(more)
     }
 }
--- a/src/types.rs
+++ b/src/types.rs
@@ -24,6 +24,14 @@
     /// Which attempt at a task this is; numbers only grow.
     Attempt
 );
+
+impl Attempt {
+    /// The attempt after this one.
+    pub fn next(self) -> Attempt {
+        Attempt(self.0 + 1)
+    }
+}
+
 /// A duration from a settings or protocol number; nonsense becomes zero, not a panic.
 pub fn seconds(s: f64) -> Duration {
     Duration::try_from_secs_f64(s.max(0.0)).unwrap_or(Duration::MAX / 4)
