--- a/src/coordination/failure_detection/hosts.rs
+++ b/src/coordination/failure_detection/hosts.rs
@@ -295,10 +295,7 @@
     /// latter may still report to an earlier leader that is cut off with them; the command carries
     /// our token, and from then on they drop the answers of the other, who learns of it from them.
     fn send_probes(&mut self, now: Time) {
-        let max_new = self
-            .policy
-            .probes
-            .saturating_sub(self.dispatcher.probes_in_flight());
+        let max_new = self.dispatcher.probes_left();
         let hosts = self.cluster.hosts().values();
         let due = hosts.filter(|host| self.view().needs_probe(host, now));
         let probes: Vec<Probe> = due.filter_map(Probe::to).take(max_new).collect();
--- /dev/null
+++ b/src/coordination/leader/dispatch.rs
@@ -0,0 +1,73 @@
+//! Sending commands to workers.
+
+use std::collections::BTreeSet;
+
+use crate::coordination::cluster::host::StopReason;
+use crate::coordination::cluster::{CommandContext, StopEffect};
+use crate::coordination::dispatch::accepts_commands;
+use crate::coordination::{Action, Leader};
+use crate::types::{HostName, TaskId, Time};
+
+impl Leader {
+    /// Marks a task to be stopped and tells its worker at once.
+    pub(crate) fn stop_task(
+        &mut self,
+        name: &HostName,
+        task: TaskId,
+        reason: StopReason,
+        now: Time,
+    ) {
+        if self.cluster.stop(name, task, reason, now) == StopEffect::TellWorker {
+            self.send_commands(name, now);
+        }
+    }
+
+    /// Sends each host the commands that it needs.
+    pub(super) fn send_commands_to(&mut self, hosts: &BTreeSet<HostName>, now: Time) {
+        for name in hosts {
+            self.send_commands(name, now);
+        }
+    }
+
+    /// Sends the host the commands that it needs, or has it wait until fewer are in flight.
+    pub(super) fn send_commands(&mut self, name: &HostName, now: Time) {
+        let host = self.cluster.host(name);
+        let Some(host) = host.filter(|host| accepts_commands(host, &self.policy, now)) else {
+            return;
+        };
+        let (Some(address), incarnation) = (host.address, host.incarnation) else {
+            return;
+        };
+        if !self.dispatcher.may_send_to(name) {
+            return;
+        }
+        let context = self.command_context(now);
+        let commands = self.cluster.direct_commands(name, context);
+        if commands.is_empty() {
+            return;
+        }
+        self.dispatcher.on_commands_sent();
+        self.actions.push(Action::SendCommands {
+            host: name.clone(),
+            to: address,
+            incarnation,
+            commands,
+        });
+    }
+
+    /// Sends the commands that waited for others to end, in their order.
+    pub(super) fn send_waiting_commands(&mut self, now: Time) {
+        while let Some(name) = self.dispatcher.next_waiting() {
+            self.send_commands(&name, now);
+        }
+    }
+
+    /// On what conditions commands are sent now.
+    pub(super) fn command_context(&self, now: Time) -> CommandContext {
+        CommandContext {
+            term: self.term,
+            may_start_tasks: self.may_act(now),
+            now,
+        }
+    }
+}
--- a/src/coordination/leader/jobs.rs
+++ b/src/coordination/leader/jobs.rs
@@ -3,10 +3,10 @@
 use std::collections::BTreeMap;
 
 use crate::coordination::cluster::host::StopReason;
-use crate::coordination::cluster::{JobRecordEffect, StopEffect};
+use crate::coordination::cluster::JobRecordEffect;
 use crate::coordination::{Leader, LeaderPhase};
 use crate::storage::records::{JobRecord, OutcomeRecord};
-use crate::types::{HostName, JobId, TaskId, Time, Version};
+use crate::types::{JobId, Time, Version};
 
 /// Cancelled jobs that are remembered, of some ten bytes each; several heartbeats' worth.
 const MAX_CANCELLED: usize = 12_000;
@@ -108,17 +108,4 @@
         }
         self.cluster.finish_cancelling(id, now);
     }
-
-    /// Marks a task to be stopped and tells its worker at once.
-    pub(crate) fn stop_task(
-        &mut self,
-        name: &HostName,
-        task: TaskId,
-        reason: StopReason,
-        now: Time,
-    ) {
-        if self.cluster.stop(name, task, reason, now) == StopEffect::TellWorker {
-            self.send_commands(name, now);
-        }
-    }
 }
--- a/src/coordination/leader/mod.rs
+++ b/src/coordination/leader/mod.rs
@@ -1,5 +1,6 @@
 //! The leader of one term: hands events to its components and collects the actions that they ask for.
 
+mod dispatch;
 mod heartbeats;
 mod jobs;
 mod records;
@@ -100,7 +101,7 @@
             scheduler: Scheduler::new(now),
             autoscaler: Autoscaler::new(term),
             failure_detector: FailureDetector::new(&policy, now),
-            dispatcher: CommandDispatcher::default(),
+            dispatcher: CommandDispatcher::new(&policy),
             cancellations: Cancellations::default(),
             quota: TeamQuota::new(term, &policy),
             run_times: RunTimes::default(),
--- a/src/coordination/leader/records.rs
+++ b/src/coordination/leader/records.rs
@@ -1,6 +1,5 @@
 //! The leader's records: reading them at the start, the next batch of writes, and what became of the last one.
 
-use std::collections::BTreeSet;
 use std::time::Duration;
 
 use lichencrank_store::{Outcome, Txn};
@@ -8,7 +7,7 @@
 use crate::coordination::cluster::BatchResult;
 use crate::coordination::{Leader, LeaderPhase, LeadershipLost};
 use crate::storage::records::RunRecord;
-use crate::types::{HostName, JobId, Time, Version};
+use crate::types::{JobId, Time, Version};
 
 /// A new leader awaits the heartbeats of all hosts for so many intervals, and a margin.
 const HEARTBEAT_ROUND_INTERVALS: f64 = 1.25;
@@ -80,12 +79,6 @@
         Ok(())
     }
 
-    pub(super) fn send_commands_to(&mut self, hosts: &BTreeSet<HostName>, now: Time) {
-        for name in hosts {
-            self.send_commands(name, now);
-        }
-    }
-
     /// Takes the run records whose versions have to be read before they can be written again.
     pub fn take_records_of_unknown_version(&mut self) -> Vec<(JobId, u32)> {
         self.cluster.take_records_of_unknown_version()
