--- a/src/transport/client.rs
+++ b/src/transport/client.rs
@@ -168,8 +168,11 @@
             return if ended { self.fail() } else { None };
         }
         match http::parse_response(&self.input, ended) {
-            Ok(Parsed::Whole(response, used)) => {
-                let keep = !ended && !response.close && used == self.input.len();
+            Ok(Parsed::Complete {
+                message: response,
+                length,
+            }) => {
+                let keep = !ended && !response.close && length == self.input.len();
                 self.enter(if keep { Phase::Idle } else { Phase::Closed });
                 Some(Ok(response))
             }
--- a/src/transport/server.rs
+++ b/src/transport/server.rs
@@ -4,7 +4,7 @@
 use std::io::{Read, Write};
 
 use super::event_loop::ListenerKind;
-use super::http::{self, Malformed, Parsed, Request, Response};
+use super::http::{self, Parsed, Request, Response};
 use crate::types::Time;
 
 /// Names one accepted connection for as long as the process lives; slots are reused, ids are not.
@@ -47,7 +47,7 @@
 const MAX_DRAIN: usize = 1024 * 1024;
 const READ_STEP: usize = 16 * 1024;
 /// A request and a little of the next; a peer that sends more waits.
-const MAX_INPUT: usize = http::MAX_BODY + 16 * 1024;
+const MAX_INPUT: usize = http::MAX_BODY_BYTES + 16 * 1024;
 
 impl ServerConn {
     pub(super) fn new(
@@ -136,8 +136,11 @@
             return None;
         }
         match http::parse_request(&self.input) {
-            Ok(Parsed::Whole(request, used)) => {
-                self.input.drain(..used);
+            Ok(Parsed::Complete {
+                message: request,
+                length,
+            }) => {
+                self.input.drain(..length);
                 if self.input.is_empty() {
                     self.input = Vec::new();
                 }
@@ -151,10 +154,10 @@
                 }
                 None
             }
-            Err(Malformed(status)) => {
+            Err(error) => {
                 self.close_after = true;
                 self.enter(Phase::Serving);
-                self.respond(&Response::new(status, Vec::new()), now)
+                self.respond(&Response::new(error.status(), Vec::new()), now)
             }
         }
     }
