--- a/src/transport/mod.rs
+++ b/src/transport/mod.rs
@@ -1,30 +1,43 @@
-//! Moves bytes: the event loop, an HTTP server and an HTTP client on it.
+//! HTTP/1.1 over TCP as server and client, on one thread: an event loop around the operating system's
+//! poller.
+//!
+//! - [`http`]: parsing and writing of messages.
+//! - `server_connection`, `client_connection`: the state machine of one connection.
+//! - `sockets`: all open sockets, the poller, and the limit of open sockets.
+//! - `idle_pool`: client connections that are kept for the next call.
+//! - `timers`: deadlines.
+//! - `event_loop`: [`Transport`], which ties these together.
 
 use std::net::SocketAddr;
 use std::time::Duration;
 
-mod client;
-pub mod event_loop;
+mod client_connection;
+mod event;
+mod event_loop;
 pub mod http;
-mod server;
-pub mod timers;
+mod idle_pool;
+mod nonblocking;
+mod server_connection;
+mod sockets;
+mod timers;
 
 use crate::types::Time;
-pub use client::{CallError, CallId};
-pub use event_loop::{ListenerKind, Transport, TransportEvent};
+pub use event::{CallError, CallId, ConnId, ListenerKind, TransportEvent};
+pub use event_loop::Transport;
 pub use http::{Request, Response};
-pub use server::ConnId;
 
-/// The narrow seam between a node and the world. [`Transport`] is the one that moves bytes; tests put
-/// several nodes into one simulated world through another.
+/// What a node needs of its environment: clocks, and HTTP as server and client. [`Transport`] provides
+/// it on real sockets; tests provide it for several nodes in simulated time.
 pub trait Network {
-    /// The steady clock.
+    /// The monotonic clock, in milliseconds since the process started.
     fn now(&self) -> Time;
-    /// The time of day, in milliseconds.
+    /// The wall clock, in milliseconds since the Unix epoch.
     fn time_of_day(&self) -> u64;
-    /// Answers a request. If its connection is gone, so is the answer.
+    /// Sends the response to the request that came on that connection. Without effect if the connection
+    /// is closed by now, or waits for no response.
     fn respond(&mut self, conn: ConnId, response: &Response);
-    /// Sends a request; its outcome comes as a [`TransportEvent::Reply`], at the latest after `limit`.
+    /// Sends a request to a server. The result comes as a [`TransportEvent::Reply`] with the returned
+    /// id, after `limit` at the latest.
     fn call(
         &mut self,
         to: SocketAddr,
--- a/src/transport/timers.rs
+++ b/src/transport/timers.rs
@@ -1,37 +1,38 @@
-//! Deadlines in order of time. A cancelled one is simply ignored when it fires.
+//! A queue of timers, ordered by the time at which they are due.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
 use crate::types::Time;
 
-/// Keys with the time at which each is due.
+/// Timers, each with a key that says what it is for. A timer can't be cancelled: its owner ignores those
+/// whose purpose is gone when they are due.
 #[derive(Debug)]
-pub struct Timers<K: Ord> {
+pub(super) struct TimerQueue<K: Ord> {
     heap: BinaryHeap<Reverse<(Time, K)>>,
 }
 
-impl<K: Ord> Default for Timers<K> {
+impl<K: Ord> Default for TimerQueue<K> {
     fn default() -> Self {
-        Timers {
+        TimerQueue {
             heap: BinaryHeap::new(),
         }
     }
 }
 
-impl<K: Ord> Timers<K> {
-    /// Sets the time of a key.
-    pub fn set(&mut self, at: Time, key: K) {
-        self.heap.push(Reverse((at, key)));
+impl<K: Ord> TimerQueue<K> {
+    /// Adds a timer. Timers that are due at the same time are ordered by their keys.
+    pub(super) fn schedule(&mut self, due: Time, key: K) {
+        self.heap.push(Reverse((due, key)));
     }
 
-    /// The first time at which a key is due.
-    pub fn next_due(&self) -> Option<Time> {
-        self.heap.peek().map(|Reverse((at, _))| *at)
+    /// When the first timer is due.
+    pub(super) fn next_due(&self) -> Option<Time> {
+        self.heap.peek().map(|Reverse((due, _))| *due)
     }
 
-    /// Takes one deadline that has passed.
-    pub fn pop_due(&mut self, now: Time) -> Option<K> {
+    /// Removes the first timer that is due by `now`, and returns its key.
+    pub(super) fn pop_due(&mut self, now: Time) -> Option<K> {
         if self.next_due()? > now {
             return None;
         }
