--- a/tests/transport.rs
+++ b/tests/transport.rs
@@ -1,84 +1,287 @@
-//! The limit of sockets: what comes in, and what is kept for calls to come, each have their bound.
+//! The transport on real sockets: requests and responses, calls and their results, the idle connection
+//! pool, and the limit of open sockets.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::thread;
 use std::time::Duration;
 
-use lichencrank::transport::{ListenerKind, Network, Transport, TransportEvent};
+use lichencrank::transport::{
+    CallError, CallId, ConnId, ListenerKind, Network, Response, Transport, TransportEvent,
+};
 
-/// As many as the transport leaves of 72.
-const MOST: usize = 64;
+/// Descriptors given to the transport.
+const MAX_DESCRIPTORS: usize = 72;
+/// Sockets that it may have open then.
+const MAX_SOCKETS: usize = 64;
+/// Sockets that are reserved for calls, and that may be idle in the pool: an eighth each.
+const RESERVED_FOR_CALLS: usize = MAX_SOCKETS / 8;
+const MAX_IDLE_CALLS: usize = MAX_SOCKETS / 8;
+/// How long an event may take to arrive.
+const EVENT_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Answers every request on every connection, and keeps them all open.
-fn answers() -> SocketAddr {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let at = listener.local_addr().expect("its address");
+const EMPTY_OK: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
+
+fn transport() -> Transport {
+    Transport::new(MAX_DESCRIPTORS).expect("an event loop")
+}
+
+/// A transport that listens, and its address.
+fn server() -> (Transport, SocketAddr) {
+    let address = {
+        let free = TcpListener::bind("127.0.0.1:0").expect("a free port");
+        free.local_addr().expect("its address")
+    };
+    let mut transport = transport();
+    transport
+        .listen(address, ListenerKind::Public)
+        .expect("listening");
+    (transport, address)
+}
+
+/// The next event; panics if there is none in time.
+fn next_event(transport: &mut Transport) -> TransportEvent {
+    let deadline = transport.now().after(EVENT_TIMEOUT);
+    loop {
+        if let Some(event) = transport.next_event() {
+            return event;
+        }
+        assert!(transport.now() < deadline, "no event in time");
+        transport
+            .wait_for_events(deadline)
+            .expect("the event loop runs");
+    }
+}
+
+/// The connection and target of the next request.
+fn next_request(transport: &mut Transport) -> (ConnId, String) {
+    match next_event(transport) {
+        TransportEvent::Request { conn, request, .. } => (conn, request.target),
+        other => panic!("no request: {other:?}"),
+    }
+}
+
+fn start_call(transport: &mut Transport, to: SocketAddr, limit: Duration) -> CallId {
+    transport.call(to, "GET", "/", &[], limit)
+}
+
+/// The result of that call, which has to be the next event.
+fn result_of(transport: &mut Transport, started: CallId) -> Result<Response, CallError> {
+    match next_event(transport) {
+        TransportEvent::Reply { call, result } => {
+            assert_eq!(call, started);
+            result
+        }
+        other => panic!("no reply: {other:?}"),
+    }
+}
+
+fn assert_call_succeeds(transport: &mut Transport, to: SocketAddr) {
+    let call = start_call(transport, to, EVENT_TIMEOUT);
+    let status = result_of(transport, call).map(|response| response.status);
+    assert_eq!(status, Ok(200));
+}
+
+/// Lets the transport do what is ready by now.
+fn poll_once(transport: &mut Transport) {
+    let now = transport.now();
+    transport.wait_for_events(now).expect("the event loop runs");
+}
+
+/// A server that answers every request on every connection, and keeps them all open.
+fn start_responder() -> SocketAddr {
+    let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
+    let address = listener.local_addr().expect("its address");
     thread::spawn(move || {
         for stream in listener.incoming() {
             let Ok(mut stream) = stream else { return };
             thread::spawn(move || {
                 let mut chunk = [0; 1024];
-                while stream.read(&mut chunk).is_ok_and(|n| n > 0) {
-                    let answer = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
-                    if stream.write_all(answer).is_err() {
+                while stream.read(&mut chunk).is_ok_and(|count| count > 0) {
+                    if stream.write_all(EMPTY_OK).is_err() {
                         return;
                     }
                 }
             });
         }
     });
-    at
+    address
 }
 
-/// True if the call was answered.
-fn call(transport: &mut Transport, to: SocketAddr) -> bool {
-    let limit = Duration::from_secs(20);
-    let asked = transport.call(to, "GET", "/", &[], limit);
-    loop {
-        let until = transport.now().after(limit);
-        transport.wait_for_events(until).expect("the event loop");
-        while let Some(event) = transport.next_event() {
-            if let TransportEvent::Reply { call, result } = event {
-                assert_eq!(call, asked);
-                return result.is_ok_and(|r| r.status == 200);
+/// A server that answers one request on each connection with these bytes, and closes it.
+fn start_faulty_responder(answer: &'static [u8]) -> SocketAddr {
+    let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
+    let address = listener.local_addr().expect("its address");
+    thread::spawn(move || {
+        for stream in listener.incoming() {
+            let Ok(mut stream) = stream else { return };
+            let mut chunk = [0; 1024];
+            if stream.read(&mut chunk).is_ok_and(|count| count > 0) {
+                let _ = stream.write_all(answer);
             }
         }
+    });
+    address
+}
+
+/// Everything that the peer receives until the connection is closed.
+fn read_to_end(stream: &mut TcpStream) -> String {
+    stream
+        .set_read_timeout(Some(EVENT_TIMEOUT))
+        .expect("a timeout");
+    let mut received = String::new();
+    stream
+        .read_to_string(&mut received)
+        .expect("the connection is closed");
+    received
+}
+
+#[test]
+fn pipelined_requests_in_pieces_are_served_one_after_the_other() {
+    let (mut transport, address) = server();
+    let mut peer = TcpStream::connect(address).expect("a connection");
+    for piece in [
+        "GET /first HT",
+        "TP/1.1\r\n\r\nGET /second HTTP/1.1\r\n\r\nGET /third HTTP/1.1\r\nConnection: close\r\n",
+    ] {
+        peer.write_all(piece.as_bytes()).expect("writing");
+        thread::sleep(Duration::from_millis(20));
+        poll_once(&mut transport);
+    }
+    for expected in ["/first", "/second"] {
+        let (conn, target) = next_request(&mut transport);
+        assert_eq!(target, expected);
+        poll_once(&mut transport);
+        assert!(
+            transport.next_event().is_none(),
+            "a request before the response to {expected}"
+        );
+        transport.respond(conn, &Response::new(200, expected.into()));
     }
+    peer.write_all(b"\r\n").expect("writing");
+    let (conn, target) = next_request(&mut transport);
+    assert_eq!(target, "/third");
+    transport.respond(conn, &Response::new(201, Vec::new()));
+    let received = read_to_end(&mut peer);
+    let statuses: Vec<&str> = received.matches("HTTP/1.1 20").collect();
+    assert_eq!(statuses.len(), 3, "{received}");
+    assert!(received.contains("Connection: close"), "{received}");
+    // A response that nobody waits for any more has no effect.
+    transport.respond(conn, &Response::new(500, Vec::new()));
+    drop(peer);
+    poll_once(&mut transport);
 }
 
-/// A leader once held two sockets for each machine: one for its reports and one for the commands it
-/// was sent some time ago. At half as many machines again that was more than the limit.
 #[test]
-fn connections_kept_for_calls_are_bounded() {
-    let mut transport = Transport::new(72).expect("an event loop");
-    for _ in 0..3 * MOST / 8 {
-        assert!(call(&mut transport, answers()));
-        assert!(transport.socket_usage().open <= MOST / 8);
+fn a_malformed_request_is_answered_and_its_connection_closed() {
+    let (mut transport, address) = server();
+    let mut peer = TcpStream::connect(address).expect("a connection");
+    peer.write_all(b"GET / HTTP/1.1\r\nExpect: 100-continue\r\n\r\n")
+        .expect("writing");
+    let receiver = thread::spawn(move || read_to_end(&mut peer));
+    while !receiver.is_finished() {
+        let until = transport.now().after(Duration::from_millis(10));
+        transport
+            .wait_for_events(until)
+            .expect("the event loop runs");
+        assert!(transport.next_event().is_none());
     }
+    let received = receiver.join().expect("the peer received");
+    assert!(received.starts_with("HTTP/1.1 417 "), "{received}");
 }
 
-/// However many connect, own calls find a socket.
 #[test]
-fn a_flood_leaves_room_for_own_calls() {
-    let mut transport = Transport::new(72).expect("an event loop");
-    let at = {
-        let free = TcpListener::bind("127.0.0.1:0").expect("a port");
+fn a_call_without_a_response_says_whether_it_may_have_been_processed() {
+    let mut transport = transport();
+    let closed = {
+        let free = TcpListener::bind("127.0.0.1:0").expect("a free port");
         free.local_addr().expect("its address")
     };
-    transport
-        .listen(at, ListenerKind::Public)
-        .expect("listening");
-    let to = answers();
+    let call = start_call(&mut transport, closed, EVENT_TIMEOUT);
+    assert_eq!(result_of(&mut transport, call), Err(CallError::NotSent));
+    let incomplete: [&[u8]; 3] = [
+        b"",
+        b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nabc",
+        b"HTTP/9 what?\r\n\r\n",
+    ];
+    for answer in incomplete {
+        let address = start_faulty_responder(answer);
+        let call = start_call(&mut transport, address, EVENT_TIMEOUT);
+        assert_eq!(
+            result_of(&mut transport, call),
+            Err(CallError::Lost),
+            "{:?}",
+            String::from_utf8_lossy(answer)
+        );
+    }
+    assert_eq!(transport.socket_usage().open, 0);
+}
+
+#[test]
+fn a_call_ends_at_its_deadline() {
+    let mut transport = transport();
+    let silent = TcpListener::bind("127.0.0.1:0").expect("a free port");
+    let address = silent.local_addr().expect("its address");
+    let limit = Duration::from_millis(100);
+    let started = transport.now();
+    let call = start_call(&mut transport, address, limit);
+    assert_eq!(result_of(&mut transport, call), Err(CallError::Lost));
+    assert!(transport.now() >= started.after(limit));
+    assert_eq!(transport.socket_usage().open, 0);
+}
+
+#[test]
+fn a_connection_is_kept_for_the_next_call_until_the_server_closes_it() {
+    let mut transport = transport();
+    let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
+    let address = listener.local_addr().expect("its address");
+    let first = start_call(&mut transport, address, EVENT_TIMEOUT);
+    let (mut accepted, _) = listener.accept().expect("a connection");
+    for call in [first, CallId(first.0 + 1)] {
+        if call != first {
+            assert_eq!(start_call(&mut transport, address, EVENT_TIMEOUT), call);
+        }
+        poll_once(&mut transport);
+        let mut chunk = [0; 1024];
+        assert!(accepted.read(&mut chunk).expect("a request") > 0);
+        accepted.write_all(EMPTY_OK).expect("writing");
+        assert!(result_of(&mut transport, call).is_ok());
+        assert_eq!(transport.socket_usage().open, 1);
+    }
+    drop(accepted);
+    let deadline = transport.now().after(EVENT_TIMEOUT);
+    while transport.socket_usage().open > 0 {
+        assert!(transport.now() < deadline, "the connection stays open");
+        transport
+            .wait_for_events(deadline)
+            .expect("the event loop runs");
+    }
+}
+
+/// A leader once held two sockets for each machine: one for its heartbeats and one for the commands it
+/// was sent some time ago. At half as many machines again that was more than the limit.
+#[test]
+fn the_idle_connection_pool_is_bounded() {
+    let mut transport = transport();
+    for _ in 0..3 * MAX_IDLE_CALLS {
+        assert_call_succeeds(&mut transport, start_responder());
+        assert!(transport.socket_usage().open <= MAX_IDLE_CALLS);
+    }
+}
+
+/// However many connect, calls find a socket.
+#[test]
+fn a_flood_of_connections_leaves_room_for_calls() {
+    let (mut transport, address) = server();
+    let responder = start_responder();
     let mut flood = Vec::new();
-    for _ in 0..3 * MOST {
-        flood.push(TcpStream::connect(at).expect("a connection"));
-        let now = transport.now();
-        transport.wait_for_events(now).expect("the event loop");
-        assert!(transport.socket_usage().open <= MOST - MOST / 8);
+    for _ in 0..3 * MAX_SOCKETS {
+        flood.push(TcpStream::connect(address).expect("a connection"));
+        poll_once(&mut transport);
+        assert!(transport.socket_usage().open <= MAX_SOCKETS - RESERVED_FOR_CALLS);
     }
-    for _ in 0..MOST {
-        assert!(call(&mut transport, to));
+    for _ in 0..MAX_SOCKETS {
+        assert_call_succeeds(&mut transport, responder);
     }
     drop(flood);
 }
