--- a/crates/zones/src/damping.rs
+++ b/crates/zones/src/damping.rs
@@ -1,5 +1,5 @@
-//! Flap damping, as for routes in RFC 2439: each loss adds a penalty that decays exponentially. Above
-//! the suppress threshold a zone is suppressed, until the penalty has decayed below the reuse threshold.
+//! Flap damping, as for routes in RFC 2439: each loss adds a penalty that decays exponentially. At the
+//! suppress threshold a zone is suppressed, until the penalty has decayed below the reuse threshold.
 
 use std::time::Duration;
 
@@ -10,14 +10,15 @@
 /// The penalty of one zone.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct FlapDamping {
+    /// The penalty as of `updated_at`.
     penalty: f64,
-    /// When the penalty had that value.
-    at: Time,
+    updated_at: Time,
     suppressed: bool,
 }
 
 impl FlapDamping {
-    /// Continues with a penalty that was recorded so long ago.
+    /// Continues with a penalty that was recorded `age` ago. One that is not a number counts as 0, one
+    /// above the ceiling as the ceiling.
     pub fn restore(
         penalty: f64,
         suppressed: bool,
@@ -29,32 +30,32 @@
         let penalty = penalty.clamp(0.0, settings.ceiling);
         FlapDamping {
             penalty: decayed(penalty, age, settings),
-            at: now,
+            updated_at: now,
             suppressed,
         }
     }
 
     /// The zone was lost once more.
     pub fn on_loss(&mut self, now: Time, settings: &DampingSettings) {
-        let penalty = self.penalty(now, settings) + settings.per_loss;
+        let penalty = self.penalty(now, settings) + settings.penalty_per_loss;
         self.penalty = penalty.min(settings.ceiling);
-        self.at = now;
-        self.suppressed |= self.penalty >= settings.suppress;
+        self.updated_at = now;
+        self.suppressed |= self.penalty >= settings.suppress_threshold;
     }
 
     /// Ends the suppression once the penalty is below the reuse threshold.
     pub fn update(&mut self, now: Time, settings: &DampingSettings) {
-        if self.suppressed && self.penalty(now, settings) < settings.reuse {
+        if self.suppressed && self.penalty(now, settings) < settings.reuse_threshold {
             self.suppressed = false;
         }
     }
 
-    /// The penalty by now.
+    /// The penalty as of `now`.
     pub fn penalty(&self, now: Time, settings: &DampingSettings) -> f64 {
-        decayed(self.penalty, now.since(self.at), settings)
+        decayed(self.penalty, now.since(self.updated_at), settings)
     }
 
-    /// Whether the zone takes no new work, as of the last [`FlapDamping::update`].
+    /// Whether the zone is suppressed, as of the last [`FlapDamping::update`]: it takes no new work.
     pub fn is_suppressed(&self) -> bool {
         self.suppressed
     }
--- a/crates/zones/src/displacement.rs
+++ b/crates/zones/src/displacement.rs
@@ -1,23 +1,24 @@
-//! The order in which machines of a lost zone are given up: what loses more by waiting goes first.
+//! The order in which machines of a lost zone are given up: those whose work loses most by waiting first.
 
-/// How urgent the most urgent work on a machine is; smaller values are more urgent.
+/// How urgent the most urgent work on a machine is. Smaller values are more urgent; the fields are
+/// compared in their order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Urgency {
     /// Rank of its priority, 0 for the highest.
     pub priority: u8,
-    /// Its team has used up its guarantee; those below theirs go first.
-    pub beyond_guarantee: bool,
-    /// When it is due, in milliseconds of the day; what is due at no time comes last.
+    /// Whether its team uses more than its guarantee.
+    pub over_guarantee: bool,
+    /// When it is due, in milliseconds since the Unix epoch; `u64::MAX` without a deadline.
     pub due_ms: u64,
-    /// Milliseconds of work that are lost if its machine is given up; less goes first.
+    /// Work that is lost if its machine is given up, in milliseconds.
     pub work_lost_ms: u64,
 }
 
 impl Urgency {
-    /// A machine without work waits for all others.
+    /// Of a machine without work, which goes last.
     pub const IDLE: Urgency = Urgency {
         priority: u8::MAX,
-        beyond_guarantee: true,
+        over_guarantee: true,
         due_ms: u64::MAX,
         work_lost_ms: u64::MAX,
     };
@@ -26,16 +27,17 @@
 /// A silent machine that may be given up.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Candidate<M> {
-    /// The machine.
+    /// Id of the machine.
     pub machine: M,
-    /// Its zone.
+    /// Name of its zone.
     pub zone: String,
     /// How urgent the most urgent work on it is.
     pub urgency: Urgency,
 }
 
-/// Puts the most urgent candidates first; ties go by machine, so that equal input has equal output.
-pub fn sort<M: Ord>(candidates: &mut [Candidate<M>]) {
+/// Puts the most urgent candidates first. Equally urgent ones are ordered by their ids, so that the result
+/// doesn't depend on the order of the input.
+pub(crate) fn sort_by_urgency<M: Ord>(candidates: &mut [Candidate<M>]) {
     candidates.sort_by(|a, b| {
         let by_urgency = a.urgency.cmp(&b.urgency);
         by_urgency.then_with(|| a.machine.cmp(&b.machine))
--- a/crates/zones/src/observation.rs
+++ b/crates/zones/src/observation.rs
@@ -1,77 +1,96 @@
-//! What a scheduler sees of a zone, and whether that means that the zone is disrupted.
+//! What a scheduler observes of a zone, and whether that means that the zone is disrupted.
 
-/// Whether controllers of the zone answer the observer.
+/// Whether the controllers of a zone answer the observer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum ControllerReach {
-    /// The zone has no controller besides the observer itself.
+    /// The zone has no controller.
     #[default]
     NoController,
-    /// At least one answers, or the observer is in that zone.
+    /// At least one answers, or the observer itself is in the zone.
     Reachable,
     /// None answers.
     Unreachable,
 }
 
-/// What is seen of one zone at one time.
+/// What is observed of one machine.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct MachineObservation {
+    /// Whether its heartbeats are missing, or it doesn't receive commands.
+    pub silent: bool,
+    /// Whether it is a spot machine, which the cloud may take back at any time.
+    pub spot: bool,
+}
+
+/// What is observed of one zone at one time.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ZoneObservation {
-    /// Machines that have reported to some leader and were not given up. Machines that still boot don't
-    /// count: their silence says nothing.
+    /// Machines whose heartbeats some leader has received and that were not given up. Machines that still
+    /// boot don't count: their silence says nothing.
     pub machines: usize,
-    /// Of these, the ones that are not heard, or are heard but don't hear what they are told.
+    /// How many of the machines are silent.
     pub silent: usize,
-    /// Of the machines, those that the cloud does not take back at will.
-    pub ordinary: usize,
-    /// Of these, the silent ones.
-    pub ordinary_silent: usize,
+    /// How many of the machines are on-demand, not spot ones.
+    pub on_demand: usize,
+    /// How many of the on-demand machines are silent.
+    pub silent_on_demand: usize,
     /// Whether the zone's controllers answer.
     pub controllers: ControllerReach,
 }
 
-/// Fewer machines than this fail one by one; only together with the controllers do they tell of a zone.
-const FEW_MACHINES: usize = 3;
+/// So few silent machines may have failed independently; only if the controllers don't answer either do
+/// they prove anything about the zone.
+const MIN_SILENT_MACHINES: usize = 3;
+/// A zone is disrupted if more than one in that many machines is silent.
+const DISRUPTED_DIVISOR: usize = 2;
+/// Up to one in that many machines may be silent without the zone being the cause.
+const INDEPENDENT_FAILURES_DIVISOR: usize = 10;
 
 impl ZoneObservation {
     /// Counts one machine.
-    pub fn count(&mut self, silent: bool, spot: bool) {
+    pub fn add(&mut self, machine: MachineObservation) {
         self.machines += 1;
-        self.silent += usize::from(silent);
-        if !spot {
-            self.ordinary += 1;
-            self.ordinary_silent += usize::from(silent);
+        self.silent += usize::from(machine.silent);
+        if !machine.spot {
+            self.on_demand += 1;
+            self.silent_on_demand += usize::from(machine.silent);
         }
     }
 
-    /// Whether machines and controllers together speak for the zone being cut off, rather than for
-    /// machines that failed one by one.
+    /// Whether machines and controllers together show that the zone is cut off, rather than that machines
+    /// failed independently.
     pub fn is_disrupted(&self) -> bool {
         let unreachable = self.controllers == ControllerReach::Unreachable;
-        if self.silent < FEW_MACHINES {
+        if self.silent < MIN_SILENT_MACHINES {
             return unreachable && self.machines > 0 && self.silent == self.machines;
         }
-        if !unreachable && self.only_spot_machines_are_gone() {
+        if !unreachable && self.only_spot_machines_are_silent() {
             return false;
         }
-        self.silent * 2 > self.machines
-    }
-
-    /// The cloud took spot machines back; the ordinary ones of the zone go on.
-    fn only_spot_machines_are_gone(&self) -> bool {
-        self.ordinary > 0 && self.ordinary_silent == 0
+        self.most_are_silent()
     }
 
-    /// Whether most machines are heard again, which proves that the zone is reachable.
-    pub fn is_heard(&self) -> bool {
-        self.machines > 0 && !self.is_disrupted() && self.silent * 2 <= self.machines
+    /// Whether at least half of the machines respond, which proves that the zone is reachable.
+    pub fn most_machines_respond(&self) -> bool {
+        self.machines > 0 && !self.is_disrupted() && !self.most_are_silent()
     }
 
-    /// Whether no more machines are silent than fail in the course of things.
-    pub fn is_mostly_heard(&self) -> bool {
-        self.silent < FEW_MACHINES || self.silent * 10 <= self.machines
+    /// Whether no more machines are silent than fail independently.
+    pub fn nearly_all_machines_respond(&self) -> bool {
+        self.silent < MIN_SILENT_MACHINES
+            || self.silent * INDEPENDENT_FAILURES_DIVISOR <= self.machines
     }
 
-    /// No machine is left to be heard, and nothing says that new ones would not be.
+    /// Whether there is no machine that could respond, and nothing shows that new ones could not.
     pub fn is_empty_and_reachable(&self) -> bool {
         self.machines == 0 && self.controllers != ControllerReach::Unreachable
     }
+
+    fn most_are_silent(&self) -> bool {
+        self.silent * DISRUPTED_DIVISOR > self.machines
+    }
+
+    /// The cloud has taken spot machines back; the on-demand ones of the zone still respond.
+    fn only_spot_machines_are_silent(&self) -> bool {
+        self.on_demand > 0 && self.silent_on_demand == 0
+    }
 }
--- a/crates/zones/src/record.rs
+++ b/crates/zones/src/record.rs
@@ -10,23 +10,23 @@
 /// Version of the layout below.
 pub const VERSION: u32 = 1;
 
-/// All zones that are not healthy, or have a penalty.
+/// All zones that a leader has observed.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ZonesRecord {
     /// Version of the layout.
     pub version: u32,
-    /// The zones.
+    /// The zones, by name.
     pub zones: Vec<ZoneRecord>,
 }
 
-/// One zone. Times are of the day, in milliseconds.
+/// One zone.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ZoneRecord {
     /// Its name.
     pub zone: String,
     /// Its state.
     pub state: ZoneState,
-    /// Since when it has been in that state.
+    /// When it entered that state, in milliseconds since the Unix epoch.
     pub since_ms: u64,
     /// Its penalty at that time.
     pub penalty: f64,
@@ -35,17 +35,26 @@
     /// Its machines when the record was written.
     #[serde(default)]
     pub machines: u64,
-    /// Of these, the silent ones.
+    /// How many of them were silent.
     #[serde(default)]
     pub silent: u64,
-    /// Silent machines that waited for the budget.
+    /// How many silent machines waited for the displacement budget.
     #[serde(default)]
     pub waiting: u64,
 }
 
 impl ZonesRecord {
-    /// Whether this version understands the record.
-    pub fn is_understood(&self) -> bool {
+    /// Whether this version of the program can use the record.
+    pub fn is_supported(&self) -> bool {
         self.version == VERSION
     }
+
+    /// Whether both records list the same zones in the same states.
+    pub(crate) fn has_states_of(&self, other: &ZonesRecord) -> bool {
+        fn name_and_state(zone: &ZoneRecord) -> (&str, ZoneState) {
+            (&zone.zone, zone.state)
+        }
+        let states = self.zones.iter().map(name_and_state);
+        states.eq(other.zones.iter().map(name_and_state))
+    }
 }
--- a/crates/zones/src/settings.rs
+++ b/crates/zones/src/settings.rs
@@ -1,33 +1,41 @@
-//! What operators set, and which values make sense.
+//! What operators set, and which values are valid.
 
-use std::fmt;
 use std::time::Duration;
 
 use serde::Deserialize;
+use thiserror::Error;
 
-/// The settings of [`crate::ZoneTracker`]. Every field has a default.
+/// The settings of [`crate::ZoneTracker`]. Every field has a default. Some fields have other names in
+/// settings files than here, given as `rename`.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct ZoneSettings {
-    /// A zone that has been disrupted for so long is lost.
+    /// How long a zone has to be disrupted until it is lost, in seconds.
     pub lost_after_s: f64,
-    /// While every zone is silent it is the observer that is cut off: nothing is given up for so long.
-    pub isolation_patience_s: f64,
+    /// While every zone is disrupted, the observer may be the one that is cut off: for how long it gives
+    /// up nothing, in seconds. Also, after that time an emptied zone is tried again.
+    #[serde(rename = "isolation_patience_s")]
+    pub isolation_timeout_s: f64,
     /// Share of a zone's machines that may be given up at once.
-    pub displaced_at_once: f64,
+    #[serde(rename = "displaced_at_once")]
+    pub displacement_burst: f64,
     /// Share of a zone's machines that may be given up in a minute.
-    pub displaced_per_minute: f64,
-    /// Share of all machines that may be rented at once while a zone is lost.
-    pub rented_at_once: f64,
-    /// Share of all machines that may be rented in a minute while a zone is lost.
-    pub rented_per_minute: f64,
-    /// Share of a returning zone's machines that take a task in the first second.
-    pub return_share: f64,
-    /// After so long the rate of a returning zone doubles.
+    #[serde(rename = "displaced_per_minute")]
+    pub displacement_per_minute: f64,
+    /// Share of all machines that may be provisioned at once while a zone is lost.
+    #[serde(rename = "rented_at_once")]
+    pub provisioning_burst: f64,
+    /// Share of all machines that may be provisioned in a minute while a zone is lost.
+    #[serde(rename = "rented_per_minute")]
+    pub provisioning_per_minute: f64,
+    /// Tasks that a returning zone takes in a second at first, as a share of its machines.
+    #[serde(rename = "return_share")]
+    pub return_initial_share: f64,
+    /// After how long that rate doubles, again and again, in seconds.
     pub return_doubling_s: f64,
-    /// A zone that has been back for so long is healthy.
+    /// How long a zone has to be back until it is healthy, in seconds.
     pub return_window_s: f64,
-    /// The penalty of a zone that flaps.
+    /// Penalties for zones that are lost again and again.
     pub damping: DampingSettings,
 }
 
@@ -35,12 +43,12 @@
     fn default() -> ZoneSettings {
         ZoneSettings {
             lost_after_s: 5.0,
-            isolation_patience_s: 120.0,
-            displaced_at_once: 0.1,
-            displaced_per_minute: 0.5,
-            rented_at_once: 0.25,
-            rented_per_minute: 0.75,
-            return_share: 0.25,
+            isolation_timeout_s: 120.0,
+            displacement_burst: 0.1,
+            displacement_per_minute: 0.5,
+            provisioning_burst: 0.25,
+            provisioning_per_minute: 0.75,
+            return_initial_share: 0.25,
             return_doubling_s: 1.0,
             return_window_s: 15.0,
             damping: DampingSettings::default(),
@@ -48,121 +56,149 @@
     }
 }
 
-/// The settings of [`crate::FlapDamping`].
+/// The settings of [`crate::FlapDamping`]. Penalties have no unit.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct DampingSettings {
-    /// What each loss adds.
-    pub per_loss: f64,
-    /// After so long without a loss half of the penalty is left.
+    /// What each loss adds to the penalty.
+    #[serde(rename = "per_loss")]
+    pub penalty_per_loss: f64,
+    /// After how long without a loss half of the penalty is left, in seconds.
     pub half_life_s: f64,
-    /// At this penalty the zone is suppressed.
-    pub suppress: f64,
-    /// Below this penalty it is no longer.
-    pub reuse: f64,
-    /// The penalty never grows beyond this.
+    /// From this penalty on the zone is suppressed.
+    #[serde(rename = "suppress")]
+    pub suppress_threshold: f64,
+    /// Below this penalty it no longer is.
+    #[serde(rename = "reuse")]
+    pub reuse_threshold: f64,
+    /// The highest penalty.
     pub ceiling: f64,
 }
 
 impl Default for DampingSettings {
     fn default() -> DampingSettings {
         DampingSettings {
-            per_loss: 1000.0,
+            penalty_per_loss: 1000.0,
             half_life_s: 30.0,
-            suppress: 2500.0,
-            reuse: 1000.0,
+            suppress_threshold: 2500.0,
+            reuse_threshold: 1000.0,
             ceiling: 4000.0,
         }
     }
 }
 
 impl DampingSettings {
-    /// For how long a zone is suppressed at the most after its last loss.
-    pub fn longest_suppression(&self) -> Duration {
-        let half_lives = (self.ceiling / self.reuse).log2().max(0.0);
+    /// The longest time for which a zone is suppressed after its last loss.
+    pub fn max_suppression(&self) -> Duration {
+        let half_lives = (self.ceiling / self.reuse_threshold).log2().max(0.0);
         Duration::from_secs_f64(half_lives * self.half_life_s)
     }
 }
 
-/// A setting that makes no sense.
-#[derive(Clone, Debug, PartialEq)]
+/// A setting is out of its range.
+#[derive(Clone, Debug, PartialEq, Eq, Error)]
+#[error("{field}: must be {expected}")]
 pub struct SettingsError {
-    /// Name of the field.
+    /// Name of the field in settings files.
     pub field: &'static str,
     /// What it must be.
     pub expected: &'static str,
 }
 
-impl fmt::Display for SettingsError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}: must be {}", self.field, self.expected)
-    }
+/// The values that a field may have, both ends included.
+struct Range {
+    min: f64,
+    max: f64,
+    expected: &'static str,
 }
 
-impl std::error::Error for SettingsError {}
+const SECONDS: Range = Range {
+    min: 0.1,
+    max: 86_400.0,
+    expected: "from 0.1 to 86400 seconds",
+};
+/// A share of 0 would keep the work of a lost zone waiting for ever.
+const SHARE: Range = Range {
+    min: 0.001,
+    max: 100.0,
+    expected: "a share from 0.001 to 100",
+};
+const PENALTY: Range = Range {
+    min: 1.0,
+    max: 1e9,
+    expected: "from 1 to 1e9",
+};
 
-const LONGEST_S: f64 = 86_400.0;
-const HIGHEST_PENALTY: f64 = 1e9;
-
-impl ZoneSettings {
-    /// Checks the ranges, and that the thresholds are in order.
-    pub fn check(&self) -> Result<(), SettingsError> {
-        let times = [
-            ("lost_after_s", self.lost_after_s),
-            ("isolation_patience_s", self.isolation_patience_s),
-            ("return_doubling_s", self.return_doubling_s),
-            ("return_window_s", self.return_window_s),
-            ("damping.half_life_s", self.damping.half_life_s),
-        ];
-        in_range(&times, 0.1, LONGEST_S, "from 0.1 to 86400 seconds")?;
-        let shares = [
-            ("displaced_at_once", self.displaced_at_once),
-            ("displaced_per_minute", self.displaced_per_minute),
-            ("rented_at_once", self.rented_at_once),
-            ("rented_per_minute", self.rented_per_minute),
-            ("return_share", self.return_share),
-        ];
-        // A share of zero would keep a lost zone's work waiting for ever.
-        in_range(&shares, 0.001, 100.0, "a share from 0.001 to 100")?;
-        let DampingSettings {
-            per_loss,
-            suppress,
-            reuse,
-            ceiling,
-            ..
-        } = self.damping;
-        let penalties = [
-            ("damping.per_loss", per_loss),
-            ("damping.suppress", suppress),
-            ("damping.reuse", reuse),
-            ("damping.ceiling", ceiling),
-        ];
-        in_range(&penalties, 1.0, HIGHEST_PENALTY, "from 1 to 1e9")?;
-        ensure(reuse < suppress, "damping.reuse", "below damping.suppress")?;
-        ensure(
-            suppress <= ceiling,
-            "damping.suppress",
-            "at most damping.ceiling",
-        )
+impl Range {
+    fn check(&self, field: &'static str, value: f64) -> Result<(), SettingsError> {
+        let is_valid = (self.min..=self.max).contains(&value);
+        ensure(is_valid, field, self.expected)
     }
 }
 
-fn in_range(
-    fields: &[(&'static str, f64)],
-    least: f64,
-    most: f64,
+fn ensure(
+    is_valid: bool,
+    field: &'static str,
     expected: &'static str,
 ) -> Result<(), SettingsError> {
-    for (field, value) in fields {
-        ensure((least..=most).contains(value), field, expected)?;
-    }
-    Ok(())
-}
-
-fn ensure(holds: bool, field: &'static str, expected: &'static str) -> Result<(), SettingsError> {
-    if holds {
+    if is_valid {
         Ok(())
     } else {
         Err(SettingsError { field, expected })
     }
 }
+
+impl ZoneSettings {
+    /// Checks the ranges, and that the thresholds are in order.
+    ///
+    /// # Errors
+    ///
+    /// The first field that is not valid.
+    pub fn validate(&self) -> Result<(), SettingsError> {
+        SECONDS.check("lost_after_s", self.lost_after_s)?;
+        SECONDS.check("isolation_patience_s", self.isolation_timeout_s)?;
+        SECONDS.check("return_doubling_s", self.return_doubling_s)?;
+        SECONDS.check("return_window_s", self.return_window_s)?;
+        SECONDS.check("damping.half_life_s", self.damping.half_life_s)?;
+        SHARE.check("displaced_at_once", self.displacement_burst)?;
+        SHARE.check("displaced_per_minute", self.displacement_per_minute)?;
+        SHARE.check("rented_at_once", self.provisioning_burst)?;
+        SHARE.check("rented_per_minute", self.provisioning_per_minute)?;
+        SHARE.check("return_share", self.return_initial_share)?;
+        self.damping.validate_penalties()
+    }
+
+    /// How long a zone has to be disrupted until it is lost.
+    pub(crate) fn lost_after(&self) -> Duration {
+        Duration::from_secs_f64(self.lost_after_s)
+    }
+
+    /// How long an observer that finds all zones disrupted gives up nothing.
+    pub(crate) fn isolation_timeout(&self) -> Duration {
+        Duration::from_secs_f64(self.isolation_timeout_s)
+    }
+
+    /// How long a zone has to be back until it is healthy.
+    pub(crate) fn return_window(&self) -> Duration {
+        Duration::from_secs_f64(self.return_window_s)
+    }
+}
+
+impl DampingSettings {
+    fn validate_penalties(&self) -> Result<(), SettingsError> {
+        PENALTY.check("damping.per_loss", self.penalty_per_loss)?;
+        PENALTY.check("damping.suppress", self.suppress_threshold)?;
+        PENALTY.check("damping.reuse", self.reuse_threshold)?;
+        PENALTY.check("damping.ceiling", self.ceiling)?;
+        ensure(
+            self.reuse_threshold < self.suppress_threshold,
+            "damping.reuse",
+            "below damping.suppress",
+        )?;
+        ensure(
+            self.suppress_threshold <= self.ceiling,
+            "damping.suppress",
+            "at most damping.ceiling",
+        )
+    }
+}
--- a/crates/zones/src/state.rs
+++ b/crates/zones/src/state.rs
@@ -1,4 +1,5 @@
-//! The states of a zone. [`ZoneMachine::enter`] is the one function that changes them.
+//! The states of a zone, and what leads from one to the next. `ZoneStateMachine::enter` is the one function
+//! that changes them.
 
 use std::fmt;
 use std::time::Duration;
@@ -9,23 +10,23 @@
 use crate::observation::ZoneObservation;
 use crate::settings::ZoneSettings;
 
-/// Where a zone is.
+/// State of a zone.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ZoneState {
-    /// Nothing speaks against it.
+    /// Nothing shows that it is disrupted.
     #[default]
     Healthy,
-    /// It is disrupted, perhaps for a moment only.
+    /// It is disrupted, perhaps only for a moment.
     Suspected,
-    /// It has been disrupted for long: machines in it are given up, bounded by the budget.
+    /// It has been disrupted for longer: its silent machines are given up, within the budget.
     Lost,
-    /// Most of its machines are heard again: it takes new work at a growing rate.
+    /// Most of its machines respond again: it takes new work at a growing rate.
     Returning,
 }
 
 impl ZoneState {
-    /// Whether the state may follow directly on this one.
+    /// Whether a zone may go from this state to `next` in one step.
     pub fn may_become(self, next: ZoneState) -> bool {
         use ZoneState::{Healthy, Lost, Returning, Suspected};
         matches!(
@@ -37,7 +38,7 @@
         )
     }
 
-    /// Whether the zone is disrupted by now: no machine is rented there.
+    /// Whether the zone is disrupted at present, so that no machine is provisioned there.
     pub fn is_disrupted(self) -> bool {
         matches!(self, ZoneState::Suspected | ZoneState::Lost)
     }
@@ -54,79 +55,81 @@
     }
 }
 
-/// A change of state, with what it was based on.
+/// A change of a zone's state, with what it is based on.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ZoneTransition {
-    /// The zone.
+    /// Name of the zone.
     pub zone: String,
     /// The state before.
     pub from: ZoneState,
     /// The state from now on.
     pub to: ZoneState,
-    /// What was seen of the zone at that moment.
-    pub evidence: ZoneObservation,
+    /// What was observed of the zone at that time.
+    pub observation: ZoneObservation,
 }
 
 /// The state machine of one zone.
 #[derive(Clone, Debug, Default)]
-pub struct ZoneMachine {
+pub(crate) struct ZoneStateMachine {
     state: ZoneState,
     since: Time,
 }
 
-impl ZoneMachine {
-    /// Continues in a state that an earlier leader recorded.
-    pub fn restore(state: ZoneState, since: Time) -> ZoneMachine {
-        ZoneMachine { state, since }
+impl ZoneStateMachine {
+    /// Continues in a state that was entered at that time.
+    pub(crate) fn restore(state: ZoneState, since: Time) -> ZoneStateMachine {
+        ZoneStateMachine { state, since }
     }
 
-    /// The present state.
-    pub fn state(&self) -> ZoneState {
+    pub(crate) fn state(&self) -> ZoneState {
         self.state
     }
 
     /// When the zone entered its present state.
-    pub fn since(&self) -> Time {
+    pub(crate) fn since(&self) -> Time {
         self.since
     }
 
-    fn lasted(&self, now: Time, seconds: f64) -> bool {
-        now.since(self.since) >= Duration::from_secs_f64(seconds)
-    }
-
-    /// The state that follows from what is seen, if it is another one.
-    pub fn next(
+    /// The state that follows from an observation, if it is another one than the present.
+    /// `observer_isolated` says that the observer finds all zones disrupted.
+    pub(crate) fn next(
         &self,
-        seen: &ZoneObservation,
-        isolated: bool,
+        observation: &ZoneObservation,
+        observer_isolated: bool,
         now: Time,
         settings: &ZoneSettings,
     ) -> Option<ZoneState> {
-        let disrupted = seen.is_disrupted();
+        let disrupted = observation.is_disrupted();
+        let has_lasted = |duration: Duration| now.since(self.since) >= duration;
         match self.state {
             ZoneState::Healthy => disrupted.then_some(ZoneState::Suspected),
             ZoneState::Suspected if !disrupted => Some(ZoneState::Healthy),
-            // An observer that hears no zone at all is cut off itself.
             ZoneState::Suspected => {
-                (!isolated && self.lasted(now, settings.lost_after_s)).then_some(ZoneState::Lost)
+                let lost = !observer_isolated && has_lasted(settings.lost_after());
+                lost.then_some(ZoneState::Lost)
             }
-            // Of an emptied zone nothing can be heard: it is tried again after a while.
             ZoneState::Lost => {
-                let tried_again =
-                    seen.machines == 0 && self.lasted(now, settings.isolation_patience_s);
-                (seen.is_heard() || seen.is_empty_and_reachable() || tried_again)
-                    .then_some(ZoneState::Returning)
+                // No machine is left that could respond: new ones show whether the zone is back.
+                let retry_emptied =
+                    observation.machines == 0 && has_lasted(settings.isolation_timeout());
+                let returning = observation.most_machines_respond()
+                    || observation.is_empty_and_reachable()
+                    || retry_emptied;
+                returning.then_some(ZoneState::Returning)
             }
             ZoneState::Returning if disrupted => Some(ZoneState::Lost),
-            // What is still silent then failed by itself; while it is much, the budget stands.
-            ZoneState::Returning => (seen.is_mostly_heard()
-                && self.lasted(now, settings.return_window_s))
-            .then_some(ZoneState::Healthy),
+            ZoneState::Returning => {
+                // Machines that stay silent then have failed by themselves. While there are many, they are
+                // still given up within the zone's budget.
+                let healthy = observation.nearly_all_machines_respond()
+                    && has_lasted(settings.return_window());
+                healthy.then_some(ZoneState::Healthy)
+            }
         }
     }
 
     /// The one place where the state changes.
-    pub fn enter(&mut self, state: ZoneState, now: Time) {
+    pub(crate) fn enter(&mut self, state: ZoneState, now: Time) {
         debug_assert!(self.state.may_become(state), "{} -> {state}", self.state);
         self.state = state;
         self.since = now;
--- a/crates/zones/tests/random_sequences.rs
+++ b/crates/zones/tests/random_sequences.rs
@@ -1,148 +1,148 @@
-//! Random sequences of loss and return: the state machine never skips, no budget is exceeded, the
+//! Random sequences of loss and return: the state machine never skips a state, no budget is exceeded, the
 //! penalty stays below its ceiling, and a zone that stays lost is emptied in a finite time.
 
 mod support;
 
-use lichencrank_zones::{Candidate, ControllerReach, Urgency, ZoneSettings, ZoneState};
+use lichencrank_store::Time;
+use lichencrank_zones::{ControllerReach, ZoneSettings, ZoneState};
 use proptest::prelude::*;
-use support::{seen, World};
+use support::{observation, Harness, STEP, WALL_CLOCK_MS};
 
-/// What zone `b` is like for a while.
+const MINUTE_MS: u64 = 60_000;
+
+/// What zone `b` is like for some steps.
 #[derive(Clone, Debug)]
-struct Spell {
+struct Period {
     silent_share: f64,
     controllers: ControllerReach,
     steps: u32,
-    /// A new leader continues with the record.
+    /// A new leader continues with the record at its beginning.
     new_leader: bool,
 }
 
-fn spell() -> impl Strategy<Value = Spell> {
+fn period() -> impl Strategy<Value = Period> {
     let controllers = prop_oneof![
         Just(ControllerReach::Reachable),
         Just(ControllerReach::Unreachable),
         Just(ControllerReach::NoController),
     ];
     let silent_share = prop_oneof![Just(0.0), Just(1.0), 0.0..1.0_f64];
-    (
-        silent_share,
-        controllers,
-        1..120_u32,
-        prop::bool::weighted(0.1),
-    )
-        .prop_map(|(silent_share, controllers, steps, new_leader)| Spell {
+    let new_leader = prop::bool::weighted(0.1);
+    (silent_share, controllers, 1..120_u32, new_leader).prop_map(
+        |(silent_share, controllers, steps, new_leader)| Period {
             silent_share,
             controllers,
             steps,
             new_leader,
-        })
+        },
+    )
 }
 
-const DAY_MS: u64 = 1_700_000_000_000;
-
-/// Machines of zone `b`: given up ones are gone, none is added.
+/// Machines of zone `b`. Those that are given up are gone, none is added.
 struct Zone {
     machines: usize,
-    given_up_at: Vec<u64>,
+    given_up_at: Vec<Time>,
 }
 
 impl Zone {
-    fn step(&mut self, world: &mut World, spell: &Spell) {
-        let silent = (self.machines as f64 * spell.silent_share).round() as usize;
-        world.see("b", seen(self.machines, silent, spell.controllers));
-        world.after(support::STEP_S);
-        let candidates = (0..silent).map(|machine| Candidate {
-            machine,
-            zone: "b".to_owned(),
-            urgency: Urgency::IDLE,
-        });
-        let now = world.now;
-        let given_up = world.tracker.displace(candidates.collect(), now).len();
-        let state = world.state("b");
+    fn new(machines: usize) -> Zone {
+        Zone {
+            machines,
+            given_up_at: Vec::new(),
+        }
+    }
+
+    fn step(&mut self, harness: &mut Harness, period: &Period) {
+        let silent = (self.machines as f64 * period.silent_share).round() as usize;
+        let observation = observation(self.machines, silent, period.controllers);
+        harness.observe("b", observation).advance(STEP);
+        let given_up = harness.displace_count("b", silent);
+        let state = harness.state("b");
         assert!(
-            given_up == 0
-                || matches!(
-                    state,
-                    ZoneState::Lost | ZoneState::Returning | ZoneState::Healthy
-                )
+            given_up == 0 || state != ZoneState::Suspected,
+            "{given_up} machines of a suspected zone given up"
         );
         self.machines -= given_up;
-        self.given_up_at.extend(vec![now.0; given_up]);
+        self.given_up_at.extend(vec![harness.now; given_up]);
     }
 
     /// The most machines given up within any minute.
-    fn most_in_a_minute(&self) -> usize {
-        let within = |from: u64| {
-            let until = from + 60_000;
-            let at = self.given_up_at.iter();
-            at.filter(|at| (from..until).contains(at)).count()
+    fn max_in_a_minute(&self) -> usize {
+        let in_minute_from = |from: Time| {
+            let minute = from.0..from.0 + MINUTE_MS;
+            let times = self.given_up_at.iter();
+            times.filter(|time| minute.contains(&time.0)).count()
         };
-        self.given_up_at
-            .iter()
-            .map(|at| within(*at))
-            .max()
-            .unwrap_or(0)
+        let counts = self.given_up_at.iter().map(|time| in_minute_from(*time));
+        counts.max().unwrap_or(0)
     }
 }
 
+/// A harness whose tracker continues with the record of another one.
+fn next_leader(harness: &Harness) -> Harness {
+    let wall_clock_ms = WALL_CLOCK_MS + harness.now.0;
+    let record = harness.tracker.record(harness.now, wall_clock_ms);
+    let mut next = Harness::new();
+    next.now = harness.now;
+    next.observations = harness.observations.clone();
+    next.transitions = harness.transitions.clone();
+    next.tracker.restore(&record, harness.now, wall_clock_ms);
+    next
+}
+
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(150))]
 
     #[test]
     fn no_sequence_breaks_the_bounds(
         machines in 1..200_usize,
-        spells in prop::collection::vec(spell(), 1..20),
+        periods in prop::collection::vec(period(), 1..20),
     ) {
         let settings = ZoneSettings::default();
-        let mut world = World::new();
-        world.see("a", seen(50, 0, ControllerReach::Reachable));
-        let mut zone = Zone { machines, given_up_at: Vec::new() };
-        for spell in &spells {
-            if spell.new_leader {
-                let record = world.tracker.record(world.now, DAY_MS + world.now.0);
-                let mut next = World::new();
-                next.now = world.now;
-                next.seen = world.seen.clone();
-                next.tracker.restore(&record, world.now, DAY_MS + world.now.0);
-                prop_assert_eq!(next.state("b"), world.state("b"));
-                next.transitions = world.transitions.clone();
-                world = next;
+        let mut harness = Harness::new();
+        harness.observe("a", observation(50, 0, ControllerReach::Reachable));
+        let mut zone = Zone::new(machines);
+        for period in &periods {
+            if period.new_leader {
+                let next = next_leader(&harness);
+                prop_assert_eq!(next.state("b"), harness.state("b"));
+                harness = next;
             }
-            for _ in 0..spell.steps {
-                zone.step(&mut world, spell);
-                prop_assert!(world.penalty("b") <= settings.damping.ceiling);
+            for _ in 0..period.steps {
+                zone.step(&mut harness, period);
+                prop_assert!(harness.penalty("b") <= settings.damping.ceiling);
             }
         }
-        let changes = world.transitions.iter().filter(|change| change.zone == "b");
+        let transitions = harness.transitions.iter().filter(|change| change.zone == "b");
         let mut state = ZoneState::Healthy;
-        for change in changes {
-            prop_assert_eq!(change.from, state);
-            prop_assert!(state.may_become(change.to), "{} -> {}", state, change.to);
-            state = change.to;
+        for transition in transitions {
+            prop_assert_eq!(transition.from, state);
+            prop_assert!(state.may_become(transition.to), "{} -> {}", state, transition.to);
+            state = transition.to;
         }
-        // Each new leader begins with a full budget; one leader keeps to what is allowed at once and in
-        // a minute, even of the smallest zone.
-        let leaders = 1 + spells.iter().filter(|spell| spell.new_leader).count();
-        let at_once = (machines as f64 * settings.displaced_at_once).max(2.0);
-        let per_minute = (machines as f64 * settings.displaced_per_minute).max(6.0);
-        let most = at_once * leaders as f64 + per_minute + 1.0;
-        prop_assert!(zone.most_in_a_minute() as f64 <= most);
+        // Each new leader begins with a full budget; one leader keeps within the burst and the rate, which
+        // have a minimum for the smallest zones.
+        let leaders = 1 + periods.iter().filter(|period| period.new_leader).count();
+        let burst = (machines as f64 * settings.displacement_burst).max(2.0);
+        let per_minute = (machines as f64 * settings.displacement_per_minute).max(6.0);
+        let max = burst * leaders as f64 + per_minute + 1.0;
+        let given_up = zone.max_in_a_minute();
+        prop_assert!(given_up as f64 <= max, "{} given up in a minute, {} allowed", given_up, max);
     }
 
     #[test]
     fn a_zone_that_stays_lost_is_emptied(machines in 1..300_usize) {
-        let mut world = World::new();
-        world.see("a", seen(50, 0, ControllerReach::Reachable));
-        let mut zone = Zone { machines, given_up_at: Vec::new() };
-        let lost = Spell {
+        let mut harness = Harness::new();
+        harness.observe("a", observation(50, 0, ControllerReach::Reachable));
+        let mut zone = Zone::new(machines);
+        let lost = Period {
             silent_share: 1.0,
             controllers: ControllerReach::Unreachable,
-            steps: 0,
+            steps: (180_000 / STEP.as_millis()) as u32,
             new_leader: false,
         };
-        let steps = (180.0 / support::STEP_S) as u32;
-        for _ in 0..steps {
-            zone.step(&mut world, &lost);
+        for _ in 0..lost.steps {
+            zone.step(&mut harness, &lost);
         }
         prop_assert_eq!(zone.machines, 0);
     }
--- a/crates/zones/tests/support/mod.rs
+++ b/crates/zones/tests/support/mod.rs
@@ -1,113 +1,149 @@
-//! A tracker with its clock, and what it sees.
-#![allow(dead_code, unreachable_pub)]
+//! A tracker with its clock and the present observations of its zones.
+#![allow(dead_code, unreachable_pub, reason = "each test file uses its part")]
 
 use std::collections::BTreeMap;
+use std::time::Duration;
 
 use lichencrank_store::Time;
 use lichencrank_zones::{
-    Candidate, ControllerReach, Urgency, ZoneObservation, ZoneSettings, ZoneState, ZoneTracker,
-    ZoneTransition,
+    Candidate, ControllerReach, Urgency, ZoneObservation, ZoneSettings, ZoneState, ZoneStatus,
+    ZoneTracker, ZoneTransition,
 };
 
-/// The tracker looks at the zones this often.
-pub const STEP_S: f64 = 0.25;
+/// How often the tracker is fed with observations.
+pub const STEP: Duration = Duration::from_millis(250);
 
-pub struct World {
+/// The wall clock, in milliseconds since the Unix epoch, of records that are written or read.
+pub const WALL_CLOCK_MS: u64 = 1_700_000_000_000;
+
+pub struct Harness {
     pub now: Time,
     pub tracker: ZoneTracker,
-    pub seen: BTreeMap<String, ZoneObservation>,
+    /// What is observed of each zone at present.
+    pub observations: BTreeMap<String, ZoneObservation>,
+    /// All changes of state so far.
     pub transitions: Vec<ZoneTransition>,
 }
 
-pub fn seen(machines: usize, silent: usize, controllers: ControllerReach) -> ZoneObservation {
+/// A zone of on-demand machines.
+pub fn observation(
+    machines: usize,
+    silent: usize,
+    controllers: ControllerReach,
+) -> ZoneObservation {
     ZoneObservation {
         machines,
         silent,
-        ordinary: machines,
-        ordinary_silent: silent,
+        on_demand: machines,
+        silent_on_demand: silent,
         controllers,
     }
 }
 
 /// A zone whose controllers answer.
-pub fn observation(machines: usize, silent: usize) -> ZoneObservation {
-    seen(machines, silent, ControllerReach::Reachable)
+pub fn reachable(machines: usize, silent: usize) -> ZoneObservation {
+    observation(machines, silent, ControllerReach::Reachable)
 }
 
 /// A zone whose controllers don't answer.
 pub fn unreachable(machines: usize, silent: usize) -> ZoneObservation {
-    seen(machines, silent, ControllerReach::Unreachable)
+    observation(machines, silent, ControllerReach::Unreachable)
 }
 
 pub fn urgency(priority: u8, due_ms: u64) -> Urgency {
     Urgency {
         priority,
-        beyond_guarantee: false,
+        over_guarantee: false,
         due_ms,
         work_lost_ms: 0,
     }
 }
 
-impl World {
-    pub fn new() -> World {
-        World::with(ZoneSettings::default())
+/// An idle machine that may be given up.
+pub fn idle_candidate(machine: usize, zone: &str) -> Candidate<usize> {
+    Candidate {
+        machine,
+        zone: zone.to_owned(),
+        urgency: Urgency::IDLE,
     }
+}
 
-    pub fn with(settings: ZoneSettings) -> World {
+/// Zone `b` was lost five times within 40 s, and is back.
+pub fn flapped_five_times() -> Harness {
+    let mut harness = Harness::new();
+    harness
+        .observe("a", reachable(20, 0))
+        .observe("b", reachable(20, 0));
+    for _ in 0..5 {
+        harness.observe("b", unreachable(20, 20)).advance_s(6);
+        harness.observe("b", reachable(20, 0)).advance_s(2);
+    }
+    harness
+}
+
+impl Harness {
+    pub fn new() -> Harness {
         let now = Time(1_000_000);
-        World {
+        Harness {
             now,
-            tracker: ZoneTracker::new(settings, now),
-            seen: BTreeMap::new(),
+            tracker: ZoneTracker::new(ZoneSettings::default(), now),
+            observations: BTreeMap::new(),
             transitions: Vec::new(),
         }
     }
 
-    /// From now on that is seen of the zone.
-    pub fn see(&mut self, zone: &str, seen: ZoneObservation) -> &mut World {
-        self.seen.insert(zone.to_owned(), seen);
-        let transitions = self.tracker.observe(&self.seen, self.now);
-        self.transitions.extend(transitions);
+    /// From now on that is observed of the zone.
+    pub fn observe(&mut self, zone: &str, observation: ZoneObservation) -> &mut Harness {
+        self.observations.insert(zone.to_owned(), observation);
+        self.feed();
         self
     }
 
-    /// So much time passes.
-    pub fn after(&mut self, seconds: f64) -> &mut World {
-        for _ in 0..(seconds / STEP_S).ceil() as u32 {
-            self.now = Time(self.now.0 + (STEP_S * 1000.0) as u64);
-            let transitions = self.tracker.observe(&self.seen, self.now);
-            self.transitions.extend(transitions);
+    /// That much time passes, in whole steps.
+    pub fn advance(&mut self, time: Duration) -> &mut Harness {
+        for _ in 0..time.as_millis().div_ceil(STEP.as_millis()) {
+            self.now = self.now.after(STEP);
+            self.feed();
         }
         self
     }
 
+    pub fn advance_s(&mut self, seconds: u64) -> &mut Harness {
+        self.advance(Duration::from_secs(seconds))
+    }
+
+    fn feed(&mut self) {
+        let transitions = self.tracker.observe(&self.observations, self.now);
+        self.transitions.extend(transitions);
+    }
+
     pub fn state(&self, zone: &str) -> ZoneState {
         self.tracker.state(zone)
     }
 
+    pub fn status(&self, zone: &str) -> Option<ZoneStatus> {
+        let mut statuses = self.tracker.statuses(self.now);
+        let found = statuses.find(|(name, _)| *name == zone);
+        found.map(|(_, status)| status)
+    }
+
     pub fn penalty(&self, zone: &str) -> f64 {
-        let mut status = self.tracker.status(self.now);
-        let found = status.find(|(name, _)| *name == zone);
-        found.map_or(0.0, |(_, status)| status.penalty)
+        self.status(zone).map_or(0.0, |status| status.penalty)
     }
 
     pub fn is_suppressed(&self, zone: &str) -> bool {
-        let mut status = self.tracker.status(self.now);
-        status.any(|(name, status)| name == zone && status.suppressed)
+        self.status(zone).is_some_and(|status| status.suppressed)
     }
 
-    /// Offers one idle machine of each of these zones.
+    /// Offers one idle machine of each of these zones; returns the numbers of those that are given up.
     pub fn displace(&mut self, zones: &[&str]) -> Vec<usize> {
-        let candidates = zones.iter().enumerate().map(|(machine, zone)| Candidate {
-            machine,
-            zone: (*zone).to_owned(),
-            urgency: Urgency::IDLE,
-        });
+        let candidates = zones.iter().enumerate();
+        let candidates = candidates.map(|(machine, zone)| idle_candidate(machine, zone));
         self.tracker.displace(candidates.collect(), self.now)
     }
 
-    /// Offers so many idle machines of a zone; tells how many are given up.
-    pub fn displace_many(&mut self, zone: &str, count: usize) -> usize {
+    /// Offers that many idle machines of a zone; returns how many are given up.
+    pub fn displace_count(&mut self, zone: &str, count: usize) -> usize {
         self.displace(&vec![zone; count]).len()
     }
 }
--- a/src/coordination/failure_detection/zones.rs
+++ b/src/coordination/failure_detection/zones.rs
@@ -3,7 +3,9 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use lichencrank_zones::{Candidate, Urgency, ZoneObservation, ZoneState, ZoneTracker, ZonesRecord};
+use lichencrank_zones::{
+    Candidate, MachineObservation, Urgency, ZoneObservation, ZoneState, ZoneTracker, ZonesRecord,
+};
 
 use crate::coordination::cluster::host::{Allocation, Host, HostLifecycle, Reachability};
 use crate::coordination::{longest_report_delay, Leader, View};
@@ -61,7 +63,10 @@
             let half_open = matches!(host.reachability, Reachability::HalfOpen { .. });
             let silent = half_open || now.since(host.last_heartbeat_at) > late;
             let zone = observations.entry(host.zone.clone()).or_default();
-            zone.count(silent, host.spot);
+            zone.add(MachineObservation {
+                silent,
+                spot: host.spot,
+            });
         }
         observations
     }
@@ -74,7 +79,7 @@
             .zones
             .as_ref()
             .filter(|zones| zones.restored);
-        zones.is_some_and(|zones| zones.tracker.explains_silence(&host.zone))
+        zones.is_some_and(|zones| zones.tracker.is_unhealthy(&host.zone))
     }
 
     /// Whether a machine has been silent for longer than work like that on it waits for its zone.
@@ -93,7 +98,10 @@
     fn patience(&self, host: &Host, now: Time) -> Duration {
         let state = self.failure_detector.zones.as_ref().map(|zones| {
             let tracker = &zones.tracker;
-            (tracker.state(&host.zone), tracker.lasted(&host.zone, now))
+            (
+                tracker.state(&host.zone),
+                tracker.time_in_state(&host.zone, now),
+            )
         });
         let settling = longest_report_delay(self.policy.report);
         match state {
@@ -135,7 +143,7 @@
         let job = self.cluster.jobs().get(&task.job)?;
         Some(Urgency {
             priority: job.priority() as u8,
-            beyond_guarantee: self.is_beyond_guarantee(&job.team),
+            over_guarantee: self.is_beyond_guarantee(&job.team),
             due_ms: job.due_ms().map_or(u64::MAX, |due| due as u64),
             work_lost_ms: self.work_lost_ms(task, allocation, now),
         })
@@ -173,7 +181,7 @@
     /// Whether machines may be rented in the zone.
     pub(crate) fn may_rent_in(&self, zone: &str) -> bool {
         let zones = self.failure_detector.zones.as_ref();
-        zones.is_none_or(|zones| zones.tracker.may_rent_in(zone))
+        zones.is_none_or(|zones| zones.tracker.may_provision_in(zone))
     }
 }
 
@@ -216,7 +224,7 @@
         };
         let record = zones.writing.take();
         if let Some(record) = record.filter(|_| written) {
-            zones.tracker.on_recorded(&record, now, day_ms);
+            zones.tracker.on_record_written(&record, now, day_ms);
         }
     }
 
@@ -232,7 +240,7 @@
             return;
         };
         for change in zones.tracker.observe(&observations, now) {
-            let seen = change.evidence;
+            let seen = change.observation;
             tracing::info!(
                 "zone {}: {} -> {}: {} of {} machines silent, {} of {} ordinary ones, controllers: {:?}",
                 change.zone,
@@ -240,8 +248,8 @@
                 change.to,
                 seen.silent,
                 seen.machines,
-                seen.ordinary_silent,
-                seen.ordinary,
+                seen.silent_on_demand,
+                seen.on_demand,
                 seen.controllers
             );
             self.cluster.request_scheduling();
@@ -276,18 +284,18 @@
         let Some(zones) = &mut self.failure_detector.zones else {
             return wanted;
         };
-        let Some(left) = zones.tracker.rentals_left(now) else {
+        let Some(left) = zones.tracker.provisioning_limit(now) else {
             return wanted;
         };
         let count = wanted.min(left as u64);
-        zones.tracker.on_rented(count as usize);
+        zones.tracker.on_provisioned(count as usize);
         count
     }
 
     /// Zones that take only so many new tasks now.
     pub(crate) fn limited_zones(&mut self, now: Time) -> BTreeMap<String, usize> {
         match &mut self.failure_detector.zones {
-            Some(zones) => zones.tracker.limited_zones(now),
+            Some(zones) => zones.tracker.admission_limits(now),
             None => BTreeMap::new(),
         }
     }
--- a/src/features.rs
+++ b/src/features.rs
@@ -33,7 +33,7 @@
     }
 
     fn check(&self) -> Result<(), String> {
-        let checked = self.settings.check();
+        let checked = self.settings.validate();
         checked.map_err(|error| format!("zones.settings.{error}"))?;
         if !self.enabled && self.settings != ZoneSettings::default() {
             return Err("zones.settings: are of no use while zones is off".to_owned());
--- a/src/node/leader_locality.rs
+++ b/src/node/leader_locality.rs
@@ -40,7 +40,7 @@
 fn home_damping() -> DampingSettings {
     DampingSettings {
         half_life_s: 180.0,
-        reuse: 500.0,
+        reuse_threshold: 500.0,
         ..DampingSettings::default()
     }
 }
@@ -61,7 +61,7 @@
     /// would have to be replaced.
     fn is_unsteady(&self, now: Time) -> bool {
         let settings = home_damping();
-        self.damping.penalty(now, &settings) >= settings.reuse
+        self.damping.penalty(now, &settings) >= settings.reuse_threshold
     }
 
     /// Whether the nodes of the home zone can't claim a free key while they can't be heard.
--- a/src/zones_report.rs
+++ b/src/zones_report.rs
@@ -31,7 +31,7 @@
 
 /// The lines for a record; `None` is one that can't be read.
 pub fn render(record: Option<&ZonesRecord>, day_ms: u64) -> String {
-    let Some(record) = record.filter(|record| record.is_understood()) else {
+    let Some(record) = record.filter(|record| record.is_supported()) else {
         return "the record is of another version: every zone counts as healthy\n".to_owned();
     };
     let mut out = String::new();
--- a/tests/simulated/displacement.rs
+++ b/tests/simulated/displacement.rs
@@ -68,8 +68,8 @@
     fn judge_budget(&self, now: u64) -> Result<(), String> {
         let settings = ZoneSettings::default();
         let size = self.size as f64;
-        let at_once = (size * settings.displaced_at_once).max(2.0);
-        let per_minute = (size * settings.displaced_per_minute).max(6.0);
+        let at_once = (size * settings.displacement_burst).max(2.0);
+        let per_minute = (size * settings.displacement_per_minute).max(6.0);
         let recent = self
             .given_up_at
             .iter()
