--- a/crates/store/src/client.rs
+++ b/crates/store/src/client.rs
@@ -1,75 +1,101 @@
 //! A blocking client over TCP, for programs that embed the libraries.
 
-use std::io::{ErrorKind, Read, Write};
+use std::io::{self, ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
 
+use thiserror::Error;
+
 use crate::outcome::Outcome;
 use crate::request::{HttpRequest, Request};
 use crate::ConditionalStore;
 
 /// How long a connection may take to open.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// Answers have this many header fields at the most.
+/// The most header fields that a response may have.
 const MAX_HEADERS: usize = 48;
-/// Bytes read at once.
-const READ_STEP: usize = 16 * 1024;
-/// A larger answer is no answer of the store.
-const MAX_ANSWER: usize = 4 * 1024 * 1024;
+/// How many bytes are read at once.
+const READ_CHUNK_BYTES: usize = 16 * 1024;
+/// The largest response, and the largest body of one, in bytes.
+const MAX_RESPONSE_BYTES: usize = 4 * 1024 * 1024;
 
-/// Talks to the store over one connection, one request at a time.
+/// A client of the store: one connection, which is kept for the next request, and one request at a time.
 #[derive(Debug)]
 pub struct BlockingClient {
     address: SocketAddr,
-    answer_timeout: Duration,
+    response_timeout: Duration,
     connection: Option<TcpStream>,
 }
 
-/// Why there is no answer.
+/// Why there is no response.
+#[derive(Debug, Error)]
 enum CallError {
-    /// The request surely did not leave.
-    NotSent,
-    /// The request may have been carried out.
-    NoAnswer,
+    /// The request did not leave this process.
+    #[error("not sent: {0}")]
+    NotSent(#[source] io::Error),
+    /// The store may have processed the request, or may yet.
+    #[error("no response: {0}")]
+    NoResponse(#[source] ResponseError),
+}
+
+/// Why no response could be read.
+#[derive(Debug, Error)]
+enum ResponseError {
+    #[error(transparent)]
+    Connection(#[from] io::Error),
+    #[error("the connection was closed")]
+    Closed,
+    #[error("malformed head: {0}")]
+    MalformedHead(#[from] httparse::Error),
+    #[error("Content-Length is not a decimal number")]
+    InvalidContentLength,
+    #[error("larger than {MAX_RESPONSE_BYTES} bytes")]
+    TooLarge,
 }
 
-/// An answer's status and body.
-struct HttpAnswer {
+/// A response of the store.
+struct HttpResponse {
     status: u16,
     body: Vec<u8>,
-    closes: bool,
+    /// The store closes the connection after it.
+    close: bool,
 }
 
 impl BlockingClient {
-    /// A client of the store at that address. An answer that takes longer counts as lost.
-    pub fn new(address: SocketAddr, answer_timeout: Duration) -> BlockingClient {
+    /// A client of the store at that address. A response that takes longer than the timeout, beyond the
+    /// time that the request itself asks to wait, counts as lost.
+    pub fn new(address: SocketAddr, response_timeout: Duration) -> BlockingClient {
         BlockingClient {
             address,
-            answer_timeout,
+            response_timeout,
             connection: None,
         }
     }
 
-    fn call(&mut self, request: &HttpRequest, timeout: Duration) -> Result<HttpAnswer, CallError> {
+    /// Sends a request and waits for its response. After an error the connection is given up.
+    fn call(
+        &mut self,
+        request: &HttpRequest,
+        timeout: Duration,
+    ) -> Result<HttpResponse, CallError> {
         let mut connection = match self.connection.take() {
             Some(connection) => connection,
-            None => self.connect()?,
+            None => self.connect().map_err(CallError::NotSent)?,
         };
-        let limited = connection.set_read_timeout(Some(timeout));
-        limited.map_err(|_| CallError::NotSent)?;
-        let sent = connection.write_all(&encode_request(request, self.address));
-        sent.map_err(|_| CallError::NoAnswer)?;
-        let answer = read_answer(&mut connection).ok_or(CallError::NoAnswer)?;
-        if !answer.closes {
+        connection
+            .set_read_timeout(Some(timeout))
+            .map_err(CallError::NotSent)?;
+        let response = exchange(&mut connection, request, self.address);
+        let response = response.map_err(CallError::NoResponse)?;
+        if !response.close {
             self.connection = Some(connection);
         }
-        Ok(answer)
+        Ok(response)
     }
 
-    fn connect(&self) -> Result<TcpStream, CallError> {
-        let opened = TcpStream::connect_timeout(&self.address, CONNECT_TIMEOUT);
-        let connection = opened.map_err(|_| CallError::NotSent)?;
-        // Requests are small and each waits for its answer.
+    fn connect(&self) -> io::Result<TcpStream> {
+        let connection = TcpStream::connect_timeout(&self.address, CONNECT_TIMEOUT)?;
+        // Requests are small and each waits for its response: Nagle's algorithm would only delay them.
         let _ = connection.set_nodelay(true);
         Ok(connection)
     }
@@ -82,14 +108,28 @@
             _ => Duration::ZERO,
         };
         let http = request.render();
-        match self.call(&http, self.answer_timeout + hold) {
-            Ok(answer) => Outcome::read(http.kind, answer.status, &answer.body),
-            Err(CallError::NotSent) => Outcome::Refused,
-            Err(CallError::NoAnswer) => Outcome::Unknown,
+        match self.call(&http, self.response_timeout + hold) {
+            Ok(response) => Outcome::read(http.kind, response.status, &response.body),
+            Err(error) => {
+                tracing::debug!("store: {} {}: {error}", http.method, http.target);
+                match error {
+                    CallError::NotSent(_) => Outcome::Refused,
+                    CallError::NoResponse(_) => Outcome::Unknown,
+                }
+            }
         }
     }
 }
 
+fn exchange(
+    connection: &mut TcpStream,
+    request: &HttpRequest,
+    host: SocketAddr,
+) -> Result<HttpResponse, ResponseError> {
+    connection.write_all(&encode_request(request, host))?;
+    read_response(connection)
+}
+
 fn encode_request(request: &HttpRequest, host: SocketAddr) -> Vec<u8> {
     let HttpRequest {
         method,
@@ -103,52 +143,51 @@
     [head.as_bytes(), body].concat()
 }
 
-/// Reads one answer; `None` if it does not come whole or is malformed.
-fn read_answer(connection: &mut TcpStream) -> Option<HttpAnswer> {
+fn read_response(connection: &mut TcpStream) -> Result<HttpResponse, ResponseError> {
     let mut input = Vec::new();
-    let mut step = [0; READ_STEP];
+    let mut chunk = [0; READ_CHUNK_BYTES];
     loop {
-        if let Some(answer) = parse_answer(&input)? {
-            return Some(answer);
+        if let Some(response) = parse_response(&input)? {
+            return Ok(response);
         }
-        if input.len() > MAX_ANSWER {
-            return None;
+        if input.len() > MAX_RESPONSE_BYTES {
+            return Err(ResponseError::TooLarge);
         }
-        match connection.read(&mut step) {
-            Ok(0) => return None,
-            Ok(count) => input.extend_from_slice(&step[..count]),
+        match connection.read(&mut chunk) {
+            Ok(0) => return Err(ResponseError::Closed),
+            Ok(count) => input.extend_from_slice(&chunk[..count]),
             Err(error) if error.kind() == ErrorKind::Interrupted => {}
-            Err(_) => return None,
+            Err(error) => return Err(error.into()),
         }
     }
 }
 
-/// `Some(None)` while more bytes are needed, `None` if it is malformed.
-fn parse_answer(input: &[u8]) -> Option<Option<HttpAnswer>> {
+/// Parses the response at the start of `input`; `None` while it is incomplete.
+fn parse_response(input: &[u8]) -> Result<Option<HttpResponse>, ResponseError> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
-    let mut response = httparse::Response::new(&mut headers);
-    let head = match response.parse(input) {
-        Ok(httparse::Status::Complete(head)) => head,
-        Ok(httparse::Status::Partial) => return Some(None),
-        Err(_) => return None,
+    let mut head = httparse::Response::new(&mut headers);
+    let httparse::Status::Complete(body_start) = head.parse(input)? else {
+        return Ok(None);
     };
-    let field = |name: &str| {
-        let named = response
-            .headers
-            .iter()
-            .find(|h| h.name.eq_ignore_ascii_case(name));
-        named.and_then(|header| std::str::from_utf8(header.value).ok())
-    };
-    let length: usize = field("content-length").unwrap_or("0").trim().parse().ok()?;
-    if length > MAX_ANSWER {
-        return None;
+    let length = header(head.headers, "content-length").unwrap_or("0").trim();
+    let length: usize = length
+        .parse()
+        .map_err(|_| ResponseError::InvalidContentLength)?;
+    if length > MAX_RESPONSE_BYTES {
+        return Err(ResponseError::TooLarge);
     }
-    let Some(body) = input.get(head..head + length) else {
-        return Some(None);
-    };
-    Some(Some(HttpAnswer {
-        status: response.code?,
+    let connection = header(head.headers, "connection");
+    let body = input.get(body_start..body_start + length);
+    Ok(body.map(|body| HttpResponse {
+        status: head.code.unwrap_or(0),
         body: body.to_vec(),
-        closes: field("connection").is_some_and(|value| value.eq_ignore_ascii_case("close")),
+        close: connection.is_some_and(|value| value.eq_ignore_ascii_case("close")),
     }))
 }
+
+/// The value of the first header field of that name, if it is UTF-8.
+fn header<'a>(headers: &[httparse::Header<'a>], name: &str) -> Option<&'a str> {
+    let mut headers = headers.iter();
+    let found = headers.find(|header| header.name.eq_ignore_ascii_case(name))?;
+    std::str::from_utf8(found.value).ok()
+}
--- a/crates/store/src/ids.rs
+++ b/crates/store/src/ids.rs
@@ -1,8 +1,8 @@
-//! Small types for versions, leases and times.
+//! Versions, leases and times, each a type of its own.
 
 use std::time::Duration;
 
-/// Defines a newtype around an unsigned integer that travels as the plain number.
+/// Defines a newtype around an unsigned integer that is serialized as the plain number.
 #[macro_export]
 macro_rules! number_type {
     ($(#[$doc:meta])* $name:ident) => {
@@ -23,7 +23,8 @@
 }
 
 number_type!(
-    /// The revision at which a key last changed; 0 means that the key does not exist.
+    /// A version of a key: the store's revision at its last change, 0 if the key does not exist. Also a
+    /// revision of the whole store, which grows by one with every transaction that changes anything.
     Version
 );
 
@@ -33,21 +34,21 @@
 }
 
 number_type!(
-    /// A lease of the store.
+    /// Id of a lease. Keys that are attached to a lease are deleted when it expires or is ended.
     LeaseId
 );
 
-/// A point on a process's steady clock, in milliseconds since it started.
+/// A time on the monotonic clock of a process, in milliseconds since it started.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Time(pub u64);
 
 impl Time {
-    /// This time plus a span.
-    pub fn after(self, span: Duration) -> Time {
-        Time(self.0.saturating_add(span.as_millis() as u64))
+    /// The time that much later.
+    pub fn after(self, duration: Duration) -> Time {
+        Time(self.0.saturating_add(duration.as_millis() as u64))
     }
 
-    /// Time passed since `earlier`, zero if that lies ahead.
+    /// The time passed since `earlier`; zero if that is later than this.
     pub fn since(self, earlier: Time) -> Duration {
         Duration::from_millis(self.0.saturating_sub(earlier.0))
     }
--- a/crates/store/src/limits.rs
+++ b/crates/store/src/limits.rs
@@ -1,27 +1,27 @@
-//! What the store takes at the most, checked before a request leaves.
+//! The limits of the store, checked before a request is sent.
 
 use serde::Serialize;
 use thiserror::Error;
 
 use crate::messages::{Change, Txn};
 
-/// A transaction may have so many conditions for each change that it may have.
+/// How many conditions a transaction may have for each change that it may have.
 const CONDITIONS_PER_CHANGE: usize = 4;
-/// Size of a whole transaction, in bytes of JSON.
-const TRANSACTION_BYTES: usize = 64 * 1024;
-/// Length of a key, in bytes.
-const KEY_BYTES: usize = 200;
+/// The largest transaction, in bytes of JSON.
+const MAX_TRANSACTION_BYTES: usize = 64 * 1024;
+/// The longest key, in bytes.
+const MAX_KEY_BYTES: usize = 200;
 
-/// Limits of the store. Sizes are counted in JSON.
+/// The limits that a deployment of the store sets. Sizes are those of the records in JSON.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct StoreLimits {
-    /// Bytes of a value.
+    /// The largest value, in bytes.
     pub value_bytes: usize,
-    /// Changes of a transaction.
+    /// The most changes of a transaction.
     pub changes: usize,
-    /// Requests a second.
+    /// The most requests a second, of all clients together.
     pub requests_per_second: f64,
-    /// Changes a second.
+    /// The most changes a second, of all clients together.
     pub changes_per_second: f64,
 }
 
@@ -29,65 +29,69 @@
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum LimitError {
     /// More changes than a transaction may have.
-    #[error("{found} changes in one transaction, {most} are allowed")]
+    #[error("{count} changes in one transaction, {limit} are allowed")]
     TooManyChanges {
-        /// So many there are.
-        found: usize,
-        /// So many are allowed.
-        most: usize,
+        /// How many there are.
+        count: usize,
+        /// How many are allowed.
+        limit: usize,
     },
     /// More conditions than a transaction may have.
-    #[error("{found} conditions in one transaction, {most} are allowed")]
+    #[error("{count} conditions in one transaction, {limit} are allowed")]
     TooManyConditions {
-        /// So many there are.
-        found: usize,
-        /// So many are allowed.
-        most: usize,
+        /// How many there are.
+        count: usize,
+        /// How many are allowed.
+        limit: usize,
     },
     /// A value is too large.
-    #[error("the value of {key} has {found} bytes, {most} are allowed")]
+    #[error("the value of {key} has {bytes} bytes, {limit} are allowed")]
     ValueTooLarge {
         /// Its key.
         key: String,
         /// Its size.
-        found: usize,
-        /// The largest size.
-        most: usize,
+        bytes: usize,
+        /// The largest size that is allowed.
+        limit: usize,
     },
-    /// All of it together is too large.
-    #[error("a transaction of {found} bytes, {most} are allowed")]
+    /// The transaction as a whole is too large.
+    #[error("a transaction of {bytes} bytes, {limit} are allowed")]
     TransactionTooLarge {
         /// Its size.
-        found: usize,
-        /// The largest size.
-        most: usize,
+        bytes: usize,
+        /// The largest size that is allowed.
+        limit: usize,
     },
-    /// A key is empty, too long or holds spaces.
-    #[error("{key:?} is no key: 1 to 200 bytes without spaces are allowed")]
+    /// A key is empty, too long or contains whitespace.
+    #[error("{key:?} is no key: 1 to {max} bytes without spaces are allowed", max = MAX_KEY_BYTES)]
     BadKey {
         /// The key.
         key: String,
     },
 }
 
-/// The size of a record in the form whose size is limited.
+/// The size of a record in JSON, in bytes: the form whose size is limited.
 pub fn json_size(record: &impl Serialize) -> usize {
     serde_json::to_vec(record).map_or(usize::MAX, |json| json.len())
 }
 
 impl StoreLimits {
-    /// How many conditions a transaction may have.
+    /// The most conditions of a transaction.
     pub fn conditions(&self) -> usize {
         self.changes.saturating_mul(CONDITIONS_PER_CHANGE)
     }
 
-    /// Checks what the store would refuse as malformed.
+    /// Checks whether the store would accept a transaction, apart from its conditions and rate limits.
+    ///
+    /// # Errors
+    ///
+    /// The first limit that it exceeds.
     pub fn check(&self, txn: &Txn) -> Result<(), LimitError> {
-        check_count(txn.changes.len(), self.changes, |found, most| {
-            LimitError::TooManyChanges { found, most }
+        check_limit(txn.changes.len(), self.changes, |count, limit| {
+            LimitError::TooManyChanges { count, limit }
         })?;
-        check_count(txn.conditions.len(), self.conditions(), |found, most| {
-            LimitError::TooManyConditions { found, most }
+        check_limit(txn.conditions.len(), self.conditions(), |count, limit| {
+            LimitError::TooManyConditions { count, limit }
         })?;
         let condition_keys = txn.conditions.iter().map(|condition| &condition.key);
         let changed_keys = txn.changes.iter().map(Change::key);
@@ -97,8 +101,8 @@
         for change in &txn.changes {
             self.check_value(change)?;
         }
-        check_count(json_size(txn), TRANSACTION_BYTES, |found, most| {
-            LimitError::TransactionTooLarge { found, most }
+        check_limit(json_size(txn), MAX_TRANSACTION_BYTES, |bytes, limit| {
+            LimitError::TransactionTooLarge { bytes, limit }
         })
     }
 
@@ -106,31 +110,31 @@
         let Change::Put { key, value, .. } = change else {
             return Ok(());
         };
-        check_count(json_size(value), self.value_bytes, |found, most| {
+        check_limit(json_size(value), self.value_bytes, |bytes, limit| {
             LimitError::ValueTooLarge {
                 key: key.clone(),
-                found,
-                most,
+                bytes,
+                limit,
             }
         })
     }
 }
 
-fn check_count(
+fn check_limit(
     found: usize,
-    most: usize,
+    limit: usize,
     error: impl FnOnce(usize, usize) -> LimitError,
 ) -> Result<(), LimitError> {
-    if found > most {
-        return Err(error(found, most));
+    if found > limit {
+        return Err(error(found, limit));
     }
     Ok(())
 }
 
 fn check_key(key: &str) -> Result<(), LimitError> {
-    let well_formed =
-        !key.is_empty() && key.len() <= KEY_BYTES && !key.contains(char::is_whitespace);
-    if well_formed {
+    let is_valid =
+        !key.is_empty() && key.len() <= MAX_KEY_BYTES && !key.contains(char::is_whitespace);
+    if is_valid {
         return Ok(());
     }
     Err(LimitError::BadKey {
--- a/crates/store/src/messages.rs
+++ b/crates/store/src/messages.rs
@@ -1,4 +1,5 @@
-//! Messages of the store's published protocol. Wire names live in the serde attributes.
+//! Transactions, and the bodies of the store's requests and responses. The names of the published protocol
+//! are in the serde attributes.
 
 use ciborium::Value;
 use serde::{Deserialize, Serialize};
@@ -6,13 +7,13 @@
 use crate::codec::null_is_empty;
 use crate::ids::{LeaseId, Version};
 
-/// A condition of a transaction.
+/// A condition of a transaction: a key has a version.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Condition {
-    /// Key that it is about.
+    /// The key.
     #[serde(rename = "path")]
     pub key: String,
-    /// Version that the key must have; 0 if it must not exist.
+    /// The version; [`Version::ABSENT`] if the key must not exist.
     #[serde(rename = "stamp")]
     pub version: Version,
 }
@@ -23,26 +24,26 @@
 pub enum Change {
     /// Writes a value.
     Put {
-        /// Key to write.
+        /// The key.
         #[serde(rename = "set")]
         key: String,
         /// The new value.
         #[serde(rename = "data")]
         value: Value,
-        /// Lease that the key is attached to; without one it is detached.
+        /// The lease that the key is attached to from now on, if any.
         #[serde(rename = "hold", skip_serializing_if = "Option::is_none")]
         lease: Option<LeaseId>,
     },
     /// Deletes a key.
     Delete {
-        /// Key to delete.
+        /// The key.
         #[serde(rename = "remove")]
         key: String,
     },
 }
 
 impl Change {
-    /// Writes a value that is attached to no lease.
+    /// Writes a value, without a lease.
     pub fn put(key: String, value: Value) -> Change {
         Change::Put {
             key,
@@ -56,7 +57,7 @@
         Change::Delete { key }
     }
 
-    /// The key that is changed.
+    /// The key that it changes.
     pub fn key(&self) -> &String {
         match self {
             Change::Put { key, .. } | Change::Delete { key } => key,
@@ -64,21 +65,22 @@
     }
 }
 
-/// A transaction: its changes are carried out if all conditions hold.
+/// A transaction: its changes are carried out, all or none, if all conditions are met.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Txn {
-    /// What must hold.
+    /// What must be the case.
     #[serde(rename = "if")]
     pub conditions: Vec<Condition>,
-    /// What is changed then.
+    /// What is changed if it is.
     #[serde(rename = "apply")]
     pub changes: Vec<Change>,
 }
 
 impl Txn {
-    /// Adds a condition, unless there is one about that key.
+    /// Adds the condition that a key has a version, unless there is a condition on that key.
     pub fn require(&mut self, key: String, version: Version) {
-        if !self.conditions.iter().any(|c| c.key == key) {
+        let mut keys = self.conditions.iter().map(|condition| &condition.key);
+        if !keys.any(|other| *other == key) {
             self.conditions.push(Condition { key, version });
         }
     }
@@ -93,102 +95,103 @@
     /// Its value.
     #[serde(rename = "data")]
     pub value: Value,
-    /// The revision of its last change.
+    /// Its version.
     #[serde(rename = "stamp")]
     pub version: Version,
 }
 
 impl Item {
-    /// The value as a record; `None`, with a line in the log, where it isn't one.
+    /// The value as a record of a type. `None`, with a line in the log, if it is none.
     pub fn record<T: serde::de::DeserializeOwned>(&self) -> Option<T> {
         match self.value.deserialized() {
             Ok(record) => Some(record),
-            Err(e) => {
-                tracing::error!("{}: not a record of ours: {e}", self.key);
+            Err(error) => {
+                tracing::error!("{}: not a record of ours: {error}", self.key);
                 None
             }
         }
     }
 }
 
-/// A record in the form that the store keeps.
+/// A record as a value of the store. One that has no form in CBOR, which no record type can hold, is logged
+/// and gives null.
 pub fn value<T: Serialize>(record: &T) -> Value {
-    Value::serialized(record).unwrap_or_else(|e| {
-        tracing::error!("a record has no form in CBOR: {e}");
+    Value::serialized(record).unwrap_or_else(|error| {
+        tracing::error!("a record has no form in CBOR: {error}");
         Value::Null
     })
 }
 
-/// A page of keys.
+/// A page of a list of keys.
 #[derive(Debug, Deserialize)]
 pub struct Page {
-    /// Items in the order of their keys.
+    /// Keys with their values, in the order of the keys.
     #[serde(rename = "pairs", default, deserialize_with = "null_is_empty")]
     pub items: Vec<Item>,
-    /// More pages follow.
+    /// Whether more pages follow.
     #[serde(rename = "truncated", default)]
     pub more: bool,
-    /// Revision that the page shows.
+    /// The store's revision at which the page was read.
     #[serde(rename = "ledgerRev")]
     pub revision: Version,
 }
 
-/// A transaction was carried out.
+/// Response to a transaction that was carried out.
 #[derive(Debug, Deserialize)]
-pub struct Applied {
-    /// Revision of its changes.
+pub(crate) struct CommitResponse {
+    /// The revision of its changes.
     #[serde(rename = "ledgerRev")]
-    pub revision: Version,
+    pub(crate) revision: Version,
 }
 
-/// A transaction's conditions do not hold.
+/// Response to a transaction whose conditions were not met.
 #[derive(Debug, Deserialize)]
-pub struct Failed {
-    /// Keys whose versions differ.
-    #[serde(default, deserialize_with = "null_is_empty")]
-    pub failed: Vec<String>,
+pub(crate) struct ConflictResponse {
+    /// Keys that don't have the version of their condition.
+    #[serde(rename = "failed", default, deserialize_with = "null_is_empty")]
+    pub(crate) keys: Vec<String>,
 }
 
-/// Asks for a lease.
+/// Request for a lease.
 #[derive(Debug, Serialize)]
-pub struct Grant {
+pub(crate) struct LeaseRequest {
     /// How long it lasts without a renewal, in milliseconds.
     #[serde(rename = "ttlMs")]
-    pub ttl_ms: u64,
+    pub(crate) ttl_ms: u64,
 }
 
-/// A lease was granted.
+/// Response with a lease.
 #[derive(Debug, Deserialize)]
-pub struct Granted {
+pub(crate) struct LeaseResponse {
     /// The lease.
     #[serde(rename = "hold")]
-    pub lease: LeaseId,
+    pub(crate) lease: LeaseId,
 }
 
-/// What a watch brought.
+/// Response to a watch.
 #[derive(Debug, Deserialize)]
-pub struct News {
-    /// Revision up to which all changes are told.
+pub struct WatchEvents {
+    /// The revision up to which all changes are listed here; the next watch continues after it.
     #[serde(rename = "ledgerRev")]
     pub revision: Version,
-    /// Changes in their order.
+    /// The changes in their order; none if the watch ended without one.
     #[serde(rename = "news", default, deserialize_with = "null_is_empty")]
     pub events: Vec<Event>,
 }
 
-/// One change that a watch brought.
+/// A change of one key. Either `put` or `delete` is set.
 #[derive(Debug, Deserialize)]
 pub struct Event {
-    /// Key that was written.
+    /// The key that was written.
     #[serde(rename = "set", default)]
     pub put: Option<String>,
-    /// Key that was deleted.
+    /// The key that was deleted.
     #[serde(rename = "remove", default)]
     pub delete: Option<String>,
-    /// Value that was written.
+    /// The value that was written.
     #[serde(rename = "data", default)]
     pub value: Option<Value>,
-    /// Revision of the change.
+    /// The revision of the change.
     #[serde(rename = "stamp", default)]
     pub version: Version,
 }
--- a/crates/store/src/outcome.rs
+++ b/crates/store/src/outcome.rs
@@ -1,92 +1,94 @@
-//! What the answers of the store mean.
+//! What the responses of the store mean.
 
 use std::time::Duration;
 
-use crate::codec::decode;
+use crate::codec::{decode, DecodeError};
 use crate::ids::{LeaseId, Version};
-use crate::messages::{Applied, Failed, Granted, Item, News, Page};
+use crate::messages::{CommitResponse, ConflictResponse, Item, LeaseResponse, Page, WatchEvents};
 use crate::request::RequestKind;
 
-/// A request over the rate limit may be repeated after this.
+/// How long to wait before a request that was over the rate limit is repeated.
 pub const RATE_LIMIT_PAUSE: Duration = Duration::from_millis(200);
 
 /// What became of a request.
 #[derive(Debug)]
 pub enum Outcome {
-    /// The key's item; `None` if it does not exist.
+    /// The key's value and version; `None` if it does not exist.
     Item(Option<Item>),
     /// A page of keys.
     Page(Page),
-    /// The transaction was committed at that revision.
+    /// The transaction was carried out; its changes have that version.
     Committed(Version),
-    /// The versions of these keys differ from the conditions; nothing was changed.
+    /// The conditions on these keys were not met; nothing was changed.
     Conflict(Vec<String>),
-    /// The lease.
+    /// The new lease.
     Granted(LeaseId),
     /// The lease was renewed or ended.
     Extended,
-    /// The lease is no more.
+    /// The lease has expired or was ended.
     LeaseGone,
     /// Changes that a watch brought.
-    News(News),
-    /// The watch began too far back.
+    News(WatchEvents),
+    /// The store no longer has the changes after the revision at which the watch begins: the state has to
+    /// be read again.
     TooOld,
-    /// Surely not carried out: the store, or the way to it, is out of order for now.
+    /// Not processed: the store, or the way to it, is out of order for now.
     Refused,
-    /// Surely not carried out, as the rate limit is used up: the store itself is well.
+    /// Not processed, since the rate limit is used up: the store itself is healthy.
     RateLimited {
-        /// When a repetition makes sense.
+        /// How long to wait before it is repeated.
         retry_after: Duration,
     },
-    /// May have been carried out, or may yet be.
+    /// It may have been processed, or may yet be.
     Unknown,
-    /// Refused for what it says; repeating it is of no use.
+    /// The store refuses it for its content; repeating it is of no use.
     Invalid,
 }
 
 impl Outcome {
-    /// Reads the store's answer to a request of that kind.
+    /// Reads the response to a request of that kind: its status code and body.
     pub fn read(kind: RequestKind, status: u16, body: &[u8]) -> Outcome {
-        let read = match (status, kind) {
-            (200, RequestKind::Get) => decode(body).map(|item| Outcome::Item(Some(item))),
-            (404, RequestKind::Get) => Ok(Outcome::Item(None)),
-            (200, RequestKind::List) => decode(body).map(Outcome::Page),
-            (200, RequestKind::Txn) => {
-                decode(body).map(|applied: Applied| Outcome::Committed(applied.revision))
-            }
-            (409, RequestKind::Txn) => {
-                decode(body).map(|failed: Failed| Outcome::Conflict(failed.failed))
-            }
-            (200, RequestKind::Grant) => {
-                decode(body).map(|granted: Granted| Outcome::Granted(granted.lease))
-            }
-            (200, RequestKind::Lease) => Ok(Outcome::Extended),
-            (404, RequestKind::Lease) => Ok(Outcome::LeaseGone),
-            (200, RequestKind::Watch) => decode(body).map(|news: News| Outcome::News(news)),
-            (410, RequestKind::Watch) => Ok(Outcome::TooOld),
-            (429, _) => {
+        match status {
+            429 => {
                 tracing::debug!("store: over the rate limit");
-                Ok(Outcome::RateLimited {
+                Outcome::RateLimited {
                     retry_after: RATE_LIMIT_PAUSE,
-                })
+                }
             }
-            (503, _) => Ok(Outcome::Refused),
-            (400, _) => {
+            503 => Outcome::Refused,
+            400 => {
                 tracing::warn!("store: 400 {}", String::from_utf8_lossy(body));
-                Ok(Outcome::Invalid)
+                Outcome::Invalid
             }
+            _ => Outcome::read_result(kind, status, body).unwrap_or_else(|error| {
+                tracing::warn!("store: answer not understood: {error}");
+                Outcome::Unknown
+            }),
+        }
+    }
+
+    /// Reads a response whose meaning depends on the kind of its request.
+    fn read_result(kind: RequestKind, status: u16, body: &[u8]) -> Result<Outcome, DecodeError> {
+        let outcome = match (status, kind) {
+            (200, RequestKind::Get) => Outcome::Item(Some(decode(body)?)),
+            (404, RequestKind::Get) => Outcome::Item(None),
+            (200, RequestKind::List) => Outcome::Page(decode(body)?),
+            (200, RequestKind::Txn) => Outcome::Committed(decode::<CommitResponse>(body)?.revision),
+            (409, RequestKind::Txn) => Outcome::Conflict(decode::<ConflictResponse>(body)?.keys),
+            (200, RequestKind::Grant) => Outcome::Granted(decode::<LeaseResponse>(body)?.lease),
+            (200, RequestKind::Lease) => Outcome::Extended,
+            (404, RequestKind::Lease) => Outcome::LeaseGone,
+            (200, RequestKind::Watch) => Outcome::News(decode(body)?),
+            (410, RequestKind::Watch) => Outcome::TooOld,
             (status, _) => {
                 tracing::warn!("store: unexpected status {status}");
-                Ok(Outcome::Unknown)
+                Outcome::Unknown
             }
         };
-        read.unwrap_or_else(|error| {
-            tracing::warn!("store: answer not understood: {error}");
-            Outcome::Unknown
-        })
+        Ok(outcome)
     }
 
-    /// Whether the store itself gave an answer, rather than nobody.
+    /// Whether the store itself has answered, so that it is known to be reachable.
     pub fn is_answer(&self) -> bool {
         !matches!(self, Outcome::Refused | Outcome::Unknown)
     }
--- a/crates/store/src/rate_limit.rs
+++ b/crates/store/src/rate_limit.rs
@@ -1,85 +1,90 @@
-//! A token bucket: a rate with bursts of about one second's worth.
+//! A rate limit as a token bucket, and how nodes share a rate that holds for all of them together.
 
 use std::time::Duration;
 
 use crate::ids::Time;
 
-/// A token bucket that may be overdrawn, and then refills first.
+/// A token bucket that may be overdrawn: the debt is refilled first. Tokens stand for requests or changes.
 #[derive(Debug)]
 pub struct RateLimit {
+    /// Tokens that are added a second.
     rate: f64,
+    /// The most tokens that the bucket holds.
     burst: f64,
-    level: f64,
-    last: Time,
+    /// Tokens as of `refilled_at`; negative while it is overdrawn.
+    tokens: f64,
+    refilled_at: Time,
+    /// Nothing may be spent before.
     closed_until: Time,
-    /// All that was ever spent, to tell others how much that is in a second.
-    spent: f64,
+    /// Tokens spent since the beginning.
+    total_spent: f64,
 }
 
 impl RateLimit {
-    /// A full bucket of that rate a second and that size.
+    /// A full bucket with that rate, in tokens a second, and size, in tokens (one at the least).
     pub fn new(rate: f64, burst: f64) -> RateLimit {
         let burst = burst.max(1.0);
         RateLimit {
             rate,
             burst,
-            level: burst,
-            last: Time::default(),
+            tokens: burst,
+            refilled_at: Time::default(),
             closed_until: Time::default(),
-            spent: 0.0,
+            total_spent: 0.0,
         }
     }
 
-    /// The others spend more or less than before.
+    /// Changes the rate from now on, in tokens a second.
     pub fn set_rate(&mut self, now: Time, rate: f64) {
         self.refill(now);
         self.rate = rate;
     }
 
-    /// All that was ever spent.
-    pub fn spent(&self) -> f64 {
-        self.spent
+    /// Tokens spent since the beginning, from which nodes tell each other how much they spend a second.
+    pub fn total_spent(&self) -> f64 {
+        self.total_spent
     }
 
-    fn refill(&mut self, now: Time) {
-        let gained = now.since(self.last).as_secs_f64() * self.rate;
-        self.level = (self.level + gained).min(self.burst);
-        self.last = self.last.max(now);
-    }
-
-    /// What may be spent now.
+    /// How many tokens may be spent now; negative while the bucket is overdrawn, 0 during a pause.
     pub fn available(&mut self, now: Time) -> f64 {
         self.refill(now);
         if now < self.closed_until {
             0.0
         } else {
-            self.level
+            self.tokens
         }
     }
 
-    /// The share of a full bucket that is left.
-    pub fn share(&mut self, now: Time) -> f64 {
+    /// The available part of a full bucket, from 0 to 1; negative while it is overdrawn.
+    pub fn available_fraction(&mut self, now: Time) -> f64 {
         self.available(now) / self.burst
     }
 
-    /// Spends; what was needed beyond the level is a debt that delays later spending.
-    pub fn spend(&mut self, now: Time, amount: f64) {
+    /// Spends tokens, also more than there are: the debt delays later spending.
+    pub fn spend(&mut self, now: Time, tokens: f64) {
         self.refill(now);
-        self.level -= amount;
-        self.spent += amount;
+        self.tokens -= tokens;
+        self.total_spent += tokens;
     }
 
-    /// The other side says that it is too much: others spend from the same budget.
+    /// The server has refused a request as over the limit, since other clients spend from the same one:
+    /// nothing may be spent for that long, and tokens saved until now are lost.
     pub fn back_off(&mut self, now: Time, pause: Duration) {
         self.closed_until = self.closed_until.max(now.after(pause));
-        self.level = self.level.min(0.0);
+        self.tokens = self.tokens.min(0.0);
+    }
+
+    fn refill(&mut self, now: Time) {
+        let added = now.since(self.refilled_at).as_secs_f64() * self.rate;
+        self.tokens = (self.tokens + added).min(self.burst);
+        self.refilled_at = self.refilled_at.max(now);
     }
 }
 
-/// What a node may spend a second of a budget that all nodes share: what the others leave of it, by
-/// their own word, and its even share at the least. If all want more than that, each hears of the
-/// others' wants and comes down to the even share.
-pub fn share_of(total: f64, nodes: usize, others: f64) -> f64 {
-    let even = total / nodes.max(1) as f64;
-    (total - others).max(even)
+/// What one of `nodes` nodes may spend a second of a rate `total` that holds for all of them together:
+/// what the others leave of it, who say that they spend `others` a second, but an even share at the
+/// least. If all want more than that, each learns of the others' spending and comes down to the even share.
+pub fn node_share(total: f64, nodes: usize, others: f64) -> f64 {
+    let even_share = total / nodes.max(1) as f64;
+    (total - others).max(even_share)
 }
--- a/crates/store/src/request.rs
+++ b/crates/store/src/request.rs
@@ -4,7 +4,7 @@
 
 use crate::codec::encode;
 use crate::ids::{LeaseId, Version};
-use crate::messages::{Grant, Txn};
+use crate::messages::{LeaseRequest, Txn};
 
 /// A request to the store.
 #[derive(Clone, Debug)]
@@ -15,31 +15,31 @@
     List {
         /// Prefix of the keys.
         prefix: String,
-        /// Begins behind this key.
+        /// The last key of the page before; empty for the first page.
         after: String,
-        /// Most items.
+        /// The most keys on the page.
         limit: u32,
     },
     /// Carries out a transaction.
     Txn(Txn),
-    /// Asks for a lease of that length.
+    /// Asks for a lease that expires after that time without a renewal.
     Grant(Duration),
     /// Renews a lease.
     Extend(LeaseId),
-    /// Ends a lease.
+    /// Ends a lease, and deletes the keys that are attached to it.
     End(LeaseId),
-    /// Waits for changes.
+    /// Waits for changes (long polling).
     Watch {
         /// Prefix of the keys.
         prefix: String,
-        /// Revision after which changes count.
+        /// Changes after this revision are wanted.
         after: Version,
-        /// How long to wait.
+        /// How long to wait for the first one.
         hold: Duration,
     },
 }
 
-/// What kind of request an answer belongs to.
+/// The kind of a request, on which the meaning of its response depends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestKind {
     /// [`Request::Get`].
@@ -56,16 +56,16 @@
     Watch,
 }
 
-/// A request as it goes out.
+/// A request in the form of HTTP.
 #[derive(Clone, Debug, PartialEq)]
 pub struct HttpRequest {
-    /// What the answer has to be read as.
+    /// What [`Outcome::read`](crate::Outcome::read) needs to know of it.
     pub kind: RequestKind,
-    /// HTTP method.
+    /// Request method.
     pub method: &'static str,
-    /// HTTP target.
+    /// Request target: path and query.
     pub target: String,
-    /// HTTP body.
+    /// Body, empty if there is none.
     pub body: Vec<u8>,
 }
 
@@ -73,7 +73,9 @@
     /// Puts the request into its form in HTTP.
     pub fn render(&self) -> HttpRequest {
         match self {
-            Request::Get(key) => HttpRequest::bare(RequestKind::Get, "GET", format!("/kv/{key}")),
+            Request::Get(key) => {
+                HttpRequest::without_body(RequestKind::Get, "GET", format!("/kv/{key}"))
+            }
             Request::List {
                 prefix,
                 after,
@@ -84,19 +86,20 @@
                     target.push_str("&after=");
                     target.push_str(after);
                 }
-                HttpRequest::bare(RequestKind::List, "GET", target)
+                HttpRequest::without_body(RequestKind::List, "GET", target)
             }
             Request::Txn(txn) => HttpRequest::post(RequestKind::Txn, "/txn", encode(txn)),
             Request::Grant(ttl) => {
                 let ttl_ms = ttl.as_millis() as u64;
-                HttpRequest::post(RequestKind::Grant, "/grants", encode(&Grant { ttl_ms }))
+                let body = encode(&LeaseRequest { ttl_ms });
+                HttpRequest::post(RequestKind::Grant, "/grants", body)
             }
             Request::Extend(lease) => {
                 let target = format!("/grants/{lease}/extend");
-                HttpRequest::bare(RequestKind::Lease, "POST", target)
+                HttpRequest::without_body(RequestKind::Lease, "POST", target)
             }
             Request::End(lease) => {
-                HttpRequest::bare(RequestKind::Lease, "DELETE", format!("/grants/{lease}"))
+                HttpRequest::without_body(RequestKind::Lease, "DELETE", format!("/grants/{lease}"))
             }
             Request::Watch {
                 prefix,
@@ -105,15 +108,14 @@
             } => {
                 let hold_ms = hold.as_millis();
                 let target = format!("/changes?prefix={prefix}&after={after}&holdMs={hold_ms}");
-                HttpRequest::bare(RequestKind::Watch, "GET", target)
+                HttpRequest::without_body(RequestKind::Watch, "GET", target)
             }
         }
     }
 }
 
 impl HttpRequest {
-    /// Without a body.
-    fn bare(kind: RequestKind, method: &'static str, target: String) -> HttpRequest {
+    fn without_body(kind: RequestKind, method: &'static str, target: String) -> HttpRequest {
         HttpRequest {
             kind,
             method,
--- a/src/node/heartbeats.rs
+++ b/src/node/heartbeats.rs
@@ -7,7 +7,7 @@
 use crate::protocol::peers::{self, PeerHeartbeat, StoreUsage};
 use crate::transport::{CallError, CallId, Network, Response};
 use crate::types::{JobId, Term, Time};
-use lichencrank_store::rate_limit::share_of;
+use lichencrank_store::rate_limit::node_share;
 
 const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(1);
 const HEARTBEAT_TIMEOUT: Duration = Duration::from_millis(1500);
@@ -200,8 +200,8 @@
         }
         let state = &self.settings.settings.state;
         let nodes = self.peers.len() + 1;
-        let rps = share_of(state.rps * HEADROOM, nodes, others.0);
-        let write_rps = share_of(state.write_rps * HEADROOM, nodes, others.1);
+        let rps = node_share(state.rps * HEADROOM, nodes, others.0);
+        let write_rps = node_share(state.write_rps * HEADROOM, nodes, others.1);
         self.store.set_rates(now, rps, write_rps);
     }
 }
--- a/src/node/leader_duties/mod.rs
+++ b/src/node/leader_duties/mod.rs
@@ -240,7 +240,7 @@
         if !self.controller.is_write_idle() || now < self.batch_at || self.is_changing_accounts() {
             return;
         }
-        let spare = writes.share(now) > SPARE;
+        let spare = writes.available_fraction(now) > SPARE;
         if !self.controller.has_urgent_writes() && !spare {
             return;
         }
--- a/src/protocol/users.rs
+++ b/src/protocol/users.rs
@@ -135,7 +135,7 @@
             Ok(()) => return Submission::Valid(Box::new(spec)),
             Err(wrong) => wrong,
         },
-        Err(wrong) => field_error(body).unwrap_or(wrong),
+        Err(error) => field_error(body).unwrap_or_else(|| error.to_string()),
     };
     match decode::<IdOnly>(body) {
         Ok(IdOnly { id }) => Submission::Invalid(id, wrong),
--- a/src/storage/store.rs
+++ b/src/storage/store.rs
@@ -92,7 +92,10 @@
 
     /// What was spent so far: requests and changes.
     pub fn spent(&self) -> (f64, f64) {
-        (self.request_budget.spent(), self.write_budget.spent())
+        (
+            self.request_budget.total_spent(),
+            self.write_budget.total_spent(),
+        )
     }
 
     /// Sets this controller's share of the rate limits.
@@ -103,7 +106,8 @@
 
     /// Whether requests that can wait may go out beside the others.
     pub fn has_spare_budget(&mut self, now: Time) -> bool {
-        self.request_budget.share(now) > SPARE && self.queues.values().all(VecDeque::is_empty)
+        self.request_budget.available_fraction(now) > SPARE
+            && self.queues.values().all(VecDeque::is_empty)
     }
 
     /// Queues a request. `limit` is how long an answer is awaited once it is sent; what can't be
--- a/tests/budget.rs
+++ b/tests/budget.rs
@@ -7,7 +7,7 @@
 use lichencrank::storage::store::{RequestClass, StoreClient, StoreRequest, StoreRequestId};
 use lichencrank::transport::{CallError, CallId, Response};
 use lichencrank::types::{LeaseId, Time};
-use lichencrank_store::rate_limit::share_of;
+use lichencrank_store::rate_limit::node_share;
 use lichencrank_store::{Change, Txn};
 
 fn write(changes: usize) -> StoreRequest {
@@ -139,7 +139,7 @@
             // Not all hear of the others at the same moment.
             let node = round % wants.len();
             let others = before.iter().sum::<f64>() - before[node];
-            spends[node] = share_of(100.0, wants.len(), others).min(wants[node]);
+            spends[node] = node_share(100.0, wants.len(), others).min(wants[node]);
         }
         spends
     };
