--- a/crates/quota/examples/admissions.rs
+++ b/crates/quota/examples/admissions.rs
@@ -13,7 +13,7 @@
 use lichencrank_store::{
     value, Change, ConditionalStore, Outcome, Request, StoreLimits, Time, Txn, Version,
 };
-use lichencrank_testkit::{FaultyStore, Limits, SharedState};
+use lichencrank_testkit::{FaultyStore, Limits, SharedStore};
 
 const TEAM: &str = "vision";
 const ADMISSIONS: usize = 3000;
@@ -40,10 +40,10 @@
     idle: f64,
 }
 
-fn store() -> SharedState {
-    SharedState::new(Limits {
+fn store() -> SharedStore {
+    SharedStore::new(Limits {
         value_bytes: LIMITS.value_bytes,
-        txn_ops: LIMITS.changes,
+        changes: LIMITS.changes,
     })
 }
 
@@ -94,17 +94,17 @@
     }
 }
 
-fn lent_idle(shared: &SharedState) -> f64 {
+fn lent_idle(shared: &SharedStore) -> f64 {
     let mut ledger = Ledger::default();
-    shared.look(|service| {
-        for (key, data) in service.below("quota/team/") {
+    shared.inspect(|service| {
+        for (key, data) in service.values_with_prefix("quota/team/") {
             ledger.take(&lichencrank_store::Item {
                 key: key.to_owned(),
                 value: data.clone(),
                 version: Version(0),
             });
         }
-        let used = service.count("quota/open/") as f64;
+        let used = service.key_count("quota/open/") as f64;
         let lent = ledger
             .teams
             .values()
--- a/crates/quota/tests/failures.rs
+++ b/crates/quota/tests/failures.rs
@@ -169,9 +169,9 @@
 #[test]
 fn unknown_outcomes_charge_once() {
     for fault in [
-        Fault::LostAnswer,
-        Fault::CarriedOutLate,
-        Fault::LostRequest,
+        Fault::ResponseLost,
+        Fault::Delayed,
+        Fault::RequestLost,
         Fault::RateLimited,
     ] {
         for holder in 0..3 {
@@ -187,7 +187,7 @@
                 for n in 0..3 {
                     cluster.step(n);
                 }
-                cluster.shared.deliver_late();
+                cluster.shared.deliver_delayed();
                 cluster.advance(1);
             }
             cluster.settle();
@@ -206,7 +206,7 @@
 #[test]
 fn refusals_and_outages_admit_nothing() {
     let mut cluster = cluster();
-    cluster.shared.refuse(0, true);
+    cluster.shared.set_refused(0, true);
     fill(&mut cluster, 0);
     assert_eq!(
         cluster.ledger().used(&team("vision")),
@@ -219,7 +219,7 @@
     cluster.settle();
     assert!(!cluster.answers.contains_key(&id("vision", 99, 1)));
     cluster.shared.set_outage(false);
-    cluster.shared.refuse(0, false);
+    cluster.shared.set_refused(0, false);
     cluster.settle();
     assert_eq!(
         cluster.ledger().used(&team("vision")),
@@ -276,8 +276,8 @@
 #[test]
 fn a_charge_without_an_answer_takes_its_room_until_it_is_known() {
     for faults in [
-        vec![Fault::CarriedOutLate],
-        vec![Fault::CarriedOutLate, Fault::RateLimited],
+        vec![Fault::Delayed],
+        vec![Fault::Delayed, Fault::RateLimited],
     ] {
         let mut cluster = Cluster::new(1, policy(None, &[("vision", 0, 2)]));
         let (first, second) = (id("vision", 1, 1), id("vision", 2, 1));
@@ -296,7 +296,7 @@
             cluster.step(0);
             cluster.advance(300);
         }
-        cluster.shared.deliver_late();
+        cluster.shared.deliver_delayed();
         assert_eq!(cluster.ledger().audit(), [], "{faults:?}");
         assert!(cluster.running.contains(&second), "{faults:?}");
         assert!(!cluster.running.contains(&first), "{faults:?}");
--- a/crates/quota/tests/loopback.rs
+++ b/crates/quota/tests/loopback.rs
@@ -13,9 +13,9 @@
     Policy, Priority, RequesterName, TeamName, TeamPolicy, Usage,
 };
 use lichencrank_store::{BlockingClient, Item, StoreLimits, Version};
-use lichencrank_testkit::http::lock;
-use lichencrank_testkit::loopback::serve_state;
-use lichencrank_testkit::{Limits, StateService};
+use lichencrank_testkit::loopback::serve_store;
+use lichencrank_testkit::sync::lock;
+use lichencrank_testkit::{InMemoryStore, Limits};
 
 const CONTROLLERS: usize = 3;
 const TEAMS: [&str; 3] = ["rush", "scan", "route"];
@@ -28,7 +28,7 @@
 fn limits() -> Limits {
     Limits {
         value_bytes: 16 * 1024,
-        txn_ops: 16,
+        changes: 16,
     }
 }
 
@@ -37,7 +37,7 @@
         name: HolderName::new(&format!("controller-{number}")),
         limits: StoreLimits {
             value_bytes: limits().value_bytes,
-            changes: limits().txn_ops,
+            changes: limits().changes,
             requests_per_second: 1e9,
             changes_per_second: 1e9,
         },
@@ -127,8 +127,8 @@
 
 #[test]
 fn thousands_of_racing_submissions_never_exceed_a_limit() {
-    let state = Arc::new(Mutex::new(StateService::new(limits())));
-    let address = serve_state(state.clone(), Arc::new(AtomicBool::new(false)));
+    let state = Arc::new(Mutex::new(InMemoryStore::new(limits())));
+    let address = serve_store(state.clone(), Arc::new(AtomicBool::new(false)));
     let mut first = controller(0, address);
     first.set_policy(policy());
     while !first.step().contains(&Decision::PolicyWritten) {}
@@ -159,7 +159,7 @@
     // All is answered; all is to end.
     let all_settled = || {
         let state = lock(&state);
-        let open = state.count("quota/open/");
+        let open = state.key_count("quota/open/");
         open == 0
     };
     while !all_settled() {
@@ -173,10 +173,10 @@
 }
 
 /// Replays every transaction that was carried out, and audits the ledger after each.
-fn judge(asked: &[AdmissionRequest], told: &[(AdmissionId, Decision)], state: &StateService) {
-    let mut replayed = StateService::new(limits());
-    for txn in &state.carried_out {
-        replayed.txn(txn);
+fn judge(asked: &[AdmissionRequest], told: &[(AdmissionId, Decision)], state: &InMemoryStore) {
+    let mut replayed = InMemoryStore::new(limits());
+    for txn in state.applied_transactions() {
+        replayed.transact(txn);
         let differences = ledger(&replayed).audit();
         assert_eq!(differences, [], "after revision {}", replayed.revision());
     }
@@ -195,9 +195,9 @@
     assert_eq!((count, released), (asked.len() as u64, expected));
 }
 
-fn ledger(state: &StateService) -> Ledger {
+fn ledger(state: &InMemoryStore) -> Ledger {
     let mut ledger = Ledger::default();
-    for (key, value) in state.below("quota/") {
+    for (key, value) in state.values_with_prefix("quota/") {
         ledger.take(&Item {
             key: key.to_owned(),
             value: value.clone(),
--- a/crates/quota/tests/random_schedules.rs
+++ b/crates/quota/tests/random_schedules.rs
@@ -58,9 +58,9 @@
 fn any_step() -> impl Strategy<Value = Step> {
     let holder = 0..HOLDERS;
     let fault = prop_oneof![
-        Just(Fault::LostAnswer),
-        Just(Fault::CarriedOutLate),
-        Just(Fault::LostRequest),
+        Just(Fault::ResponseLost),
+        Just(Fault::Delayed),
+        Just(Fault::RequestLost),
         Just(Fault::RateLimited),
     ];
     let ask = (
@@ -106,7 +106,7 @@
     cluster.trace.push("all troubles over".into());
     cluster.shared.set_outage(false);
     for n in 0..HOLDERS {
-        cluster.shared.refuse(n, false);
+        cluster.shared.set_refused(n, false);
     }
     cluster.wind_up(&asked, &TEAMS);
 }
@@ -143,7 +143,7 @@
         Step::Hear(n) => cluster.hear(n),
         Step::Fail(n, fault) => cluster.stores[n].inject(fault),
         Step::DeliverLate => {
-            cluster.shared.deliver_late();
+            cluster.shared.deliver_delayed();
         }
         Step::Kill(n) => cluster.kill(n),
         Step::OrphanArrives => cluster.orphan_arrives(),
@@ -159,7 +159,7 @@
             }
         }
         Step::Advance(ms) => cluster.advance(ms),
-        Step::Refuse(n, refused) => cluster.shared.refuse(n, refused),
+        Step::Refuse(n, refused) => cluster.shared.set_refused(n, refused),
         Step::Outage(outage) => cluster.shared.set_outage(outage),
     }
 }
--- a/crates/quota/tests/support/mod.rs
+++ b/crates/quota/tests/support/mod.rs
@@ -10,7 +10,7 @@
     Priority, RequesterName, TeamName, TeamPolicy, Usage,
 };
 use lichencrank_store::{ConditionalStore, Item, Outcome, Request, StoreLimits, Time, Version};
-use lichencrank_testkit::{FaultyStore, Limits, SharedState};
+use lichencrank_testkit::{FaultyStore, Limits, SharedStore};
 
 pub(crate) const LIMITS: StoreLimits = StoreLimits {
     value_bytes: 16 * 1024,
@@ -85,7 +85,7 @@
 }
 
 pub(crate) struct Cluster {
-    pub(crate) shared: SharedState,
+    pub(crate) shared: SharedStore,
     pub(crate) stores: Vec<FaultyStore>,
     pub(crate) holders: Vec<Holder>,
     pending: Vec<Option<Pending>>,
@@ -104,9 +104,9 @@
 
 impl Cluster {
     pub(crate) fn new(holders: usize, policy: Policy) -> Cluster {
-        let shared = SharedState::new(Limits {
+        let shared = SharedStore::new(Limits {
             value_bytes: LIMITS.value_bytes,
-            txn_ops: LIMITS.changes,
+            changes: LIMITS.changes,
         });
         let mut cluster = Cluster {
             stores: (0..holders).map(|n| shared.client(n)).collect(),
@@ -132,8 +132,8 @@
 
     pub(crate) fn ledger(&self) -> Ledger {
         let mut ledger = Ledger::default();
-        self.shared.look(|service| {
-            for (key, value) in service.below("quota/") {
+        self.shared.inspect(|service| {
+            for (key, value) in service.values_with_prefix("quota/") {
                 ledger.take(&Item {
                     key: key.to_owned(),
                     value: value.clone(),
@@ -324,7 +324,7 @@
         asked: &BTreeMap<AdmissionId, AdmissionRequest>,
         teams: &[&str],
     ) {
-        while self.shared.deliver_late() {
+        while self.shared.deliver_delayed() {
             self.check();
         }
         while !self.orphans.is_empty() {
--- a/crates/testkit/src/faults.rs
+++ b/crates/testkit/src/faults.rs
@@ -1,7 +1,7 @@
-//! A store in memory whose answers fail as those of a real one do.
+//! A store in memory whose clients meet the faults of a real one.
 //!
-//! Each client has a [`FaultyStore`] of its own over one [`SharedState`]. A [`Fault`] says what becomes
-//! of its next requests. Time only passes when a test says so.
+//! All clients share one [`SharedStore`]; each is a [`FaultyStore`] of its own, and a [`Fault`] decides
+//! what becomes of its next request. Time passes only when a test says so.
 
 use std::cell::RefCell;
 use std::collections::{BTreeSet, VecDeque};
@@ -11,49 +11,53 @@
 use lichencrank_store::codec::{decode, encode};
 use lichencrank_store::messages::Txn;
 use lichencrank_store::outcome::RATE_LIMIT_PAUSE;
-use lichencrank_store::request::RequestKind;
+use lichencrank_store::request::{HttpRequest, RequestKind};
 use lichencrank_store::{ConditionalStore, Outcome, Request};
 
-use crate::state_service::{Limits, StateService};
+use crate::http::HttpResponse;
+use crate::store::{InMemoryStore, Limits};
 
-/// What becomes of one request.
+/// What becomes of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Fault {
-    /// It is carried out, and its answer is lost.
-    LostAnswer,
-    /// No answer comes; a transaction is carried out when [`SharedState::deliver_late`] says so.
-    CarriedOutLate,
-    /// It is lost on its way.
-    LostRequest,
+    /// It is processed, and its response is lost.
+    ResponseLost,
+    /// No response arrives. A transaction is processed when [`SharedStore::deliver_delayed`] is called.
+    Delayed,
+    /// It is lost and never processed.
+    RequestLost,
     /// It is refused with 429.
     RateLimited,
 }
 
-/// The state that all clients share.
+/// The store that all clients share.
 #[derive(Clone)]
-pub struct SharedState(Rc<RefCell<Inner>>);
+pub struct SharedStore(Rc<RefCell<Shared>>);
 
-struct Inner {
-    service: StateService,
+struct Shared {
+    store: InMemoryStore,
     now_ms: u64,
+    /// Nobody is served.
     outage: bool,
+    /// Clients that are not served.
     refused_clients: BTreeSet<usize>,
-    late: VecDeque<Value>,
+    /// Bodies of transactions that are still on their way.
+    delayed: VecDeque<Value>,
 }
 
-impl SharedState {
+impl SharedStore {
     /// An empty store.
-    pub fn new(limits: Limits) -> SharedState {
-        SharedState(Rc::new(RefCell::new(Inner {
-            service: StateService::new(limits),
+    pub fn new(limits: Limits) -> SharedStore {
+        SharedStore(Rc::new(RefCell::new(Shared {
+            store: InMemoryStore::new(limits),
             now_ms: 0,
             outage: false,
             refused_clients: BTreeSet::new(),
-            late: VecDeque::new(),
+            delayed: VecDeque::new(),
         })))
     }
 
-    /// A client of it.
+    /// A client with that number.
     pub fn client(&self, number: usize) -> FaultyStore {
         FaultyStore {
             shared: self.clone(),
@@ -62,114 +66,113 @@
         }
     }
 
-    /// Lets time pass; leases end.
+    /// Lets time pass, in milliseconds. Leases expire, except during an outage.
     pub fn advance(&self, ms: u64) {
-        let mut inner = self.0.borrow_mut();
-        inner.now_ms += ms;
-        let now = inner.now_ms;
-        if !inner.outage {
-            inner.service.expire(now);
+        let mut shared = self.0.borrow_mut();
+        shared.now_ms += ms;
+        let now_ms = shared.now_ms;
+        if !shared.outage {
+            shared.store.expire_leases(now_ms);
         }
     }
 
-    /// Begins or ends an outage; at its end all leases have their full time again.
+    /// Begins or ends an outage. All leases then have their full time again.
     pub fn set_outage(&self, outage: bool) {
-        let mut inner = self.0.borrow_mut();
-        inner.outage = outage;
-        let now = inner.now_ms;
-        inner.service.refill_leases(now);
+        let mut shared = self.0.borrow_mut();
+        shared.outage = outage;
+        let now_ms = shared.now_ms;
+        shared.store.renew_all_leases(now_ms);
     }
 
-    /// Refuses one client, or serves it again.
-    pub fn refuse(&self, client: usize, refused: bool) {
-        let mut inner = self.0.borrow_mut();
+    /// Refuses a client from now on, or serves it again.
+    pub fn set_refused(&self, client: usize, refused: bool) {
+        let mut shared = self.0.borrow_mut();
         if refused {
-            inner.refused_clients.insert(client);
+            shared.refused_clients.insert(client);
         } else {
-            inner.refused_clients.remove(&client);
+            shared.refused_clients.remove(&client);
         }
     }
 
-    /// Carries out the oldest transaction that is late. Returns whether there was one.
-    pub fn deliver_late(&self) -> bool {
-        let mut inner = self.0.borrow_mut();
-        let Some(body) = inner.late.pop_front() else {
+    /// Processes the oldest transaction that is delayed. Returns whether there was one.
+    pub fn deliver_delayed(&self) -> bool {
+        let mut shared = self.0.borrow_mut();
+        let Some(body) = shared.delayed.pop_front() else {
             return false;
         };
-        inner.service.txn(&body);
+        shared.store.transact(&body);
         true
     }
 
-    /// Looks at the content.
-    pub fn look<T>(&self, look: impl FnOnce(&StateService) -> T) -> T {
-        look(&self.0.borrow().service)
+    /// Reads the store, past all clients.
+    pub fn inspect<T>(&self, read: impl FnOnce(&InMemoryStore) -> T) -> T {
+        read(&self.0.borrow().store)
     }
 
-    /// Changes the content, past all clients.
-    pub fn alter<T>(&self, alter: impl FnOnce(&mut StateService) -> T) -> T {
-        alter(&mut self.0.borrow_mut().service)
+    /// Changes the store, past all clients.
+    pub fn modify<T>(&self, change: impl FnOnce(&mut InMemoryStore) -> T) -> T {
+        change(&mut self.0.borrow_mut().store)
     }
 }
 
 /// One client of the store.
 #[derive(Clone)]
 pub struct FaultyStore {
-    shared: SharedState,
+    shared: SharedStore,
     number: usize,
+    /// Faults of the next requests.
     faults: VecDeque<Fault>,
 }
 
 impl FaultyStore {
-    /// The next request without a fault of its own has this one.
+    /// Adds a fault: it befalls the next request that has none yet.
     pub fn inject(&mut self, fault: Fault) {
         self.faults.push_back(fault);
     }
 
-    fn handle(&self, request: &Request) -> (RequestKind, u16, Value) {
-        let http = request.render();
-        let mut inner = self.shared.0.borrow_mut();
-        if inner.outage || inner.refused_clients.contains(&self.number) {
-            return (http.kind, 503, Value::Null);
+    fn process(&self, request: &HttpRequest) -> HttpResponse {
+        let mut shared = self.shared.0.borrow_mut();
+        if shared.outage || shared.refused_clients.contains(&self.number) {
+            return HttpResponse::unavailable();
         }
-        let now = inner.now_ms;
-        if http.kind == RequestKind::Watch {
-            inner.service.expire(now);
-            let (status, answer) = inner.service.watch_now(&http.target);
-            return (http.kind, status, answer);
+        let now_ms = shared.now_ms;
+        if request.kind == RequestKind::Watch {
+            shared.store.expire_leases(now_ms);
+            return shared.store.watch_without_waiting(&request.target);
         }
-        let body = decode(&http.body).unwrap_or(Value::Null);
-        let (status, answer) = inner.service.handle(now, http.method, &http.target, &body);
-        (http.kind, status, answer)
+        let body = decode(&request.body).unwrap_or(Value::Null);
+        let store = &mut shared.store;
+        store.handle(now_ms, request.method, &request.target, &body)
     }
 
-    fn postpone(&self, txn: &Txn) {
+    fn delay(&self, txn: &Txn) {
         let body = decode(&encode(txn)).unwrap_or(Value::Null);
-        self.shared.0.borrow_mut().late.push_back(body);
+        self.shared.0.borrow_mut().delayed.push_back(body);
     }
 }
 
 impl ConditionalStore for FaultyStore {
     fn execute(&mut self, request: &Request) -> Outcome {
+        let http = request.render();
         match self.faults.pop_front() {
-            Some(Fault::LostRequest) => return Outcome::Unknown,
-            Some(Fault::RateLimited) => {
-                return Outcome::RateLimited {
-                    retry_after: RATE_LIMIT_PAUSE,
-                };
+            None => {
+                let response = self.process(&http);
+                Outcome::read(http.kind, response.status, &encode(&response.body))
             }
-            Some(Fault::CarriedOutLate) => {
+            Some(Fault::ResponseLost) => {
+                self.process(&http);
+                Outcome::Unknown
+            }
+            Some(Fault::Delayed) => {
                 if let Request::Txn(txn) = request {
-                    self.postpone(txn);
+                    self.delay(txn);
                 }
-                return Outcome::Unknown;
-            }
-            Some(Fault::LostAnswer) => {
-                self.handle(request);
-                return Outcome::Unknown;
+                Outcome::Unknown
             }
-            None => {}
+            Some(Fault::RequestLost) => Outcome::Unknown,
+            Some(Fault::RateLimited) => Outcome::RateLimited {
+                retry_after: RATE_LIMIT_PAUSE,
+            },
         }
-        let (kind, status, answer) = self.handle(request);
-        Outcome::read(kind, status, &encode(&answer))
     }
 }
--- a/crates/testkit/src/loopback.rs
+++ b/crates/testkit/src/loopback.rs
@@ -1,4 +1,4 @@
-//! The state service as a server on loopback.
+//! The key-value store as a server on loopback.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -6,52 +6,72 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use ciborium::Value;
-
-use crate::http::{lock, serve};
-use crate::state_service::{hold_ms, Limits, StateService};
+use crate::http::{serve, HttpResponse};
+use crate::store::{watch_timeout_ms, InMemoryStore, Limits};
+use crate::sync::lock;
 use crate::values::map;
 
-/// Starts a state service; while `away` is set it answers 503 to everything.
-pub fn state_service(away: Arc<AtomicBool>) -> SocketAddr {
-    let limits = Limits {
-        value_bytes: 16 * 1024,
-        txn_ops: 16,
-    };
-    serve_state(Arc::new(Mutex::new(StateService::new(limits))), away)
+/// The limits of a store that a test does not care about.
+const LIMITS: Limits = Limits {
+    value_bytes: 16 * 1024,
+    changes: 16,
+};
+/// How often a watch looks for changes.
+const WATCH_INTERVAL: Duration = Duration::from_millis(10);
+
+/// Starts an empty store; while `unavailable` is set it answers 503 to everything.
+pub fn start_store(unavailable: Arc<AtomicBool>) -> SocketAddr {
+    serve_store(
+        Arc::new(Mutex::new(InMemoryStore::new(LIMITS))),
+        unavailable,
+    )
 }
 
-/// Serves that state service, which the caller can look into; while `away` is set it answers 503.
-pub fn serve_state(state: Arc<Mutex<StateService>>, away: Arc<AtomicBool>) -> SocketAddr {
-    let began = Instant::now();
-    let clock = move || began.elapsed().as_millis() as u64;
+/// Serves a store, which the caller can look into; while `unavailable` is set it answers 503 to everything.
+///
+/// Beside the store's protocol, any request for `/replay` processes all transactions that were applied so
+/// far once more, as if copies of them arrived late, and answers with how many there were (`total`) and
+/// how many of them were carried out again (`applied`).
+pub fn serve_store(store: Arc<Mutex<InMemoryStore>>, unavailable: Arc<AtomicBool>) -> SocketAddr {
+    let started = Instant::now();
+    let now_ms = move || started.elapsed().as_millis() as u64;
     serve(move |method, target, body| {
-        if away.load(Ordering::SeqCst) {
-            lock(&state).refill_leases(clock());
-            return (503, Value::Null);
+        if unavailable.load(Ordering::SeqCst) {
+            lock(&store).renew_all_leases(now_ms());
+            return HttpResponse::unavailable();
         }
-        let path = target.split('?').next().unwrap_or("");
-        if path == "/changes" {
-            let until = clock() + hold_ms(target);
-            loop {
-                let mut state = lock(&state);
-                state.expire(clock());
-                if let Some(answer) = state.changes(target, clock() >= until) {
-                    return answer;
-                }
-                drop(state);
-                thread::sleep(Duration::from_millis(10));
-            }
+        match target.split('?').next() {
+            Some("/changes") => wait_for_changes(&store, target, now_ms),
+            Some("/replay") => replay(&mut lock(&store)),
+            _ => lock(&store).handle(now_ms(), method, target, body),
         }
-        let mut state = lock(&state);
-        if path == "/copies" {
-            // Late copies of all that was carried out so far.
-            let copies = state.carried_out.clone();
-            let statuses = copies.iter().map(|copy| state.txn(copy).0);
-            let again = statuses.filter(|status| *status == 200).count() as u64;
-            let all = copies.len() as u64;
-            return (200, map(vec![("all", all.into()), ("again", again.into())]));
-        }
-        state.handle(clock(), method, target, body)
     })
 }
+
+fn wait_for_changes(
+    store: &Mutex<InMemoryStore>,
+    target: &str,
+    now_ms: impl Fn() -> u64,
+) -> HttpResponse {
+    let until_ms = now_ms() + watch_timeout_ms(target);
+    loop {
+        let mut store = lock(store);
+        store.expire_leases(now_ms());
+        if let Some(response) = store.watch(target, now_ms() >= until_ms) {
+            return response;
+        }
+        drop(store);
+        thread::sleep(WATCH_INTERVAL);
+    }
+}
+
+fn replay(store: &mut InMemoryStore) -> HttpResponse {
+    let transactions = store.applied_transactions().to_vec();
+    let statuses = transactions.iter().map(|body| store.transact(body).status);
+    let applied = statuses.filter(|status| *status == 200).count() as u64;
+    let total = transactions.len() as u64;
+    HttpResponse::ok(map(vec![
+        ("total", total.into()),
+        ("applied", applied.into()),
+    ]))
+}
--- /dev/null
+++ b/crates/testkit/src/store/mod.rs
@@ -0,0 +1,314 @@
+//! The key-value store as a pure function of requests and the time: for servers on loopback and for
+//! simulated time. It speaks the published protocol, whose names stand here as they are on the wire.
+//! Times are in milliseconds since any fixed moment.
+
+mod change_log;
+mod leases;
+mod target;
+
+use std::collections::BTreeMap;
+
+use ciborium::Value;
+
+use crate::http::HttpResponse;
+use crate::values::{get, list, map, number, text};
+use change_log::{Change, ChangeLog};
+use leases::{LeaseId, LeaseTable};
+pub use target::watch_timeout_ms;
+use target::{path, query};
+
+/// The limits of the store.
+#[derive(Clone, Copy, Debug)]
+pub struct Limits {
+    /// The largest value, in bytes of JSON.
+    pub value_bytes: usize,
+    /// The most changes of a transaction.
+    pub changes: usize,
+}
+
+/// How many conditions a transaction may have for each change that it may have.
+const CONDITIONS_PER_CHANGE: usize = 4;
+/// The largest transaction, in bytes of JSON.
+const MAX_TRANSACTION_BYTES: usize = 64 * 1024;
+/// The most keys on a page.
+const MAX_PAGE: usize = 1000;
+
+/// The error with which a transaction is refused that attaches a key to a lease which has expired.
+pub const NO_SUCH_LEASE: &str = "no such lease";
+
+/// What is stored under a key.
+struct Entry {
+    value: Value,
+    /// The revision of its last change.
+    version: u64,
+    /// The lease that it is attached to.
+    lease: Option<LeaseId>,
+}
+
+/// A key-value store in memory.
+pub struct InMemoryStore {
+    /// The number of transactions and lease expiries that changed a key.
+    revision: u64,
+    entries: BTreeMap<String, Entry>,
+    leases: LeaseTable,
+    changes: ChangeLog,
+    limits: Limits,
+    /// The bodies of all transactions that were carried out and changed something.
+    applied_transactions: Vec<Value>,
+}
+
+impl InMemoryStore {
+    /// An empty store.
+    pub fn new(limits: Limits) -> InMemoryStore {
+        InMemoryStore {
+            revision: 0,
+            entries: BTreeMap::new(),
+            leases: LeaseTable::default(),
+            changes: ChangeLog::default(),
+            limits,
+            applied_transactions: Vec::new(),
+        }
+    }
+
+    /// Changes the limits from now on.
+    pub fn set_limits(&mut self, limits: Limits) {
+        self.limits = limits;
+    }
+
+    /// Processes any request but a watch.
+    pub fn handle(
+        &mut self,
+        now_ms: u64,
+        method: &str,
+        target: &str,
+        body: &Value,
+    ) -> HttpResponse {
+        self.expire_leases(now_ms);
+        let path = path(target);
+        match (method, path) {
+            ("POST", "/txn") => self.transact(body),
+            ("POST", "/grants") => {
+                let lease = self.leases.grant(number(body, "ttlMs"), now_ms);
+                HttpResponse::ok(map(vec![("hold", lease.into())]))
+            }
+            ("GET", "/kv") => HttpResponse::ok(self.page(target)),
+            ("GET", _) => self.read_key(path.strip_prefix("/kv/").unwrap_or("")),
+            _ => self.renew_or_end_lease(now_ms, method, path),
+        }
+    }
+
+    /// Processes a transaction.
+    pub fn transact(&mut self, body: &Value) -> HttpResponse {
+        let changes = list(body, "apply");
+        if self.exceeds_limits(body) {
+            return HttpResponse::error(400, "too large");
+        }
+        let mut leases = changes.iter().filter_map(attached_lease);
+        if leases.any(|lease| !self.leases.contains(lease)) {
+            return HttpResponse::error(400, NO_SUCH_LEASE);
+        }
+        let conditions = list(body, "if").iter();
+        let failed = conditions.filter(|condition| !self.is_met(condition));
+        let failed: Vec<Value> = failed
+            .map(|condition| text(condition, "path").into())
+            .collect();
+        if !failed.is_empty() {
+            let failed = ("failed", Value::Array(failed));
+            let body = map(vec![failed, ("ledgerRev", self.revision.into())]);
+            return HttpResponse { status: 409, body };
+        }
+        if !changes.is_empty() {
+            self.revision += 1;
+            self.applied_transactions.push(body.clone());
+        }
+        for change in changes {
+            self.apply(change);
+        }
+        self.changes.compact();
+        HttpResponse::ok(map(vec![("ledgerRev", self.revision.into())]))
+    }
+
+    /// The response to a watch, once there are changes or its time is up; `None` until then.
+    pub fn watch(&self, target: &str, timed_out: bool) -> Option<HttpResponse> {
+        let after = query(target, "after").parse().unwrap_or(0);
+        let prefix = query(target, "prefix");
+        let Some(changes) = self.changes.after(after) else {
+            return Some(HttpResponse::error(410, "too old"));
+        };
+        let changes = changes
+            .iter()
+            .filter(|change| change.key.starts_with(&prefix));
+        let events: Vec<Value> = changes.map(Change::to_event).collect();
+        if events.is_empty() && !timed_out {
+            return None;
+        }
+        Some(HttpResponse::ok(map(vec![
+            ("ledgerRev", self.revision.into()),
+            ("news", Value::Array(events)),
+        ])))
+    }
+
+    /// The response to a watch that does not wait.
+    pub fn watch_without_waiting(&self, target: &str) -> HttpResponse {
+        let response = self.watch(target, true);
+        response.unwrap_or_else(HttpResponse::unavailable)
+    }
+
+    /// Expires the leases whose time is up, and deletes their keys.
+    pub fn expire_leases(&mut self, now_ms: u64) {
+        for lease in self.leases.expired(now_ms) {
+            self.end_lease(lease);
+        }
+    }
+
+    /// Gives all leases their full time again, as after an outage.
+    pub fn renew_all_leases(&mut self, now_ms: u64) {
+        self.leases.renew_all(now_ms);
+    }
+
+    /// The value of a key.
+    pub fn value(&self, key: &str) -> Option<&Value> {
+        self.entries.get(key).map(|entry| &entry.value)
+    }
+
+    /// All keys with a prefix, with their values.
+    pub fn values_with_prefix<'a>(
+        &'a self,
+        prefix: &'a str,
+    ) -> impl Iterator<Item = (&'a str, &'a Value)> {
+        let entries = self.entries.range(prefix.to_owned()..);
+        entries
+            .take_while(move |(key, _)| key.starts_with(prefix))
+            .map(|(key, entry)| (key.as_str(), &entry.value))
+    }
+
+    /// How many keys have a prefix.
+    pub fn key_count(&self, prefix: &str) -> usize {
+        let keys = self.entries.keys();
+        keys.filter(|key| key.starts_with(prefix)).count()
+    }
+
+    /// The revision of the last change.
+    pub fn revision(&self) -> u64 {
+        self.revision
+    }
+
+    /// The bodies of all transactions that were carried out and changed something, in their order.
+    pub fn applied_transactions(&self) -> &[Value] {
+        &self.applied_transactions
+    }
+
+    fn exceeds_limits(&self, body: &Value) -> bool {
+        let changes = list(body, "apply");
+        let value_bytes = |change| get(change, "data").map_or(0, json_bytes);
+        list(body, "if").len() > self.limits.changes * CONDITIONS_PER_CHANGE
+            || changes.len() > self.limits.changes
+            || changes
+                .iter()
+                .any(|change| value_bytes(change) > self.limits.value_bytes)
+            || json_bytes(body) > MAX_TRANSACTION_BYTES
+    }
+
+    fn is_met(&self, condition: &Value) -> bool {
+        let entry = self.entries.get(&text(condition, "path"));
+        let version = entry.map_or(0, |entry| entry.version);
+        version == number(condition, "stamp")
+    }
+
+    /// Carries out one change of the transaction that has the present revision.
+    fn apply(&mut self, change: &Value) {
+        let Some(key) = get(change, "set").and_then(Value::as_text) else {
+            self.delete(text(change, "remove"));
+            return;
+        };
+        let value = get(change, "data").cloned().unwrap_or(Value::Null);
+        let entry = Entry {
+            value: value.clone(),
+            version: self.revision,
+            lease: attached_lease(change),
+        };
+        self.entries.insert(key.to_owned(), entry);
+        self.changes.push(Change {
+            revision: self.revision,
+            key: key.to_owned(),
+            value: Some(value),
+        });
+    }
+
+    fn delete(&mut self, key: String) {
+        self.entries.remove(&key);
+        self.changes.push(Change {
+            revision: self.revision,
+            key,
+            value: None,
+        });
+    }
+
+    fn end_lease(&mut self, lease: LeaseId) {
+        self.leases.remove(lease);
+        let entries = self.entries.iter();
+        let attached = entries.filter(|(_, entry)| entry.lease == Some(lease));
+        let keys: Vec<String> = attached.map(|(key, _)| key.clone()).collect();
+        for key in keys {
+            self.revision += 1;
+            self.delete(key);
+        }
+    }
+
+    fn renew_or_end_lease(&mut self, now_ms: u64, method: &str, path: &str) -> HttpResponse {
+        let id = path.split('/').nth(2);
+        let lease = id.and_then(|id| id.parse().ok()).unwrap_or(0);
+        if !self.leases.renew(lease, now_ms) {
+            return HttpResponse::without_body(404);
+        }
+        if method == "DELETE" {
+            self.end_lease(lease);
+        }
+        HttpResponse::without_body(200)
+    }
+
+    fn read_key(&self, key: &str) -> HttpResponse {
+        match self.entries.get(key) {
+            Some(entry) => HttpResponse::ok(entry.to_item(key)),
+            None => HttpResponse {
+                status: 404,
+                body: map(vec![("ledgerRev", self.revision.into())]),
+            },
+        }
+    }
+
+    fn page(&self, target: &str) -> Value {
+        let (prefix, after) = (query(target, "prefix"), query(target, "after"));
+        let limit: usize = query(target, "page").parse().unwrap_or(MAX_PAGE);
+        let entries = self.entries.iter();
+        let mut found = entries.filter(|(key, _)| key.starts_with(&prefix) && **key > after);
+        let page = found.by_ref().take(limit.min(MAX_PAGE));
+        let items: Vec<Value> = page.map(|(key, entry)| entry.to_item(key)).collect();
+        map(vec![
+            ("pairs", Value::Array(items)),
+            ("truncated", found.next().is_some().into()),
+            ("ledgerRev", self.revision.into()),
+        ])
+    }
+}
+
+impl Entry {
+    fn to_item(&self, key: &str) -> Value {
+        map(vec![
+            ("path", key.into()),
+            ("data", self.value.clone()),
+            ("stamp", self.version.into()),
+            ("hold", self.lease.unwrap_or(0).into()),
+        ])
+    }
+}
+
+/// The lease that a change attaches its key to.
+fn attached_lease(change: &Value) -> Option<LeaseId> {
+    let lease = number(change, "hold");
+    (lease != 0).then_some(lease)
+}
+
+fn json_bytes(value: &Value) -> usize {
+    serde_json::to_vec(value).map_or(usize::MAX, |json| json.len())
+}
--- a/crates/testkit/src/values.rs
+++ b/crates/testkit/src/values.rs
@@ -1,4 +1,5 @@
-//! Reading and making CBOR values by field.
+//! CBOR maps by the names of their fields. A field that is missing or of another type reads as empty, as in
+//! a lenient client.
 
 use ciborium::Value;
 
@@ -7,40 +8,33 @@
 
 /// A map of those fields.
 pub fn map(fields: Fields) -> Value {
-    Value::Map(
-        fields
-            .into_iter()
-            .map(|(k, v)| (Value::from(k), v))
-            .collect(),
-    )
+    let fields = fields.into_iter();
+    Value::Map(fields.map(|(name, value)| (name.into(), value)).collect())
 }
 
 /// The value of a field.
-pub fn get<'a>(value: &'a Value, key: &str) -> Option<&'a Value> {
-    let pairs = value.as_map()?;
-    pairs
-        .iter()
-        .find(|(k, _)| k.as_text() == Some(key))
-        .map(|(_, v)| v)
+pub fn get<'a>(map: &'a Value, name: &str) -> Option<&'a Value> {
+    let mut fields = map.as_map()?.iter();
+    let field = fields.find(|(other, _)| other.as_text() == Some(name));
+    field.map(|(_, value)| value)
 }
 
 /// The text in a field, empty if there is none.
-pub fn text(value: &Value, key: &str) -> String {
-    get(value, key)
-        .and_then(Value::as_text)
-        .unwrap_or("")
-        .to_owned()
+pub fn text(map: &Value, name: &str) -> String {
+    let text = get(map, name).and_then(Value::as_text);
+    text.unwrap_or("").to_owned()
 }
 
 /// The number in a field, 0 if there is none.
-pub fn number(value: &Value, key: &str) -> u64 {
-    let integer = get(value, key).and_then(Value::as_integer);
-    integer.and_then(|i| u64::try_from(i).ok()).unwrap_or(0)
+pub fn number(map: &Value, name: &str) -> u64 {
+    let integer = get(map, name).and_then(Value::as_integer);
+    integer
+        .and_then(|integer| u64::try_from(integer).ok())
+        .unwrap_or(0)
 }
 
 /// The list in a field, empty if there is none.
-pub fn list<'a>(value: &'a Value, key: &str) -> &'a [Value] {
-    get(value, key)
-        .and_then(Value::as_array)
-        .map_or(&[], Vec::as_slice)
+pub fn list<'a>(map: &'a Value, name: &str) -> &'a [Value] {
+    let list = get(map, name).and_then(Value::as_array);
+    list.map_or(&[], Vec::as_slice)
 }
--- a/tests/quota_service.rs
+++ b/tests/quota_service.rs
@@ -97,7 +97,7 @@
     eventually("a submission is answered", || {
         let mut fronts = world.nodes.iter().map(|node| node.front);
         let answer = fronts.find_map(|to| call(to, "POST", "/api/jobs", &job(id, tasks)));
-        answer.filter(|(status, _)| matches!(status, 200 | 201))
+        answer.filter(|answer| matches!(answer.status, 200 | 201))
     });
 }
 
@@ -105,8 +105,8 @@
     eventually("the job is done", || {
         lent(world);
         let target = format!("/api/jobs/{id}");
-        let (_, answer) = call(world.nodes[1].front, "GET", &target, &[])?;
-        (text(&answer, "status") == "done").then_some(())
+        let answer = call(world.nodes[1].front, "GET", &target, &[])?;
+        (text(&answer.body, "status") == "done").then_some(())
     });
 }
 
--- a/tests/record_split.rs
+++ b/tests/record_split.rs
@@ -17,8 +17,8 @@
     Attempt, HostName, Incarnation, JobId, SequenceNumber, TaskId, Term, Time, Version,
 };
 use lichencrank_store::value;
-use lichencrank_testkit::state_service::{Limits, StateService};
 use lichencrank_testkit::values::{self, get, map, number, text};
+use lichencrank_testkit::{InMemoryStore, Limits};
 
 const JOB: JobId = JobId(1);
 const TASKS: u32 = 600;
@@ -62,10 +62,10 @@
 }
 
 /// What production left: two records of 256 tasks, most of them booked, some tried; the rest untouched.
-fn left_behind() -> StateService {
-    let mut state = StateService::new(Limits {
+fn left_behind() -> InMemoryStore {
+    let mut state = InMemoryStore::new(Limits {
         value_bytes: 16 * 1024,
-        txn_ops: 16,
+        changes: 16,
     });
     let description = JobRecord {
         spec: spec(),
@@ -99,12 +99,12 @@
         }
         changes.push(put(&records::run_key(JOB, number), value(&record)));
     }
-    let (status, _) = state.txn(&map(vec![("apply", Value::Array(changes))]));
-    assert_eq!(status, 200);
-    state.limits = Limits {
+    let response = state.transact(&map(vec![("apply", Value::Array(changes))]));
+    assert_eq!(response.status, 200, "{response:?}");
+    state.set_limits(Limits {
         value_bytes: 2048,
-        txn_ops: 5,
-    };
+        changes: 5,
+    });
     state
 }
 
@@ -134,9 +134,9 @@
     }
 }
 
-fn items(state: &mut StateService, prefix: &str) -> Vec<(String, Value, u64)> {
+fn items(state: &mut InMemoryStore, prefix: &str) -> Vec<(String, Value, u64)> {
     let target = format!("/kv?prefix={prefix}&page=1000");
-    let (_, page) = state.handle(0, "GET", &target, &Value::Null);
+    let page = state.handle(0, "GET", &target, &Value::Null).body;
     let pairs = values::list(&page, "pairs").iter();
     let of = |item: &Value| {
         let data = get(item, "data").cloned().unwrap_or(Value::Null);
@@ -146,7 +146,7 @@
 }
 
 /// A new leader of this version reads the records.
-fn take_over(state: &mut StateService) -> Leader {
+fn take_over(state: &mut InMemoryStore) -> Leader {
     let types = vec![MachineType {
         name: "c4".into(),
         cpus: Amount(4.0),
@@ -192,7 +192,7 @@
 }
 
 /// What production would read: the description's size says which records are in force.
-fn picture_of_production(state: &mut StateService) -> Picture {
+fn picture_of_production(state: &mut InMemoryStore) -> Picture {
     let description: JobRecord = items(state, "live/")[0].1.deserialized().expect("one");
     let mut picture = Picture::new();
     for (key, data, _) in items(state, "run/") {
@@ -244,16 +244,16 @@
 }
 
 /// Writes the next batch, if there is one; nothing may ever be refused.
-fn step(controller: &mut Leader, state: &mut StateService) -> bool {
+fn step(controller: &mut Leader, state: &mut InMemoryStore) -> bool {
     // A record that turns out too large is split from the next batch on.
     let batch = controller.next_batch(5, true);
     let batch = batch.or_else(|| controller.next_batch(5, true));
     let Some(txn) = batch else {
         return false;
     };
-    let (status, answer) = state.txn(&value(&txn));
-    assert_eq!(status, 200, "{answer:?}");
-    let revision = Version(number(&answer, "ledgerRev"));
+    let response = state.transact(&value(&txn));
+    assert_eq!(response.status, 200, "{response:?}");
+    let revision = Version(number(&response.body, "ledgerRev"));
     assert!(!controller.is_write_idle(), "a batch awaits its outcome");
     let outcome = Outcome::Committed(revision);
     controller.on_batch_outcome(outcome, NOW).expect("it leads");
--- a/tests/service.rs
+++ b/tests/service.rs
@@ -38,14 +38,14 @@
 /// Submits as users do: again until an answer comes.
 fn submit(to: SocketAddr, id: &str, tasks: u64) -> u16 {
     eventually("a submission is answered", || {
-        let (status, _) = call(to, "POST", "/api/jobs", &job(id, tasks))?;
+        let status = call(to, "POST", "/api/jobs", &job(id, tasks))?.status;
         (status != 503 && status != 429).then_some(status)
     })
 }
 
 fn poll(to: SocketAddr, id: &str) -> Option<(u16, String)> {
-    let (status, body) = call(to, "GET", &format!("/api/jobs/{id}"), &[])?;
-    Some((status, text(&body, "status")))
+    let response = call(to, "GET", &format!("/api/jobs/{id}"), &[])?;
+    Some((response.status, text(&response.body, "status")))
 }
 
 fn finish(to: SocketAddr, id: &str) {
@@ -75,9 +75,10 @@
         });
         assert_eq!(told.0, 404);
     }
-    let (status, body) =
+    let withdrawn =
         call(fronts[0], "POST", "/api/jobs/job-000001/withdraw", &[]).expect("an answer");
-    assert_eq!((status, text(&body, "status").as_str()), (200, "done"));
+    assert_eq!(withdrawn.status, 200);
+    assert_eq!(text(&withdrawn.body, "status"), "done");
     // Each task ran once.
     let starts = world.starts.lock().expect("the starts");
     let tasks: BTreeMap<&str, usize> = starts.iter().fold(BTreeMap::new(), |mut seen, s| {
@@ -121,8 +122,8 @@
     let fronts: Vec<SocketAddr> = world.nodes.iter().map(|n| n.front).collect();
     submit(fronts[0], "job-000020", 5000);
     let cancelled = eventually("the cancellation is answered", || {
-        let (status, body) = call(fronts[1], "POST", "/api/jobs/job-000020/withdraw", &[])?;
-        (status == 200).then(|| text(&body, "status"))
+        let response = call(fronts[1], "POST", "/api/jobs/job-000020/withdraw", &[])?;
+        (response.status == 200).then(|| text(&response.body, "status"))
     });
     assert_eq!(cancelled, "cancelled");
     world.nodes[0].kill();
@@ -145,10 +146,12 @@
     let refused = eventually("a refusal", || {
         call(front, "POST", "/api/jobs", &job("job-000031", 1))
     });
-    assert_eq!(refused.0, 503);
+    assert_eq!(refused.status, 503);
     // All nodes see the outage, so none may leave the balancer for it.
     assert_eq!(
-        call(front, "GET", "/healthz", &[]).expect("an answer").0,
+        call(front, "GET", "/healthz", &[])
+            .expect("an answer")
+            .status,
         200
     );
     world.state_away.store(false, Ordering::SeqCst);
@@ -176,7 +179,7 @@
     let refused = eventually("a refusal", || {
         call(fronts[0], "GET", "/api/jobs/job-000100", &[])
     });
-    assert_eq!(refused.0, 503);
+    assert_eq!(refused.status, 503);
     world.state_away.store(false, Ordering::SeqCst);
     for id in &ids {
         for front in &fronts {
@@ -207,7 +210,7 @@
     let world = World::start("odd");
     let front = world.nodes[0].front;
     eventually("a healthy node", || {
-        call(front, "GET", "/healthz", &[]).filter(|(s, _)| *s == 200)
+        call(front, "GET", "/healthz", &[]).filter(|response| response.status == 200)
     });
     for (method, path, status) in [
         ("GET", "/nothing", 404),
@@ -221,7 +224,7 @@
         ("POST", "/peer/hello", 404),
     ] {
         assert_eq!(
-            call(front, method, path, b"?").expect("an answer").0,
+            call(front, method, path, b"?").expect("an answer").status,
             status,
             "{method} {path}"
         );
@@ -258,7 +261,7 @@
         .filter_map(|_| TcpStream::connect(front).ok())
         .collect();
     eventually("an answer in the crowd", || {
-        call(front, "GET", "/healthz", &[]).filter(|(s, _)| *s == 200)
+        call(front, "GET", "/healthz", &[]).filter(|response| response.status == 200)
     });
 }
 
@@ -294,18 +297,19 @@
     submit(fronts[1], "job-000031", 5000);
     let withdraw = || {
         eventually("the cancellation is answered", || {
-            let (status, body) = call(fronts[1], "POST", "/api/jobs/job-000031/withdraw", &[])?;
-            (status == 200).then(|| text(&body, "status"))
+            let response = call(fronts[1], "POST", "/api/jobs/job-000031/withdraw", &[])?;
+            (response.status == 200).then(|| text(&response.body, "status"))
         })
     };
     assert_eq!(withdraw(), "cancelled");
     submit(fronts[2], "job-000032", 40);
     for _ in 0..3 {
-        let (status, copies) = call(world.state, "POST", "/copies", &[]).expect("an answer");
-        let (all, again) = (number(&copies, "all"), number(&copies, "again"));
-        assert_eq!(status, 200);
+        let replay = call(world.state, "POST", "/replay", &[]).expect("an answer");
+        assert_eq!(replay.status, 200);
+        let total = number(&replay.body, "total");
+        let applied = number(&replay.body, "applied");
         // What is carried out again only removes what is gone, or keeps the machine types.
-        assert!(all > 6 && again < all, "{again} of {all}");
+        assert!(total > 6 && applied < total, "{applied} of {total}");
         for (id, state) in [("job-000030", "done"), ("job-000031", "cancelled")] {
             for front in &fronts {
                 let told = eventually("an answer", || {
@@ -338,11 +342,11 @@
             }
         }
         let malformed = call(front, "POST", "/api/jobs", b"not a map").expect("an answer");
-        assert_eq!(malformed.0, 400);
+        assert_eq!(malformed.status, 400);
         let known = call(front, "POST", "/api/jobs", &job("job-000040", 0)).expect("an answer");
-        assert!(matches!(known.0, 200 | 429 | 503), "{known:?}");
+        assert!(matches!(known.status, 200 | 429 | 503), "{known:?}");
         let wrong = call(front, "POST", "/api/jobs", &job("job-000041", 0)).expect("an answer");
-        assert!(matches!(wrong.0, 400 | 429 | 503), "{wrong:?}");
+        assert!(matches!(wrong.status, 400 | 429 | 503), "{wrong:?}");
     }
     let told = eventually("an answer", || {
         poll(front, "job-000041").filter(|(s, _)| *s != 503 && *s != 429)
--- a/tests/simulated/embedder.rs
+++ b/tests/simulated/embedder.rs
@@ -11,7 +11,7 @@
 };
 use lichencrank_store::codec::{decode, encode};
 use lichencrank_store::{Item, Outcome, StoreLimits, Time, Version};
-use lichencrank_testkit::StateService;
+use lichencrank_testkit::InMemoryStore;
 
 /// What the embedding program asks for, over and over.
 #[derive(Clone, Debug)]
@@ -53,7 +53,7 @@
     }
 
     /// Does what is due, and one request to the state service. Returns how many admissions began.
-    pub fn step(&mut self, now: u64, away: bool, state: &mut StateService) -> usize {
+    pub fn step(&mut self, now: u64, away: bool, state: &mut InMemoryStore) -> usize {
         self.end_work(now);
         while self.running.len() + self.holder.waiting() < self.demand.tasks as usize {
             self.ask();
@@ -64,8 +64,8 @@
                 Outcome::Refused
             } else {
                 let body = decode(&http.body).unwrap_or(ciborium::Value::Null);
-                let (status, answer) = state.handle(now, http.method, &http.target, &body);
-                Outcome::read(http.kind, status, &encode(&answer))
+                let response = state.handle(now, http.method, &http.target, &body);
+                Outcome::read(http.kind, response.status, &encode(&response.body))
             };
             self.holder.on_outcome(Time(now), outcome);
         }
@@ -116,16 +116,16 @@
 
 /// Everything in the records that does not add up. After a leader of a version without the feature the
 /// leader's charges may exceed its allowance until the next one has taken them in.
-pub fn audit(state: &StateService, leader_knows: bool) -> Vec<String> {
+pub fn audit(state: &InMemoryStore, leader_knows: bool) -> Vec<String> {
     let mut ledger = Ledger::default();
-    for (key, value) in state.below("quota/") {
+    for (key, value) in state.values_with_prefix("quota/") {
         ledger.take(&Item {
             key: key.to_owned(),
             value: value.clone(),
             version: Version(0),
         });
     }
-    for (_, value) in state.below("run/") {
+    for (_, value) in state.values_with_prefix("run/") {
         let Ok(record) = value.deserialized::<RunRecord>() else {
             continue;
         };
--- a/tests/simulated/mod.rs
+++ b/tests/simulated/mod.rs
@@ -30,8 +30,9 @@
 use cloud::Cloud;
 use displacement::Displacement;
 use fingerprint::Fingerprint;
-use lichencrank_testkit::state_service::{self, hold_ms, Limits, StateService};
+use lichencrank_testkit::store::{watch_timeout_ms, NO_SUCH_LEASE};
 use lichencrank_testkit::values::{self, get, number, text};
+use lichencrank_testkit::{HttpResponse, InMemoryStore, Limits};
 use network::{Call, Out, SimNet};
 use process::{Launcher, Process, Start, Version};
 use rollout::UpgradeOrder;
@@ -184,7 +185,7 @@
     serial: u64,
     site: Site,
     slots: Vec<Slot>,
-    state: StateService,
+    state: InMemoryStore,
     requests: Bucket,
     writes: Bucket,
     watches: Vec<Watch>,
@@ -233,9 +234,9 @@
             events: BTreeMap::new(),
             serial: 0,
             slots: Vec::new(),
-            state: StateService::new(Limits {
+            state: InMemoryStore::new(Limits {
                 value_bytes: (site.value_kb * 1024.0) as usize,
-                txn_ops: site.txn_ops,
+                changes: site.txn_ops,
             }),
             requests: Bucket::new(site.rps),
             writes: Bucket::new(site.write_rps),
@@ -370,7 +371,7 @@
         if self.checker.broken.is_empty() {
             self.checker.close(script.until);
             // GarbageCollected keeps up: what is over leaves nothing but its final state.
-            let left = (self.state.count("run/"), self.state.count("live/"));
+            let left = (self.state.key_count("run/"), self.state.key_count("live/"));
             if left != (0, 0) {
                 let what = format!("{} run records and {} jobs are not swept", left.0, left.1);
                 self.checker.broken.push(what);
@@ -714,12 +715,12 @@
                 // Watches stay open.
                 return;
             }
-            (503, Value::Null)
+            HttpResponse::unavailable()
         } else if !self.requests.takes(now, 1.0) {
             self.mark("over-budget");
-            (429, Value::Null)
+            HttpResponse::without_body(429)
         } else if call.target.starts_with("/changes") {
-            let until = now + hold_ms(&call.target);
+            let until = now + watch_timeout_ms(&call.target);
             let target = call.target;
             self.watches.push(Watch {
                 from,
@@ -732,11 +733,11 @@
             let writes = values::list(&body, "apply").len() as f64;
             if writes > 0.0 && !self.writes.takes(now, writes) {
                 self.mark("over-budget");
-                (429, Value::Null)
+                HttpResponse::without_body(429)
             } else {
                 let answer = self.state.handle(now, &call.method, &call.target, &body);
-                if answer.0 == 400 {
-                    self.note_refusal(node, &call.target, &answer.1, carried);
+                if answer.status == 400 {
+                    self.note_refusal(node, &call.target, &answer.body, carried);
                 }
                 self.see_leader();
                 answer
@@ -746,7 +747,7 @@
             return;
         }
         let when = now + self.latency();
-        let response = Response::new(answer.0, encode(&answer.1));
+        let response = Response::new(answer.status, encode(&answer.body));
         if let Some(arrives) = self.passes(node, Side::State, None, when) {
             self.at(arrives, Event::Reply(from, Ok(response)));
         }
@@ -759,7 +760,7 @@
         self.note(format!(
             "state service: 400 to node {node}: {target}: {error}"
         ));
-        let late_claim = error == state_service::NO_SUCH_LEASE && carried == Carried::Silently;
+        let late_claim = error == NO_SUCH_LEASE && carried == Carried::Silently;
         self.mark(if late_claim {
             "late-claim"
         } else {
@@ -770,10 +771,10 @@
     fn pass_state(&mut self) {
         let now = self.now();
         if now < self.troubles.outage {
-            self.state.refill_leases(now);
+            self.state.renew_all_leases(now);
             return;
         }
-        self.state.expire(now);
+        self.state.expire_leases(now);
         self.see_leader();
         for watch in std::mem::take(&mut self.watches) {
             let node = watch.from.0;
@@ -782,13 +783,13 @@
             let answer = if refused {
                 None
             } else {
-                self.state.changes(&watch.target, now >= watch.until)
+                self.state.watch(&watch.target, now >= watch.until)
             };
             match answer {
                 None => self.watches.push(watch),
-                Some((status, body)) => {
+                Some(answer) => {
                     let when = now + self.latency();
-                    let response = Response::new(status, encode(&body));
+                    let response = Response::new(answer.status, encode(&answer.body));
                     if let Some(arrives) = self.passes(node, Side::State, None, when) {
                         self.at(arrives, Event::Reply(watch.from, Ok(response)));
                     }
@@ -801,9 +802,9 @@
     fn see_leader(&mut self) {
         let term = self
             .state
-            .peek("lead/term")
+            .value("lead/term")
             .map_or(0, |t| number(t, "term"));
-        let holder = self.state.peek("lead/holder").map(|h| text(h, "node"));
+        let holder = self.state.value("lead/holder").map(|h| text(h, "node"));
         let named = |h: String| self.slots.iter().position(|s| s.settings.name == h);
         if let Some(leader) = holder.and_then(named) {
             let before = self.leader.replace(leader);
--- a/tests/simulated/troubles.rs
+++ b/tests/simulated/troubles.rs
@@ -190,10 +190,10 @@
 
     fn limits_fall(&mut self) {
         if let Some((kb, txn_ops, rps)) = self.site.next {
-            self.state.limits = Limits {
+            self.state.set_limits(Limits {
                 value_bytes: (kb * 1024.0) as usize,
-                txn_ops,
-            };
+                changes: txn_ops,
+            });
             self.writes = Bucket::new(rps);
         }
     }
--- a/tests/standin/mod.rs
+++ b/tests/standin/mod.rs
@@ -14,8 +14,9 @@
 use std::time::{Duration, Instant};
 
 pub use lichencrank_testkit::http::call;
-use lichencrank_testkit::http::{lock, serve};
-use lichencrank_testkit::loopback::state_service;
+use lichencrank_testkit::http::{serve, HttpResponse};
+use lichencrank_testkit::loopback::start_store;
+use lichencrank_testkit::sync::lock;
 use lichencrank_testkit::values::list;
 pub use lichencrank_testkit::values::{map, number, text};
 
@@ -126,18 +127,22 @@
     let (own, log, end) = (worker.clone(), starts.clone(), gone.clone());
     let address = serve(move |_, _, body| {
         if end.load(Ordering::SeqCst) {
-            return (500, Value::Null);
+            return HttpResponse::without_body(500);
         }
         let mut worker = lock(&own);
         let status = if worker.obey(body, &log) { 200 } else { 409 };
-        (status, worker.report())
+        HttpResponse {
+            status,
+            body: worker.report(),
+        }
     });
     lock(&worker).address = address.to_string();
     thread::spawn(move || {
         let mut at = 0;
         while !gone.load(Ordering::SeqCst) {
             let report = encode(&lock(&worker).report());
-            match call(nodes[at % nodes.len()], "POST", "/agent/beat", &report) {
+            let response = call(nodes[at % nodes.len()], "POST", "/agent/beat", &report);
+            match response.map(|response| (response.status, response.body)) {
                 Some((200, answer)) => {
                     lock(&worker).obey(&answer, &starts);
                 }
@@ -176,7 +181,7 @@
                     ("startupS", 1.0.into()),
                     ("halls", halls),
                 ]);
-                (200, map(vec![("hosttypes", Value::Array(vec![kind]))]))
+                HttpResponse::ok(map(vec![("hosttypes", Value::Array(vec![kind]))]))
             }
             ("POST", "/hosts") => {
                 let answer = asked.entry(text(body, "ask")).or_insert_with(|| {
@@ -190,7 +195,7 @@
                     }
                     map(vec![("hosts", Value::Array(names))])
                 });
-                (200, answer.clone())
+                HttpResponse::ok(answer.clone())
             }
             ("POST", "/hosts/release") => {
                 for name in list(body, "hosts").iter().filter_map(Value::as_text) {
@@ -198,15 +203,12 @@
                         gone.store(true, Ordering::SeqCst);
                     }
                 }
-                (200, map(vec![]))
+                HttpResponse::ok(map(vec![]))
             }
-            _ => (
-                200,
-                map(vec![
-                    ("hosts", Value::Array(vec![])),
-                    ("truncated", false.into()),
-                ]),
-            ),
+            _ => HttpResponse::ok(map(vec![
+                ("hosts", Value::Array(vec![])),
+                ("truncated", false.into()),
+            ])),
         }
     })
 }
@@ -311,7 +313,7 @@
         });
         let starts = Starts::default();
         let state_away = Arc::new(AtomicBool::new(false));
-        let state = state_service(state_away.clone());
+        let state = start_store(state_away.clone());
         let addresses: Vec<(SocketAddr, SocketAddr)> =
             (0..3).map(|_| (free_address(), free_address())).collect();
         let fronts = addresses.iter().map(|(front, _)| *front).collect();
--- a/tests/zones_report.rs
+++ b/tests/zones_report.rs
@@ -7,7 +7,7 @@
 use lichencrank::settings::Settings;
 use lichencrank::zones_report::{render, report};
 use lichencrank_store::{value, BlockingClient, Change, ConditionalStore, Outcome, Request, Txn};
-use lichencrank_testkit::loopback::state_service;
+use lichencrank_testkit::loopback::start_store;
 use lichencrank_zones::record::{ZoneRecord, KEY, VERSION};
 use lichencrank_zones::{ZoneState, ZonesRecord};
 
@@ -63,7 +63,7 @@
 #[test]
 fn the_record_is_read_from_the_state_service() {
     let away = Arc::new(AtomicBool::new(false));
-    let state = state_service(away.clone());
+    let state = start_store(away.clone());
     let settings = settings(state);
     assert!(report(&settings).expect("an answer").contains("no record"));
     let mut client = BlockingClient::new(state, Duration::from_secs(5));
