--- a/crates/testkit/src/loopback.rs
+++ b/crates/testkit/src/loopback.rs
@@ -7,6 +7,7 @@
 use std::time::{Duration, Instant};
 
 use crate::http::{serve, HttpResponse};
+use crate::store::target::path;
 use crate::store::{watch_timeout_ms, InMemoryStore, Limits};
 use crate::sync::lock;
 use crate::values::map;
@@ -40,9 +41,9 @@
             lock(&store).renew_all_leases(now_ms());
             return HttpResponse::unavailable();
         }
-        match target.split('?').next() {
-            Some("/changes") => wait_for_changes(&store, target, now_ms),
-            Some("/replay") => replay(&mut lock(&store)),
+        match path(target) {
+            "/changes" => wait_for_changes(&store, target, now_ms),
+            "/replay" => replay(&mut lock(&store)),
             _ => lock(&store).handle(now_ms(), method, target, body),
         }
     })
--- a/src/transport/sockets.rs
+++ b/src/transport/sockets.rs
@@ -83,7 +83,7 @@
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Readiness {
     pub(super) slot: usize,
-    /// Also set if the peer has closed its side, or the connection failed: reading tells.
+    /// Also set if the peer has closed its side, or the connection failed: reading shows which.
     pub(super) readable: bool,
     /// Also set if the connection failed.
     pub(super) writable: bool,
