--- a/crates/quota/examples/admissions.rs
+++ b/crates/quota/examples/admissions.rs
@@ -8,7 +8,7 @@
 
 use lichencrank_quota::{
     AdmissionId, AdmissionRequest, Decision, Holder, HolderConfig, HolderName, Ledger, Policy,
-    Priority, RequesterName, TeamName, TeamPolicy, Usage,
+    Priority, RequesterName, ResourceVector, TeamName, TeamPolicy,
 };
 use lichencrank_store::{
     value, Change, ConditionalStore, Outcome, Request, StoreLimits, Time, Txn, Version,
@@ -73,11 +73,11 @@
 
 fn policy() -> Policy {
     let team = TeamPolicy {
-        guarantee: Usage::ZERO,
-        limit: Usage::limit(LIMIT as f64, 0.0),
+        guarantee: ResourceVector::ZERO,
+        limit: ResourceVector::from_limit_settings(LIMIT as f64, 0.0),
     };
     Policy {
-        capacity: Usage::UNLIMITED,
+        capacity: ResourceVector::UNLIMITED,
         teams: [(TeamName::new(TEAM), team)].into(),
     }
 }
@@ -89,7 +89,7 @@
             requester: RequesterName::new(&format!("user-{holder}")),
             sequence: number as u32,
         },
-        usage: Usage::of_cpus(1),
+        usage: ResourceVector::from_cpus(1),
         priority: Priority::Normal,
     }
 }
@@ -108,7 +108,7 @@
         let lent = ledger
             .teams
             .values()
-            .map(|team| team.lent_total().cpus.as_decimal());
+            .map(|team| team.lent_total().cpus.to_decimal());
         (lent.sum::<f64>() - used).max(0.0) / LIMIT as f64
     })
 }
--- a/crates/quota/src/accounts.rs
+++ b/crates/quota/src/accounts.rs
@@ -9,18 +9,19 @@
 
 use lichencrank_store::{Change, Item, Txn, Version};
 
-use crate::amount::{Amount, Usage};
+use crate::amount::Amount;
 use crate::holder::Policy;
 use crate::lending::{set_allowance, set_policy, NewAllowance};
 use crate::names::{HolderName, TeamName};
 use crate::records::{AllowanceRecord, PoolRecord, Record, RecordKey, TeamRecord};
+use crate::resource_vector::ResourceVector;
 
 /// Name of the holder that all leaders are in their turn.
 pub const LEADER: &str = "leader";
 /// Of what is unlimited so much is lent at once.
-const UNLIMITED_GRANT: Usage = Usage {
-    cpus: Amount::whole(1_000_000),
-    gpus: Amount::whole(1_000_000),
+const UNLIMITED_GRANT: ResourceVector = ResourceVector {
+    cpus: Amount::from_whole(1_000_000),
+    gpus: Amount::from_whole(1_000_000),
 };
 
 /// A team's record, its allowance and the pool.
@@ -33,11 +34,11 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Demand {
     /// What is charged, by the holder's own records.
-    pub used: Usage,
+    pub used: ResourceVector,
     /// What all that waits would take.
-    pub waiting: Usage,
+    pub waiting: ResourceVector,
     /// What the one that waits in front takes.
-    pub front: Usage,
+    pub front: ResourceVector,
 }
 
 #[derive(Clone, Debug, Default)]
@@ -124,7 +125,7 @@
     }
 
     /// What may be charged of a team in all; `None` before the allowance is claimed.
-    pub fn granted(&self, team: &TeamName) -> Option<Usage> {
+    pub fn granted(&self, team: &TeamName) -> Option<ResourceVector> {
         self.claimed(team).map(|own| own.record.granted)
     }
 
@@ -269,23 +270,23 @@
         demand: &Demand,
     ) -> NewAllowance {
         // What runs counts, also above the limit: it was booked by a version that knows no allowances.
-        let mut granted = own.granted.at_least(&demand.used);
-        let unspent = granted.without(&demand.used);
-        let mut owed = pool.missing_before(team).at_most(&record.borrowed());
+        let mut granted = own.granted.component_max(&demand.used);
+        let unspent = granted.saturating_sub(&demand.used);
+        let mut owed = pool.missing_before(team).component_min(&record.borrowed());
         if record.others_wait(&self.holder) {
             let free = record.free(team, pool);
-            let to_holders = record.wanted_before(&self.holder).without(&free);
-            owed = owed.at_least(&to_holders);
+            let to_holders = record.wanted_before(&self.holder).saturating_sub(&free);
+            owed = owed.component_max(&to_holders);
         }
-        let over_limit = record.lent_total().without(&record.limit);
-        let owed = owed.at_least(&over_limit);
-        granted = granted.without(&unspent.at_most(&owed));
+        let over_limit = record.lent_total().saturating_sub(&record.limit);
+        let owed = owed.component_max(&over_limit);
+        granted = granted.saturating_sub(&unspent.component_min(&owed));
         let lendable = record.lendable(team, pool, &self.holder);
         granted = granted + lending(&granted, &lendable, pool, demand);
-        let short = (demand.used + demand.waiting).without(&granted);
-        let under_limit = record.limit.without(&granted);
-        let wanted = short.at_most(&under_limit);
-        let wanted = wanted.at_most(&demand.front.times(WANTED_TASKS));
+        let short = (demand.used + demand.waiting).saturating_sub(&granted);
+        let under_limit = record.limit.saturating_sub(&granted);
+        let wanted = short.component_min(&under_limit);
+        let wanted = wanted.component_min(&demand.front.saturating_mul(WANTED_TASKS));
         NewAllowance {
             granted,
             wanted: (!wanted.is_zero()).then_some(wanted),
@@ -295,14 +296,19 @@
 
 /// How much more is taken of what can be had: all of it where there is no end of machines, as nobody
 /// else goes short by it; else what waits.
-fn lending(granted: &Usage, lendable: &Usage, pool: &PoolRecord, demand: &Demand) -> Usage {
+fn lending(
+    granted: &ResourceVector,
+    lendable: &ResourceVector,
+    pool: &PoolRecord,
+    demand: &Demand,
+) -> ResourceVector {
     let wanted = if pool.capacity.is_unlimited() {
         // What is there already counts, of each resource by itself.
-        UNLIMITED_GRANT.without(&granted.without(&demand.used))
+        UNLIMITED_GRANT.saturating_sub(&granted.saturating_sub(&demand.used))
     } else {
-        (demand.used + demand.waiting).without(granted)
+        (demand.used + demand.waiting).saturating_sub(granted)
     };
-    wanted.at_most(lendable)
+    wanted.component_min(lendable)
 }
 
 impl Picture {
--- a/crates/quota/src/admission.rs
+++ b/crates/quota/src/admission.rs
@@ -2,9 +2,9 @@
 
 use thiserror::Error;
 
-use crate::amount::Usage;
 use crate::names::AdmissionId;
 use crate::records::Priority;
+use crate::resource_vector::ResourceVector;
 
 /// A request to admit work.
 #[derive(Clone, Debug, PartialEq)]
@@ -12,7 +12,7 @@
     /// Names it; a repeat has the same id.
     pub id: AdmissionId,
     /// What the work takes.
-    pub usage: Usage,
+    pub usage: ResourceVector,
     /// How urgent it is.
     pub priority: Priority,
 }
--- a/crates/quota/src/audit.rs
+++ b/crates/quota/src/audit.rs
@@ -5,11 +5,11 @@
 
 use lichencrank_store::{ConditionalStore, Item, Outcome, Request};
 
-use crate::amount::Usage;
 use crate::names::{AdmissionId, HolderName, RequesterName, TeamName};
 use crate::records::{
     AllowanceRecord, OpenRecord, OpenState, PoolRecord, Record, RecordKey, TeamRecord, PREFIX,
 };
+use crate::resource_vector::ResourceVector;
 use crate::settled::SettledRecord;
 
 /// Records read at once.
@@ -31,7 +31,7 @@
     /// Settled admissions.
     pub settled: BTreeMap<(TeamName, RequesterName), SettledRecord>,
     /// What holders that keep their own accounts have charged, by their own records.
-    pub self_accounted: BTreeMap<(TeamName, HolderName), Usage>,
+    pub self_accounted: BTreeMap<(TeamName, HolderName), ResourceVector>,
 }
 
 /// Something that does not add up.
@@ -42,9 +42,9 @@
         /// The team.
         team: TeamName,
         /// What its admissions take.
-        used: Usage,
+        used: ResourceVector,
         /// Its limit.
-        limit: Usage,
+        limit: ResourceVector,
     },
     /// A holder has charged more than its allowance.
     OverAllowance {
@@ -53,9 +53,9 @@
         /// The holder.
         holder: HolderName,
         /// What its admissions take.
-        charged: Usage,
+        charged: ResourceVector,
         /// Its allowance.
-        granted: Usage,
+        granted: ResourceVector,
     },
     /// The team's record and the allowance say different things.
     LentDiffers {
@@ -64,23 +64,23 @@
         /// The holder.
         holder: HolderName,
         /// By the team's record.
-        lent: Usage,
+        lent: ResourceVector,
         /// By the allowance.
-        granted: Usage,
+        granted: ResourceVector,
     },
     /// The pool does not say what the teams' records add up to.
     PoolDiffers {
         /// What the pool says of guarantees and borrowing.
-        recorded: (Usage, Usage),
+        recorded: (ResourceVector, ResourceVector),
         /// What the teams add up to.
-        summed: (Usage, Usage),
+        summed: (ResourceVector, ResourceVector),
     },
     /// Borrowed work takes room that guarantees need.
     GuaranteeBroken {
         /// What guarantees and borrowed work take together.
-        reserved: Usage,
+        reserved: ResourceVector,
         /// What the machines have.
-        capacity: Usage,
+        capacity: ResourceVector,
     },
     /// An admission counts although it is settled.
     OpenAndSettled(AdmissionId),
@@ -175,30 +175,30 @@
     }
 
     /// What a holder has charged of a team, summed up from its admissions.
-    pub fn charged(&self, team: &TeamName, holder: &HolderName) -> Usage {
+    pub fn charged(&self, team: &TeamName, holder: &HolderName) -> ResourceVector {
         let open = self.open.iter();
         let of_holder = open.filter(|(id, open)| id.team == *team && open.holder == *holder);
-        let charged: Usage = of_holder.map(|(_, open)| open.usage).sum();
+        let charged: ResourceVector = of_holder.map(|(_, open)| open.usage).sum();
         let own = self.self_accounted.get(&(team.clone(), holder.clone()));
         charged + own.copied().unwrap_or_default()
     }
 
     /// What a team uses, summed up from its admissions. Records that a holder keeps by itself may still
     /// show what is proven to have ended; it never uses more than its allowance.
-    pub fn used(&self, team: &TeamName) -> Usage {
+    pub fn used(&self, team: &TeamName) -> ResourceVector {
         let open = self.open.iter().filter(|(id, _)| id.team == *team);
-        let charged: Usage = open.map(|(_, open)| open.usage).sum();
+        let charged: ResourceVector = open.map(|(_, open)| open.usage).sum();
         let own = self.self_accounted.iter().filter(|((of, _), _)| of == team);
         let own = own.map(|(place, usage)| {
             let allowance = self.allowances.get(place);
-            let granted = allowance.map_or(Usage::UNLIMITED, |a| a.granted);
-            usage.at_most(&granted)
+            let granted = allowance.map_or(ResourceVector::UNLIMITED, |a| a.granted);
+            usage.component_min(&granted)
         });
         charged + own.sum()
     }
 
     /// What of a team's work has been told to end.
-    pub fn revoked(&self, team: &TeamName) -> Usage {
+    pub fn revoked(&self, team: &TeamName) -> ResourceVector {
         let open = self.open.iter().filter(|(id, _)| id.team == *team);
         let revoked = open.filter(|(_, open)| open.state == OpenState::Revoked);
         revoked.map(|(_, open)| open.usage).sum()
@@ -226,7 +226,7 @@
 
     fn audit_team(&self, team: &TeamName, record: &TeamRecord, found: &mut Vec<Difference>) {
         let used = self.used(team);
-        if !used.fits(&record.limit) {
+        if !used.fits_within(&record.limit) {
             found.push(Difference::OverLimit {
                 team: team.clone(),
                 used,
@@ -240,7 +240,7 @@
                     team: team.clone(),
                     holder: holder.clone(),
                     lent: *lent,
-                    granted: Usage::ZERO,
+                    granted: ResourceVector::ZERO,
                 });
             }
         }
@@ -265,7 +265,7 @@
             });
         }
         let charged = self.charged(team, holder);
-        if !allowance.self_accounted && !charged.fits(&granted) {
+        if !allowance.self_accounted && !charged.fits_within(&granted) {
             found.push(Difference::OverAllowance {
                 team: team.clone(),
                 holder: holder.clone(),
@@ -287,11 +287,11 @@
         }
         let uses = self.teams.iter().map(|(team, record)| {
             let used = self.used(team);
-            used.at_least(&record.guarantee)
+            used.component_max(&record.guarantee)
         });
-        let reserved: Usage = uses.sum();
+        let reserved: ResourceVector = uses.sum();
         // Where the machines don't have what is guaranteed, nobody's borrowing is to blame.
-        if guaranteed.fits(&pool.capacity) && !reserved.fits(&pool.capacity) {
+        if guaranteed.fits_within(&pool.capacity) && !reserved.fits_within(&pool.capacity) {
             found.push(Difference::GuaranteeBroken {
                 reserved,
                 capacity: pool.capacity,
--- a/crates/quota/src/holder/account.rs
+++ b/crates/quota/src/holder/account.rs
@@ -4,9 +4,9 @@
 
 use lichencrank_store::Time;
 
-use crate::amount::Usage;
 use crate::names::{AdmissionId, HolderName, TeamName};
 use crate::records::Priority;
+use crate::resource_vector::ResourceVector;
 
 /// How far the claim on an allowance is.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -28,7 +28,7 @@
     /// Begins behind this key.
     pub(super) after: String,
     /// The charges found so far.
-    pub(super) charged: Usage,
+    pub(super) charged: ResourceVector,
 }
 
 /// Where a request stands among those that wait: the more urgent first, then the earlier.
@@ -41,9 +41,9 @@
     /// Epochs at which this process claimed the allowance.
     pub(super) epochs: BTreeSet<u64>,
     /// What our open admissions take.
-    pub(super) charged: Usage,
+    pub(super) charged: ResourceVector,
     /// What was lent for requests that wait here, and is not charged yet: it goes to nobody else.
-    pub(super) earmarked: Usage,
+    pub(super) earmarked: ResourceVector,
     /// Admissions that were seen while the charges are being read.
     pub(super) seen: BTreeSet<AdmissionId>,
     /// Requests that wait, in the order in which they are served.
@@ -61,8 +61,8 @@
         Account {
             claim: Claim::None,
             epochs: BTreeSet::new(),
-            charged: Usage::ZERO,
-            earmarked: Usage::ZERO,
+            charged: ResourceVector::ZERO,
+            earmarked: ResourceVector::ZERO,
             seen: BTreeSet::new(),
             waiting: BTreeSet::new(),
             refresh_at: now,
--- a/crates/quota/src/holder/admissions.rs
+++ b/crates/quota/src/holder/admissions.rs
@@ -29,11 +29,11 @@
         let account = self.account(&id.team);
         if !before.counts() && after.counts() {
             account.charged += usage;
-            account.earmarked = account.earmarked.without(&usage);
+            account.earmarked = account.earmarked.saturating_sub(&usage);
             account.waiting.remove(&place);
         }
         if before.counts() && !after.counts() {
-            account.charged = account.charged.without(&usage);
+            account.charged = account.charged.saturating_sub(&usage);
         }
         if after == AdmissionState::Released {
             self.admissions.remove(id);
--- a/crates/quota/src/holder/charge.rs
+++ b/crates/quota/src/holder/charge.rs
@@ -7,11 +7,11 @@
 use super::operation::{Draft, Effect, Operation, Purpose};
 use super::{Decision, Holder, BATCH_BYTES, LOAD_PAGE};
 use crate::admission::{AdmissionRequest, AdmissionState, RejectReason};
-use crate::amount::Usage;
 use crate::names::{AdmissionId, TeamName};
 use crate::records::{
     open_prefix, AllowanceRecord, OpenRecord, OpenState, Record, RecordKey, TeamRecord,
 };
+use crate::resource_vector::ResourceVector;
 
 /// About the size of an open admission in a transaction.
 const OPEN_BYTES: usize = 400;
@@ -48,7 +48,7 @@
                     team: team.clone(),
                     holder,
                     after,
-                    charged: Usage::ZERO,
+                    charged: ResourceVector::ZERO,
                 };
                 Ok(Some(load(loading)))
             }
@@ -153,10 +153,10 @@
     }
 
     /// What the allowance has left.
-    pub(super) fn room(&self, team: &TeamName) -> Result<Usage, Unread> {
+    pub(super) fn room(&self, team: &TeamName) -> Result<ResourceVector, Unread> {
         let known = self.cache.allowance(team, &self.config.name)?;
-        let granted = known.record.map_or(Usage::ZERO, |a| a.granted);
-        Ok(granted.without(&self.charged(team)))
+        let granted = known.record.map_or(ResourceVector::ZERO, |a| a.granted);
+        Ok(granted.saturating_sub(&self.charged(team)))
     }
 
     fn plan_charge(
@@ -213,7 +213,7 @@
         &mut self,
         id: &AdmissionId,
         team: &TeamRecord,
-        room: &mut Usage,
+        room: &mut ResourceVector,
         draft: &mut Draft,
     ) -> Result<Front, Unread> {
         let Some(admission) = self.admissions.get(id) else {
@@ -222,7 +222,7 @@
         let AdmissionRequest {
             usage, priority, ..
         } = admission.request;
-        if !usage.fits(&team.limit) {
+        if !usage.fits_within(&team.limit) {
             self.reject(id.clone(), RejectReason::LargerThanLimit);
             return Ok(Front::Answered);
         }
@@ -241,10 +241,10 @@
             self.reject(id.clone(), RejectReason::TooManyGaps);
             return Ok(Front::Answered);
         }
-        if !usage.fits(room) {
+        if !usage.fits_within(room) {
             return Ok(Front::NoRoom);
         }
-        *room = room.without(&usage);
+        *room = room.saturating_sub(&usage);
         let epoch = self.account(&id.team).epochs.last().copied();
         let open = OpenRecord {
             holder: self.config.name.clone(),
--- a/crates/quota/src/holder/collect.rs
+++ b/crates/quota/src/holder/collect.rs
@@ -11,10 +11,10 @@
 use super::charge::load;
 use super::operation::{Draft, Effect, Operation};
 use super::{Decision, Holder};
-use crate::amount::Usage;
 use crate::lending::NewAllowance;
 use crate::names::{HolderName, TeamName};
 use crate::records::{AllowanceRecord, Record, RecordKey};
+use crate::resource_vector::ResourceVector;
 
 /// How far it is.
 #[derive(Clone, Debug, PartialEq)]
@@ -22,9 +22,12 @@
     /// The holder is to be fenced off.
     Fence,
     /// Its charges are being read.
-    Load { after: String, charged: Usage },
+    Load {
+        after: String,
+        charged: ResourceVector,
+    },
     /// Its allowance becomes what it has charged.
-    Write { charged: Usage },
+    Write { charged: ResourceVector },
 }
 
 /// One allowance that is being taken back.
@@ -112,7 +115,7 @@
             collection.fenced_at = version;
             collection.step = Step::Load {
                 after: String::new(),
-                charged: Usage::ZERO,
+                charged: ResourceVector::ZERO,
             };
         }
     }
@@ -120,7 +123,7 @@
     fn plan_collected(
         &mut self,
         collection: &Collection,
-        charged: Usage,
+        charged: ResourceVector,
     ) -> Result<Option<Operation>, Unread> {
         let Collection { team, holder, .. } = collection;
         let known = self.cache.allowance(team, holder)?;
@@ -165,7 +168,7 @@
     }
 
     /// A page of the charges of the holder in front.
-    pub(super) fn collected_page(&mut self, found: Usage, next: Option<String>) {
+    pub(super) fn collected_page(&mut self, found: ResourceVector, next: Option<String>) {
         let Some(front) = self.collections.front_mut() else {
             return;
         };
--- a/crates/quota/src/holder/enforce.rs
+++ b/crates/quota/src/holder/enforce.rs
@@ -8,11 +8,11 @@
 use super::cache::Unread;
 use super::operation::{Draft, Effect, Operation, Purpose};
 use super::{Holder, LOAD_PAGE};
-use crate::amount::Usage;
 use crate::names::{AdmissionId, TeamName};
 use crate::records::{
     OpenRecord, OpenState, PoolRecord, Record, RecordKey, TeamRecord, OPEN, TEAMS,
 };
+use crate::resource_vector::ResourceVector;
 use crate::revocation::{choose_as_far_as_possible, Candidate, TeamUse};
 
 /// How far it is.
@@ -136,7 +136,7 @@
         let mut uses: BTreeMap<TeamName, TeamUse> = BTreeMap::new();
         for (team, record) in teams {
             let guarantee = record.guarantee;
-            let used = Usage::ZERO;
+            let used = ResourceVector::ZERO;
             uses.insert(team.clone(), TeamUse { guarantee, used });
         }
         let mut candidates = Vec::new();
@@ -169,9 +169,12 @@
 }
 
 /// How much of what is borrowed is in the way of a guarantee.
-fn shortage(pool: &PoolRecord, teams: &BTreeMap<TeamName, TeamUse>) -> Usage {
-    let reserved: Usage = teams.values().map(|t| t.used.at_least(&t.guarantee)).sum();
-    reserved.without(&pool.capacity)
+fn shortage(pool: &PoolRecord, teams: &BTreeMap<TeamName, TeamUse>) -> ResourceVector {
+    let reserved: ResourceVector = teams
+        .values()
+        .map(|t| t.used.component_max(&t.guarantee))
+        .sum();
+    reserved.saturating_sub(&pool.capacity)
 }
 
 fn survey(prefix: &str, after: &str) -> Operation {
--- a/crates/quota/src/holder/lend.rs
+++ b/crates/quota/src/holder/lend.rs
@@ -7,10 +7,10 @@
 use super::cache::Unread;
 use super::operation::{Draft, Effect, Operation};
 use super::Holder;
-use crate::amount::Usage;
 use crate::lending::{lend_amount, set_allowance, NewAllowance};
 use crate::names::{AdmissionId, HolderName, TeamName};
 use crate::records::{AllowanceRecord, Record, RecordKey, TeamRecord};
+use crate::resource_vector::ResourceVector;
 
 impl Holder {
     /// What the allowance needs: more for those that wait, less for others, or nothing.
@@ -38,14 +38,14 @@
         let pool = self.pool()?;
         let lendable = record.lendable(team, &pool, &own);
         let usage = self.usage_of(front);
-        let missing = usage.without(&unspent);
+        let missing = usage.saturating_sub(&unspent);
         let granted = self.granted(team)?;
-        if missing.fits(&lendable) {
+        if missing.fits_within(&lendable) {
             let contended = !record.wanted.is_empty() || !pool.wanted.is_empty();
             let mut need = missing;
             if !contended {
-                let all = self.waiting_usage(team).without(&unspent);
-                need = need.at_least(&all.at_most(&lendable));
+                let all = self.waiting_usage(team).saturating_sub(&unspent);
+                need = need.component_max(&all.component_min(&lendable));
             }
             let more = lend_amount(need, lendable, contended, self.config.holders);
             let new = NewAllowance {
@@ -54,7 +54,7 @@
             };
             let effect = Effect::Lent {
                 team: team.clone(),
-                usage: unspent.at_most(&usage) + need,
+                usage: unspent.component_min(&usage) + need,
             };
             return self.draft_allowance(team, &own, &new, effect).map(Some);
         }
@@ -63,7 +63,7 @@
             return Ok(None);
         }
         let new = NewAllowance {
-            granted: granted.without(&unspent),
+            granted: granted.saturating_sub(&unspent),
             wanted: Some(usage),
         };
         self.draft_allowance(team, &own, &new, Effect::None)
@@ -79,15 +79,15 @@
         let own = self.config.name.clone();
         let (now, idle_return) = (self.now, self.config.idle_return);
         let account = self.account(team);
-        account.earmarked = Usage::ZERO;
+        account.earmarked = ResourceVector::ZERO;
         let idles = now.since(account.used_at) >= idle_return;
         let unspent = self.room(team)?;
         let waits = record.wanted.iter().any(|want| want.holder == own);
-        let returned = if idles { unspent } else { Usage::ZERO };
+        let returned = if idles { unspent } else { ResourceVector::ZERO };
         if !waits && returned.is_zero() {
             return Ok(None);
         }
-        let granted = self.granted(team)?.without(&returned);
+        let granted = self.granted(team)?.saturating_sub(&returned);
         let wanted = None;
         let new = NewAllowance { granted, wanted };
         self.draft_allowance(team, &own, &new, Effect::None)
@@ -104,27 +104,29 @@
     ) -> Result<Option<Operation>, Unread> {
         let earmarked = self.account(team).earmarked;
         let pool = self.pool()?;
-        let over_limit = record.lent_total().without(&record.limit);
+        let over_limit = record.lent_total().saturating_sub(&record.limit);
         let unspent = self.room(team)?;
-        let overcommitted = record.borrowed().at_most(&pool.overcommitted());
-        let shrunk = over_limit.at_least(&overcommitted);
-        let mut owed = Usage::ZERO;
+        let overcommitted = record.borrowed().component_min(&pool.overcommitted());
+        let shrunk = over_limit.component_max(&overcommitted);
+        let mut owed = ResourceVector::ZERO;
         if record.others_wait(&self.config.name) {
             let free = record.free(team, &pool);
-            owed = record.wanted_before(&self.config.name).without(&free);
+            owed = record
+                .wanted_before(&self.config.name)
+                .saturating_sub(&free);
         }
-        let to_teams = record.borrowed().at_most(&pool.missing_before(team));
+        let to_teams = record.borrowed().component_min(&pool.missing_before(team));
         let owed = owed
-            .at_least(&to_teams)
-            .at_most(&unspent.without(&earmarked));
-        let less = unspent.at_most(&owed.at_least(&shrunk));
+            .component_max(&to_teams)
+            .component_min(&unspent.saturating_sub(&earmarked));
+        let less = unspent.component_min(&owed.component_max(&shrunk));
         if less.is_zero() {
             return Ok(None);
         }
         let own = self.config.name.clone();
         let wanted = record.wanted.iter().find(|want| want.holder == own);
         let new = NewAllowance {
-            granted: self.granted(team)?.without(&less),
+            granted: self.granted(team)?.saturating_sub(&less),
             wanted: wanted.map(|want| want.usage),
         };
         self.draft_allowance(team, &own, &new, Effect::None)
@@ -163,19 +165,19 @@
         Ok(draft.commit(effect))
     }
 
-    fn granted(&self, team: &TeamName) -> Result<Usage, Unread> {
+    fn granted(&self, team: &TeamName) -> Result<ResourceVector, Unread> {
         let known = self.cache.allowance(team, &self.config.name)?;
-        Ok(known.record.map_or(Usage::ZERO, |a| a.granted))
+        Ok(known.record.map_or(ResourceVector::ZERO, |a| a.granted))
     }
 
-    fn usage_of(&self, id: &AdmissionId) -> Usage {
+    fn usage_of(&self, id: &AdmissionId) -> ResourceVector {
         let admission = self.admissions.get(id);
-        admission.map_or(Usage::ZERO, |a| a.request.usage)
+        admission.map_or(ResourceVector::ZERO, |a| a.request.usage)
     }
 
-    fn waiting_usage(&self, team: &TeamName) -> Usage {
+    fn waiting_usage(&self, team: &TeamName) -> ResourceVector {
         let Some(account) = self.accounts.get(team) else {
-            return Usage::ZERO;
+            return ResourceVector::ZERO;
         };
         account.waiting.iter().map(|p| self.usage_of(&p.2)).sum()
     }
--- a/crates/quota/src/holder/mod.rs
+++ b/crates/quota/src/holder/mod.rs
@@ -25,9 +25,9 @@
 use lichencrank_store::{Request, StoreLimits, Time};
 
 use crate::admission::{AdmissionEvent, AdmissionRequest, AdmissionState, RejectReason};
-use crate::amount::Usage;
 use crate::names::{AdmissionId, HolderName, TeamName};
 use crate::records::{names_fit, PoolRecord, RecordKey};
+use crate::resource_vector::ResourceVector;
 
 use account::{Account, Place};
 use cache::{Cache, Unread};
@@ -245,8 +245,10 @@
     }
 
     /// What this holder has charged of a team, as far as it knows.
-    pub fn charged(&self, team: &TeamName) -> Usage {
-        self.accounts.get(team).map_or(Usage::ZERO, |a| a.charged)
+    pub fn charged(&self, team: &TeamName) -> ResourceVector {
+        self.accounts
+            .get(team)
+            .map_or(ResourceVector::ZERO, |a| a.charged)
     }
 
     /// Opens the accounts of that team, so that what an earlier process of this name had charged is
--- a/crates/quota/src/holder/operation.rs
+++ b/crates/quota/src/holder/operation.rs
@@ -4,9 +4,9 @@
 
 use super::account::Loading;
 use super::cache::{Cache, Unread};
-use crate::amount::Usage;
 use crate::names::{AdmissionId, HolderName, TeamName};
 use crate::records::{Record, RecordKey};
+use crate::resource_vector::ResourceVector;
 
 /// What follows once a transaction is committed, beside the records that it wrote.
 #[derive(Clone, Debug, PartialEq)]
@@ -16,7 +16,10 @@
     /// The allowance is ours at this epoch.
     Claimed { team: TeamName, epoch: u64 },
     /// Our allowance has grown by that for the requests that wait.
-    Lent { team: TeamName, usage: Usage },
+    Lent {
+        team: TeamName,
+        usage: ResourceVector,
+    },
     /// These admissions are charged.
     Charged(Vec<AdmissionId>),
     /// The charges of these are taken back.
--- a/crates/quota/src/holder/outcomes.rs
+++ b/crates/quota/src/holder/outcomes.rs
@@ -8,9 +8,9 @@
 use super::operation::{Effect, Flight, Operation, Purpose};
 use super::{Decision, Holder};
 use crate::admission::AdmissionEvent;
-use crate::amount::Usage;
 use crate::names::{AdmissionId, TeamName};
 use crate::records::{Record, RecordKey};
+use crate::resource_vector::ResourceVector;
 
 /// After a refusal nothing is sent for this long.
 const REFUSED_PAUSE: Duration = Duration::from_millis(200);
@@ -103,7 +103,7 @@
 
     fn on_open_page(&mut self, loading: &Loading, page: &Page) {
         let own = loading.holder == self.config.name;
-        let mut found = Usage::ZERO;
+        let mut found = ResourceVector::ZERO;
         for (key, version, record) in read_page(page) {
             let (RecordKey::Open(id), Record::Open(open)) = (&key, &record) else {
                 continue;
--- a/crates/quota/src/holder/policy.rs
+++ b/crates/quota/src/holder/policy.rs
@@ -10,25 +10,25 @@
 use super::cache::Unread;
 use super::operation::{Draft, Effect, Operation};
 use super::{Decision, Holder};
-use crate::amount::Usage;
 use crate::lending::set_policy;
 use crate::names::{HolderName, TeamName};
 use crate::records::{PoolRecord, Record, RecordKey, TeamRecord};
+use crate::resource_vector::ResourceVector;
 
 /// What a team is guaranteed and allowed.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct TeamPolicy {
     /// What other teams' borrowing never takes from it.
-    pub guarantee: Usage,
+    pub guarantee: ResourceVector,
     /// What all of its work together never exceeds.
-    pub limit: Usage,
+    pub limit: ResourceVector,
 }
 
 /// What operators want.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Policy {
     /// What the machines have in all; unlimited where they are rented as needed.
-    pub capacity: Usage,
+    pub capacity: ResourceVector,
     /// The teams.
     pub teams: BTreeMap<TeamName, TeamPolicy>,
 }
@@ -36,7 +36,7 @@
 /// A policy on its way into the store.
 #[derive(Debug)]
 pub(super) struct PolicyChange {
-    capacity: Usage,
+    capacity: ResourceVector,
     /// Teams that may differ from it.
     left: Vec<(TeamName, TeamPolicy)>,
 }
@@ -91,7 +91,7 @@
 
     /// More is lent than the limit allows: what is not spent of it comes back.
     fn recall_above_limit(&mut self, team: &TeamName, record: &TeamRecord) {
-        if record.lent_total().fits(&record.limit) {
+        if record.lent_total().fits_within(&record.limit) {
             return;
         }
         let holders: Vec<HolderName> = record.lent.keys().cloned().collect();
--- a/crates/quota/src/lending.rs
+++ b/crates/quota/src/lending.rs
@@ -1,9 +1,9 @@
 //! How a team's limit is lent to holders and comes back. Pure functions over records: whoever writes
 //! their results makes the transaction conditional on the records that went in.
 
-use crate::amount::Usage;
 use crate::names::{HolderName, TeamName};
 use crate::records::{PoolRecord, TeamRecord, TeamWant, Want};
+use crate::resource_vector::ResourceVector;
 
 /// No more than so many times what is needed is lent ahead.
 const UNLIMITED_CHUNK: u64 = 64;
@@ -13,22 +13,22 @@
 
 impl TeamRecord {
     /// What is lent to all holders together.
-    pub fn lent_total(&self) -> Usage {
+    pub fn lent_total(&self) -> ResourceVector {
         self.lent.values().copied().sum()
     }
 
     /// What is lent to one holder.
-    pub fn lent_to(&self, holder: &HolderName) -> Usage {
+    pub fn lent_to(&self, holder: &HolderName) -> ResourceVector {
         self.lent.get(holder).copied().unwrap_or_default()
     }
 
     /// What is lent beyond the guarantee.
-    pub fn borrowed(&self) -> Usage {
-        self.lent_total().without(&self.guarantee)
+    pub fn borrowed(&self) -> ResourceVector {
+        self.lent_total().saturating_sub(&self.guarantee)
     }
 
     /// What holders wait for that come before this one; all that wait if it is not among them.
-    pub fn wanted_before(&self, holder: &HolderName) -> Usage {
+    pub fn wanted_before(&self, holder: &HolderName) -> ResourceVector {
         let before = self.wanted.iter().take_while(|want| want.holder != *holder);
         before.map(|want| want.usage).sum()
     }
@@ -41,32 +41,39 @@
 
     /// What can be lent to the holder now: under the limit, within what the pool lets be borrowed, and
     /// without what earlier holders wait for.
-    pub fn lendable(&self, name: &TeamName, pool: &PoolRecord, holder: &HolderName) -> Usage {
+    pub fn lendable(
+        &self,
+        name: &TeamName,
+        pool: &PoolRecord,
+        holder: &HolderName,
+    ) -> ResourceVector {
         let free = self.free(name, pool);
-        free.without(&self.wanted_before(holder))
+        free.saturating_sub(&self.wanted_before(holder))
     }
 
     /// What is not lent, whoever waits for it: under the limit, and within what may be borrowed.
-    pub fn free(&self, name: &TeamName, pool: &PoolRecord) -> Usage {
+    pub fn free(&self, name: &TeamName, pool: &PoolRecord) -> ResourceVector {
         let lent = self.lent_total();
-        let under_limit = self.limit.without(&lent);
-        let within_guarantee = self.guarantee.without(&lent);
-        under_limit.at_most(&(within_guarantee + pool.room_to_borrow(name)))
+        let under_limit = self.limit.saturating_sub(&lent);
+        let within_guarantee = self.guarantee.saturating_sub(&lent);
+        under_limit.component_min(&(within_guarantee + pool.room_to_borrow(name)))
     }
 
     /// How much the first one that waits has to borrow from the pool; nothing if it waits for the limit.
-    fn wanted_from_pool(&self) -> Option<Usage> {
+    fn wanted_from_pool(&self) -> Option<ResourceVector> {
         let first = self.wanted.first()?;
         let lent = self.lent_total();
-        if !first.usage.fits(&self.limit.without(&lent)) {
+        if !first.usage.fits_within(&self.limit.saturating_sub(&lent)) {
             return None;
         }
-        let borrowed = first.usage.without(&self.guarantee.without(&lent));
+        let borrowed = first
+            .usage
+            .saturating_sub(&self.guarantee.saturating_sub(&lent));
         (!borrowed.is_zero()).then_some(borrowed)
     }
 
     /// Notes that the holder waits for that much, behind those that wait already.
-    pub fn note_want(&mut self, holder: &HolderName, usage: Usage) {
+    pub fn note_want(&mut self, holder: &HolderName, usage: ResourceVector) {
         let waiting = self.wanted.iter_mut().find(|want| want.holder == *holder);
         match waiting {
             Some(want) => want.usage = usage,
@@ -86,24 +93,24 @@
 impl PoolRecord {
     /// What may still be lent beyond guarantees. While the machines don't have what is guaranteed,
     /// nothing is.
-    pub fn room_to_borrow(&self, team: &TeamName) -> Usage {
+    pub fn room_to_borrow(&self, team: &TeamName) -> ResourceVector {
         let reserved = self.guaranteed + self.borrowed + self.wanted_before(team);
-        self.capacity.without(&reserved)
+        self.capacity.saturating_sub(&reserved)
     }
 
     /// What teams wait for that come before this one; all that wait if it is not among them.
-    pub fn wanted_before(&self, team: &TeamName) -> Usage {
+    pub fn wanted_before(&self, team: &TeamName) -> ResourceVector {
         let before = self.wanted.iter().take_while(|want| want.team != *team);
         before.map(|want| want.usage).sum()
     }
 
     /// What is still to become free for the teams that come before this one.
-    pub fn missing_before(&self, team: &TeamName) -> Usage {
-        self.wanted_before(team).without(&self.free())
+    pub fn missing_before(&self, team: &TeamName) -> ResourceVector {
+        self.wanted_before(team).saturating_sub(&self.free())
     }
 
     /// The pool with the team's place among those that wait.
-    fn with_want(mut self, team: &TeamName, usage: Option<Usage>) -> PoolRecord {
+    fn with_want(mut self, team: &TeamName, usage: Option<ResourceVector>) -> PoolRecord {
         let place = self.wanted.iter().position(|want| want.team == *team);
         match (place, usage) {
             (Some(at), Some(usage)) => self.wanted[at].usage = usage,
@@ -130,24 +137,27 @@
         // Where there is no end of capacity nobody waits for it.
         let wanted = after
             .wanted_from_pool()
-            .filter(|usage| !usage.fits(&pool.free()));
+            .filter(|usage| !usage.fits_within(&pool.free()));
         pool.with_want(name, wanted)
     }
 
-    fn free(&self) -> Usage {
-        self.capacity.without(&(self.guaranteed + self.borrowed))
+    fn free(&self) -> ResourceVector {
+        self.capacity
+            .saturating_sub(&(self.guaranteed + self.borrowed))
     }
 
     /// What is borrowed although the machines don't have it beside all guarantees.
-    pub fn overcommitted(&self) -> Usage {
+    pub fn overcommitted(&self) -> ResourceVector {
         let reserved = self.guaranteed + self.borrowed;
-        reserved.without(&self.capacity).at_most(&self.borrowed)
+        reserved
+            .saturating_sub(&self.capacity)
+            .component_min(&self.borrowed)
     }
 
     /// The pool after a team's borrowing changed.
-    pub fn with_borrowing(&self, before: &Usage, after: &Usage) -> PoolRecord {
+    pub fn with_borrowing(&self, before: &ResourceVector, after: &ResourceVector) -> PoolRecord {
         PoolRecord {
-            borrowed: self.borrowed.without(before) + *after,
+            borrowed: self.borrowed.saturating_sub(before) + *after,
             ..self.clone()
         }
     }
@@ -155,23 +165,28 @@
 
 /// How much is lent at once: what is needed now, and while there is plenty a share of the rest, so
 /// that not every admission has to ask. Once anybody waits, no more than is needed.
-pub fn lend_amount(need: Usage, lendable: Usage, contended: bool, holders: u64) -> Usage {
+pub fn lend_amount(
+    need: ResourceVector,
+    lendable: ResourceVector,
+    contended: bool,
+    holders: u64,
+) -> ResourceVector {
     if contended {
-        return need.at_most(&lendable);
+        return need.component_min(&lendable);
     }
-    let share = lendable.share(holders.saturating_mul(2));
+    let share = lendable.divided_by(holders.saturating_mul(2));
     // Of what is unlimited there is no share.
-    let share = share.at_most(&need.times(UNLIMITED_CHUNK));
-    need.at_least(&share).at_most(&lendable)
+    let share = share.component_min(&need.saturating_mul(UNLIMITED_CHUNK));
+    need.component_max(&share).component_min(&lendable)
 }
 
 /// What a holder's allowance and place in the queue become.
 #[derive(Clone, Debug)]
 pub struct NewAllowance {
     /// What it may charge.
-    pub granted: Usage,
+    pub granted: ResourceVector,
     /// How much more it waits for.
-    pub wanted: Option<Usage>,
+    pub wanted: Option<ResourceVector>,
 }
 
 /// The holder's allowance becomes that, whether it is more or less than before.
@@ -202,15 +217,15 @@
     name: &TeamName,
     team: &TeamRecord,
     pool: &PoolRecord,
-    guarantee: Usage,
-    limit: Usage,
+    guarantee: ResourceVector,
+    limit: ResourceVector,
 ) -> (TeamRecord, PoolRecord) {
     let changed = TeamRecord {
         guarantee,
         limit,
         ..team.clone()
     };
-    let guaranteed = pool.guaranteed.without(&team.guarantee) + guarantee;
+    let guaranteed = pool.guaranteed.saturating_sub(&team.guarantee) + guarantee;
     let pool = PoolRecord {
         guaranteed,
         ..pool.clone()
--- a/crates/quota/src/lib.rs
+++ b/crates/quota/src/lib.rs
@@ -18,14 +18,16 @@
 pub mod lending;
 pub mod names;
 pub mod records;
+pub mod resource_vector;
 pub mod revocation;
 pub mod settled;
 
 pub use accounts::{Demand, LeaderAccounts};
 pub use admission::{AdmissionRequest, AdmissionState, RejectReason};
-pub use amount::{Amount, Usage};
+pub use amount::Amount;
 pub use audit::{Difference, Ledger};
 pub use driver::BlockingQuota;
 pub use holder::{Decision, Holder, HolderConfig, Policy, TeamPolicy};
 pub use names::{AdmissionId, HolderName, RequesterName, TeamName};
 pub use records::Priority;
+pub use resource_vector::ResourceVector;
--- a/crates/quota/src/records.rs
+++ b/crates/quota/src/records.rs
@@ -15,9 +15,9 @@
 use lichencrank_store::Item;
 use serde::{Deserialize, Serialize};
 
-use crate::amount::Usage;
 use crate::names::{decode_segment, encode_segment};
 use crate::names::{AdmissionId, HolderName, RequesterName, TeamName};
+use crate::resource_vector::ResourceVector;
 use crate::settled::SettledRecord;
 
 /// Prefix of all keys of this package.
@@ -55,19 +55,19 @@
     /// Who waits.
     pub holder: HolderName,
     /// How much more it needs.
-    pub usage: Usage,
+    pub usage: ResourceVector,
 }
 
 /// A team: what it is guaranteed and allowed, and where its limit is lent to.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct TeamRecord {
     /// What other teams' borrowing never takes from it.
-    pub guarantee: Usage,
+    pub guarantee: ResourceVector,
     /// What all of its admissions together never exceed.
-    pub limit: Usage,
+    pub limit: ResourceVector,
     /// What each holder's allowance is.
     #[serde(default)]
-    pub lent: BTreeMap<HolderName, Usage>,
+    pub lent: BTreeMap<HolderName, ResourceVector>,
     /// Who waits for more, the first one first.
     #[serde(default)]
     pub wanted: Vec<Want>,
@@ -79,18 +79,18 @@
     /// The team.
     pub team: TeamName,
     /// How much more it needs beyond its guarantee.
-    pub usage: Usage,
+    pub usage: ResourceVector,
 }
 
 /// What the teams share.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct PoolRecord {
     /// What the machines have in all.
-    pub capacity: Usage,
+    pub capacity: ResourceVector,
     /// The sum of all guarantees.
-    pub guaranteed: Usage,
+    pub guaranteed: ResourceVector,
     /// What is lent beyond guarantees, in all.
-    pub borrowed: Usage,
+    pub borrowed: ResourceVector,
     /// Which teams wait to borrow, the first one first. Only so many that the record stays small; the
     /// others get their places later.
     #[serde(default)]
@@ -100,9 +100,9 @@
 impl Default for PoolRecord {
     fn default() -> PoolRecord {
         PoolRecord {
-            capacity: Usage::UNLIMITED,
-            guaranteed: Usage::ZERO,
-            borrowed: Usage::ZERO,
+            capacity: ResourceVector::UNLIMITED,
+            guaranteed: ResourceVector::ZERO,
+            borrowed: ResourceVector::ZERO,
             wanted: Vec::new(),
         }
     }
@@ -114,7 +114,7 @@
     /// Grows whenever a process takes the allowance over or is fenced off.
     pub epoch: u64,
     /// What its open admissions may take together.
-    pub granted: Usage,
+    pub granted: ResourceVector,
     /// Its holder was given up: it charges nothing before it takes the allowance over anew.
     #[serde(default)]
     pub fenced: bool,
@@ -141,7 +141,7 @@
     /// The allowance's epoch when it was charged: it tells the processes of a holder apart.
     pub epoch: u64,
     /// What it takes.
-    pub usage: Usage,
+    pub usage: ResourceVector,
     /// How urgent it is.
     pub priority: Priority,
     /// How far it is.
--- a/crates/quota/src/revocation.rs
+++ b/crates/quota/src/revocation.rs
@@ -2,9 +2,9 @@
 
 use std::collections::BTreeMap;
 
-use crate::amount::Usage;
 use crate::names::TeamName;
 use crate::records::Priority;
+use crate::resource_vector::ResourceVector;
 
 /// Work that could be stopped.
 #[derive(Clone, Debug, PartialEq)]
@@ -16,7 +16,7 @@
     /// How urgent it is.
     pub priority: Priority,
     /// What it takes.
-    pub usage: Usage,
+    pub usage: ResourceVector,
     /// What is lost when it is stopped, such as seconds of run time; only the order counts.
     pub loss: u64,
 }
@@ -25,19 +25,19 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct TeamUse {
     /// The guarantee.
-    pub guarantee: Usage,
+    pub guarantee: ResourceVector,
     /// What its work takes, whatever is to be stopped included.
-    pub used: Usage,
+    pub used: ResourceVector,
 }
 
 impl TeamUse {
     /// What it uses beyond its guarantee.
-    pub fn borrowed(&self) -> Usage {
-        self.used.without(&self.guarantee)
+    pub fn borrowed(&self) -> ResourceVector {
+        self.used.saturating_sub(&self.guarantee)
     }
 
     /// Whether work of that size is within the guarantee, together with what is used already.
-    pub fn covers(&self, need: &Usage) -> bool {
+    pub fn covers(&self, need: &ResourceVector) -> bool {
         let after = self.used + *need;
         let cpus = need.cpus.is_zero() || after.cpus <= self.guarantee.cpus;
         let gpus = need.gpus.is_zero() || after.gpus <= self.guarantee.gpus;
@@ -46,8 +46,8 @@
 
     /// Whether the team keeps its whole guarantee in use when that much of its work stops, as far as it
     /// uses it now: then all that stops was borrowed.
-    pub fn stays_guaranteed_without(&self, stopped: &Usage) -> bool {
-        stopped.fits(&self.borrowed())
+    pub fn stays_guaranteed_without(&self, stopped: &ResourceVector) -> bool {
+        stopped.fits_within(&self.borrowed())
     }
 }
 
@@ -66,19 +66,19 @@
 /// guarantee; the least urgent first, of the same urgency what loses the least. `None` if all borrowed
 /// work together does not suffice; then stopping some of it would help nobody.
 pub fn choose<Id: Clone + Ord>(
-    shortage: Usage,
+    shortage: ResourceVector,
     teams: &BTreeMap<TeamName, TeamUse>,
     candidates: &[Candidate<Id>],
 ) -> Option<Vec<Id>> {
     let chosen = choose_as_far_as_possible(shortage, teams, candidates);
     let is_chosen = |candidate: &&Candidate<Id>| chosen.contains(&candidate.id);
-    let freed: Usage = candidates.iter().filter(is_chosen).map(|c| c.usage).sum();
-    shortage.fits(&freed).then_some(chosen)
+    let freed: ResourceVector = candidates.iter().filter(is_chosen).map(|c| c.usage).sum();
+    shortage.fits_within(&freed).then_some(chosen)
 }
 
 /// The same, and what there is where all borrowed work together does not suffice.
 pub fn choose_as_far_as_possible<Id: Clone + Ord>(
-    shortage: Usage,
+    shortage: ResourceVector,
     teams: &BTreeMap<TeamName, TeamUse>,
     candidates: &[Candidate<Id>],
 ) -> Vec<Id> {
@@ -94,15 +94,15 @@
         if missing.is_zero() {
             break;
         }
-        let helps = !candidate.usage.at_most(&missing).is_zero();
+        let helps = !candidate.usage.component_min(&missing).is_zero();
         let Some(team) = left.get_mut(&candidate.team) else {
             continue;
         };
         if !helps || !team.stays_guaranteed_without(&candidate.usage) {
             continue;
         }
-        team.used = team.used.without(&candidate.usage);
-        missing = missing.without(&candidate.usage);
+        team.used = team.used.saturating_sub(&candidate.usage);
+        missing = missing.saturating_sub(&candidate.usage);
         chosen.push(candidate.id.clone());
     }
     chosen
--- a/crates/quota/src/settled.rs
+++ b/crates/quota/src/settled.rs
@@ -3,7 +3,7 @@
 use roaring::RoaringBitmap;
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 
-use crate::amount::Usage;
+use crate::resource_vector::ResourceVector;
 
 /// Numbers of settled admissions.
 #[derive(Clone, Debug, Default, PartialEq)]
@@ -71,12 +71,12 @@
     /// Their numbers.
     pub numbers: SettledSet,
     /// What all of them had charged, together.
-    pub released: Usage,
+    pub released: ResourceVector,
 }
 
 impl SettledRecord {
     /// Folds one more settled admission in. `false` if it was in there already: then nothing changes.
-    pub fn fold(&mut self, sequence: u32, usage: Usage) -> bool {
+    pub fn fold(&mut self, sequence: u32, usage: ResourceVector) -> bool {
         let new = self.numbers.insert(sequence);
         if new {
             self.released += usage;
--- a/crates/quota/tests/accounts.rs
+++ b/crates/quota/tests/accounts.rs
@@ -6,7 +6,7 @@
 
 use lichencrank_quota::accounts::LEADER;
 use lichencrank_quota::records::PREFIX;
-use lichencrank_quota::{Demand, HolderName, LeaderAccounts, Policy, TeamName, Usage};
+use lichencrank_quota::{Demand, HolderName, LeaderAccounts, Policy, ResourceVector, TeamName};
 use lichencrank_store::{ConditionalStore, Outcome, Request, Version};
 use support::{id, policy, request, team, Cluster};
 
@@ -26,9 +26,9 @@
 
     fn uses(&mut self, name: &str, used: u64, waiting: u64) {
         let demand = Demand {
-            used: Usage::of_cpus(used),
-            waiting: Usage::of_cpus(waiting),
-            front: Usage::of_cpus(waiting.min(1)),
+            used: ResourceVector::from_cpus(used),
+            waiting: ResourceVector::from_cpus(waiting),
+            front: ResourceVector::from_cpus(waiting.min(1)),
         };
         self.demands.insert(team(name), demand);
     }
@@ -65,10 +65,10 @@
         panic!("it never rests");
     }
 
-    fn granted(&self, name: &str) -> Usage {
+    fn granted(&self, name: &str) -> ResourceVector {
         let granted = self.accounts.granted(&team(name)).unwrap_or_default();
-        Usage {
-            gpus: Usage::ZERO.gpus,
+        ResourceVector {
+            gpus: ResourceVector::ZERO.gpus,
             ..granted
         }
     }
@@ -83,12 +83,12 @@
     assert_eq!(leader.accounts.granted(&team("vision")), None);
     leader.uses("vision", 6, 0);
     leader.keep(&mut store);
-    assert_eq!(leader.granted("vision"), Usage::of_cpus(20));
+    assert_eq!(leader.granted("vision"), ResourceVector::from_cpus(20));
     cluster.holders[0].request(request(&id("vision", 1, 1), 10.0));
     cluster.settle();
     assert!(cluster.running.is_empty());
     leader.keep(&mut store);
-    assert_eq!(leader.granted("vision"), Usage::of_cpus(10));
+    assert_eq!(leader.granted("vision"), ResourceVector::from_cpus(10));
     cluster.settle();
     assert_eq!(cluster.running.len(), 1);
     // What runs already is never given back.
@@ -96,7 +96,7 @@
     cluster.holders[1].request(request(&id("vision", 2, 1), 4.0));
     cluster.settle();
     leader.keep(&mut store);
-    assert_eq!(leader.granted("vision"), Usage::of_cpus(10));
+    assert_eq!(leader.granted("vision"), ResourceVector::from_cpus(10));
     assert_eq!(cluster.running.len(), 1);
     assert_eq!(cluster.ledger().audit(), []);
 }
@@ -136,7 +136,7 @@
     let mut leader = Leader::new(4, rules);
     leader.uses("vision", 20, 3);
     leader.keep(&mut store);
-    assert_eq!(leader.granted("vision"), Usage::of_cpus(20));
+    assert_eq!(leader.granted("vision"), ResourceVector::from_cpus(20));
     cluster.lenient = true;
     cluster.holders[1].request(request(&id("vision", 2, 1), 1.0));
     cluster.settle();
@@ -144,7 +144,7 @@
     // As it ends, the leader's part shrinks to what is left of the limit.
     leader.uses("vision", 11, 0);
     leader.keep(&mut store);
-    assert_eq!(leader.granted("vision"), Usage::of_cpus(11));
+    assert_eq!(leader.granted("vision"), ResourceVector::from_cpus(11));
     cluster.settle();
     assert_eq!(cluster.running.len(), 2);
 }
@@ -160,14 +160,14 @@
     leader.uses("a", 0, 100);
     leader.uses("b", 0, 0);
     leader.keep(&mut store);
-    assert_eq!(leader.granted("a"), Usage::of_cpus(30));
+    assert_eq!(leader.granted("a"), ResourceVector::from_cpus(30));
     leader.uses("a", 12, 0);
     leader.uses("b", 0, 100);
     for _ in 0..4 {
         leader.keep(&mut store);
     }
-    assert_eq!(leader.granted("a"), Usage::of_cpus(12));
-    assert_eq!(leader.granted("b"), Usage::of_cpus(28));
+    assert_eq!(leader.granted("a"), ResourceVector::from_cpus(12));
+    assert_eq!(leader.granted("b"), ResourceVector::from_cpus(28));
     assert_eq!(cluster.ledger().audit(), []);
 }
 
--- a/crates/quota/tests/failures.rs
+++ b/crates/quota/tests/failures.rs
@@ -4,7 +4,7 @@
 
 use std::collections::BTreeMap;
 
-use lichencrank_quota::{Decision, Usage};
+use lichencrank_quota::{Decision, ResourceVector};
 use lichencrank_testkit::faults::Fault;
 use support::{holder_name, id, policy, request, team, Cluster};
 
@@ -69,7 +69,7 @@
     }
     // What the paused one had charged stays charged.
     let used = cluster.ledger().used(&team("vision"));
-    assert_eq!(used, Usage::of_cpus(LIMIT));
+    assert_eq!(used, ResourceVector::from_cpus(LIMIT));
     cluster.arrive(0);
     cluster.hear(0);
     assert!(!cluster.answers.contains_key(&id("vision", 91, 1)));
@@ -96,7 +96,7 @@
     assert!(!cluster.running.contains(&late), "{:?}", cluster.answers);
     assert_eq!(
         cluster.ledger().charged(&team("vision"), &holder_name(0)),
-        Usage::of_cpus(2)
+        ResourceVector::from_cpus(2)
     );
 }
 
@@ -135,7 +135,7 @@
     }
     let ledger = cluster.ledger();
     let own = ledger.charged(&team("vision"), &holder_name(2));
-    assert_eq!(own, Usage::of_cpus(LIMIT - 6));
+    assert_eq!(own, ResourceVector::from_cpus(LIMIT - 6));
     // Their work is proven to have ended, and a second look takes the rest.
     for n in 0..2 {
         cluster.finish(&id("vision", 80 + n, 1), 2);
@@ -146,7 +146,7 @@
         cluster.advance(10);
     }
     let used = cluster.ledger().used(&team("vision"));
-    assert_eq!(used, Usage::of_cpus(LIMIT));
+    assert_eq!(used, ResourceVector::from_cpus(LIMIT));
 }
 
 /// A holder that was given up while it lived goes on with what it has charged.
@@ -210,7 +210,7 @@
     fill(&mut cluster, 0);
     assert_eq!(
         cluster.ledger().used(&team("vision")),
-        Usage::of_cpus(LIMIT)
+        ResourceVector::from_cpus(LIMIT)
     );
     cluster.holders[0].request(request(&id("vision", 99, 1), 1.0));
     cluster.shared.set_outage(true);
@@ -223,7 +223,7 @@
     cluster.settle();
     assert_eq!(
         cluster.ledger().used(&team("vision")),
-        Usage::of_cpus(LIMIT)
+        ResourceVector::from_cpus(LIMIT)
     );
 }
 
--- a/crates/quota/tests/limits.rs
+++ b/crates/quota/tests/limits.rs
@@ -4,7 +4,7 @@
 
 use std::collections::BTreeMap;
 
-use lichencrank_quota::{Decision, Priority, RejectReason, Usage};
+use lichencrank_quota::{Decision, Priority, RejectReason, ResourceVector};
 use support::{id, policy, request, team, Cluster};
 
 fn admitted(cluster: &Cluster) -> usize {
@@ -23,7 +23,10 @@
     }
     cluster.settle();
     assert_eq!(admitted(&cluster), 96);
-    assert_eq!(cluster.ledger().used(&team("vision")), Usage::of_cpus(96));
+    assert_eq!(
+        cluster.ledger().used(&team("vision")),
+        ResourceVector::from_cpus(96)
+    );
 }
 
 /// One more than there are: all but one begin, and the last begins once any of them has ended.
@@ -99,12 +102,15 @@
     cluster.settle();
     let ledger = cluster.ledger();
     let flooded = ledger.used(&team("a")) + ledger.used(&team("c"));
-    assert_eq!(flooded, Usage::of_cpus(60));
+    assert_eq!(flooded, ResourceVector::from_cpus(60));
     for n in 0..40 {
         cluster.holders[n % 3].request(request(&id("b", n, 1), 1.0));
     }
     cluster.settle();
-    assert_eq!(cluster.ledger().used(&team("b")), Usage::of_cpus(40));
+    assert_eq!(
+        cluster.ledger().used(&team("b")),
+        ResourceVector::from_cpus(40)
+    );
     assert_eq!(cluster.ledger().audit(), []);
 }
 
@@ -121,7 +127,10 @@
         cluster.holders[n % 3].request(asked);
     }
     cluster.settle();
-    assert_eq!(cluster.ledger().used(&team("a")), Usage::of_cpus(60));
+    assert_eq!(
+        cluster.ledger().used(&team("a")),
+        ResourceVector::from_cpus(60)
+    );
     cluster.lenient = true;
     cluster.holders[1].set_policy(policy(Some(80), &teams));
     cluster.settle();
@@ -137,13 +146,16 @@
     assert!(revoked
         .iter()
         .all(|id| ledger.open[id].priority == Priority::BestEffort));
-    assert_eq!(ledger.used(&team("a")), Usage::of_cpus(60));
+    assert_eq!(ledger.used(&team("a")), ResourceVector::from_cpus(60));
     for id in &revoked {
         cluster.finish(id, 2);
     }
     cluster.settle();
     cluster.lenient = false;
-    assert_eq!(cluster.ledger().used(&team("a")), Usage::of_cpus(40));
+    assert_eq!(
+        cluster.ledger().used(&team("a")),
+        ResourceVector::from_cpus(40)
+    );
     assert_eq!(cluster.ledger().audit(), []);
 }
 
@@ -156,8 +168,14 @@
         cluster.holders[n % 3].request(request(&id(["a", "b"][n % 2], n, 1), 1.0));
     }
     cluster.settle();
-    assert_eq!(cluster.ledger().used(&team("a")), Usage::of_cpus(40));
-    assert_eq!(cluster.ledger().used(&team("b")), Usage::of_cpus(40));
+    assert_eq!(
+        cluster.ledger().used(&team("a")),
+        ResourceVector::from_cpus(40)
+    );
+    assert_eq!(
+        cluster.ledger().used(&team("b")),
+        ResourceVector::from_cpus(40)
+    );
 }
 
 /// A limit is lowered under running work: that goes on, what is unspent is recalled, nothing begins
@@ -184,7 +202,10 @@
     cluster.settle();
     cluster.lenient = false;
     assert_eq!(admitted(&cluster), before + 1);
-    assert_eq!(cluster.ledger().used(&team("vision")), Usage::of_cpus(20));
+    assert_eq!(
+        cluster.ledger().used(&team("vision")),
+        ResourceVector::from_cpus(20)
+    );
 }
 
 /// Zero is no limit; a task larger than the limit, or of a team that nobody knows, is turned down at
@@ -204,8 +225,11 @@
     cluster.holders[1].request(request(&id("", 99, 1), 1.0));
     cluster.settle();
     let ledger = cluster.ledger();
-    assert_eq!(ledger.used(&team("open")), Usage::of_cpus(10_000));
-    assert_eq!(ledger.used(&team("small")), Usage::of_cpus(3));
+    assert_eq!(
+        ledger.used(&team("open")),
+        ResourceVector::from_cpus(10_000)
+    );
+    assert_eq!(ledger.used(&team("small")), ResourceVector::from_cpus(3));
     let decisions = cluster.decisions.iter();
     let reasons: Vec<RejectReason> = decisions
         .filter_map(|(_, d)| match d {
@@ -233,7 +257,10 @@
     }
     cluster.settle();
     assert_eq!(admitted(&cluster), 1);
-    assert_eq!(cluster.ledger().used(&team("vision")), Usage::of_cpus(2));
+    assert_eq!(
+        cluster.ledger().used(&team("vision")),
+        ResourceVector::from_cpus(2)
+    );
     cluster.finish(&one, 2);
     cluster.settle();
     for holder in &mut cluster.holders {
--- a/crates/quota/tests/loopback.rs
+++ b/crates/quota/tests/loopback.rs
@@ -10,7 +10,7 @@
 
 use lichencrank_quota::{
     AdmissionId, AdmissionRequest, BlockingQuota, Decision, HolderConfig, HolderName, Ledger,
-    Policy, Priority, RequesterName, TeamName, TeamPolicy, Usage,
+    Policy, Priority, RequesterName, ResourceVector, TeamName, TeamPolicy,
 };
 use lichencrank_store::{BlockingClient, Item, StoreLimits, Version};
 use lichencrank_testkit::http::lock;
@@ -54,15 +54,15 @@
     let amounts = [(10, 30), (10, 40), (0, 20)];
     let teams = TEAMS.iter().zip(amounts).map(|(name, (guarantee, limit))| {
         let policy = TeamPolicy {
-            guarantee: Usage::of_cpus(guarantee),
-            limit: Usage::limit(limit as f64, 0.0),
+            guarantee: ResourceVector::from_cpus(guarantee),
+            limit: ResourceVector::from_limit_settings(limit as f64, 0.0),
         };
         (TeamName::new(name), policy)
     });
     Policy {
-        capacity: Usage {
-            gpus: Usage::UNLIMITED.gpus,
-            ..Usage::of_cpus(40)
+        capacity: ResourceVector {
+            gpus: ResourceVector::UNLIMITED.gpus,
+            ..ResourceVector::from_cpus(40)
         },
         teams: teams.collect(),
     }
@@ -80,7 +80,7 @@
             };
             all.push(AdmissionRequest {
                 id,
-                usage: Usage::of_cpus(random.u64(1..=3)),
+                usage: ResourceVector::from_cpus(random.u64(1..=3)),
                 priority: Priority::Normal,
             });
         }
@@ -187,10 +187,11 @@
     let distinct: BTreeSet<&AdmissionId> = admitted.iter().copied().collect();
     assert_eq!(admitted.len(), distinct.len(), "admitted twice");
     assert_eq!(distinct.len(), asked.len(), "not all were admitted");
-    let usages: BTreeMap<&AdmissionId, Usage> = asked.iter().map(|r| (&r.id, r.usage)).collect();
-    let expected: Usage = usages.values().copied().sum();
+    let usages: BTreeMap<&AdmissionId, ResourceVector> =
+        asked.iter().map(|r| (&r.id, r.usage)).collect();
+    let expected: ResourceVector = usages.values().copied().sum();
     let settled = ledger(state).settled;
-    let released: Usage = settled.values().map(|s| s.released).sum();
+    let released: ResourceVector = settled.values().map(|s| s.released).sum();
     let count: u64 = settled.values().map(|s| s.numbers.len()).sum();
     assert_eq!((count, released), (asked.len() as u64, expected));
 }
--- a/crates/quota/tests/records.rs
+++ b/crates/quota/tests/records.rs
@@ -8,23 +8,28 @@
 };
 use lichencrank_quota::revocation::{choose, may_stop, Candidate, TeamUse};
 use lichencrank_quota::settled::SettledRecord;
-use lichencrank_quota::{Amount, Difference, Ledger, Priority, Usage};
+use lichencrank_quota::{Amount, Difference, Ledger, Priority, ResourceVector};
 
 #[test]
 fn sums_of_decimals_do_not_drift() {
-    let tenth = Usage::needed(0.1, 0.0);
-    let sum: Usage = std::iter::repeat_n(tenth, 1_000_000).sum();
-    assert_eq!(sum, Usage::of_cpus(100_000));
-    assert_eq!(tenth.times_in(&Usage::of_cpus(3)), 30);
+    let tenth = ResourceVector::rounded_up(0.1, 0.0);
+    let sum: ResourceVector = std::iter::repeat_n(tenth, 1_000_000).sum();
+    assert_eq!(sum, ResourceVector::from_cpus(100_000));
+    assert_eq!(tenth.multiples_within(&ResourceVector::from_cpus(3)), 30);
     // Needs are rounded up and limits down.
-    assert!(Amount::needed(1.0 / 3.0) > Amount::allowed(1.0 / 3.0));
-    assert_eq!(Amount::limit(0.0), Amount::UNLIMITED);
+    assert!(
+        Amount::from_decimal_rounded_up(1.0 / 3.0) > Amount::from_decimal_rounded_down(1.0 / 3.0)
+    );
+    assert_eq!(Amount::from_limit_setting(0.0), Amount::UNLIMITED);
     assert_eq!(
-        Amount::UNLIMITED.without(Amount::whole(5)),
+        Amount::UNLIMITED.saturating_sub(Amount::from_whole(5)),
         Amount::UNLIMITED
     );
-    assert_eq!(Amount::needed(f64::NAN), Amount::ZERO);
-    assert_eq!(Usage::needed(0.25, 1.5).to_string(), "0.25 CPUs, 1.5 GPUs");
+    assert_eq!(Amount::from_decimal_rounded_up(f64::NAN), Amount::ZERO);
+    assert_eq!(
+        ResourceVector::rounded_up(0.25, 1.5).to_string(),
+        "0.25 CPUs, 1.5 GPUs"
+    );
 }
 
 #[test]
@@ -70,10 +75,10 @@
 fn settled_numbers_fold_once_and_stay_small() {
     let mut record = SettledRecord::default();
     for number in (0..100_000).rev() {
-        assert!(record.fold(number, Usage::of_cpus(1)));
-        assert!(!record.fold(number, Usage::of_cpus(1)));
+        assert!(record.fold(number, ResourceVector::from_cpus(1)));
+        assert!(!record.fold(number, ResourceVector::from_cpus(1)));
     }
-    assert_eq!(record.released, Usage::of_cpus(100_000));
+    assert_eq!(record.released, ResourceVector::from_cpus(100_000));
     let stored = serde_json::to_string(&record).expect("it has a form");
     assert!(stored.len() < 100, "{stored}");
     let read: SettledRecord = serde_json::from_str(&stored).expect("its own form");
@@ -89,15 +94,15 @@
         id,
         team: TeamName::new(team),
         priority,
-        usage: Usage::of_cpus(cpus),
+        usage: ResourceVector::from_cpus(cpus),
         loss,
     }
 }
 
 fn team_use(guarantee: u64, used: u64) -> TeamUse {
     TeamUse {
-        guarantee: Usage::of_cpus(guarantee),
-        used: Usage::of_cpus(used),
+        guarantee: ResourceVector::from_cpus(guarantee),
+        used: ResourceVector::from_cpus(used),
     }
 }
 
@@ -114,7 +119,7 @@
         candidate(4, "a", Priority::Normal, 4, 0),
         candidate(5, "b", Priority::BestEffort, 8, 0),
     ];
-    let chosen = |cpus| choose(Usage::of_cpus(cpus), &teams, &candidates);
+    let chosen = |cpus| choose(ResourceVector::from_cpus(cpus), &teams, &candidates);
     assert_eq!(chosen(2), Some(vec![3]));
     assert_eq!(chosen(4), Some(vec![3, 2]));
     // Four of six borrowed are gone; the normal one would cut into the guarantee.
@@ -132,54 +137,67 @@
     assert!(!may_stop(High, Normal, false, true));
 }
 
-/// Each way in which the records can disagree is named.
-#[test]
-fn the_audit_names_each_difference() {
+/// A ledger in which every total disagrees with the admissions.
+fn inconsistent_ledger() -> Ledger {
     let (team, holder) = (TeamName::new("t"), HolderName::new("h"));
     let mut record = TeamRecord {
-        guarantee: Usage::of_cpus(4),
-        limit: Usage::of_cpus(8),
+        guarantee: ResourceVector::from_cpus(4),
+        limit: ResourceVector::from_cpus(8),
         ..TeamRecord::default()
     };
-    record.lent.insert(holder.clone(), Usage::of_cpus(6));
-    let id = AdmissionId {
-        team: team.clone(),
-        requester: RequesterName::new("r"),
-        sequence: 3,
-    };
+    record
+        .lent
+        .insert(holder.clone(), ResourceVector::from_cpus(6));
     let open = OpenRecord {
-        holder: holder.clone(),
+        holder,
         epoch: 1,
-        usage: Usage::of_cpus(9),
+        usage: ResourceVector::from_cpus(9),
         priority: Priority::Normal,
         state: OpenState::Charged,
     };
     let mut settled = SettledRecord::default();
-    settled.fold(3, Usage::of_cpus(9));
+    settled.fold(3, ResourceVector::from_cpus(9));
+    let pool = PoolRecord {
+        capacity: ResourceVector::from_cpus(8),
+        ..PoolRecord::default()
+    };
     let mut ledger = Ledger {
-        pool: Some(PoolRecord {
-            capacity: Usage::of_cpus(8),
-            ..PoolRecord::default()
-        }),
+        pool: Some(pool),
         ..Ledger::default()
     };
     ledger.teams.insert(team.clone(), record);
-    ledger.open.insert(id.clone(), open);
+    ledger.open.insert(settled_admission(), open);
     ledger
         .settled
-        .insert((team.clone(), RequesterName::new("r")), settled);
+        .insert((team, RequesterName::new("r")), settled);
+    ledger
+}
+
+fn settled_admission() -> AdmissionId {
+    AdmissionId {
+        team: TeamName::new("t"),
+        requester: RequesterName::new("r"),
+        sequence: 3,
+    }
+}
+
+/// Each way in which the records can disagree is named.
+#[test]
+fn the_audit_names_each_difference() {
+    let mut ledger = inconsistent_ledger();
     let found = ledger.audit();
     let named = |wanted: fn(&Difference) -> bool| found.iter().any(wanted);
     assert!(named(|d| matches!(d, Difference::OverLimit { .. })));
     assert!(named(|d| matches!(d, Difference::LentDiffers { .. })));
     assert!(named(|d| matches!(d, Difference::PoolDiffers { .. })));
     assert!(named(|d| matches!(d, Difference::GuaranteeBroken { .. })));
-    assert!(found.contains(&Difference::OpenAndSettled(id)));
+    assert!(found.contains(&Difference::OpenAndSettled(settled_admission())));
     let allowance = lichencrank_quota::records::AllowanceRecord {
-        granted: Usage::of_cpus(6),
+        granted: ResourceVector::from_cpus(6),
         ..Default::default()
     };
-    ledger.allowances.insert((team, holder), allowance);
+    let key = (TeamName::new("t"), HolderName::new("h"));
+    ledger.allowances.insert(key, allowance);
     let found = ledger.audit();
     let over = found
         .iter()
--- a/crates/quota/tests/support/mod.rs
+++ b/crates/quota/tests/support/mod.rs
@@ -7,7 +7,7 @@
 
 use lichencrank_quota::{
     AdmissionId, AdmissionRequest, Decision, Holder, HolderConfig, HolderName, Ledger, Policy,
-    Priority, RequesterName, TeamName, TeamPolicy, Usage,
+    Priority, RequesterName, ResourceVector, TeamName, TeamPolicy,
 };
 use lichencrank_store::{ConditionalStore, Item, Outcome, Request, StoreLimits, Time, Version};
 use lichencrank_testkit::{FaultyStore, Limits, SharedState};
@@ -42,7 +42,7 @@
 pub(crate) fn request(id: &AdmissionId, cpus: f64) -> AdmissionRequest {
     AdmissionRequest {
         id: id.clone(),
-        usage: Usage::needed(cpus, 0.0),
+        usage: ResourceVector::rounded_up(cpus, 0.0),
         priority: Priority::Normal,
     }
 }
@@ -62,15 +62,15 @@
 pub(crate) fn policy(capacity: Option<u64>, teams: &[(&str, u64, u64)]) -> Policy {
     let of_team = |(name, guarantee, limit): &(&str, u64, u64)| {
         let policy = TeamPolicy {
-            guarantee: Usage::of_cpus(*guarantee),
-            limit: Usage::limit(*limit as f64, 0.0),
+            guarantee: ResourceVector::from_cpus(*guarantee),
+            limit: ResourceVector::from_limit_settings(*limit as f64, 0.0),
         };
         (team(name), policy)
     };
     Policy {
-        capacity: capacity.map_or(Usage::UNLIMITED, |cpus| Usage {
-            gpus: Usage::UNLIMITED.gpus,
-            ..Usage::of_cpus(cpus)
+        capacity: capacity.map_or(ResourceVector::UNLIMITED, |cpus| ResourceVector {
+            gpus: ResourceVector::UNLIMITED.gpus,
+            ..ResourceVector::from_cpus(cpus)
         }),
         teams: teams.iter().map(of_team).collect(),
     }
@@ -384,7 +384,7 @@
         if !ledger.open.is_empty() {
             self.fail(&format!("still open: {:?}", ledger.open));
         }
-        let mut released = Usage::ZERO;
+        let mut released = ResourceVector::ZERO;
         for id in &self.started {
             let requester = (id.team.clone(), id.requester.clone());
             let settled = ledger.settled.get(&requester);
@@ -393,7 +393,7 @@
             }
             released += asked[id].usage;
         }
-        let recorded: Usage = ledger.settled.values().map(|s| s.released).sum();
+        let recorded: ResourceVector = ledger.settled.values().map(|s| s.released).sum();
         let counted: u64 = ledger.settled.values().map(|s| s.numbers.len()).sum();
         assert_eq!((counted, recorded), (self.started.len() as u64, released));
         for id in asked.keys() {
--- a/src/coordination/cluster/mod.rs
+++ b/src/coordination/cluster/mod.rs
@@ -28,7 +28,7 @@
 
 use std::collections::BTreeMap;
 
-use lichencrank_quota::Usage;
+use lichencrank_quota::ResourceVector;
 
 use crate::coordination::resources::Resources;
 use crate::coordination::Policy;
@@ -50,7 +50,7 @@
     /// Allocations whose record is not known to be written, by job and number of the run record.
     uncommitted_allocations: BTreeMap<(JobId, u32), Vec<AllocatedTask>>,
     /// What each team's allocations take, until they are proven to have ended.
-    team_usage: BTreeMap<String, Usage>,
+    team_usage: BTreeMap<String, ResourceVector>,
     /// Hosts whose release the cloud confirmed lately, and when. Late heartbeats and the lagging list may still
     /// name them.
     released_hosts: BTreeMap<HostName, Time>,
@@ -116,7 +116,7 @@
     }
 
     /// What the team's allocations take, until they are proven to have ended.
-    pub(crate) fn team_usage(&self, team: &str) -> Usage {
+    pub(crate) fn team_usage(&self, team: &str) -> ResourceVector {
         self.team_usage.get(team).copied().unwrap_or_default()
     }
 
@@ -154,13 +154,14 @@
     /// Adds what an allocation takes to its team's usage.
     fn charge(&mut self, team: &str, resources: &Resources) {
         let usage = self.team_usage.entry(team.to_owned()).or_default();
-        *usage += Usage::needed(resources.cpus, resources.gpus);
+        *usage += ResourceVector::rounded_up(resources.cpus, resources.gpus);
     }
 
     /// Removes what an ended allocation took from its team's usage.
     fn discharge(&mut self, team: &str, resources: &Resources) {
         if let Some(usage) = self.team_usage.get_mut(team) {
-            *usage = usage.without(&Usage::needed(resources.cpus, resources.gpus));
+            *usage =
+                usage.saturating_sub(&ResourceVector::rounded_up(resources.cpus, resources.gpus));
         }
     }
 }
--- a/src/coordination/failure_detection/zones.rs
+++ b/src/coordination/failure_detection/zones.rs
@@ -146,9 +146,9 @@
             return true;
         };
         let (cpus, gpus) = known.guaranteed();
-        let guaranteed = lichencrank_quota::Usage::guaranteed(cpus, gpus);
+        let guaranteed = lichencrank_quota::ResourceVector::rounded_down(cpus, gpus);
         let used = self.cluster.team_usage(team);
-        !used.fits(&guaranteed)
+        !used.fits_within(&guaranteed)
     }
 
     /// What the task has done since it last saved, or began.
--- a/src/coordination/quota.rs
+++ b/src/coordination/quota.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use lichencrank_quota::revocation::{may_stop, TeamUse};
-use lichencrank_quota::{Demand, LeaderAccounts, TeamName, TeamPolicy, Usage};
+use lichencrank_quota::{Demand, LeaderAccounts, ResourceVector, TeamName, TeamPolicy};
 use lichencrank_store::{Item, Txn, Version};
 
 use crate::coordination::cluster::job::{Job, JobPhase};
@@ -15,19 +15,19 @@
 use crate::types::{TaskId, Term};
 
 /// What a task counts as.
-pub(crate) fn usage(need: &Resources) -> Usage {
-    Usage::needed(need.cpus, need.gpus)
+pub(crate) fn usage(need: &Resources) -> ResourceVector {
+    ResourceVector::rounded_up(need.cpus, need.gpus)
 }
 
-fn guarantee(team: &Team) -> Usage {
+fn guarantee(team: &Team) -> ResourceVector {
     let (cpus, gpus) = team.guaranteed();
-    Usage::guaranteed(cpus, gpus)
+    ResourceVector::rounded_down(cpus, gpus)
 }
 
-fn limit(team: &Team) -> Usage {
+fn limit(team: &Team) -> ResourceVector {
     let cpus = team.cpus_max.unwrap_or(0.0);
     let gpus = team.gpus_max.unwrap_or(0.0);
-    Usage::limit(cpus, gpus)
+    ResourceVector::from_limit_settings(cpus, gpus)
 }
 
 /// The policy that settings and features make; `None` where the feature is off.
@@ -42,7 +42,7 @@
         };
         (TeamName::new(&team.name), policy)
     };
-    let capacity = Usage::limit(
+    let capacity = ResourceVector::from_limit_settings(
         feature.capacity_cpus.unwrap_or(0.0),
         feature.capacity_gpus.unwrap_or(0.0),
     );
@@ -64,7 +64,7 @@
 /// What teams may use beside what their allocations take.
 pub(crate) struct TeamQuota {
     /// What hosts report of each team that is not allocated there.
-    unrecorded_usage: BTreeMap<String, Usage>,
+    unrecorded_usage: BTreeMap<String, ResourceVector>,
     /// The allowances that allocations are charged to, where that feature is on.
     accounts: Option<LeaderAccounts>,
     /// An allocation failed, as its allowance has changed: the accounts have to be read again.
@@ -84,7 +84,7 @@
 
 impl View<'_> {
     /// What counts for a team: its allocations, and what machines reported that is not booked there.
-    fn counted(&self, team: &str) -> Usage {
+    fn counted(&self, team: &str) -> ResourceVector {
         let booked = self.cluster.team_usage(team);
         let unbooked = self
             .quota
@@ -107,8 +107,8 @@
                 .unwrap_or_default(),
             None => limit(team),
         };
-        let room = allowed.without(&self.counted(&job.team));
-        usage(&job.task_resources).times_in(&room)
+        let room = allowed.saturating_sub(&self.counted(&job.team));
+        usage(&job.task_resources).multiples_within(&room)
     }
 
     /// Whether a task of that priority may be stopped for the job, by the rules of preemption. Borrowed
@@ -160,8 +160,8 @@
                 continue;
             };
             let one = usage(&job.task_resources);
-            demand.waiting += one.times(u64::from(job.waiting_count()));
-            demand.front = demand.front.at_least(&one);
+            demand.waiting += one.saturating_mul(u64::from(job.waiting_count()));
+            demand.front = demand.front.component_max(&one);
         }
         demands
     }
--- a/src/quota_report.rs
+++ b/src/quota_report.rs
@@ -5,7 +5,7 @@
 
 use lichencrank_quota::accounts::LEADER;
 use lichencrank_quota::records::TeamRecord;
-use lichencrank_quota::{HolderName, Ledger, TeamName, Usage};
+use lichencrank_quota::{HolderName, Ledger, ResourceVector, TeamName};
 use lichencrank_store::{BlockingClient, ConditionalStore, Outcome, Request};
 
 use crate::settings::Settings;
@@ -41,7 +41,7 @@
                 continue;
             };
             let booked = record.allocations.len() as u64;
-            let usage = Usage::needed(record.cpus, record.gpus).times(booked);
+            let usage = ResourceVector::rounded_up(record.cpus, record.gpus).saturating_mul(booked);
             let team = TeamName::new(&record.team);
             let place = (team, HolderName::new(LEADER));
             *ledger.self_accounted.entry(place).or_default() += usage;
--- a/tests/quota_service.rs
+++ b/tests/quota_service.rs
@@ -10,7 +10,7 @@
 use lichencrank::protocol::encode;
 use lichencrank_quota::{
     AdmissionId, AdmissionRequest, BlockingQuota, Decision, HolderConfig, HolderName, Ledger,
-    Priority, RequesterName, TeamName, Usage,
+    Priority, RequesterName, ResourceVector, TeamName,
 };
 use lichencrank_store::{BlockingClient, StoreLimits};
 use standin::{call, eventually, map, text, Setup, World};
@@ -66,18 +66,18 @@
             requester: RequesterName::new("depot"),
             sequence,
         },
-        usage: Usage::of_cpus(2),
+        usage: ResourceVector::from_cpus(2),
         priority: Priority::Normal,
     }
 }
 
 /// What is lent to all together, once a leader has brought the team's record in.
-fn lent(world: &World) -> Option<Usage> {
+fn lent(world: &World) -> Option<ResourceVector> {
     let mut store = BlockingClient::new(world.state, PATIENCE);
     let ledger = Ledger::read(&mut store).ok()?;
     let team = ledger.teams.get(&TeamName::new("vision"))?;
     assert!(
-        team.lent_total().cpus <= Usage::of_cpus(LIMIT).cpus,
+        team.lent_total().cpus <= ResourceVector::from_cpus(LIMIT).cpus,
         "{team:?}"
     );
     Some(team.lent_total())
--- a/tests/simulated/embedder.rs
+++ b/tests/simulated/embedder.rs
@@ -7,7 +7,7 @@
 use lichencrank_quota::accounts::LEADER;
 use lichencrank_quota::{
     AdmissionId, AdmissionRequest, Decision, Difference, Holder, HolderConfig, HolderName, Ledger,
-    Priority, RequesterName, TeamName, Usage,
+    Priority, RequesterName, ResourceVector, TeamName,
 };
 use lichencrank_store::codec::{decode, encode};
 use lichencrank_store::{Item, Outcome, StoreLimits, Time, Version};
@@ -108,7 +108,7 @@
         self.next += 1;
         self.holder.request(AdmissionRequest {
             id,
-            usage: Usage::needed(self.demand.cpus, 0.0),
+            usage: ResourceVector::rounded_up(self.demand.cpus, 0.0),
             priority: Priority::Normal,
         });
     }
@@ -131,7 +131,7 @@
         };
         let place = (TeamName::new(&record.team), HolderName::new(LEADER));
         let booked = record.allocations.len() as u64;
-        let usage = Usage::needed(record.cpus, record.gpus).times(booked);
+        let usage = ResourceVector::rounded_up(record.cpus, record.gpus).saturating_mul(booked);
         *ledger.self_accounted.entry(place).or_default() += usage;
     }
     let differences = ledger.audit().into_iter().filter(|difference| {
