--- a/crates/quota/examples/admissions.rs
+++ b/crates/quota/examples/admissions.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use lichencrank_quota::{
-    AdmissionId, AdmissionRequest, Decision, Holder, HolderConfig, HolderName, Ledger, Policy,
+    AdmissionId, AdmissionRequest, ClientName, Decision, Holder, HolderConfig, Ledger, Policy,
     Priority, RequesterName, ResourceVector, TeamName, TeamPolicy,
 };
 use lichencrank_store::{
@@ -62,7 +62,7 @@
 
 fn config(number: usize, holders: usize) -> HolderConfig {
     HolderConfig {
-        name: HolderName::new(&format!("holder-{number}")),
+        name: ClientName::new(&format!("holder-{number}")),
         limits: LIMITS,
         holders: holders as u64,
         refresh_every: Duration::from_millis(20),
@@ -98,7 +98,7 @@
     let mut ledger = Ledger::default();
     shared.look(|service| {
         for (key, data) in service.below("quota/team/") {
-            ledger.take(&lichencrank_store::Item {
+            ledger.insert_item(&lichencrank_store::Item {
                 key: key.to_owned(),
                 value: data.clone(),
                 version: Version(0),
@@ -265,7 +265,7 @@
         }
     }
     let mut other = Holder::new(config(1, 1));
-    other.reclaim(TeamName::new(TEAM), HolderName::new("holder-0"));
+    other.reclaim(TeamName::new(TEAM), ClientName::new("holder-0"));
     let mut cost = Cost::default();
     while let Some(request) = other.poll(Time(0)) {
         let outcome = execute(&mut stores[1], &request, &mut cost);
--- a/crates/quota/src/accounts.rs
+++ b/crates/quota/src/accounts.rs
@@ -11,8 +11,8 @@
 
 use crate::amount::Amount;
 use crate::holder::Policy;
+use crate::ids::{AllowanceId, ClientName, TeamName};
 use crate::lending::{set_allowance, set_policy, NewAllowance};
-use crate::names::{HolderName, TeamName};
 use crate::records::{AllowanceRecord, PoolRecord, Record, RecordKey, TeamRecord};
 use crate::resource_vector::ResourceVector;
 
@@ -69,7 +69,7 @@
 /// The allowances of one leader.
 #[derive(Clone, Debug)]
 pub struct LeaderAccounts {
-    holder: HolderName,
+    holder: ClientName,
     epoch: u64,
     policy: Policy,
     picture: Picture,
@@ -80,7 +80,7 @@
     /// The accounts of a leader of that term, to be read.
     pub fn new(term: u64, policy: Policy) -> LeaderAccounts {
         LeaderAccounts {
-            holder: HolderName::new(LEADER),
+            holder: ClientName::new(LEADER),
             epoch: term,
             policy,
             picture: Picture::default(),
@@ -111,7 +111,7 @@
         let Some(key) = RecordKey::parse(&item.key) else {
             return;
         };
-        let Some(record) = key.read(item) else {
+        let Some(record) = key.read_record(item) else {
             return;
         };
         picture.put(key, item.version, record, &self.holder);
@@ -132,7 +132,7 @@
     /// The key and version that every charge of the team depends on.
     pub fn fence(&self, team: &TeamName) -> Option<(String, Version)> {
         let own = self.claimed(team)?;
-        let key = RecordKey::Allowance(team.clone(), self.holder.clone());
+        let key = RecordKey::Allowance(AllowanceId::new(team, &self.holder));
         Some((key.path(), own.version))
     }
 
@@ -211,11 +211,11 @@
                 let team = self.picture.teams.get(team);
                 team.map_or(Version::ABSENT, |known| known.version)
             }
-            RecordKey::Allowance(team, _) => {
+            RecordKey::Allowance(AllowanceId { team, .. }) => {
                 let own = self.picture.own.get(team);
                 own.map_or(Version::ABSENT, |known| known.version)
             }
-            RecordKey::Open(_) | RecordKey::Settled(..) => Version::ABSENT,
+            RecordKey::Charge(_) | RecordKey::Completed(..) => Version::ABSENT,
         }
     }
 
@@ -245,14 +245,14 @@
             epoch: self.epoch,
             granted: new.granted,
             fenced: false,
-            self_accounted: true,
+            charges_kept_externally: true,
         };
         let mut changes = Vec::new();
         if known_team != Some(&record) {
             changes.push((RecordKey::Team(team.clone()), Record::Team(record)));
         }
         if known_own != Some(&own) {
-            let key = RecordKey::Allowance(team.clone(), self.holder.clone());
+            let key = RecordKey::Allowance(AllowanceId::new(team, &self.holder));
             changes.push((key, Record::Allowance(own)));
         }
         if pool != picture.pool.record {
@@ -312,14 +312,14 @@
 }
 
 impl Picture {
-    fn put(&mut self, key: RecordKey, version: Version, record: Record, holder: &HolderName) {
+    fn put(&mut self, key: RecordKey, version: Version, record: Record, holder: &ClientName) {
         match (key, record) {
             (RecordKey::Pool, Record::Pool(record)) => self.pool = Known { version, record },
             (RecordKey::Team(team), Record::Team(record)) => {
                 self.teams.insert(team, Known { version, record });
             }
-            (RecordKey::Allowance(team, of), Record::Allowance(record)) if of == *holder => {
-                self.own.insert(team, Known { version, record });
+            (RecordKey::Allowance(id), Record::Allowance(record)) if id.client == *holder => {
+                self.own.insert(id.team, Known { version, record });
             }
             _ => {}
         }
--- a/crates/quota/src/admission.rs
+++ b/crates/quota/src/admission.rs
@@ -1,73 +1,91 @@
-//! The life of an admission.
+//! Requests for admission, and the state machine that each admission goes through.
 
+use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-use crate::names::AdmissionId;
-use crate::records::Priority;
+use crate::ids::AdmissionId;
 use crate::resource_vector::ResourceVector;
 
+/// Priority of an admission. Pending requests are served in ascending order of this type.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+#[serde(rename_all = "snake_case")]
+pub enum Priority {
+    /// Served before everything else.
+    Critical,
+    /// Served before normal work.
+    High,
+    /// The priority of ordinary work.
+    Normal,
+    /// Served last, with what nobody else uses.
+    BestEffort,
+}
+
 /// A request to admit work.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AdmissionRequest {
-    /// Names it; a repeat has the same id.
+    /// Identifies the admission. A repeated request has the same id.
     pub id: AdmissionId,
-    /// What the work takes.
+    /// What the work takes from its start to its end.
     pub usage: ResourceVector,
-    /// How urgent it is.
+    /// Priority among the requests that are pending at the same client.
     pub priority: Priority,
 }
 
-/// How far an admission is.
+/// State of an admission at the client that handles it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AdmissionState {
-    /// Asked for; nothing counts yet.
-    Requested,
+    /// Requested and not charged yet.
+    Pending,
     /// Its charge is in the store: the work may start.
     Charged,
     /// The work was reported to run.
     Running,
-    /// To make room it has to end; it counts until the end is proven.
+    /// The work has to end. It stays charged until the end is proven.
     Revoked,
-    /// Its end is proven; the charge is being taken back.
+    /// The work has ended; the release of its charge is not committed yet.
     Releasing,
-    /// It counts no more.
+    /// The release is committed: nothing is charged any more.
     Released,
 }
 
-/// What happens to an admission.
+/// What changes the state of an admission.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AdmissionEvent {
-    /// The store has its charge.
+    /// The transaction that charges it is committed.
     ChargeCommitted,
-    /// The work runs.
+    /// The work was reported to run.
     Started,
-    /// It has to make room.
+    /// The store has it marked as revoked.
     RevocationSeen,
-    /// It is proven that the work ended, or never will begin.
+    /// The work is proven to have ended, or never to start.
     EndProven,
-    /// The store has taken its charge back.
+    /// The transaction that releases the charge is committed.
     ReleaseCommitted,
 }
 
-/// An event that can't happen in that state.
+/// An event that is not possible in the state of the admission.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 #[error("{event:?} can't happen to an admission that is {state:?}")]
 pub struct IllegalTransition {
-    /// The state.
+    /// The state, which does not change.
     pub state: AdmissionState,
     /// The event.
     pub event: AdmissionEvent,
 }
 
 impl AdmissionState {
-    /// The one place where an admission changes its state.
+    /// The state that follows on an event. All transitions are in here.
+    ///
+    /// # Errors
+    ///
+    /// [`IllegalTransition`] if the event is not possible in this state.
     pub fn after(self, event: AdmissionEvent) -> Result<AdmissionState, IllegalTransition> {
         use AdmissionEvent as Event;
         use AdmissionState as State;
         match (self, event) {
-            (State::Requested, Event::ChargeCommitted) => Ok(State::Charged),
+            (State::Pending, Event::ChargeCommitted) => Ok(State::Charged),
             (State::Charged | State::Running, Event::Started) => Ok(State::Running),
-            // Work that has to end may still report that it runs.
+            // Revoked work runs until it is stopped, and may be reported to run meanwhile.
             (State::Revoked, Event::Started | Event::RevocationSeen) => Ok(State::Revoked),
             (State::Charged | State::Running, Event::RevocationSeen) => Ok(State::Revoked),
             (State::Charged | State::Running | State::Revoked, Event::EndProven) => {
@@ -79,25 +97,26 @@
         }
     }
 
-    /// Whether its charge is in the store.
-    pub fn counts(self) -> bool {
-        !matches!(self, AdmissionState::Requested | AdmissionState::Released)
+    /// Whether the admission is charged to an allowance.
+    pub fn is_charged(self) -> bool {
+        !matches!(self, AdmissionState::Pending | AdmissionState::Released)
     }
 }
 
-/// Why work is not admitted, now or ever.
+/// Why a request is rejected for good.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum RejectReason {
-    /// No such team has a record.
+    /// The store has no record of the team.
     #[error("the team is unknown")]
     UnknownTeam,
-    /// It alone takes more than the team's limit.
+    /// The request alone exceeds the limit of its team.
     #[error("it is larger than the team's limit")]
     LargerThanLimit,
-    /// A name is empty or too long for a key.
+    /// The team's or the requester's name is empty, or too long for a key of the store.
     #[error("a name in its id does not fit into a key")]
-    BadName,
-    /// The requester left so many gaps in its numbers that they can't be remembered.
+    InvalidName,
+    /// The completed numbers of the requester have so many gaps that the record of them would not fit
+    /// into a value of the store.
     #[error("the requester has left too many gaps in its numbers")]
-    TooManyGaps,
+    TooManySequenceGaps,
 }
--- a/crates/quota/src/driver.rs
+++ b/crates/quota/src/driver.rs
@@ -6,7 +6,7 @@
 
 use crate::admission::AdmissionRequest;
 use crate::holder::{Decision, Holder, HolderConfig, Policy};
-use crate::names::{AdmissionId, HolderName, TeamName};
+use crate::ids::{AdmissionId, ClientName, TeamName};
 
 /// How long to wait where there is nothing to do but to wait.
 const IDLE_WAIT: Duration = Duration::from_millis(2);
@@ -44,7 +44,7 @@
     }
 
     /// Gives up another holder; see [`Holder::reclaim`].
-    pub fn reclaim(&mut self, team: TeamName, holder: HolderName) {
+    pub fn reclaim(&mut self, team: TeamName, holder: ClientName) {
         self.holder.reclaim(team, holder);
     }
 
--- a/crates/quota/src/holder/account.rs
+++ b/crates/quota/src/holder/account.rs
@@ -4,8 +4,8 @@
 
 use lichencrank_store::Time;
 
-use crate::names::{AdmissionId, HolderName, TeamName};
-use crate::records::Priority;
+use crate::admission::Priority;
+use crate::ids::{AdmissionId, ClientName, TeamName};
 use crate::resource_vector::ResourceVector;
 
 /// How far the claim on an allowance is.
@@ -24,7 +24,7 @@
 pub(super) struct Loading {
     pub(super) team: TeamName,
     /// Whose charges are looked for.
-    pub(super) holder: HolderName,
+    pub(super) holder: ClientName,
     /// Begins behind this key.
     pub(super) after: String,
     /// The charges found so far.
--- a/crates/quota/src/holder/admissions.rs
+++ b/crates/quota/src/holder/admissions.rs
@@ -3,8 +3,8 @@
 use super::operation::{Flight, Purpose};
 use super::{Admission, Decision, Holder};
 use crate::admission::{AdmissionEvent, AdmissionRequest, AdmissionState, RejectReason};
-use crate::names::AdmissionId;
-use crate::records::{OpenRecord, OpenState, RecordKey};
+use crate::ids::AdmissionId;
+use crate::records::{ChargeRecord, ChargeState, RecordKey};
 
 impl Holder {
     /// The one place where an admission in hand changes its state and its team's sum. Returns whether it
@@ -27,12 +27,12 @@
         let usage = admission.request.usage;
         let place = admission.place();
         let account = self.account(&id.team);
-        if !before.counts() && after.counts() {
+        if !before.is_charged() && after.is_charged() {
             account.charged += usage;
             account.earmarked = account.earmarked.saturating_sub(&usage);
             account.waiting.remove(&place);
         }
-        if before.counts() && !after.counts() {
+        if before.is_charged() && !after.is_charged() {
             account.charged = account.charged.saturating_sub(&usage);
         }
         if after == AdmissionState::Released {
@@ -56,7 +56,7 @@
     }
 
     /// Takes in an open admission of ours as the store has it.
-    pub(super) fn see_own_open(&mut self, id: &AdmissionId, record: &OpenRecord) {
+    pub(super) fn see_own_open(&mut self, id: &AdmissionId, record: &ChargeRecord) {
         if !self.admissions.contains_key(id) {
             self.arrivals += 1;
             let request = AdmissionRequest {
@@ -66,13 +66,13 @@
             };
             let admission = Admission {
                 request,
-                state: AdmissionState::Requested,
+                state: AdmissionState::Pending,
                 arrival: self.arrivals,
             };
             self.admissions.insert(id.clone(), admission);
             self.change(id, AdmissionEvent::ChargeCommitted);
             self.decisions.push(Decision::Recovered(id.clone()));
-        } else if self.state(id) == Some(AdmissionState::Requested) {
+        } else if self.state(id) == Some(AdmissionState::Pending) {
             self.change(id, AdmissionEvent::ChargeCommitted);
             // An earlier process may have told that it is admitted, and its work may run.
             let own = self.account(&id.team).epochs.contains(&record.epoch);
@@ -82,7 +82,7 @@
                 Decision::Recovered(id.clone())
             });
         }
-        if record.state == OpenState::Revoked {
+        if record.state == ChargeState::Revoked {
             self.see_revocation(id);
         }
     }
@@ -106,7 +106,7 @@
         let Purpose::Commit { writes, .. } = &operation.purpose else {
             return false;
         };
-        let key = RecordKey::Open(id.clone());
+        let key = RecordKey::Charge(id.clone());
         writes.iter().any(|(written, _)| *written == key)
     }
 }
--- a/crates/quota/src/holder/cache.rs
+++ b/crates/quota/src/holder/cache.rs
@@ -5,9 +5,9 @@
 
 use lichencrank_store::Version;
 
-use crate::names::{HolderName, RequesterName, TeamName};
-use crate::records::{AllowanceRecord, OpenRecord, PoolRecord, Record, RecordKey, TeamRecord};
-use crate::settled::SettledRecord;
+use crate::completed::CompletedRecord;
+use crate::ids::{AllowanceId, ClientName, RequesterId, TeamName};
+use crate::records::{AllowanceRecord, ChargeRecord, PoolRecord, Record, RecordKey, TeamRecord};
 
 /// A record that has to be read before anything can be decided.
 #[derive(Debug)]
@@ -47,8 +47,8 @@
     lookup!(find_pool, Pool, PoolRecord);
     lookup!(find_team, Team, TeamRecord);
     lookup!(find_allowance, Allowance, AllowanceRecord);
-    lookup!(find_open, Open, OpenRecord);
-    lookup!(find_settled, Settled, SettledRecord);
+    lookup!(find_open, Charge, ChargeRecord);
+    lookup!(find_settled, Completed, CompletedRecord);
 
     pub(super) fn pool(&self) -> Result<Known<PoolRecord>, Unread> {
         let known = self.find_pool(RecordKey::Pool)?;
@@ -65,21 +65,20 @@
     pub(super) fn allowance(
         &self,
         team: &TeamName,
-        holder: &HolderName,
+        holder: &ClientName,
     ) -> Result<Known<&AllowanceRecord>, Unread> {
-        self.find_allowance(RecordKey::Allowance(team.clone(), holder.clone()))
+        self.find_allowance(RecordKey::Allowance(AllowanceId::new(team, holder)))
     }
 
-    pub(super) fn open(&self, key: RecordKey) -> Result<Known<&OpenRecord>, Unread> {
+    pub(super) fn open(&self, key: RecordKey) -> Result<Known<&ChargeRecord>, Unread> {
         self.find_open(key)
     }
 
     pub(super) fn settled(
         &self,
-        team: &TeamName,
-        requester: &RequesterName,
-    ) -> Result<Known<&SettledRecord>, Unread> {
-        self.find_settled(RecordKey::Settled(team.clone(), requester.clone()))
+        requester: RequesterId,
+    ) -> Result<Known<&CompletedRecord>, Unread> {
+        self.find_settled(RecordKey::Completed(requester))
     }
 
     /// Notes what the store holds.
--- a/crates/quota/src/holder/charge.rs
+++ b/crates/quota/src/holder/charge.rs
@@ -7,9 +7,9 @@
 use super::operation::{Draft, Effect, Operation, Purpose};
 use super::{Decision, Holder, BATCH_BYTES, LOAD_PAGE};
 use crate::admission::{AdmissionRequest, AdmissionState, RejectReason};
-use crate::names::{AdmissionId, TeamName};
+use crate::ids::{AdmissionId, AllowanceId, TeamName};
 use crate::records::{
-    open_prefix, AllowanceRecord, OpenRecord, OpenState, Record, RecordKey, TeamRecord,
+    team_charges_prefix, AllowanceRecord, ChargeRecord, ChargeState, Record, RecordKey, TeamRecord,
 };
 use crate::resource_vector::ResourceVector;
 
@@ -111,7 +111,7 @@
         let pool = self.pool()?;
         let short = !pool.missing_before(team).is_zero() || !pool.overcommitted().is_zero();
         let account = self.account(team);
-        let contended = short || !record.wanted.is_empty() || !account.waiting.is_empty();
+        let contended = short || !record.unmet_demands.is_empty() || !account.waiting.is_empty();
         Ok(contended && !account.charged.is_zero() && now >= account.reload_at)
     }
 
@@ -144,7 +144,7 @@
             ..before
         };
         let mut draft = Draft::default();
-        let key = RecordKey::Allowance(team.clone(), holder);
+        let key = RecordKey::Allowance(AllowanceId::new(team, &holder));
         draft.write(key, known.version, Some(Record::Allowance(claimed)));
         Ok(draft.commit(Effect::Claimed {
             team: team.clone(),
@@ -166,7 +166,7 @@
     ) -> Result<Option<Operation>, Unread> {
         let mut room = self.room(team)?;
         let mut draft = Draft::default();
-        let allowance = RecordKey::Allowance(team.clone(), self.config.name.clone());
+        let allowance = RecordKey::Allowance(AllowanceId::new(team, &self.config.name));
         let held = self.cache.allowance(team, &self.config.name)?.version;
         draft.require(&allowance, held);
         let mut charged = Vec::new();
@@ -226,11 +226,11 @@
             self.reject(id.clone(), RejectReason::LargerThanLimit);
             return Ok(Front::Answered);
         }
-        let settled = self.cache.settled(&id.team, &id.requester)?;
+        let settled = self.cache.settled(id.requester_id())?;
         let version = settled.version;
         if settled
             .record
-            .is_some_and(|r| r.numbers.contains(id.sequence))
+            .is_some_and(|r| r.sequences.contains(id.sequence))
         {
             self.drop_request(id);
             self.decisions.push(Decision::AlreadySettled(id.clone()));
@@ -238,7 +238,7 @@
         }
         let most = self.config.limits.value_bytes as f64 * GAPS_PART;
         if settled.record.is_some_and(|r| json_size(r) as f64 > most) {
-            self.reject(id.clone(), RejectReason::TooManyGaps);
+            self.reject(id.clone(), RejectReason::TooManySequenceGaps);
             return Ok(Front::Answered);
         }
         if !usage.fits_within(room) {
@@ -246,20 +246,17 @@
         }
         *room = room.saturating_sub(&usage);
         let epoch = self.account(&id.team).epochs.last().copied();
-        let open = OpenRecord {
-            holder: self.config.name.clone(),
+        let open = ChargeRecord {
+            client: self.config.name.clone(),
             epoch: epoch.unwrap_or_default(),
             usage,
             priority,
-            state: OpenState::Charged,
+            state: ChargeState::Charged,
         };
-        let key = RecordKey::Open(id.clone());
-        draft.write(key, Version::ABSENT, Some(Record::Open(open)));
+        let key = RecordKey::Charge(id.clone());
+        draft.write(key, Version::ABSENT, Some(Record::Charge(open)));
         // A settled admission is open no more either; this tells the two apart, also much later.
-        draft.require(
-            &RecordKey::Settled(id.team.clone(), id.requester.clone()),
-            version,
-        );
+        draft.require(&RecordKey::Completed(id.requester_id()), version);
         Ok(Front::Charge)
     }
 
@@ -271,12 +268,12 @@
         while let Some(id) = self.suspects.first().cloned() {
             let open = self
                 .cache
-                .open(RecordKey::Open(id.clone()))?
+                .open(RecordKey::Charge(id.clone()))?
                 .record
                 .cloned();
             self.suspects.remove(&id);
             match open {
-                Some(open) if open.holder == self.config.name => self.see_own_open(&id, &open),
+                Some(open) if open.client == self.config.name => self.see_own_open(&id, &open),
                 Some(open) => self.found_elsewhere(id, open),
                 None => self.found_nowhere(&id),
             }
@@ -285,10 +282,10 @@
     }
 
     /// Another holder has charged it.
-    fn found_elsewhere(&mut self, id: AdmissionId, open: OpenRecord) {
-        if self.state(&id) == Some(AdmissionState::Requested) {
+    fn found_elsewhere(&mut self, id: AdmissionId, open: ChargeRecord) {
+        if self.state(&id) == Some(AdmissionState::Pending) {
             self.drop_request(&id);
-            let holder = open.holder;
+            let holder = open.client;
             self.decisions
                 .push(Decision::AlreadyAdmitted { id, holder });
         }
@@ -297,7 +294,7 @@
     /// It is not open: not charged yet, or settled by somebody.
     fn found_nowhere(&mut self, id: &AdmissionId) {
         let state = self.state(id);
-        if state.is_some_and(AdmissionState::counts) {
+        if state.is_some_and(AdmissionState::is_charged) {
             self.found_settled(id);
         }
     }
@@ -305,11 +302,11 @@
     /// Answers repeated requests for what is charged already, once the store has said that it still is.
     pub(super) fn answer_repeats(&mut self) -> Result<(), Unread> {
         while let Some(id) = self.repeats.first().cloned() {
-            let key = RecordKey::Open(id.clone());
+            let key = RecordKey::Charge(id.clone());
             let open = self.cache.open(key)?.record.cloned();
             self.repeats.remove(&id);
             match open {
-                Some(OpenRecord { holder, .. }) => {
+                Some(ChargeRecord { client: holder, .. }) => {
                     self.decisions
                         .push(Decision::AlreadyAdmitted { id, holder });
                 }
@@ -325,11 +322,11 @@
     /// Before the work may start, charges whose answer came late are read again.
     pub(super) fn confirm_late_charges(&mut self) -> Result<(), Unread> {
         while let Some(id) = self.unconfirmed.first().cloned() {
-            let key = RecordKey::Open(id.clone());
+            let key = RecordKey::Charge(id.clone());
             let open = self.cache.open(key)?.record.cloned();
             self.unconfirmed.remove(&id);
             match open {
-                Some(open) if open.holder == self.config.name => {
+                Some(open) if open.client == self.config.name => {
                     self.decisions.push(Decision::Admitted(id.clone()));
                     self.see_own_open(&id, &open);
                 }
@@ -354,7 +351,7 @@
 /// The operation that reads the next page of a team's open admissions.
 pub(super) fn load(loading: Loading) -> Operation {
     let request = Request::List {
-        prefix: open_prefix(&loading.team),
+        prefix: team_charges_prefix(&loading.team),
         after: loading.after.clone(),
         limit: LOAD_PAGE,
     };
--- a/crates/quota/src/holder/collect.rs
+++ b/crates/quota/src/holder/collect.rs
@@ -11,8 +11,8 @@
 use super::charge::load;
 use super::operation::{Draft, Effect, Operation};
 use super::{Decision, Holder};
+use crate::ids::{AllowanceId, ClientName, TeamName};
 use crate::lending::NewAllowance;
-use crate::names::{HolderName, TeamName};
 use crate::records::{AllowanceRecord, Record, RecordKey};
 use crate::resource_vector::ResourceVector;
 
@@ -34,7 +34,7 @@
 #[derive(Clone, Debug)]
 pub(super) struct Collection {
     pub(super) team: TeamName,
-    pub(super) holder: HolderName,
+    pub(super) holder: ClientName,
     pub(super) step: Step,
     /// The allowance's version since the holder is fenced off.
     fenced_at: Version,
@@ -42,14 +42,14 @@
 
 impl Collection {
     fn key(&self) -> RecordKey {
-        RecordKey::Allowance(self.team.clone(), self.holder.clone())
+        RecordKey::Allowance(AllowanceId::new(&self.team, &self.holder))
     }
 }
 
 impl Holder {
     /// Gives up another holder: its unspent allowance of that team becomes free. If it still lives, it
     /// notices at its next charge, and begins anew with what it has charged.
-    pub fn reclaim(&mut self, team: TeamName, holder: HolderName) {
+    pub fn reclaim(&mut self, team: TeamName, holder: ClientName) {
         let mut queued = self.collections.iter();
         let known = queued.any(|c| c.team == team && c.holder == holder);
         if known || holder == self.config.name {
@@ -88,7 +88,7 @@
         let known = self.cache.allowance(&collection.team, &collection.holder)?;
         let version = known.version;
         let record = known.record.cloned();
-        let Some(record) = record.filter(|record| !record.self_accounted) else {
+        let Some(record) = record.filter(|record| !record.charges_kept_externally) else {
             self.end_collection(false);
             return Ok(None);
         };
@@ -139,8 +139,11 @@
         }
         let allowance = known.record.cloned().unwrap_or_default();
         let before = self.cache.team(team)?.record.cloned().unwrap_or_default();
-        let waits = before.wanted.iter().any(|want| want.holder == *holder);
-        if allowance.granted == charged && before.lent_to(holder) == charged && !waits {
+        let waits = before
+            .unmet_demands
+            .iter()
+            .any(|want| want.client == *holder);
+        if allowance.granted == charged && before.granted_to(holder) == charged && !waits {
             self.end_collection(true);
             return Ok(None);
         }
--- a/crates/quota/src/holder/enforce.rs
+++ b/crates/quota/src/holder/enforce.rs
@@ -8,9 +8,10 @@
 use super::cache::Unread;
 use super::operation::{Draft, Effect, Operation, Purpose};
 use super::{Holder, LOAD_PAGE};
-use crate::names::{AdmissionId, TeamName};
+use crate::ids::{AdmissionId, TeamName};
 use crate::records::{
-    OpenRecord, OpenState, PoolRecord, Record, RecordKey, TeamRecord, OPEN, TEAMS,
+    ChargeRecord, ChargeState, PoolRecord, Record, RecordKey, TeamRecord, CHARGE_PREFIX,
+    TEAM_PREFIX,
 };
 use crate::resource_vector::ResourceVector;
 use crate::revocation::{choose_as_far_as_possible, Candidate, TeamUse};
@@ -35,7 +36,7 @@
     pub(super) step: Step,
     next_at: Time,
     teams: BTreeMap<TeamName, TeamRecord>,
-    open: BTreeMap<AdmissionId, (Version, OpenRecord)>,
+    open: BTreeMap<AdmissionId, (Version, ChargeRecord)>,
 }
 
 impl Holder {
@@ -56,8 +57,8 @@
         }
         match &self.enforcement.step {
             Step::Rest => Ok(None),
-            Step::Teams(after) => Ok(Some(survey(TEAMS, after))),
-            Step::Open(after) => Ok(Some(survey(OPEN, after))),
+            Step::Teams(after) => Ok(Some(survey(TEAM_PREFIX, after))),
+            Step::Open(after) => Ok(Some(survey(CHARGE_PREFIX, after))),
             Step::Mark(ids) => {
                 let ids = ids.clone();
                 Ok(self.plan_marks(&ids))
@@ -73,12 +74,12 @@
             let Some((version, open)) = self.enforcement.open.get(id) else {
                 continue;
             };
-            let revoked = OpenRecord {
-                state: OpenState::Revoked,
+            let revoked = ChargeRecord {
+                state: ChargeState::Revoked,
                 ..open.clone()
             };
-            let key = RecordKey::Open(id.clone());
-            draft.write(key, *version, Some(Record::Open(revoked)));
+            let key = RecordKey::Charge(id.clone());
+            draft.write(key, *version, Some(Record::Charge(revoked)));
             marked.push(id.clone());
         }
         if marked.is_empty() {
@@ -109,9 +110,9 @@
                 (RecordKey::Team(team), Record::Team(record)) => {
                     self.enforcement.teams.insert(team, record);
                 }
-                (RecordKey::Open(id), Record::Open(record)) => {
-                    let ours = record.holder == self.config.name;
-                    if ours && record.state == OpenState::Revoked {
+                (RecordKey::Charge(id), Record::Charge(record)) => {
+                    let ours = record.client == self.config.name;
+                    if ours && record.state == ChargeState::Revoked {
                         self.see_revocation(&id);
                     }
                     self.enforcement.open.insert(id, (version, record));
@@ -142,7 +143,7 @@
         let mut candidates = Vec::new();
         for (id, (_, record)) in open {
             let team = uses.entry(id.team.clone()).or_default();
-            if record.state == OpenState::Revoked {
+            if record.state == ChargeState::Revoked {
                 // It ends without another word.
                 continue;
             }
--- a/crates/quota/src/holder/lend.rs
+++ b/crates/quota/src/holder/lend.rs
@@ -7,8 +7,8 @@
 use super::cache::Unread;
 use super::operation::{Draft, Effect, Operation};
 use super::Holder;
+use crate::ids::{AdmissionId, AllowanceId, ClientName, TeamName};
 use crate::lending::{lend_amount, set_allowance, NewAllowance};
-use crate::names::{AdmissionId, HolderName, TeamName};
 use crate::records::{AllowanceRecord, Record, RecordKey, TeamRecord};
 use crate::resource_vector::ResourceVector;
 
@@ -41,7 +41,7 @@
         let missing = usage.saturating_sub(&unspent);
         let granted = self.granted(team)?;
         if missing.fits_within(&lendable) {
-            let contended = !record.wanted.is_empty() || !pool.wanted.is_empty();
+            let contended = !record.unmet_demands.is_empty() || !pool.unmet_demands.is_empty();
             let mut need = missing;
             if !contended {
                 let all = self.waiting_usage(team).saturating_sub(&unspent);
@@ -58,8 +58,8 @@
             };
             return self.draft_allowance(team, &own, &new, effect).map(Some);
         }
-        let noted = record.wanted.iter().find(|want| want.holder == own);
-        if unspent.is_zero() && noted.is_some_and(|want| want.usage == usage) {
+        let noted = record.unmet_demands.iter().find(|want| want.client == own);
+        if unspent.is_zero() && noted.is_some_and(|want| want.amount == usage) {
             return Ok(None);
         }
         let new = NewAllowance {
@@ -82,7 +82,7 @@
         account.earmarked = ResourceVector::ZERO;
         let idles = now.since(account.used_at) >= idle_return;
         let unspent = self.room(team)?;
-        let waits = record.wanted.iter().any(|want| want.holder == own);
+        let waits = record.unmet_demands.iter().any(|want| want.client == own);
         let returned = if idles { unspent } else { ResourceVector::ZERO };
         if !waits && returned.is_zero() {
             return Ok(None);
@@ -124,10 +124,10 @@
             return Ok(None);
         }
         let own = self.config.name.clone();
-        let wanted = record.wanted.iter().find(|want| want.holder == own);
+        let wanted = record.unmet_demands.iter().find(|want| want.client == own);
         let new = NewAllowance {
             granted: self.granted(team)?.saturating_sub(&less),
-            wanted: wanted.map(|want| want.usage),
+            wanted: wanted.map(|want| want.amount),
         };
         self.draft_allowance(team, &own, &new, Effect::None)
             .map(Some)
@@ -137,7 +137,7 @@
     pub(super) fn draft_allowance(
         &self,
         team: &TeamName,
-        holder: &HolderName,
+        holder: &ClientName,
         new: &NewAllowance,
         effect: Effect,
     ) -> Result<Operation, Unread> {
@@ -154,7 +154,7 @@
         let mut draft = Draft::default();
         let team_key = RecordKey::Team(team.clone());
         draft.replace(&self.cache, team_key, Some(Record::Team(record)))?;
-        let allowance_key = RecordKey::Allowance(team.clone(), holder.clone());
+        let allowance_key = RecordKey::Allowance(AllowanceId::new(team, holder));
         let allowance = Some(Record::Allowance(allowance));
         draft.replace(&self.cache, allowance_key, allowance)?;
         match pool {
--- a/crates/quota/src/holder/mod.rs
+++ b/crates/quota/src/holder/mod.rs
@@ -25,8 +25,8 @@
 use lichencrank_store::{Request, StoreLimits, Time};
 
 use crate::admission::{AdmissionEvent, AdmissionRequest, AdmissionState, RejectReason};
-use crate::names::{AdmissionId, HolderName, TeamName};
-use crate::records::{names_fit, PoolRecord, RecordKey};
+use crate::ids::{AdmissionId, ClientName, TeamName};
+use crate::records::{PoolRecord, RecordKey};
 use crate::resource_vector::ResourceVector;
 
 use account::{Account, Place};
@@ -47,7 +47,7 @@
 pub struct HolderConfig {
     /// Its name; of processes with the same name only the last one that claimed an allowance may use
     /// it.
-    pub name: HolderName,
+    pub name: ClientName,
     /// Limits of the store.
     pub limits: StoreLimits,
     /// About how many holders there are; a smaller share is lent ahead where there are many.
@@ -71,7 +71,7 @@
         /// The admission.
         id: AdmissionId,
         /// Who has it in hand.
-        holder: HolderName,
+        holder: ClientName,
     },
     /// The same admission was charged before, and is settled.
     AlreadySettled(AdmissionId),
@@ -99,14 +99,14 @@
         /// The team.
         team: TeamName,
         /// The holder that was given up.
-        holder: HolderName,
+        holder: ClientName,
     },
     /// The other holder is there again, or keeps its own accounts: nothing was reclaimed.
     NotReclaimed {
         /// The team.
         team: TeamName,
         /// The holder.
-        holder: HolderName,
+        holder: ClientName,
     },
 }
 
@@ -172,20 +172,20 @@
     }
 
     /// Its name.
-    pub fn name(&self) -> &HolderName {
+    pub fn name(&self) -> &ClientName {
         &self.config.name
     }
 
     /// Asks for an admission. A repeat of one that is in hand changes nothing.
     pub fn request(&mut self, request: AdmissionRequest) {
         let id = request.id.clone();
-        if !names_fit(&id) {
-            return self.reject(id, RejectReason::BadName);
+        if !id.is_storable() {
+            return self.reject(id, RejectReason::InvalidName);
         }
         if let Some(admission) = self.admissions.get(&id) {
-            if admission.state.counts() {
+            if admission.state.is_charged() {
                 // Somebody else may have settled it meanwhile.
-                self.cache.forget(&RecordKey::Open(id.clone()));
+                self.cache.forget(&RecordKey::Charge(id.clone()));
                 self.repeats.insert(id);
             }
             return;
@@ -193,7 +193,7 @@
         self.arrivals += 1;
         let admission = Admission {
             request,
-            state: AdmissionState::Requested,
+            state: AdmissionState::Pending,
             arrival: self.arrivals,
         };
         let place = admission.place();
@@ -210,13 +210,13 @@
     /// It is proven that the work has ended, or never will begin. Also for work that another holder has
     /// charged.
     pub fn release(&mut self, id: AdmissionId) {
-        if !names_fit(&id) {
+        if !id.is_storable() {
             return self.decisions.push(Decision::NotOpen(id));
         }
         match self.state(&id) {
             // Another holder may have charged the same one.
-            Some(AdmissionState::Requested) if !self.is_in_flight(&id) => self.drop_request(&id),
-            Some(state) if state.counts() => {
+            Some(AdmissionState::Pending) if !self.is_in_flight(&id) => self.drop_request(&id),
+            Some(state) if state.is_charged() => {
                 self.change(&id, AdmissionEvent::EndProven);
             }
             _ => {}
@@ -226,7 +226,7 @@
 
     /// Nobody wants the work any more, and nobody was told that it may start.
     pub fn withdraw(&mut self, id: AdmissionId) {
-        if self.state(&id) == Some(AdmissionState::Requested) && !self.is_in_flight(&id) {
+        if self.state(&id) == Some(AdmissionState::Pending) && !self.is_in_flight(&id) {
             self.drop_request(&id);
             self.decisions.push(Decision::Withdrawn(id));
             return;
--- a/crates/quota/src/holder/operation.rs
+++ b/crates/quota/src/holder/operation.rs
@@ -4,7 +4,7 @@
 
 use super::account::Loading;
 use super::cache::{Cache, Unread};
-use crate::names::{AdmissionId, HolderName, TeamName};
+use crate::ids::{AdmissionId, ClientName, TeamName};
 use crate::records::{Record, RecordKey};
 use crate::resource_vector::ResourceVector;
 
@@ -25,9 +25,9 @@
     /// The charges of these are taken back.
     Released(Vec<AdmissionId>),
     /// The other holder can charge nothing more.
-    Fenced { team: TeamName, holder: HolderName },
+    Fenced { team: TeamName, holder: ClientName },
     /// The other holder's allowance is no more than what it has charged.
-    Collected { team: TeamName, holder: HolderName },
+    Collected { team: TeamName, holder: ClientName },
     /// These admissions are to end.
     Revoked(Vec<AdmissionId>),
 }
--- a/crates/quota/src/holder/outcomes.rs
+++ b/crates/quota/src/holder/outcomes.rs
@@ -8,7 +8,7 @@
 use super::operation::{Effect, Flight, Operation, Purpose};
 use super::{Decision, Holder};
 use crate::admission::AdmissionEvent;
-use crate::names::{AdmissionId, TeamName};
+use crate::ids::{AdmissionId, AllowanceId, TeamName};
 use crate::records::{Record, RecordKey};
 use crate::resource_vector::ResourceVector;
 
@@ -73,13 +73,13 @@
 
     fn on_item(&mut self, key: RecordKey, item: Option<&Item>) {
         let version = item.map_or(Version::ABSENT, |item| item.version);
-        let record = item.and_then(|item| key.read(item));
-        if let RecordKey::Allowance(team, holder) = &key {
+        let record = item.and_then(|item| key.read_record(item));
+        if let RecordKey::Allowance(AllowanceId { team, client }) = &key {
             let epoch = match &record {
                 Some(Record::Allowance(allowance)) => Some(allowance.epoch),
                 _ => None,
             };
-            if *holder == self.config.name {
+            if *client == self.config.name {
                 self.check_claim(team, epoch);
             }
         }
@@ -105,10 +105,10 @@
         let own = loading.holder == self.config.name;
         let mut found = ResourceVector::ZERO;
         for (key, version, record) in read_page(page) {
-            let (RecordKey::Open(id), Record::Open(open)) = (&key, &record) else {
+            let (RecordKey::Charge(id), Record::Charge(open)) = (&key, &record) else {
                 continue;
             };
-            if open.holder != loading.holder {
+            if open.client != loading.holder {
                 continue;
             }
             found += open.usage;
@@ -138,7 +138,7 @@
         let seen = std::mem::take(&mut account.seen);
         account.enter(team, Claim::Held { epoch });
         let of_team = self.admissions.iter().filter(|(id, _)| id.team == *team);
-        let counted = of_team.filter(|(id, a)| a.state.counts() && !seen.contains(id));
+        let counted = of_team.filter(|(id, a)| a.state.is_charged() && !seen.contains(id));
         let settled: Vec<AdmissionId> = counted.map(|(id, _)| id.clone()).collect();
         for id in settled {
             self.found_settled(&id);
@@ -185,7 +185,7 @@
             if self.releasing.contains(&id) {
                 self.change(&id, AdmissionEvent::EndProven);
             } else if late {
-                self.cache.forget(&RecordKey::Open(id.clone()));
+                self.cache.forget(&RecordKey::Charge(id.clone()));
                 self.unconfirmed.insert(id);
             } else {
                 self.decisions.push(Decision::Admitted(id));
@@ -195,9 +195,9 @@
 
     fn released_now(&mut self, id: AdmissionId) {
         self.releasing.remove(&id);
-        self.cache.forget(&RecordKey::Open(id.clone()));
+        self.cache.forget(&RecordKey::Charge(id.clone()));
         match self.state(&id) {
-            Some(state) if state.counts() => self.found_settled(&id),
+            Some(state) if state.is_charged() => self.found_settled(&id),
             _ => self.decisions.push(Decision::Released(id)),
         }
     }
@@ -213,14 +213,14 @@
     ) {
         for key in failed.iter().filter_map(|path| RecordKey::parse(path)) {
             self.cache.forget(&key);
-            if let RecordKey::Open(id) = key {
+            if let RecordKey::Charge(id) = key {
                 self.suspects.insert(id);
             }
         }
         if repeated {
             for (key, _) in writes {
                 self.cache.forget(&key);
-                if let RecordKey::Open(id) = key {
+                if let RecordKey::Charge(id) = key {
                     self.suspects.insert(id);
                 }
             }
@@ -235,7 +235,7 @@
 fn read_page(page: &Page) -> Vec<(RecordKey, Version, Record)> {
     let read = page.items.iter().filter_map(|item| {
         let key = RecordKey::parse(&item.key)?;
-        let record = key.read(item)?;
+        let record = key.read_record(item)?;
         Some((key, item.version, record))
     });
     read.collect()
--- a/crates/quota/src/holder/policy.rs
+++ b/crates/quota/src/holder/policy.rs
@@ -10,8 +10,8 @@
 use super::cache::Unread;
 use super::operation::{Draft, Effect, Operation};
 use super::{Decision, Holder};
+use crate::ids::{ClientName, TeamName};
 use crate::lending::set_policy;
-use crate::names::{HolderName, TeamName};
 use crate::records::{PoolRecord, Record, RecordKey, TeamRecord};
 use crate::resource_vector::ResourceVector;
 
@@ -94,7 +94,7 @@
         if record.lent_total().fits_within(&record.limit) {
             return;
         }
-        let holders: Vec<HolderName> = record.lent.keys().cloned().collect();
+        let holders: Vec<ClientName> = record.allowances.keys().cloned().collect();
         for holder in holders {
             // What is lent here is given back by the rules of lending.
             self.reclaim(team.clone(), holder);
--- /dev/null
+++ b/crates/quota/src/ids.rs
@@ -0,0 +1,116 @@
+//! Names of teams, clients and requesters, and the ids made of them.
+
+use std::fmt;
+use std::sync::Arc;
+
+use serde::{Deserialize, Deserializer, Serialize, Serializer};
+
+/// Defines a newtype around shared text that is stored as plain text.
+macro_rules! name_type {
+    ($(#[$doc:meta])* $name:ident) => {
+        $(#[$doc])*
+        #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
+        pub struct $name(Arc<str>);
+
+        impl $name {
+            /// A name with this text. Any text is a name; see [`AdmissionId::is_storable`] for those that
+            /// fit into a key of the store.
+            pub fn new(text: &str) -> $name {
+                $name(text.into())
+            }
+
+            /// The name as text.
+            pub fn as_str(&self) -> &str {
+                &self.0
+            }
+        }
+
+        impl fmt::Display for $name {
+            fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+                f.write_str(&self.0)
+            }
+        }
+
+        impl Serialize for $name {
+            fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
+                serializer.serialize_str(&self.0)
+            }
+        }
+
+        impl<'de> Deserialize<'de> for $name {
+            fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
+                String::deserialize(deserializer).map(|text| $name::new(&text))
+            }
+        }
+    };
+}
+
+name_type!(
+    /// Name of a team, the unit that has a guarantee and a limit.
+    TeamName
+);
+name_type!(
+    /// Name of a quota client: a controller or an embedding program to which allowances are granted.
+    ClientName
+);
+name_type!(
+    /// Name of a requester: whoever asks for admissions and numbers the requests.
+    RequesterName
+);
+
+/// Identifies an admission, and makes its request idempotent: a request that is repeated with the same
+/// id, at whichever client, is the same admission.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub struct AdmissionId {
+    /// Team whose quota the admission is charged to.
+    pub team: TeamName,
+    /// Who asks for it.
+    pub requester: RequesterName,
+    /// Number of the request among those of the requester. Requesters should count upwards without many
+    /// gaps, as completed numbers are stored as ranges, and must never use a number for other work.
+    pub sequence: u32,
+}
+
+impl AdmissionId {
+    /// Identifies the requester, within the team.
+    pub fn requester_id(&self) -> RequesterId {
+        RequesterId {
+            team: self.team.clone(),
+            requester: self.requester.clone(),
+        }
+    }
+}
+
+impl fmt::Display for AdmissionId {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(f, "{}/{}/{}", self.team, self.requester, self.sequence)
+    }
+}
+
+/// Identifies an allowance: the part of one team's limit that is granted to one client.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub struct AllowanceId {
+    /// Team whose limit it is a part of.
+    pub team: TeamName,
+    /// Client to which it is granted.
+    pub client: ClientName,
+}
+
+impl AllowanceId {
+    /// The id of the allowance that the client has of the team.
+    pub fn new(team: &TeamName, client: &ClientName) -> AllowanceId {
+        AllowanceId {
+            team: team.clone(),
+            client: client.clone(),
+        }
+    }
+}
+
+/// Identifies a requester within a team. Completed admissions are recorded by it.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub struct RequesterId {
+    /// Team for which it asks.
+    pub team: TeamName,
+    /// The requester.
+    pub requester: RequesterName,
+}
--- a/crates/quota/src/lending.rs
+++ b/crates/quota/src/lending.rs
@@ -1,8 +1,8 @@
 //! How a team's limit is lent to holders and comes back. Pure functions over records: whoever writes
 //! their results makes the transaction conditional on the records that went in.
 
-use crate::names::{HolderName, TeamName};
-use crate::records::{PoolRecord, TeamRecord, TeamWant, Want};
+use crate::ids::{ClientName, TeamName};
+use crate::records::{ClientDemand, PoolRecord, TeamDemand, TeamRecord};
 use crate::resource_vector::ResourceVector;
 
 /// No more than so many times what is needed is lent ahead.
@@ -14,12 +14,12 @@
 impl TeamRecord {
     /// What is lent to all holders together.
     pub fn lent_total(&self) -> ResourceVector {
-        self.lent.values().copied().sum()
+        self.allowances.values().copied().sum()
     }
 
     /// What is lent to one holder.
-    pub fn lent_to(&self, holder: &HolderName) -> ResourceVector {
-        self.lent.get(holder).copied().unwrap_or_default()
+    pub fn granted_to(&self, holder: &ClientName) -> ResourceVector {
+        self.allowances.get(holder).copied().unwrap_or_default()
     }
 
     /// What is lent beyond the guarantee.
@@ -28,15 +28,18 @@
     }
 
     /// What holders wait for that come before this one; all that wait if it is not among them.
-    pub fn wanted_before(&self, holder: &HolderName) -> ResourceVector {
-        let before = self.wanted.iter().take_while(|want| want.holder != *holder);
-        before.map(|want| want.usage).sum()
+    pub fn wanted_before(&self, holder: &ClientName) -> ResourceVector {
+        let before = self
+            .unmet_demands
+            .iter()
+            .take_while(|want| want.client != *holder);
+        before.map(|want| want.amount).sum()
     }
 
     /// Whether a holder other than this one waits, in front of it.
-    pub fn others_wait(&self, holder: &HolderName) -> bool {
-        let first = self.wanted.first();
-        first.is_some_and(|want| want.holder != *holder)
+    pub fn others_wait(&self, holder: &ClientName) -> bool {
+        let first = self.unmet_demands.first();
+        first.is_some_and(|want| want.client != *holder)
     }
 
     /// What can be lent to the holder now: under the limit, within what the pool lets be borrowed, and
@@ -45,7 +48,7 @@
         &self,
         name: &TeamName,
         pool: &PoolRecord,
-        holder: &HolderName,
+        holder: &ClientName,
     ) -> ResourceVector {
         let free = self.free(name, pool);
         free.saturating_sub(&self.wanted_before(holder))
@@ -61,32 +64,35 @@
 
     /// How much the first one that waits has to borrow from the pool; nothing if it waits for the limit.
     fn wanted_from_pool(&self) -> Option<ResourceVector> {
-        let first = self.wanted.first()?;
+        let first = self.unmet_demands.first()?;
         let lent = self.lent_total();
-        if !first.usage.fits_within(&self.limit.saturating_sub(&lent)) {
+        if !first.amount.fits_within(&self.limit.saturating_sub(&lent)) {
             return None;
         }
         let borrowed = first
-            .usage
+            .amount
             .saturating_sub(&self.guarantee.saturating_sub(&lent));
         (!borrowed.is_zero()).then_some(borrowed)
     }
 
     /// Notes that the holder waits for that much, behind those that wait already.
-    pub fn note_want(&mut self, holder: &HolderName, usage: ResourceVector) {
-        let waiting = self.wanted.iter_mut().find(|want| want.holder == *holder);
+    pub fn note_want(&mut self, holder: &ClientName, usage: ResourceVector) {
+        let waiting = self
+            .unmet_demands
+            .iter_mut()
+            .find(|want| want.client == *holder);
         match waiting {
-            Some(want) => want.usage = usage,
-            None => self.wanted.push(Want {
-                holder: holder.clone(),
-                usage,
+            Some(want) => want.amount = usage,
+            None => self.unmet_demands.push(ClientDemand {
+                client: holder.clone(),
+                amount: usage,
             }),
         }
     }
 
     /// The holder waits no more.
-    pub fn forget_want(&mut self, holder: &HolderName) {
-        self.wanted.retain(|want| want.holder != *holder);
+    pub fn forget_want(&mut self, holder: &ClientName) {
+        self.unmet_demands.retain(|want| want.client != *holder);
     }
 }
 
@@ -94,14 +100,17 @@
     /// What may still be lent beyond guarantees. While the machines don't have what is guaranteed,
     /// nothing is.
     pub fn room_to_borrow(&self, team: &TeamName) -> ResourceVector {
-        let reserved = self.guaranteed + self.borrowed + self.wanted_before(team);
+        let reserved = self.total_guaranteed + self.total_borrowed + self.wanted_before(team);
         self.capacity.saturating_sub(&reserved)
     }
 
     /// What teams wait for that come before this one; all that wait if it is not among them.
     pub fn wanted_before(&self, team: &TeamName) -> ResourceVector {
-        let before = self.wanted.iter().take_while(|want| want.team != *team);
-        before.map(|want| want.usage).sum()
+        let before = self
+            .unmet_demands
+            .iter()
+            .take_while(|want| want.team != *team);
+        before.map(|want| want.amount).sum()
     }
 
     /// What is still to become free for the teams that come before this one.
@@ -111,15 +120,21 @@
 
     /// The pool with the team's place among those that wait.
     fn with_want(mut self, team: &TeamName, usage: Option<ResourceVector>) -> PoolRecord {
-        let place = self.wanted.iter().position(|want| want.team == *team);
+        let place = self
+            .unmet_demands
+            .iter()
+            .position(|want| want.team == *team);
         match (place, usage) {
-            (Some(at), Some(usage)) => self.wanted[at].usage = usage,
+            (Some(at), Some(usage)) => self.unmet_demands[at].amount = usage,
             (Some(at), None) => {
-                self.wanted.remove(at);
+                self.unmet_demands.remove(at);
             }
-            (None, Some(usage)) if self.wanted.len() < MAX_WAITING_TEAMS => {
+            (None, Some(usage)) if self.unmet_demands.len() < MAX_WAITING_TEAMS => {
                 let team = team.clone();
-                self.wanted.push(TeamWant { team, usage });
+                self.unmet_demands.push(TeamDemand {
+                    team,
+                    amount: usage,
+                });
             }
             (None, _) => {}
         }
@@ -143,21 +158,21 @@
 
     fn free(&self) -> ResourceVector {
         self.capacity
-            .saturating_sub(&(self.guaranteed + self.borrowed))
+            .saturating_sub(&(self.total_guaranteed + self.total_borrowed))
     }
 
     /// What is borrowed although the machines don't have it beside all guarantees.
     pub fn overcommitted(&self) -> ResourceVector {
-        let reserved = self.guaranteed + self.borrowed;
+        let reserved = self.total_guaranteed + self.total_borrowed;
         reserved
             .saturating_sub(&self.capacity)
-            .component_min(&self.borrowed)
+            .component_min(&self.total_borrowed)
     }
 
     /// The pool after a team's borrowing changed.
     pub fn with_borrowing(&self, before: &ResourceVector, after: &ResourceVector) -> PoolRecord {
         PoolRecord {
-            borrowed: self.borrowed.saturating_sub(before) + *after,
+            total_borrowed: self.total_borrowed.saturating_sub(before) + *after,
             ..self.clone()
         }
     }
@@ -194,14 +209,14 @@
     name: &TeamName,
     team: &TeamRecord,
     pool: &PoolRecord,
-    holder: &HolderName,
+    holder: &ClientName,
     new: &NewAllowance,
 ) -> (TeamRecord, Option<PoolRecord>) {
     let mut changed = team.clone();
     if new.granted.is_zero() {
-        changed.lent.remove(holder);
+        changed.allowances.remove(holder);
     } else {
-        changed.lent.insert(holder.clone(), new.granted);
+        changed.allowances.insert(holder.clone(), new.granted);
     }
     match new.wanted {
         Some(usage) => changed.note_want(holder, usage),
@@ -225,9 +240,9 @@
         limit,
         ..team.clone()
     };
-    let guaranteed = pool.guaranteed.saturating_sub(&team.guarantee) + guarantee;
+    let guaranteed = pool.total_guaranteed.saturating_sub(&team.guarantee) + guarantee;
     let pool = PoolRecord {
-        guaranteed,
+        total_guaranteed: guaranteed,
         ..pool.clone()
     };
     let pool = pool.after_change(name, team, &changed);
--- a/crates/quota/src/revocation.rs
+++ b/crates/quota/src/revocation.rs
@@ -2,8 +2,8 @@
 
 use std::collections::BTreeMap;
 
-use crate::names::TeamName;
-use crate::records::Priority;
+use crate::admission::Priority;
+use crate::ids::TeamName;
 use crate::resource_vector::ResourceVector;
 
 /// Work that could be stopped.
--- a/crates/quota/tests/accounts.rs
+++ b/crates/quota/tests/accounts.rs
@@ -5,8 +5,8 @@
 use std::collections::BTreeMap;
 
 use lichencrank_quota::accounts::LEADER;
-use lichencrank_quota::records::PREFIX;
-use lichencrank_quota::{Demand, HolderName, LeaderAccounts, Policy, ResourceVector, TeamName};
+use lichencrank_quota::records::KEY_PREFIX;
+use lichencrank_quota::{ClientName, Demand, LeaderAccounts, Policy, ResourceVector, TeamName};
 use lichencrank_store::{ConditionalStore, Outcome, Request, Version};
 use support::{id, policy, request, team, Cluster};
 
@@ -36,7 +36,7 @@
     fn read(&mut self, store: &mut dyn ConditionalStore) {
         self.accounts.begin_reading();
         let list = Request::List {
-            prefix: PREFIX.to_owned(),
+            prefix: KEY_PREFIX.to_owned(),
             after: String::new(),
             limit: 1000,
         };
@@ -180,7 +180,7 @@
     let mut leader = Leader::new(4, rules);
     leader.keep(&mut store);
     let fence = leader.accounts.fence(&team("vision"));
-    cluster.holders[0].reclaim(team("vision"), HolderName::new(LEADER));
+    cluster.holders[0].reclaim(team("vision"), ClientName::new(LEADER));
     cluster.settle();
     leader.read(&mut store);
     assert_eq!(leader.accounts.fence(&team("vision")), fence);
--- a/crates/quota/tests/failures.rs
+++ b/crates/quota/tests/failures.rs
@@ -85,7 +85,7 @@
     let late = id("vision", 91, 1);
     cluster.send_charge(0);
     cluster.arrive(0);
-    assert!(cluster.ledger().open.contains_key(&late));
+    assert!(cluster.ledger().charges.contains_key(&late));
     cluster.holders[1].release(late.clone());
     for _ in 0..40 {
         cluster.step(1);
@@ -112,7 +112,7 @@
     let recovered = Decision::Recovered(id("vision", 90, 1));
     assert!(cluster.decisions.contains(&(0, recovered)));
     cluster.orphan_arrives();
-    assert!(!cluster.ledger().open.contains_key(&id("vision", 91, 1)));
+    assert!(!cluster.ledger().charges.contains_key(&id("vision", 91, 1)));
 }
 
 /// Two of three holders end for good: the last one gets the whole limit, less what they had charged.
--- a/crates/quota/tests/limits.rs
+++ b/crates/quota/tests/limits.rs
@@ -145,7 +145,7 @@
     assert_eq!(revoked.len(), 20, "{revoked:?}");
     assert!(revoked
         .iter()
-        .all(|id| ledger.open[id].priority == Priority::BestEffort));
+        .all(|id| ledger.charges[id].priority == Priority::BestEffort));
     assert_eq!(ledger.used(&team("a")), ResourceVector::from_cpus(60));
     for id in &revoked {
         cluster.finish(id, 2);
@@ -240,7 +240,7 @@
     for reason in [
         RejectReason::LargerThanLimit,
         RejectReason::UnknownTeam,
-        RejectReason::BadName,
+        RejectReason::InvalidName,
     ] {
         assert!(reasons.contains(&reason), "{reasons:?}");
     }
--- a/crates/quota/tests/loopback.rs
+++ b/crates/quota/tests/loopback.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use lichencrank_quota::{
-    AdmissionId, AdmissionRequest, BlockingQuota, Decision, HolderConfig, HolderName, Ledger,
+    AdmissionId, AdmissionRequest, BlockingQuota, ClientName, Decision, HolderConfig, Ledger,
     Policy, Priority, RequesterName, ResourceVector, TeamName, TeamPolicy,
 };
 use lichencrank_store::{BlockingClient, Item, StoreLimits, Version};
@@ -34,7 +34,7 @@
 
 fn controller(number: usize, address: std::net::SocketAddr) -> BlockingQuota<BlockingClient> {
     let config = HolderConfig {
-        name: HolderName::new(&format!("controller-{number}")),
+        name: ClientName::new(&format!("controller-{number}")),
         limits: StoreLimits {
             value_bytes: limits().value_bytes,
             changes: limits().txn_ops,
@@ -190,16 +190,16 @@
     let usages: BTreeMap<&AdmissionId, ResourceVector> =
         asked.iter().map(|r| (&r.id, r.usage)).collect();
     let expected: ResourceVector = usages.values().copied().sum();
-    let settled = ledger(state).settled;
-    let released: ResourceVector = settled.values().map(|s| s.released).sum();
-    let count: u64 = settled.values().map(|s| s.numbers.len()).sum();
+    let settled = ledger(state).completed;
+    let released: ResourceVector = settled.values().map(|s| s.total_released).sum();
+    let count: u64 = settled.values().map(|s| s.sequences.len()).sum();
     assert_eq!((count, released), (asked.len() as u64, expected));
 }
 
 fn ledger(state: &StateService) -> Ledger {
     let mut ledger = Ledger::default();
     for (key, value) in state.below("quota/") {
-        ledger.take(&Item {
+        ledger.insert_item(&Item {
             key: key.to_owned(),
             value: value.clone(),
             version: Version(0),
--- a/crates/quota/tests/records.rs
+++ b/crates/quota/tests/records.rs
@@ -2,13 +2,13 @@
 
 use std::collections::BTreeMap;
 
-use lichencrank_quota::names::{AdmissionId, HolderName, RequesterName, TeamName};
+use lichencrank_quota::completed::CompletedRecord;
+use lichencrank_quota::ids::{AdmissionId, AllowanceId, ClientName, RequesterName, TeamName};
 use lichencrank_quota::records::{
-    names_fit, OpenRecord, OpenState, PoolRecord, RecordKey, TeamRecord,
+    AllowanceRecord, ChargeRecord, ChargeState, PoolRecord, RecordKey, TeamRecord,
 };
 use lichencrank_quota::revocation::{choose, may_stop, Candidate, TeamUse};
-use lichencrank_quota::settled::SettledRecord;
-use lichencrank_quota::{Amount, Difference, Ledger, Priority, ResourceVector};
+use lichencrank_quota::{Amount, Discrepancy, Ledger, Priority, ResourceVector};
 
 #[test]
 fn sums_of_decimals_do_not_drift() {
@@ -43,9 +43,9 @@
         let keys = [
             RecordKey::Pool,
             RecordKey::Team(id.team.clone()),
-            RecordKey::Allowance(id.team.clone(), HolderName::new(name)),
-            RecordKey::Settled(id.team.clone(), id.requester.clone()),
-            RecordKey::Open(id),
+            RecordKey::Allowance(AllowanceId::new(&id.team, &ClientName::new(name))),
+            RecordKey::Completed(id.requester_id()),
+            RecordKey::Charge(id),
         ];
         for key in keys {
             let path = key.path();
@@ -68,25 +68,25 @@
         requester: RequesterName::new("r"),
         sequence: 0,
     };
-    assert!(!names_fit(&long));
+    assert!(!long.is_storable());
 }
 
 #[test]
 fn settled_numbers_fold_once_and_stay_small() {
-    let mut record = SettledRecord::default();
+    let mut record = CompletedRecord::default();
     for number in (0..100_000).rev() {
-        assert!(record.fold(number, ResourceVector::from_cpus(1)));
-        assert!(!record.fold(number, ResourceVector::from_cpus(1)));
+        assert!(record.add(number, ResourceVector::from_cpus(1)));
+        assert!(!record.add(number, ResourceVector::from_cpus(1)));
     }
-    assert_eq!(record.released, ResourceVector::from_cpus(100_000));
+    assert_eq!(record.total_released, ResourceVector::from_cpus(100_000));
     let stored = serde_json::to_string(&record).expect("it has a form");
     assert!(stored.len() < 100, "{stored}");
-    let read: SettledRecord = serde_json::from_str(&stored).expect("its own form");
+    let read: CompletedRecord = serde_json::from_str(&stored).expect("its own form");
     assert_eq!(read, record);
     // Runs that no one wrote: empty, and beyond the last number.
     let odd = r#"{"numbers":[[5,0],[4294967290,900]],"released":{"cpus":0,"gpus":0}}"#;
-    let odd: SettledRecord = serde_json::from_str(odd).expect("a form");
-    assert_eq!(odd.numbers.len(), 6);
+    let odd: CompletedRecord = serde_json::from_str(odd).expect("a form");
+    assert_eq!(odd.sequences.len(), 6);
 }
 
 fn candidate(id: u32, team: &str, priority: Priority, cpus: u64, loss: u64) -> Candidate<u32> {
@@ -139,24 +139,24 @@
 
 /// A ledger in which every total disagrees with the admissions.
 fn inconsistent_ledger() -> Ledger {
-    let (team, holder) = (TeamName::new("t"), HolderName::new("h"));
+    let (team, holder) = (TeamName::new("t"), ClientName::new("h"));
     let mut record = TeamRecord {
         guarantee: ResourceVector::from_cpus(4),
         limit: ResourceVector::from_cpus(8),
         ..TeamRecord::default()
     };
     record
-        .lent
+        .allowances
         .insert(holder.clone(), ResourceVector::from_cpus(6));
-    let open = OpenRecord {
-        holder,
+    let open = ChargeRecord {
+        client: holder,
         epoch: 1,
         usage: ResourceVector::from_cpus(9),
         priority: Priority::Normal,
-        state: OpenState::Charged,
+        state: ChargeState::Charged,
     };
-    let mut settled = SettledRecord::default();
-    settled.fold(3, ResourceVector::from_cpus(9));
+    let mut settled = CompletedRecord::default();
+    settled.add(3, ResourceVector::from_cpus(9));
     let pool = PoolRecord {
         capacity: ResourceVector::from_cpus(8),
         ..PoolRecord::default()
@@ -165,11 +165,11 @@
         pool: Some(pool),
         ..Ledger::default()
     };
-    ledger.teams.insert(team.clone(), record);
-    ledger.open.insert(settled_admission(), open);
+    ledger.teams.insert(team, record);
+    ledger.charges.insert(settled_admission(), open);
     ledger
-        .settled
-        .insert((team, RequesterName::new("r")), settled);
+        .completed
+        .insert(settled_admission().requester_id(), settled);
     ledger
 }
 
@@ -186,21 +186,27 @@
 fn the_audit_names_each_difference() {
     let mut ledger = inconsistent_ledger();
     let found = ledger.audit();
-    let named = |wanted: fn(&Difference) -> bool| found.iter().any(wanted);
-    assert!(named(|d| matches!(d, Difference::OverLimit { .. })));
-    assert!(named(|d| matches!(d, Difference::LentDiffers { .. })));
-    assert!(named(|d| matches!(d, Difference::PoolDiffers { .. })));
-    assert!(named(|d| matches!(d, Difference::GuaranteeBroken { .. })));
-    assert!(found.contains(&Difference::OpenAndSettled(settled_admission())));
-    let allowance = lichencrank_quota::records::AllowanceRecord {
+    let named = |wanted: fn(&Discrepancy) -> bool| found.iter().any(wanted);
+    assert!(named(|d| matches!(d, Discrepancy::LimitExceeded { .. })));
+    assert!(named(|d| matches!(
+        d,
+        Discrepancy::AllowanceMismatch { .. }
+    )));
+    assert!(named(|d| matches!(d, Discrepancy::PoolMismatch { .. })));
+    assert!(named(|d| matches!(
+        d,
+        Discrepancy::GuaranteeViolated { .. }
+    )));
+    assert!(found.contains(&Discrepancy::ChargedAfterCompletion(settled_admission())));
+    let allowance = AllowanceRecord {
         granted: ResourceVector::from_cpus(6),
         ..Default::default()
     };
-    let key = (TeamName::new("t"), HolderName::new("h"));
+    let key = AllowanceId::new(&TeamName::new("t"), &ClientName::new("h"));
     ledger.allowances.insert(key, allowance);
     let found = ledger.audit();
     let over = found
         .iter()
-        .filter(|d| matches!(d, Difference::OverAllowance { .. }));
+        .filter(|d| matches!(d, Discrepancy::AllowanceExceeded { .. }));
     assert_eq!(over.count(), 1, "{found:?}");
 }
--- a/crates/quota/tests/support/mod.rs
+++ b/crates/quota/tests/support/mod.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use lichencrank_quota::{
-    AdmissionId, AdmissionRequest, Decision, Holder, HolderConfig, HolderName, Ledger, Policy,
+    AdmissionId, AdmissionRequest, ClientName, Decision, Holder, HolderConfig, Ledger, Policy,
     Priority, RequesterName, ResourceVector, TeamName, TeamPolicy,
 };
 use lichencrank_store::{ConditionalStore, Item, Outcome, Request, StoreLimits, Time, Version};
@@ -27,8 +27,8 @@
     TeamName::new(name)
 }
 
-pub(crate) fn holder_name(number: usize) -> HolderName {
-    HolderName::new(&format!("controller-{number}"))
+pub(crate) fn holder_name(number: usize) -> ClientName {
+    ClientName::new(&format!("controller-{number}"))
 }
 
 pub(crate) fn id(of: &str, requester: usize, sequence: u32) -> AdmissionId {
@@ -134,7 +134,7 @@
         let mut ledger = Ledger::default();
         self.shared.look(|service| {
             for (key, value) in service.below("quota/") {
-                ledger.take(&Item {
+                ledger.insert_item(&Item {
                     key: key.to_owned(),
                     value: value.clone(),
                     version: Version(0),
@@ -148,11 +148,11 @@
     fn check(&self) {
         let mut differences = self.ledger().audit();
         if self.lenient {
-            use lichencrank_quota::Difference;
+            use lichencrank_quota::Discrepancy;
             differences.retain(|difference| {
                 !matches!(
                     difference,
-                    Difference::OverLimit { .. } | Difference::GuaranteeBroken { .. }
+                    Discrepancy::LimitExceeded { .. } | Discrepancy::GuaranteeViolated { .. }
                 )
             });
         }
@@ -264,8 +264,8 @@
         match decision {
             Decision::Admitted(id) => {
                 let ledger = self.ledger();
-                let open = ledger.open.get(id);
-                if open.is_none_or(|open| open.holder != holder_name(n)) {
+                let open = ledger.charges.get(id);
+                if open.is_none_or(|open| open.client != holder_name(n)) {
                     self.fail(&format!("{id} starts without a charge"));
                 }
                 if !self.started.insert(id.clone()) {
@@ -346,7 +346,7 @@
                 .iter()
                 .filter(|(id, _)| !self.answers.contains_key(id));
             let unanswered: Vec<AdmissionRequest> = unanswered.map(|(_, r)| r.clone()).collect();
-            if running.is_empty() && unanswered.is_empty() && self.ledger().open.is_empty() {
+            if running.is_empty() && unanswered.is_empty() && self.ledger().charges.is_empty() {
                 break;
             }
             for (n, request) in unanswered.into_iter().enumerate() {
@@ -358,7 +358,7 @@
 
     /// Whoever was told of an end may have ended itself: it is told until the charge is gone.
     fn repeat_releases(&mut self) {
-        let open: Vec<AdmissionId> = self.ledger().open.into_keys().collect();
+        let open: Vec<AdmissionId> = self.ledger().charges.into_keys().collect();
         let ended = open.iter().filter(|id| {
             let started = self.started.contains(*id);
             started && !self.running.contains(*id)
@@ -381,20 +381,19 @@
     /// Every request was answered, and every admission is settled once.
     fn judge_the_end(&self, asked: &BTreeMap<AdmissionId, AdmissionRequest>) {
         let ledger = self.ledger();
-        if !ledger.open.is_empty() {
-            self.fail(&format!("still open: {:?}", ledger.open));
+        if !ledger.charges.is_empty() {
+            self.fail(&format!("still open: {:?}", ledger.charges));
         }
         let mut released = ResourceVector::ZERO;
         for id in &self.started {
-            let requester = (id.team.clone(), id.requester.clone());
-            let settled = ledger.settled.get(&requester);
-            if !settled.is_some_and(|s| s.numbers.contains(id.sequence)) {
+            let settled = ledger.completed.get(&id.requester_id());
+            if !settled.is_some_and(|s| s.sequences.contains(id.sequence)) {
                 self.fail(&format!("{id} ran and is not settled"));
             }
             released += asked[id].usage;
         }
-        let recorded: ResourceVector = ledger.settled.values().map(|s| s.released).sum();
-        let counted: u64 = ledger.settled.values().map(|s| s.numbers.len()).sum();
+        let recorded: ResourceVector = ledger.completed.values().map(|s| s.total_released).sum();
+        let counted: u64 = ledger.completed.values().map(|s| s.sequences.len()).sum();
         assert_eq!((counted, recorded), (self.started.len() as u64, released));
         for id in asked.keys() {
             if !self.answers.contains_key(id) {
--- a/src/node/leader_duties/quota.rs
+++ b/src/node/leader_duties/quota.rs
@@ -2,10 +2,10 @@
 
 use super::*;
 
-use lichencrank_quota::records::{ALLOWANCES, POOL, TEAMS};
+use lichencrank_quota::records::{ALLOWANCE_PREFIX, POOL_KEY, TEAM_PREFIX};
 
 /// What is read, one after the other.
-const PREFIXES: [&str; 3] = [POOL, TEAMS, ALLOWANCES];
+const PREFIXES: [&str; 3] = [POOL_KEY, TEAM_PREFIX, ALLOWANCE_PREFIX];
 /// How often is looked whether the accounts have to change: that goes through all jobs.
 const ACCOUNTS_EVERY: Duration = Duration::from_millis(200);
 /// Changes that one team of the accounts takes: its record, the allowance and the pool.
--- a/src/quota_report.rs
+++ b/src/quota_report.rs
@@ -5,7 +5,7 @@
 
 use lichencrank_quota::accounts::LEADER;
 use lichencrank_quota::records::TeamRecord;
-use lichencrank_quota::{HolderName, Ledger, ResourceVector, TeamName};
+use lichencrank_quota::{AllowanceId, ClientName, Ledger, ResourceVector, TeamName};
 use lichencrank_store::{BlockingClient, ConditionalStore, Outcome, Request};
 
 use crate::settings::Settings;
@@ -19,7 +19,7 @@
 /// Reads everything and puts it into lines. The error says what could not be read.
 pub fn report(settings: &Settings) -> Result<String, String> {
     let mut store = BlockingClient::new(settings.outside.state, PATIENCE);
-    let mut ledger = Ledger::read(&mut store)?;
+    let mut ledger = Ledger::read(&mut store).map_err(|error| error.to_string())?;
     add_bookings(&mut store, &mut ledger)?;
     Ok(render(&ledger))
 }
@@ -43,8 +43,8 @@
             let booked = record.allocations.len() as u64;
             let usage = ResourceVector::rounded_up(record.cpus, record.gpus).saturating_mul(booked);
             let team = TeamName::new(&record.team);
-            let place = (team, HolderName::new(LEADER));
-            *ledger.self_accounted.entry(place).or_default() += usage;
+            let allowance = AllowanceId::new(&team, &ClientName::new(LEADER));
+            *ledger.external_charges.entry(allowance).or_default() += usage;
         }
         match page.items.last() {
             Some(last) if page.more => after = last.key.clone(),
@@ -63,10 +63,10 @@
         let _ = writeln!(
             out,
             "pool: capacity {}; {} guaranteed, {} lent beyond guarantees",
-            pool.capacity, pool.guaranteed, pool.borrowed
+            pool.capacity, pool.total_guaranteed, pool.total_borrowed
         );
-        for want in &pool.wanted {
-            let _ = writeln!(out, "  team {} waits to borrow {}", want.team, want.usage);
+        for want in &pool.unmet_demands {
+            let _ = writeln!(out, "  team {} waits to borrow {}", want.team, want.amount);
         }
     }
     for (team, record) in &ledger.teams {
@@ -92,17 +92,17 @@
         ledger.revoked(team)
     );
     let allowances = ledger.allowances.iter();
-    for ((_, holder), allowance) in allowances.filter(|((of, _), _)| of == team) {
+    for (AllowanceId { client, .. }, allowance) in allowances.filter(|(id, _)| id.team == *team) {
         let state = if allowance.fenced { ", fenced off" } else { "" };
         let _ = writeln!(
             out,
-            "  {holder}: {} charged of {}, epoch {}{state}",
-            ledger.charged(team, holder),
+            "  {client}: {} charged of {}, epoch {}{state}",
+            ledger.charged(team, client),
             allowance.granted,
             allowance.epoch
         );
     }
-    for want in &record.wanted {
-        let _ = writeln!(out, "  {} waits for {}", want.holder, want.usage);
+    for want in &record.unmet_demands {
+        let _ = writeln!(out, "  {} waits for {}", want.client, want.amount);
     }
 }
--- a/tests/quota_service.rs
+++ b/tests/quota_service.rs
@@ -9,7 +9,7 @@
 use ciborium::Value;
 use lichencrank::protocol::encode;
 use lichencrank_quota::{
-    AdmissionId, AdmissionRequest, BlockingQuota, Decision, HolderConfig, HolderName, Ledger,
+    AdmissionId, AdmissionRequest, BlockingQuota, ClientName, Decision, HolderConfig, Ledger,
     Priority, RequesterName, ResourceVector, TeamName,
 };
 use lichencrank_store::{BlockingClient, StoreLimits};
@@ -44,7 +44,7 @@
 
 fn embedder(world: &World) -> BlockingQuota<BlockingClient> {
     let config = HolderConfig {
-        name: HolderName::new("depot-tool"),
+        name: ClientName::new("depot-tool"),
         limits: StoreLimits {
             value_bytes: 16 * 1024,
             changes: 16,
--- a/tests/simulated/embedder.rs
+++ b/tests/simulated/embedder.rs
@@ -6,8 +6,8 @@
 use lichencrank::storage::records::RunRecord;
 use lichencrank_quota::accounts::LEADER;
 use lichencrank_quota::{
-    AdmissionId, AdmissionRequest, Decision, Difference, Holder, HolderConfig, HolderName, Ledger,
-    Priority, RequesterName, ResourceVector, TeamName,
+    AdmissionId, AdmissionRequest, AllowanceId, ClientName, Decision, Discrepancy, Holder,
+    HolderConfig, Ledger, Priority, RequesterName, ResourceVector, TeamName,
 };
 use lichencrank_store::codec::{decode, encode};
 use lichencrank_store::{Item, Outcome, StoreLimits, Time, Version};
@@ -32,7 +32,7 @@
 impl Embedder {
     pub fn new(demand: Demand) -> Embedder {
         let config = HolderConfig {
-            name: HolderName::new("depot-tool"),
+            name: ClientName::new("depot-tool"),
             limits: StoreLimits {
                 value_bytes: 16 * 1024,
                 changes: 16,
@@ -119,7 +119,7 @@
 pub fn audit(state: &StateService, leader_knows: bool) -> Vec<String> {
     let mut ledger = Ledger::default();
     for (key, value) in state.below("quota/") {
-        ledger.take(&Item {
+        ledger.insert_item(&Item {
             key: key.to_owned(),
             value: value.clone(),
             version: Version(0),
@@ -129,15 +129,16 @@
         let Ok(record) = value.deserialized::<RunRecord>() else {
             continue;
         };
-        let place = (TeamName::new(&record.team), HolderName::new(LEADER));
+        let team = TeamName::new(&record.team);
+        let allowance = AllowanceId::new(&team, &ClientName::new(LEADER));
         let booked = record.allocations.len() as u64;
         let usage = ResourceVector::rounded_up(record.cpus, record.gpus).saturating_mul(booked);
-        *ledger.self_accounted.entry(place).or_default() += usage;
+        *ledger.external_charges.entry(allowance).or_default() += usage;
     }
     let differences = ledger.audit().into_iter().filter(|difference| {
         let by_leader = matches!(
             difference,
-            Difference::OverAllowance { .. } | Difference::OverLimit { .. }
+            Discrepancy::AllowanceExceeded { .. } | Discrepancy::LimitExceeded { .. }
         );
         leader_knows || !by_leader
     });
