--- a/crates/quota/examples/admissions.rs
+++ b/crates/quota/examples/admissions.rs
@@ -7,8 +7,8 @@
 use std::time::{Duration, Instant};
 
 use lichencrank_quota::{
-    AdmissionId, AdmissionRequest, ClientName, Decision, Holder, HolderConfig, Ledger, Policy,
-    Priority, RequesterName, ResourceVector, TeamName, TeamPolicy,
+    AdmissionId, AdmissionRequest, ClientName, Decision, Holder, HolderConfig, Ledger, Priority,
+    QuotaPolicy, RequesterName, ResourceVector, TeamName, TeamPolicy,
 };
 use lichencrank_store::{
     value, Change, ConditionalStore, Outcome, Request, StoreLimits, Time, Txn, Version,
@@ -71,12 +71,12 @@
     }
 }
 
-fn policy() -> Policy {
+fn policy() -> QuotaPolicy {
     let team = TeamPolicy {
         guarantee: ResourceVector::ZERO,
         limit: ResourceVector::from_limit_settings(LIMIT as f64, 0.0),
     };
-    Policy {
+    QuotaPolicy {
         capacity: ResourceVector::UNLIMITED,
         teams: [(TeamName::new(TEAM), team)].into(),
     }
@@ -108,7 +108,7 @@
         let lent = ledger
             .teams
             .values()
-            .map(|team| team.lent_total().cpus.to_decimal());
+            .map(|team| team.total_granted().cpus.to_decimal());
         (lent.sum::<f64>() - used).max(0.0) / LIMIT as f64
     })
 }
--- a/crates/quota/src/accounts.rs
+++ b/crates/quota/src/accounts.rs
@@ -9,10 +9,10 @@
 
 use lichencrank_store::{Change, Item, Txn, Version};
 
+use crate::allocation::{AllowanceTarget, TeamQuota};
 use crate::amount::Amount;
-use crate::holder::Policy;
 use crate::ids::{AllowanceId, ClientName, TeamName};
-use crate::lending::{set_allowance, set_policy, NewAllowance};
+use crate::policy::QuotaPolicy;
 use crate::records::{AllowanceRecord, PoolRecord, Record, RecordKey, TeamRecord};
 use crate::resource_vector::ResourceVector;
 
@@ -71,14 +71,14 @@
 pub struct LeaderAccounts {
     holder: ClientName,
     epoch: u64,
-    policy: Policy,
+    policy: QuotaPolicy,
     picture: Picture,
     stage: Stage,
 }
 
 impl LeaderAccounts {
     /// The accounts of a leader of that term, to be read.
-    pub fn new(term: u64, policy: Policy) -> LeaderAccounts {
+    pub fn new(term: u64, policy: QuotaPolicy) -> LeaderAccounts {
         LeaderAccounts {
             holder: ClientName::new(LEADER),
             epoch: term,
@@ -235,12 +235,18 @@
             capacity: self.policy.capacity,
             ..picture.pool.record.clone()
         };
-        let (record, pool) = set_policy(team, &record, &pool, wanted.guarantee, wanted.limit);
+        let quota = TeamQuota {
+            name: team.clone(),
+            team: record,
+            pool,
+        };
+        let quota = quota.with_policy(wanted);
         let known_own = picture.own.get(team).map(|known| &known.record);
         let own = known_own.cloned().unwrap_or_default();
-        let new = self.new_allowance(team, &record, &pool, &own, demand);
-        let (record, changed_pool) = set_allowance(team, &record, &pool, &self.holder, &new);
-        let pool = changed_pool.unwrap_or(pool);
+        let new = self.new_allowance(&quota, &own, demand);
+        let TeamQuota {
+            team: record, pool, ..
+        } = quota.with_allowance(&self.holder, &new);
         let own = AllowanceRecord {
             epoch: self.epoch,
             granted: new.granted,
@@ -263,33 +269,25 @@
 
     fn new_allowance(
         &self,
-        team: &TeamName,
-        record: &TeamRecord,
-        pool: &PoolRecord,
+        quota: &TeamQuota,
         own: &AllowanceRecord,
         demand: &Demand,
-    ) -> NewAllowance {
+    ) -> AllowanceTarget {
         // What runs counts, also above the limit: it was booked by a version that knows no allowances.
         let mut granted = own.granted.component_max(&demand.used);
         let unspent = granted.saturating_sub(&demand.used);
-        let mut owed = pool.missing_before(team).component_min(&record.borrowed());
-        if record.others_wait(&self.holder) {
-            let free = record.free(team, pool);
-            let to_holders = record.wanted_before(&self.holder).saturating_sub(&free);
-            owed = owed.component_max(&to_holders);
-        }
-        let over_limit = record.lent_total().saturating_sub(&record.limit);
-        let owed = owed.component_max(&over_limit);
+        let owed = quota.owed_by(&self.holder);
+        let owed = owed.component_max(&quota.team.granted_above_limit());
         granted = granted.saturating_sub(&unspent.component_min(&owed));
-        let lendable = record.lendable(team, pool, &self.holder);
-        granted = granted + lending(&granted, &lendable, pool, demand);
+        let lendable = quota.grantable_to(&self.holder);
+        granted = granted + lending(&granted, &lendable, &quota.pool, demand);
         let short = (demand.used + demand.waiting).saturating_sub(&granted);
-        let under_limit = record.limit.saturating_sub(&granted);
+        let under_limit = quota.team.limit.saturating_sub(&granted);
         let wanted = short.component_min(&under_limit);
         let wanted = wanted.component_min(&demand.front.saturating_mul(WANTED_TASKS));
-        NewAllowance {
+        AllowanceTarget {
             granted,
-            wanted: (!wanted.is_zero()).then_some(wanted),
+            unmet_demand: (!wanted.is_zero()).then_some(wanted),
         }
     }
 }
--- a/crates/quota/src/driver.rs
+++ b/crates/quota/src/driver.rs
@@ -5,8 +5,9 @@
 use lichencrank_store::{ConditionalStore, Time};
 
 use crate::admission::AdmissionRequest;
-use crate::holder::{Decision, Holder, HolderConfig, Policy};
+use crate::holder::{Decision, Holder, HolderConfig};
 use crate::ids::{AdmissionId, ClientName, TeamName};
+use crate::policy::QuotaPolicy;
 
 /// How long to wait where there is nothing to do but to wait.
 const IDLE_WAIT: Duration = Duration::from_millis(2);
@@ -49,7 +50,7 @@
     }
 
     /// Brings a policy into the store; see [`Holder::set_policy`].
-    pub fn set_policy(&mut self, policy: Policy) {
+    pub fn set_policy(&mut self, policy: QuotaPolicy) {
         self.holder.set_policy(policy);
     }
 
--- a/crates/quota/src/holder/charge.rs
+++ b/crates/quota/src/holder/charge.rs
@@ -67,13 +67,14 @@
         record: &TeamRecord,
     ) -> Result<Option<Operation>, Unread> {
         self.refreshed(team)?;
-        if let Some(operation) = self.plan_yielding(team, record)? {
+        let quota = self.quota(team)?;
+        if let Some(operation) = self.plan_yielding(&quota)? {
             return Ok(Some(operation));
         }
         if let Some(operation) = self.plan_charge(team, record)? {
             return Ok(Some(operation));
         }
-        self.plan_lending(team, record)
+        self.plan_rebalancing(&quota)
     }
 
     /// What others may have changed is read again every so often, while anything waits or is lent here.
@@ -109,7 +110,7 @@
     fn is_reload_due(&mut self, team: &TeamName, record: &TeamRecord) -> Result<bool, Unread> {
         let now = self.now;
         let pool = self.pool()?;
-        let short = !pool.missing_before(team).is_zero() || !pool.overcommitted().is_zero();
+        let short = !pool.shortfall_ahead_of(team).is_zero() || !pool.overcommitted().is_zero();
         let account = self.account(team);
         let contended = short || !record.unmet_demands.is_empty() || !account.waiting.is_empty();
         Ok(contended && !account.charged.is_zero() && now >= account.reload_at)
--- a/crates/quota/src/holder/collect.rs
+++ b/crates/quota/src/holder/collect.rs
@@ -11,8 +11,8 @@
 use super::charge::load;
 use super::operation::{Draft, Effect, Operation};
 use super::{Decision, Holder};
+use crate::allocation::AllowanceTarget;
 use crate::ids::{AllowanceId, ClientName, TeamName};
-use crate::lending::NewAllowance;
 use crate::records::{AllowanceRecord, Record, RecordKey};
 use crate::resource_vector::ResourceVector;
 
@@ -138,24 +138,24 @@
             return Ok(None);
         }
         let allowance = known.record.cloned().unwrap_or_default();
-        let before = self.cache.team(team)?.record.cloned().unwrap_or_default();
-        let waits = before
-            .unmet_demands
-            .iter()
-            .any(|want| want.client == *holder);
-        if allowance.granted == charged && before.granted_to(holder) == charged && !waits {
+        let record = self.cache.team(team)?.record.cloned().unwrap_or_default();
+        let waits = record.demand_of(holder).is_some();
+        let is_recorded = record.granted_to(holder) == charged && !waits;
+        if allowance.granted == charged && is_recorded {
             self.end_collection(true);
             return Ok(None);
         }
+        let quota = self.quota(team)?;
         let effect = Effect::Collected {
             team: team.clone(),
             holder: holder.clone(),
         };
-        let new = NewAllowance {
+        let new = AllowanceTarget {
             granted: charged,
-            wanted: None,
+            unmet_demand: None,
         };
-        self.draft_allowance(team, holder, &new, effect).map(Some)
+        self.commit_allowance(&quota, holder, &new, effect)
+            .map(Some)
     }
 
     pub(super) fn end_collection(&mut self, reclaimed: bool) {
--- a/crates/quota/src/holder/enforce.rs
+++ b/crates/quota/src/holder/enforce.rs
@@ -9,12 +9,12 @@
 use super::operation::{Draft, Effect, Operation, Purpose};
 use super::{Holder, LOAD_PAGE};
 use crate::ids::{AdmissionId, TeamName};
+use crate::preemption::{select_victims_best_effort, Candidate, TeamUsage};
 use crate::records::{
     ChargeRecord, ChargeState, PoolRecord, Record, RecordKey, TeamRecord, CHARGE_PREFIX,
     TEAM_PREFIX,
 };
 use crate::resource_vector::ResourceVector;
-use crate::revocation::{choose_as_far_as_possible, Candidate, TeamUse};
 
 /// How far it is.
 #[derive(Clone, Debug, Default, PartialEq)]
@@ -134,11 +134,11 @@
             return Step::Rest;
         };
         let Enforcement { teams, open, .. } = &self.enforcement;
-        let mut uses: BTreeMap<TeamName, TeamUse> = BTreeMap::new();
+        let mut uses: BTreeMap<TeamName, TeamUsage> = BTreeMap::new();
         for (team, record) in teams {
             let guarantee = record.guarantee;
             let used = ResourceVector::ZERO;
-            uses.insert(team.clone(), TeamUse { guarantee, used });
+            uses.insert(team.clone(), TeamUsage { guarantee, used });
         }
         let mut candidates = Vec::new();
         for (id, (_, record)) in open {
@@ -153,11 +153,11 @@
                 team: id.team.clone(),
                 priority: record.priority,
                 usage: record.usage,
-                loss: 0,
+                preemption_cost: 0,
             });
         }
         let shortage = shortage(&pool, &uses);
-        let chosen = choose_as_far_as_possible(shortage, &uses, &candidates);
+        let chosen = select_victims_best_effort(shortage, &uses, &candidates);
         if chosen.is_empty() {
             return Step::Rest;
         }
@@ -170,7 +170,7 @@
 }
 
 /// How much of what is borrowed is in the way of a guarantee.
-fn shortage(pool: &PoolRecord, teams: &BTreeMap<TeamName, TeamUse>) -> ResourceVector {
+fn shortage(pool: &PoolRecord, teams: &BTreeMap<TeamName, TeamUsage>) -> ResourceVector {
     let reserved: ResourceVector = teams
         .values()
         .map(|t| t.used.component_max(&t.guarantee))
--- a/crates/quota/src/holder/mod.rs
+++ b/crates/quota/src/holder/mod.rs
@@ -13,10 +13,10 @@
 mod charge;
 mod collect;
 mod enforce;
-mod lend;
 mod operation;
 mod outcomes;
 mod policy;
+mod rebalance;
 mod settle;
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -35,7 +35,6 @@
 use enforce::Enforcement;
 use operation::{Flight, Operation, Purpose};
 use policy::PolicyChange;
-pub use policy::{Policy, TeamPolicy};
 
 /// Open admissions read at once.
 const LOAD_PAGE: u32 = 500;
--- a/crates/quota/src/holder/policy.rs
+++ b/crates/quota/src/holder/policy.rs
@@ -5,34 +5,15 @@
 //! with what it has charged. Work that was admitted under the higher limit is not stopped; nothing new
 //! of its team is admitted before it fits.
 
-use std::collections::BTreeMap;
-
 use super::cache::Unread;
 use super::operation::{Draft, Effect, Operation};
 use super::{Decision, Holder};
+use crate::allocation::TeamQuota;
 use crate::ids::{ClientName, TeamName};
-use crate::lending::set_policy;
+use crate::policy::{QuotaPolicy, TeamPolicy};
 use crate::records::{PoolRecord, Record, RecordKey, TeamRecord};
 use crate::resource_vector::ResourceVector;
 
-/// What a team is guaranteed and allowed.
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub struct TeamPolicy {
-    /// What other teams' borrowing never takes from it.
-    pub guarantee: ResourceVector,
-    /// What all of its work together never exceeds.
-    pub limit: ResourceVector,
-}
-
-/// What operators want.
-#[derive(Clone, Debug, PartialEq)]
-pub struct Policy {
-    /// What the machines have in all; unlimited where they are rented as needed.
-    pub capacity: ResourceVector,
-    /// The teams.
-    pub teams: BTreeMap<TeamName, TeamPolicy>,
-}
-
 /// A policy on its way into the store.
 #[derive(Debug)]
 pub(super) struct PolicyChange {
@@ -44,7 +25,7 @@
 impl Holder {
     /// Brings a policy into the store; [`Decision::PolicyWritten`] tells when all of it is there, and
     /// the reclaims that it leads to follow. Teams that it does not name stay as they are.
-    pub fn set_policy(&mut self, policy: Policy) {
+    pub fn set_policy(&mut self, policy: QuotaPolicy) {
         self.cache.forget(&RecordKey::Pool);
         for team in policy.teams.keys() {
             self.cache.forget(&RecordKey::Team(team.clone()));
@@ -81,7 +62,14 @@
             }
             return self.plan_policy();
         }
-        let (record, pool) = set_policy(&team, &before, &pool, wanted.guarantee, wanted.limit);
+        let quota = TeamQuota {
+            name: team.clone(),
+            team: before,
+            pool,
+        };
+        let TeamQuota {
+            team: record, pool, ..
+        } = quota.with_policy(&wanted);
         let mut draft = Draft::default();
         let key = RecordKey::Team(team);
         draft.replace(&self.cache, key, Some(Record::Team(record)))?;
@@ -91,7 +79,7 @@
 
     /// More is lent than the limit allows: what is not spent of it comes back.
     fn recall_above_limit(&mut self, team: &TeamName, record: &TeamRecord) {
-        if record.lent_total().fits_within(&record.limit) {
+        if record.total_granted().fits_within(&record.limit) {
             return;
         }
         let holders: Vec<ClientName> = record.allowances.keys().cloned().collect();
--- a/crates/quota/src/lib.rs
+++ b/crates/quota/src/lib.rs
@@ -1,7 +1,7 @@
 //! Team limits and guarantees that hold across all controllers, also when they decide at the same
 //! instant.
 //!
-//! A team's limit is lent in allowances to the holders that admit its work ([`lending`]). A holder
+//! A team's limit is lent in allowances to the holders that admit its work . A holder
 //! charges admissions within its allowance, each with a record in the store, on condition that its
 //! allowance still has the version that it knows ([`Holder`]). So limits hold without holders talking
 //! to each other, and a holder that was given up can charge nothing more, also with a transaction
@@ -11,22 +11,24 @@
 
 pub mod accounts;
 pub mod admission;
+mod allocation;
 pub mod amount;
 pub mod audit;
 pub mod completed;
 pub mod driver;
 pub mod holder;
 pub mod ids;
-pub mod lending;
+pub mod policy;
+pub mod preemption;
 pub mod records;
 pub mod resource_vector;
-pub mod revocation;
 
 pub use accounts::{Demand, LeaderAccounts};
 pub use admission::{AdmissionRequest, AdmissionState, Priority, RejectReason};
 pub use amount::Amount;
-pub use audit::{Discrepancy, Ledger};
+pub use audit::{Discrepancy, Ledger, PoolTotals, ReadError};
 pub use driver::BlockingQuota;
-pub use holder::{Decision, Holder, HolderConfig, Policy, TeamPolicy};
+pub use holder::{Decision, Holder, HolderConfig};
 pub use ids::{AdmissionId, AllowanceId, ClientName, RequesterId, RequesterName, TeamName};
+pub use policy::{QuotaPolicy, TeamPolicy};
 pub use resource_vector::ResourceVector;
--- a/crates/quota/tests/accounts.rs
+++ b/crates/quota/tests/accounts.rs
@@ -6,7 +6,9 @@
 
 use lichencrank_quota::accounts::LEADER;
 use lichencrank_quota::records::KEY_PREFIX;
-use lichencrank_quota::{ClientName, Demand, LeaderAccounts, Policy, ResourceVector, TeamName};
+use lichencrank_quota::{
+    ClientName, Demand, LeaderAccounts, QuotaPolicy, ResourceVector, TeamName,
+};
 use lichencrank_store::{ConditionalStore, Outcome, Request, Version};
 use support::{id, policy, request, team, Cluster};
 
@@ -17,7 +19,7 @@
 }
 
 impl Leader {
-    fn new(term: u64, policy: Policy) -> Leader {
+    fn new(term: u64, policy: QuotaPolicy) -> Leader {
         Leader {
             accounts: LeaderAccounts::new(term, policy),
             demands: BTreeMap::new(),
--- a/crates/quota/tests/loopback.rs
+++ b/crates/quota/tests/loopback.rs
@@ -10,7 +10,7 @@
 
 use lichencrank_quota::{
     AdmissionId, AdmissionRequest, BlockingQuota, ClientName, Decision, HolderConfig, Ledger,
-    Policy, Priority, RequesterName, ResourceVector, TeamName, TeamPolicy,
+    Priority, QuotaPolicy, RequesterName, ResourceVector, TeamName, TeamPolicy,
 };
 use lichencrank_store::{BlockingClient, Item, StoreLimits, Version};
 use lichencrank_testkit::http::lock;
@@ -50,7 +50,7 @@
 }
 
 /// Forty CPUs: rush is guaranteed ten and may have thirty, scan ten and forty, route none and twenty.
-fn policy() -> Policy {
+fn policy() -> QuotaPolicy {
     let amounts = [(10, 30), (10, 40), (0, 20)];
     let teams = TEAMS.iter().zip(amounts).map(|(name, (guarantee, limit))| {
         let policy = TeamPolicy {
@@ -59,7 +59,7 @@
         };
         (TeamName::new(name), policy)
     });
-    Policy {
+    QuotaPolicy {
         capacity: ResourceVector {
             gpus: ResourceVector::UNLIMITED.gpus,
             ..ResourceVector::from_cpus(40)
--- /dev/null
+++ b/crates/quota/tests/preemption.rs
@@ -0,0 +1,71 @@
+//! Which work may be preempted, and which is selected.
+
+use std::collections::BTreeMap;
+
+use lichencrank_quota::preemption::{select_victims, Candidate, PreemptionCase, TeamUsage};
+use lichencrank_quota::{Priority, ResourceVector, TeamName};
+
+fn candidate(id: u32, team: &str, priority: Priority, cpus: u64, cost: u64) -> Candidate<u32> {
+    Candidate {
+        id,
+        team: TeamName::new(team),
+        priority,
+        usage: ResourceVector::from_cpus(cpus),
+        preemption_cost: cost,
+    }
+}
+
+fn team_usage(guarantee: u64, used: u64) -> TeamUsage {
+    TeamUsage {
+        guarantee: ResourceVector::from_cpus(guarantee),
+        used: ResourceVector::from_cpus(used),
+    }
+}
+
+/// Team a borrows six CPUs, team b none.
+#[test]
+fn victims_are_borrowed_and_the_least_urgent_first() {
+    let teams = BTreeMap::from([
+        (TeamName::new("a"), team_usage(4, 10)),
+        (TeamName::new("b"), team_usage(8, 8)),
+    ]);
+    let candidates = [
+        candidate(1, "a", Priority::High, 2, 0),
+        candidate(2, "a", Priority::BestEffort, 2, 9),
+        candidate(3, "a", Priority::BestEffort, 2, 1),
+        candidate(4, "a", Priority::Normal, 4, 0),
+        candidate(5, "b", Priority::BestEffort, 8, 0),
+    ];
+    let cases = [
+        (2, Some(vec![3])),
+        (4, Some(vec![3, 2])),
+        // With those two, 4 of the 6 borrowed CPUs are gone: number 4 would cut into the guarantee.
+        (6, Some(vec![3, 2, 1])),
+        (7, None),
+    ];
+    for (shortage, expected) in cases {
+        let victims = select_victims(ResourceVector::from_cpus(shortage), &teams, &candidates);
+        assert_eq!(victims, expected, "victims for {shortage} CPUs");
+    }
+}
+
+#[test]
+fn who_may_be_preempted_for_whom() {
+    use Priority::{BestEffort, Critical, High, Normal};
+    let case = |victim, victim_is_borrowed, preemptor, preemptor_is_guaranteed| PreemptionCase {
+        victim_priority: victim,
+        victim_is_borrowed,
+        preemptor_priority: preemptor,
+        preemptor_is_guaranteed,
+    };
+    let cases = [
+        (case(Normal, false, High, false), true),
+        (case(High, true, High, false), false),
+        (case(Critical, false, High, true), false),
+        (case(Critical, true, BestEffort, true), true),
+        (case(High, false, Normal, true), false),
+    ];
+    for (case, expected) in cases {
+        assert_eq!(case.is_allowed(), expected, "{case:?}");
+    }
+}
--- a/crates/quota/tests/support/mod.rs
+++ b/crates/quota/tests/support/mod.rs
@@ -6,8 +6,8 @@
 use std::time::Duration;
 
 use lichencrank_quota::{
-    AdmissionId, AdmissionRequest, ClientName, Decision, Holder, HolderConfig, Ledger, Policy,
-    Priority, RequesterName, ResourceVector, TeamName, TeamPolicy,
+    AdmissionId, AdmissionRequest, ClientName, Decision, Holder, HolderConfig, Ledger, Priority,
+    QuotaPolicy, RequesterName, ResourceVector, TeamName, TeamPolicy,
 };
 use lichencrank_store::{ConditionalStore, Item, Outcome, Request, StoreLimits, Time, Version};
 use lichencrank_testkit::{FaultyStore, Limits, SharedState};
@@ -59,7 +59,7 @@
 }
 
 /// A policy: capacity in CPUs (`None`: no end), and of each team guarantee and limit.
-pub(crate) fn policy(capacity: Option<u64>, teams: &[(&str, u64, u64)]) -> Policy {
+pub(crate) fn policy(capacity: Option<u64>, teams: &[(&str, u64, u64)]) -> QuotaPolicy {
     let of_team = |(name, guarantee, limit): &(&str, u64, u64)| {
         let policy = TeamPolicy {
             guarantee: ResourceVector::from_cpus(*guarantee),
@@ -67,7 +67,7 @@
         };
         (team(name), policy)
     };
-    Policy {
+    QuotaPolicy {
         capacity: capacity.map_or(ResourceVector::UNLIMITED, |cpus| ResourceVector {
             gpus: ResourceVector::UNLIMITED.gpus,
             ..ResourceVector::from_cpus(cpus)
@@ -103,7 +103,7 @@
 }
 
 impl Cluster {
-    pub(crate) fn new(holders: usize, policy: Policy) -> Cluster {
+    pub(crate) fn new(holders: usize, policy: QuotaPolicy) -> Cluster {
         let shared = SharedState::new(Limits {
             value_bytes: LIMITS.value_bytes,
             txn_ops: LIMITS.changes,
--- a/src/coordination/policy.rs
+++ b/src/coordination/policy.rs
@@ -34,7 +34,7 @@
     /// Teams with their guarantees and limits.
     pub teams: Vec<Team>,
     /// The policy of the teams' allowances, where that feature is on.
-    pub quota: Option<lichencrank_quota::Policy>,
+    pub quota: Option<lichencrank_quota::QuotaPolicy>,
     /// How lost zones are judged and emptied, where that feature is on.
     pub zones: Option<lichencrank_zones::ZoneSettings>,
     /// Classes that are to begin within so many seconds.
--- a/src/coordination/quota.rs
+++ b/src/coordination/quota.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use lichencrank_quota::revocation::{may_stop, TeamUse};
+use lichencrank_quota::preemption::{PreemptionCase, TeamUsage};
 use lichencrank_quota::{Demand, LeaderAccounts, ResourceVector, TeamName, TeamPolicy};
 use lichencrank_store::{Item, Txn, Version};
 
@@ -31,7 +31,10 @@
 }
 
 /// The policy that settings and features make; `None` where the feature is off.
-pub fn quota_policy(teams: &[Team], feature: &QuotaFeature) -> Option<lichencrank_quota::Policy> {
+pub fn quota_policy(
+    teams: &[Team],
+    feature: &QuotaFeature,
+) -> Option<lichencrank_quota::QuotaPolicy> {
     if !feature.enabled {
         return None;
     }
@@ -46,7 +49,7 @@
         feature.capacity_cpus.unwrap_or(0.0),
         feature.capacity_gpus.unwrap_or(0.0),
     );
-    Some(lichencrank_quota::Policy {
+    Some(lichencrank_quota::QuotaPolicy {
         capacity,
         teams: teams.iter().map(of_team).collect(),
     })
@@ -116,16 +119,19 @@
     pub(crate) fn may_preempt(&self, victim: &Job, by: &Job) -> bool {
         let by_guarantee = self.quota.accounts.is_some()
             && victim.team != by.team
-            && self.team_use(&by.team).covers(&usage(&by.task_resources));
+            && self
+                .team_use(&by.team)
+                .guarantee_covers(&usage(&by.task_resources));
         let borrowed = self
             .team_use(&victim.team)
-            .stays_guaranteed_without(&usage(&victim.task_resources));
-        may_stop(
-            priority(victim.priority()),
-            priority(by.priority()),
-            borrowed,
-            by_guarantee,
-        )
+            .is_borrowed(&usage(&victim.task_resources));
+        let case = PreemptionCase {
+            victim_priority: priority(victim.priority()),
+            victim_is_borrowed: borrowed,
+            preemptor_priority: priority(by.priority()),
+            preemptor_is_guaranteed: by_guarantee,
+        };
+        case.is_allowed()
     }
 
     /// Whether stopping tasks of the other job serves the guarantee of this one's team.
@@ -133,8 +139,8 @@
         victim.priority() <= by.priority() && self.may_preempt(victim, by)
     }
 
-    fn team_use(&self, name: &str) -> TeamUse {
-        TeamUse {
+    fn team_use(&self, name: &str) -> TeamUsage {
+        TeamUsage {
             guarantee: self.policy.team(name).map(guarantee).unwrap_or_default(),
             used: self.counted(name),
         }
@@ -216,7 +222,7 @@
     }
 
     /// The policy of the accounts, where the feature is on.
-    pub fn rules_quota(&self) -> Option<&lichencrank_quota::Policy> {
+    pub fn rules_quota(&self) -> Option<&lichencrank_quota::QuotaPolicy> {
         self.policy.quota.as_ref()
     }
 
--- a/tests/quota_service.rs
+++ b/tests/quota_service.rs
@@ -77,10 +77,10 @@
     let ledger = Ledger::read(&mut store).ok()?;
     let team = ledger.teams.get(&TeamName::new("vision"))?;
     assert!(
-        team.lent_total().cpus <= ResourceVector::from_cpus(LIMIT).cpus,
+        team.total_granted().cpus <= ResourceVector::from_cpus(LIMIT).cpus,
         "{team:?}"
     );
-    Some(team.lent_total())
+    Some(team.total_granted())
 }
 
 fn report(world: &World) -> String {
