--- a/crates/quota/src/lib.rs
+++ b/crates/quota/src/lib.rs
@@ -9,7 +9,6 @@
 //!
 //! [`Holder`] decides without input or output; [`driver::BlockingQuota`] runs one against a store.
 
-pub mod accounts;
 pub mod admission;
 mod allocation;
 pub mod amount;
@@ -18,17 +17,18 @@
 pub mod driver;
 pub mod holder;
 pub mod ids;
+pub mod leader;
 pub mod policy;
 pub mod preemption;
 pub mod records;
 pub mod resource_vector;
 
-pub use accounts::{Demand, LeaderAccounts};
 pub use admission::{AdmissionRequest, AdmissionState, Priority, RejectReason};
 pub use amount::Amount;
 pub use audit::{Discrepancy, Ledger, PoolTotals, ReadError};
 pub use driver::BlockingQuota;
 pub use holder::{Decision, Holder, HolderConfig};
 pub use ids::{AdmissionId, AllowanceId, ClientName, RequesterId, RequesterName, TeamName};
+pub use leader::{LeaderAllowances, TeamWorkload};
 pub use policy::{QuotaPolicy, TeamPolicy};
 pub use resource_vector::ResourceVector;
--- /dev/null
+++ b/crates/quota/tests/leader_allowances.rs
@@ -0,0 +1,207 @@
+//! The leader's allowances, beside clients that share the team's limit with them.
+
+mod support;
+
+use std::collections::BTreeMap;
+
+use lichencrank_quota::leader::LEADER;
+use lichencrank_quota::records::KEY_PREFIX;
+use lichencrank_quota::{
+    ClientName, LeaderAllowances, QuotaPolicy, ResourceVector, TeamName, TeamWorkload,
+};
+use lichencrank_store::{ConditionalStore, Outcome, Request, Version};
+use support::{id, policy, request, team, Cluster};
+
+/// Most changes of one transaction.
+const MAX_CHANGES: usize = 4;
+/// Transactions after which nothing should have to change any more.
+const MAX_TRANSACTIONS: usize = 20;
+
+/// A leader that reads and writes without delay.
+struct Leader {
+    allowances: LeaderAllowances,
+    workloads: BTreeMap<TeamName, TeamWorkload>,
+}
+
+impl Leader {
+    fn new(term: u64, policy: QuotaPolicy) -> Leader {
+        Leader {
+            allowances: LeaderAllowances::new(term, policy),
+            workloads: BTreeMap::new(),
+        }
+    }
+
+    /// Sets the workload of a team: CPUs that are charged, and tasks of one CPU that are pending.
+    fn set_workload(&mut self, name: &str, charged: u64, pending: u64) {
+        let workload = TeamWorkload {
+            charged: ResourceVector::from_cpus(charged),
+            pending: ResourceVector::from_cpus(pending),
+            largest_pending_task: ResourceVector::from_cpus(pending.min(1)),
+        };
+        self.workloads.insert(team(name), workload);
+    }
+
+    fn read(&mut self, store: &mut dyn ConditionalStore) {
+        self.allowances.begin_reading();
+        let list = Request::List {
+            prefix: KEY_PREFIX.to_owned(),
+            after: String::new(),
+            limit: 1000,
+        };
+        let page = match store.execute(&list) {
+            Outcome::Page(page) => page,
+            other => panic!("wanted a page of records, got {other:?}"),
+        };
+        for item in &page.items {
+            self.allowances.insert_item(item);
+        }
+        self.allowances.finish_reading();
+    }
+
+    /// Reads the records, and writes until nothing has to change.
+    fn synchronize(&mut self, store: &mut dyn ConditionalStore) {
+        self.read(store);
+        for _ in 0..MAX_TRANSACTIONS {
+            let Some(txn) = self
+                .allowances
+                .next_transaction(&self.workloads, MAX_CHANGES)
+            else {
+                return;
+            };
+            assert!(txn.changes.len() <= MAX_CHANGES, "too many: {txn:?}");
+            match store.execute(&Request::Txn(txn)) {
+                Outcome::Committed(version) => self.allowances.on_committed(version),
+                other => panic!("wanted a commit, got {other:?}"),
+            }
+        }
+        panic!("records still change after {MAX_TRANSACTIONS} transactions");
+    }
+
+    /// CPUs that may be charged to the team; 0 before the allowance is acquired.
+    fn granted(&self, name: &str) -> ResourceVector {
+        let granted = self.allowances.granted(&team(name)).unwrap_or_default();
+        ResourceVector {
+            gpus: ResourceVector::ZERO.gpus,
+            ..granted
+        }
+    }
+}
+
+#[test]
+fn leader_takes_all_that_is_free_and_gives_back_what_others_wait_for() {
+    let policy = policy(None, &[("vision", 0, 20)]);
+    let mut cluster = Cluster::new(2, policy.clone());
+    let mut store = cluster.shared.client(9);
+    let mut leader = Leader::new(4, policy);
+    assert_eq!(leader.allowances.granted(&team("vision")), None);
+    leader.set_workload("vision", 6, 0);
+    leader.synchronize(&mut store);
+    assert_eq!(leader.granted("vision"), ResourceVector::from_cpus(20));
+    cluster.holders[0].request(request(&id("vision", 1, 1), 10.0));
+    cluster.settle();
+    assert!(cluster.running.is_empty(), "{:?}", cluster.running);
+    leader.synchronize(&mut store);
+    assert_eq!(leader.granted("vision"), ResourceVector::from_cpus(10));
+    cluster.settle();
+    assert_eq!(cluster.running.len(), 1, "{:?}", cluster.running);
+    // What is charged already is never given back.
+    leader.set_workload("vision", 10, 5);
+    cluster.holders[1].request(request(&id("vision", 2, 1), 4.0));
+    cluster.settle();
+    leader.synchronize(&mut store);
+    assert_eq!(leader.granted("vision"), ResourceVector::from_cpus(10));
+    assert_eq!(cluster.running.len(), 1, "{:?}", cluster.running);
+    assert_eq!(cluster.ledger().audit(), []);
+}
+
+/// The next leader acquires the allowances: whatever the one before still has under way is conditional
+/// on a version that is outdated.
+#[test]
+fn next_leader_fences_off_the_one_before() {
+    let policy = policy(None, &[("vision", 0, 20)]);
+    let cluster = Cluster::new(1, policy.clone());
+    let mut store = cluster.shared.client(9);
+    let mut first = Leader::new(4, policy.clone());
+    first.synchronize(&mut store);
+    let before = first.allowances.fence(&team("vision")).expect("acquired");
+    let mut second = Leader::new(5, policy);
+    second.read(&mut store);
+    assert_eq!(second.allowances.granted(&team("vision")), None);
+    assert_eq!(second.allowances.fence(&team("vision")), None);
+    second.synchronize(&mut store);
+    let after = second.allowances.fence(&team("vision")).expect("acquired");
+    assert_eq!(after.key, before.key);
+    assert!(
+        after.version > before.version,
+        "version {} after {}",
+        after.version,
+        before.version
+    );
+    first.read(&mut store);
+    assert_eq!(first.allowances.fence(&team("vision")), None);
+}
+
+/// A version without allowances has booked above the limit: that counts at once, and others get nothing
+/// before it fits.
+#[test]
+fn bookings_without_allowances_are_charged() {
+    let policy = policy(None, &[("vision", 0, 20)]);
+    let mut cluster = Cluster::new(2, policy.clone());
+    cluster.holders[0].request(request(&id("vision", 1, 1), 8.0));
+    cluster.settle();
+    let mut store = cluster.shared.client(9);
+    let mut leader = Leader::new(4, policy);
+    leader.set_workload("vision", 20, 3);
+    leader.synchronize(&mut store);
+    assert_eq!(leader.granted("vision"), ResourceVector::from_cpus(20));
+    cluster.lenient = true;
+    cluster.holders[1].request(request(&id("vision", 2, 1), 1.0));
+    cluster.settle();
+    assert_eq!(cluster.running.len(), 1, "{:?}", cluster.running);
+    // As bookings end, the leader's allowance shrinks to what is left of the limit.
+    leader.set_workload("vision", 11, 0);
+    leader.synchronize(&mut store);
+    assert_eq!(leader.granted("vision"), ResourceVector::from_cpus(11));
+    cluster.settle();
+    assert_eq!(cluster.running.len(), 2, "{:?}", cluster.running);
+}
+
+/// With a capacity the leader takes what its work needs, and holds nothing that another of its teams
+/// waits for.
+#[test]
+fn with_a_capacity_a_leader_takes_what_it_needs() {
+    let policy = policy(Some(40), &[("a", 10, 40), ("b", 10, 40)]);
+    let cluster = Cluster::new(1, policy.clone());
+    let mut store = cluster.shared.client(9);
+    let mut leader = Leader::new(4, policy);
+    leader.set_workload("a", 0, 100);
+    leader.set_workload("b", 0, 0);
+    leader.synchronize(&mut store);
+    assert_eq!(leader.granted("a"), ResourceVector::from_cpus(30));
+    leader.set_workload("a", 12, 0);
+    leader.set_workload("b", 0, 100);
+    for _ in 0..4 {
+        leader.synchronize(&mut store);
+    }
+    assert_eq!(leader.granted("a"), ResourceVector::from_cpus(12));
+    assert_eq!(leader.granted("b"), ResourceVector::from_cpus(28));
+    assert_eq!(cluster.ledger().audit(), []);
+}
+
+/// A leader's charges are in its own records: as nobody else can sum them up, nobody reclaims its
+/// allowance.
+#[test]
+fn allowances_of_a_leader_are_not_reclaimed() {
+    let policy = policy(None, &[("vision", 0, 20)]);
+    let mut cluster = Cluster::new(1, policy.clone());
+    let mut store = cluster.shared.client(9);
+    let mut leader = Leader::new(4, policy);
+    leader.synchronize(&mut store);
+    let fence = leader.allowances.fence(&team("vision"));
+    cluster.holders[0].reclaim(team("vision"), ClientName::new(LEADER));
+    cluster.settle();
+    leader.read(&mut store);
+    assert_eq!(leader.allowances.fence(&team("vision")), fence);
+    let version = fence.map(|condition| condition.version);
+    assert!(version > Some(Version::ABSENT), "{version:?}");
+}
--- a/src/coordination/quota.rs
+++ b/src/coordination/quota.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use lichencrank_quota::preemption::{PreemptionCase, TeamUsage};
-use lichencrank_quota::{Demand, LeaderAccounts, ResourceVector, TeamName, TeamPolicy};
+use lichencrank_quota::{LeaderAllowances, ResourceVector, TeamName, TeamPolicy, TeamWorkload};
 use lichencrank_store::{Item, Txn, Version};
 
 use crate::coordination::cluster::job::{Job, JobPhase};
@@ -69,7 +69,7 @@
     /// What hosts report of each team that is not allocated there.
     unrecorded_usage: BTreeMap<String, ResourceVector>,
     /// The allowances that allocations are charged to, where that feature is on.
-    accounts: Option<LeaderAccounts>,
+    accounts: Option<LeaderAllowances>,
     /// An allocation failed, as its allowance has changed: the accounts have to be read again.
     pub(crate) outdated: bool,
 }
@@ -79,7 +79,7 @@
         let accounts = policy.quota.clone();
         TeamQuota {
             unrecorded_usage: BTreeMap::new(),
-            accounts: accounts.map(|accounts| LeaderAccounts::new(term.0, accounts)),
+            accounts: accounts.map(|accounts| LeaderAllowances::new(term.0, accounts)),
             outdated: false,
         }
     }
@@ -146,13 +146,13 @@
         }
     }
 
-    fn demands(&self) -> BTreeMap<TeamName, Demand> {
-        let mut demands: BTreeMap<TeamName, Demand> = BTreeMap::new();
+    fn demands(&self) -> BTreeMap<TeamName, TeamWorkload> {
+        let mut demands: BTreeMap<TeamName, TeamWorkload> = BTreeMap::new();
         for team in &self.policy.teams {
             let used = self.counted(&team.name);
-            let demand = Demand {
-                used,
-                ..Demand::default()
+            let demand = TeamWorkload {
+                charged: used,
+                ..TeamWorkload::default()
             };
             demands.insert(TeamName::new(&team.name), demand);
         }
@@ -166,8 +166,8 @@
                 continue;
             };
             let one = usage(&job.task_resources);
-            demand.waiting += one.saturating_mul(u64::from(job.waiting_count()));
-            demand.front = demand.front.component_max(&one);
+            demand.pending += one.saturating_mul(u64::from(job.waiting_count()));
+            demand.largest_pending_task = demand.largest_pending_task.component_max(&one);
         }
         demands
     }
@@ -231,7 +231,7 @@
         self.quota
             .accounts
             .as_ref()
-            .is_some_and(LeaderAccounts::is_writing)
+            .is_some_and(LeaderAllowances::is_writing)
     }
 
     /// Begins to read the accounts' records anew.
@@ -244,14 +244,14 @@
     /// Takes in a record of the accounts.
     pub fn on_quota_record(&mut self, item: &Item) {
         if let Some(accounts) = &mut self.quota.accounts {
-            accounts.take(item);
+            accounts.insert_item(item);
         }
     }
 
     /// All records of the accounts are read.
     pub fn on_quota_read(&mut self) {
         if let Some(accounts) = &mut self.quota.accounts {
-            accounts.all_read();
+            accounts.finish_reading();
         }
         self.quota_changed();
     }
@@ -263,13 +263,17 @@
             .quota
             .accounts
             .as_ref()
-            .is_some_and(LeaderAccounts::is_ready);
+            .is_some_and(LeaderAllowances::is_idle);
         if !ready {
             return None;
         }
         let demands = self.view().demands();
         let most = self.cluster.records().max_txn_changes();
-        let mut txn = self.quota.accounts.as_mut()?.plan(&demands, most)?;
+        let mut txn = self
+            .quota
+            .accounts
+            .as_mut()?
+            .next_transaction(&demands, most)?;
         let holder = crate::storage::records::LEADER_KEY.to_owned();
         txn.require(holder, self.cluster.records().leader_key_version());
         Some(txn)
@@ -278,7 +282,7 @@
     /// A change of the accounts was written.
     pub fn on_quota_written(&mut self, version: Version) {
         if let Some(accounts) = &mut self.quota.accounts {
-            accounts.committed(version);
+            accounts.on_committed(version);
         }
         self.quota_changed();
     }
@@ -286,7 +290,7 @@
     /// A change of the accounts was surely not written.
     pub fn on_quota_refused(&mut self) {
         if let Some(accounts) = &mut self.quota.accounts {
-            accounts.refused();
+            accounts.on_not_committed();
         }
     }
 
@@ -299,7 +303,7 @@
         let fences = teams
             .filter_map(|team| {
                 let fence = accounts.fence(&TeamName::new(&team.name))?;
-                Some((team.name.clone(), fence))
+                Some((team.name.clone(), (fence.key, fence.version)))
             })
             .collect();
         self.cluster.set_allowance_fences(fences);
--- a/src/quota_report.rs
+++ b/src/quota_report.rs
@@ -3,7 +3,7 @@
 use std::fmt::Write;
 use std::time::Duration;
 
-use lichencrank_quota::accounts::LEADER;
+use lichencrank_quota::leader::LEADER;
 use lichencrank_quota::records::TeamRecord;
 use lichencrank_quota::{AllowanceId, ClientName, Ledger, ResourceVector, TeamName};
 use lichencrank_store::{BlockingClient, ConditionalStore, Outcome, Request};
--- a/tests/simulated/embedder.rs
+++ b/tests/simulated/embedder.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use lichencrank::storage::records::RunRecord;
-use lichencrank_quota::accounts::LEADER;
+use lichencrank_quota::leader::LEADER;
 use lichencrank_quota::{
     AdmissionId, AdmissionRequest, AllowanceId, ClientName, Decision, Discrepancy, Holder,
     HolderConfig, Ledger, Priority, RequesterName, ResourceVector, TeamName,
