--- a/crates/quota/examples/admissions.rs
+++ b/crates/quota/examples/admissions.rs
@@ -1,14 +1,14 @@
-//! Measures admissions by number of holders and distance from the limit, for allowances and for one
+//! Measures admissions by number of clients and distance from the limit, for allowances and for one
 //! record a team: `cargo run --release -p lichencrank-quota --example admissions`.
 //!
-//! Holders take turns against a store in memory, one request each, so what is counted is requests and
+//! Clients take turns against a store in memory, one request each, so what is counted is requests and
 //! changes, not the speed of a network. The figures are in `docs/quota-results.md`.
 
 use std::time::{Duration, Instant};
 
 use lichencrank_quota::{
-    AdmissionId, AdmissionRequest, ClientName, Decision, Holder, HolderConfig, Ledger, Priority,
-    QuotaPolicy, RequesterName, ResourceVector, TeamName, TeamPolicy,
+    AdmissionId, AdmissionRequest, ClientConfig, ClientName, Ledger, Priority, QuotaClient,
+    QuotaEvent, QuotaPolicy, RequesterName, ResourceVector, TeamName, TeamPolicy,
 };
 use lichencrank_store::{
     value, Change, ConditionalStore, Outcome, Request, StoreLimits, Time, Txn, Version,
@@ -17,7 +17,7 @@
 
 const TEAM: &str = "vision";
 const ADMISSIONS: usize = 3000;
-const HOLDERS: [usize; 3] = [1, 3, 9];
+const CLIENTS: [usize; 3] = [1, 3, 9];
 /// Parts of the limit that the work wants at a time.
 const LOADS: [f64; 3] = [0.5, 0.95, 2.0];
 const LIMIT: u64 = 300;
@@ -60,14 +60,14 @@
     outcome
 }
 
-fn config(number: usize, holders: usize) -> HolderConfig {
-    HolderConfig {
-        name: ClientName::new(&format!("holder-{number}")),
-        limits: LIMITS,
-        holders: holders as u64,
-        refresh_every: Duration::from_millis(20),
-        idle_return: Duration::from_millis(500),
-        confirm_after: Duration::from_secs(60),
+fn config(number: usize, clients: usize) -> ClientConfig {
+    ClientConfig {
+        name: ClientName::new(&format!("client-{number}")),
+        store_limits: LIMITS,
+        expected_clients: clients as u64,
+        refresh_interval: Duration::from_millis(20),
+        idle_return_after: Duration::from_millis(500),
+        reconfirm_after: Duration::from_secs(60),
     }
 }
 
@@ -82,11 +82,11 @@
     }
 }
 
-fn admission(holder: usize, number: usize) -> AdmissionRequest {
+fn admission(client: usize, number: usize) -> AdmissionRequest {
     AdmissionRequest {
         id: AdmissionId {
             team: TeamName::new(TEAM),
-            requester: RequesterName::new(&format!("user-{holder}")),
+            requester: RequesterName::new(&format!("user-{client}")),
             sequence: number as u32,
         },
         usage: ResourceVector::from_cpus(1),
@@ -113,24 +113,24 @@
     })
 }
 
-fn measure_allowances(holders: usize, load: f64) -> Cost {
+fn measure_allowances(clients: usize, load: f64) -> Cost {
     let shared = store();
-    let mut stores: Vec<FaultyStore> = (0..holders).map(|n| shared.client(n)).collect();
-    let mut all: Vec<Holder> = (0..holders)
-        .map(|n| Holder::new(config(n, holders)))
+    let mut stores: Vec<FaultyStore> = (0..clients).map(|n| shared.client(n)).collect();
+    let mut all: Vec<QuotaClient> = (0..clients)
+        .map(|n| QuotaClient::new(config(n, clients)))
         .collect();
     let mut cost = Cost::default();
     all[0].set_policy(policy());
-    let wanted = (LIMIT as f64 * load / holders as f64).ceil() as usize;
-    let mut running: Vec<Vec<AdmissionId>> = vec![Vec::new(); holders];
-    let mut asked = vec![0; holders];
+    let wanted = (LIMIT as f64 * load / clients as f64).ceil() as usize;
+    let mut running: Vec<Vec<AdmissionId>> = vec![Vec::new(); clients];
+    let mut asked = vec![0; clients];
     let mut admitted = 0;
     let began = Instant::now();
     while admitted < ADMISSIONS {
         cost.rounds += 1;
         shared.advance(1);
-        for n in 0..holders {
-            while asked[n] < ADMISSIONS && all[n].waiting() + running[n].len() < wanted {
+        for n in 0..clients {
+            while asked[n] < ADMISSIONS && all[n].pending_count() + running[n].len() < wanted {
                 all[n].request(admission(n, asked[n]));
                 asked[n] += 1;
             }
@@ -138,14 +138,14 @@
                 let outcome = execute(&mut stores[n], &request, &mut cost);
                 all[n].on_outcome(Time(cost.rounds as u64), outcome);
             }
-            for decision in all[n].take_decisions() {
-                if let Decision::Admitted(id) = decision {
+            for event in all[n].take_events() {
+                if let QuotaEvent::Admitted(id) = event {
                     admitted += 1;
                     running[n].push(id);
                 }
             }
             // What runs ends a few at a time.
-            if running[n].len() * 10 > wanted * 8 || all[n].waiting() > 0 {
+            if running[n].len() * 10 > wanted * 8 || all[n].pending_count() > 0 {
                 for id in running[n].drain(..).take(8).collect::<Vec<_>>() {
                     all[n].release(id);
                 }
@@ -213,22 +213,22 @@
     }
 }
 
-fn measure_single_record(holders: usize, load: f64) -> Cost {
+fn measure_single_record(clients: usize, load: f64) -> Cost {
     let shared = store();
-    let mut stores: Vec<FaultyStore> = (0..holders).map(|n| shared.client(n)).collect();
-    let wanted = (LIMIT as f64 * load / holders as f64).ceil() as usize;
+    let mut stores: Vec<FaultyStore> = (0..clients).map(|n| shared.client(n)).collect();
+    let wanted = (LIMIT as f64 * load / clients as f64).ceil() as usize;
     let empty = || SingleRecord {
         known: None,
         running: Vec::new(),
         next: 0,
     };
-    let mut all: Vec<SingleRecord> = (0..holders).map(|_| empty()).collect();
+    let mut all: Vec<SingleRecord> = (0..clients).map(|_| empty()).collect();
     let mut cost = Cost::default();
     let mut admitted = 0;
     let began = Instant::now();
     while admitted < ADMISSIONS {
         cost.rounds += 1;
-        for n in 0..holders {
+        for n in 0..clients {
             admitted += all[n].step(n, wanted, &mut stores[n], &mut cost);
         }
     }
@@ -236,10 +236,10 @@
     cost
 }
 
-fn print(way: &str, holders: usize, load: f64, cost: &Cost) {
+fn print(way: &str, clients: usize, load: f64, cost: &Cost) {
     let each = |count: usize| count as f64 / ADMISSIONS as f64;
     println!(
-        "{way:<13} {holders:>7} {load:>5} {:>9.2} {:>8.2} {:>10.2} {:>7} {:>9.0} {:>6.2}",
+        "{way:<13} {clients:>7} {load:>5} {:>9.2} {:>8.2} {:>10.2} {:>7} {:>9.0} {:>6.2}",
         each(cost.requests),
         each(cost.changes),
         each(cost.conflicts),
@@ -249,11 +249,11 @@
     );
 }
 
-/// From giving a holder up to having its unspent allowance, in requests to the store.
+/// From giving a client up to having its unspent allowance, in requests to the store.
 fn measure_reclaim(open: usize) -> usize {
     let shared = store();
     let mut stores = [shared.client(0), shared.client(1)];
-    let mut lost = Holder::new(config(0, 1));
+    let mut lost = QuotaClient::new(config(0, 1));
     lost.set_policy(policy());
     for number in 0..open {
         lost.request(admission(0, number));
@@ -264,8 +264,8 @@
             lost.on_outcome(Time(round), outcome);
         }
     }
-    let mut other = Holder::new(config(1, 1));
-    other.reclaim(TeamName::new(TEAM), ClientName::new("holder-0"));
+    let mut other = QuotaClient::new(config(1, 1));
+    other.reclaim(TeamName::new(TEAM), ClientName::new("client-0"));
     let mut cost = Cost::default();
     while let Some(request) = other.poll(Time(0)) {
         let outcome = execute(&mut stores[1], &request, &mut cost);
@@ -278,19 +278,19 @@
     println!(
         "of an admission:                requests  changes  conflicts  rounds  admitted/s  idle"
     );
-    for holders in HOLDERS {
+    for clients in CLIENTS {
         for load in LOADS {
             print(
                 "allowances",
-                holders,
+                clients,
                 load,
-                &measure_allowances(holders, load),
+                &measure_allowances(clients, load),
             );
             print(
                 "single record",
-                holders,
+                clients,
                 load,
-                &measure_single_record(holders, load),
+                &measure_single_record(clients, load),
             );
         }
     }
--- a/crates/quota/src/driver.rs
+++ b/crates/quota/src/blocking.rs
@@ -5,7 +5,7 @@
 use lichencrank_store::{ConditionalStore, Time};
 
 use crate::admission::AdmissionRequest;
-use crate::holder::{Decision, Holder, HolderConfig};
+use crate::client::{ClientConfig, QuotaClient, QuotaEvent};
 use crate::ids::{AdmissionId, ClientName, TeamName};
 use crate::policy::QuotaPolicy;
 
@@ -13,20 +13,20 @@
 const IDLE_WAIT: Duration = Duration::from_millis(2);
 
 /// A holder with its store. One request to the store is under way at a time, within [`Self::step`].
-pub struct BlockingQuota<S> {
-    holder: Holder,
+pub struct BlockingQuotaClient<S> {
+    holder: QuotaClient,
     store: S,
     began: Instant,
     stepped_at: Time,
     pause_limit: Duration,
 }
 
-impl<S: ConditionalStore> BlockingQuota<S> {
+impl<S: ConditionalStore> BlockingQuotaClient<S> {
     /// A holder against that store.
-    pub fn new(config: HolderConfig, store: S) -> BlockingQuota<S> {
-        let pause_limit = config.confirm_after;
-        BlockingQuota {
-            holder: Holder::new(config),
+    pub fn new(config: ClientConfig, store: S) -> BlockingQuotaClient<S> {
+        let pause_limit = config.reconfirm_after;
+        BlockingQuotaClient {
+            holder: QuotaClient::new(config),
             store,
             began: Instant::now(),
             stepped_at: Time::default(),
@@ -44,32 +44,32 @@
         self.holder.release(id);
     }
 
-    /// Gives up another holder; see [`Holder::reclaim`].
+    /// Gives up another holder; see [`QuotaClient::reclaim`].
     pub fn reclaim(&mut self, team: TeamName, holder: ClientName) {
         self.holder.reclaim(team, holder);
     }
 
-    /// Brings a policy into the store; see [`Holder::set_policy`].
+    /// Brings a policy into the store; see [`QuotaClient::set_policy`].
     pub fn set_policy(&mut self, policy: QuotaPolicy) {
         self.holder.set_policy(policy);
     }
 
     /// Looks at what an earlier process of this name had charged.
-    pub fn open_account(&mut self, team: &TeamName) {
-        self.holder.open_account(team);
+    pub fn recover_team(&mut self, team: &TeamName) {
+        self.holder.recover_team(team);
     }
 
     /// The holder, to look at.
-    pub fn holder(&self) -> &Holder {
+    pub fn client(&self) -> &QuotaClient {
         &self.holder
     }
 
     /// Does one request to the store, if there is one to do, and tells what was decided. Waits a moment
     /// otherwise.
-    pub fn step(&mut self) -> Vec<Decision> {
+    pub fn step(&mut self) -> Vec<QuotaEvent> {
         let now = self.now();
         if now.since(self.stepped_at) > self.pause_limit {
-            self.holder.resumed_after_pause();
+            self.holder.on_process_resumed();
         }
         match self.holder.poll(now) {
             Some(request) => {
@@ -80,7 +80,7 @@
             None => std::thread::sleep(IDLE_WAIT),
         }
         self.stepped_at = self.now();
-        self.holder.take_decisions()
+        self.holder.take_events()
     }
 
     fn now(&self) -> Time {
--- a/crates/quota/src/holder/admissions.rs
+++ b/crates/quota/src/client/admissions.rs
@@ -1,12 +1,12 @@
 //! The admissions that a holder has in hand.
 
 use super::operation::{Flight, Purpose};
-use super::{Admission, Decision, Holder};
+use super::{Admission, QuotaClient, QuotaEvent};
 use crate::admission::{AdmissionEvent, AdmissionRequest, AdmissionState, RejectReason};
 use crate::ids::AdmissionId;
 use crate::records::{ChargeRecord, ChargeState, RecordKey};
 
-impl Holder {
+impl QuotaClient {
     /// The one place where an admission in hand changes its state and its team's sum. Returns whether it
     /// did.
     pub(super) fn change(&mut self, id: &AdmissionId, event: AdmissionEvent) -> bool {
@@ -52,7 +52,7 @@
     pub(super) fn reject(&mut self, id: AdmissionId, reason: RejectReason) {
         tracing::info!("admission {id}: rejected, {reason}");
         self.drop_request(&id);
-        self.decisions.push(Decision::Rejected { id, reason });
+        self.decisions.push(QuotaEvent::Rejected { id, reason });
     }
 
     /// Takes in an open admission of ours as the store has it.
@@ -71,15 +71,15 @@
             };
             self.admissions.insert(id.clone(), admission);
             self.change(id, AdmissionEvent::ChargeCommitted);
-            self.decisions.push(Decision::Recovered(id.clone()));
+            self.decisions.push(QuotaEvent::Recovered(id.clone()));
         } else if self.state(id) == Some(AdmissionState::Pending) {
             self.change(id, AdmissionEvent::ChargeCommitted);
             // An earlier process may have told that it is admitted, and its work may run.
             let own = self.account(&id.team).epochs.contains(&record.epoch);
             self.decisions.push(if own {
-                Decision::Admitted(id.clone())
+                QuotaEvent::Admitted(id.clone())
             } else {
-                Decision::Recovered(id.clone())
+                QuotaEvent::Recovered(id.clone())
             });
         }
         if record.state == ChargeState::Revoked {
@@ -94,7 +94,7 @@
             Some(AdmissionState::Charged | AdmissionState::Running)
         );
         if can_end && self.change(id, AdmissionEvent::RevocationSeen) {
-            self.decisions.push(Decision::Revoked(id.clone()));
+            self.decisions.push(QuotaEvent::Revoked(id.clone()));
         }
     }
 
--- a/crates/quota/src/holder/charge.rs
+++ b/crates/quota/src/client/charge.rs
@@ -5,7 +5,7 @@
 use super::account::{Claim, Loading};
 use super::cache::Unread;
 use super::operation::{Draft, Effect, Operation, Purpose};
-use super::{Decision, Holder, BATCH_BYTES, LOAD_PAGE};
+use super::{QuotaClient, QuotaEvent, BATCH_BYTES, LOAD_PAGE};
 use crate::admission::{AdmissionRequest, AdmissionState, RejectReason};
 use crate::ids::{AdmissionId, AllowanceId, TeamName};
 use crate::records::{
@@ -31,7 +31,7 @@
     NoRoom,
 }
 
-impl Holder {
+impl QuotaClient {
     /// The next operation for one team, if there is any.
     pub(super) fn plan_account(&mut self, team: &TeamName) -> Result<Option<Operation>, Unread> {
         self.refresh(team);
@@ -97,7 +97,7 @@
     /// ever be done.
     fn refreshed(&mut self, team: &TeamName) -> Result<(), Unread> {
         self.pool()?;
-        let next = self.now.after(self.config.refresh_every);
+        let next = self.now.after(self.config.refresh_interval);
         let account = self.account(team);
         if account.refresh_at == Time(u64::MAX) {
             account.refresh_at = next;
@@ -118,7 +118,9 @@
 
     /// Reads what is charged to our allowance.
     pub(super) fn begin_loading(&mut self, team: &TeamName, epoch: u64) {
-        let reload_at = self.now.after(self.config.refresh_every * RELOAD_REFRESHES);
+        let reload_at = self
+            .now
+            .after(self.config.refresh_interval * RELOAD_REFRESHES);
         let account = self.account(team);
         account.reload_at = reload_at;
         account.seen.clear();
@@ -172,7 +174,7 @@
         draft.require(&allowance, held);
         let mut charged = Vec::new();
         let waiting: Vec<AdmissionId> = {
-            let most = self.config.limits.changes;
+            let most = self.config.store_limits.changes;
             let account = self.account(team);
             account
                 .waiting
@@ -204,8 +206,8 @@
         let changes = draft.changes() + 1;
         // One for the allowance, and two for each charge.
         let conditions = draft.txn().conditions.len() + 2;
-        changes <= self.config.limits.changes
-            && conditions <= self.config.limits.conditions()
+        changes <= self.config.store_limits.changes
+            && conditions <= self.config.store_limits.conditions()
             && changes * OPEN_BYTES <= BATCH_BYTES
     }
 
@@ -234,10 +236,11 @@
             .is_some_and(|r| r.sequences.contains(id.sequence))
         {
             self.drop_request(id);
-            self.decisions.push(Decision::AlreadySettled(id.clone()));
+            self.decisions
+                .push(QuotaEvent::AlreadyCompleted(id.clone()));
             return Ok(Front::Answered);
         }
-        let most = self.config.limits.value_bytes as f64 * GAPS_PART;
+        let most = self.config.store_limits.value_bytes as f64 * GAPS_PART;
         if settled.record.is_some_and(|r| json_size(r) as f64 > most) {
             self.reject(id.clone(), RejectReason::TooManySequenceGaps);
             return Ok(Front::Answered);
@@ -286,9 +289,9 @@
     fn found_elsewhere(&mut self, id: AdmissionId, open: ChargeRecord) {
         if self.state(&id) == Some(AdmissionState::Pending) {
             self.drop_request(&id);
-            let holder = open.client;
+            let client = open.client;
             self.decisions
-                .push(Decision::AlreadyAdmitted { id, holder });
+                .push(QuotaEvent::AlreadyAdmitted { id, client });
         }
     }
 
@@ -307,13 +310,13 @@
             let open = self.cache.open(key)?.record.cloned();
             self.repeats.remove(&id);
             match open {
-                Some(ChargeRecord { client: holder, .. }) => {
+                Some(ChargeRecord { client, .. }) => {
                     self.decisions
-                        .push(Decision::AlreadyAdmitted { id, holder });
+                        .push(QuotaEvent::AlreadyAdmitted { id, client });
                 }
                 None => {
                     self.found_nowhere(&id);
-                    self.decisions.push(Decision::AlreadySettled(id));
+                    self.decisions.push(QuotaEvent::AlreadyCompleted(id));
                 }
             }
         }
@@ -328,7 +331,7 @@
             self.unconfirmed.remove(&id);
             match open {
                 Some(open) if open.client == self.config.name => {
-                    self.decisions.push(Decision::Admitted(id.clone()));
+                    self.decisions.push(QuotaEvent::Admitted(id.clone()));
                     self.see_own_open(&id, &open);
                 }
                 _ => self.found_settled(&id),
@@ -344,7 +347,7 @@
         }
         self.releasing.remove(id);
         if self.change(id, crate::admission::AdmissionEvent::ReleaseCommitted) {
-            self.decisions.push(Decision::Released(id.clone()));
+            self.decisions.push(QuotaEvent::Released(id.clone()));
         }
     }
 }
--- a/crates/quota/src/holder/collect.rs
+++ b/crates/quota/src/client/collect.rs
@@ -10,7 +10,7 @@
 use super::cache::Unread;
 use super::charge::load;
 use super::operation::{Draft, Effect, Operation};
-use super::{Decision, Holder};
+use super::{QuotaClient, QuotaEvent};
 use crate::allocation::AllowanceTarget;
 use crate::ids::{AllowanceId, ClientName, TeamName};
 use crate::records::{AllowanceRecord, Record, RecordKey};
@@ -46,7 +46,7 @@
     }
 }
 
-impl Holder {
+impl QuotaClient {
     /// Gives up another holder: its unspent allowance of that team becomes free. If it still lives, it
     /// notices at its next charge, and begins anew with what it has charged.
     pub fn reclaim(&mut self, team: TeamName, holder: ClientName) {
@@ -164,9 +164,15 @@
         };
         self.decisions.push(if reclaimed {
             tracing::info!("team {team}: the unspent allowance of {holder} is taken back");
-            Decision::Reclaimed { team, holder }
+            QuotaEvent::Reclaimed {
+                team,
+                client: holder,
+            }
         } else {
-            Decision::NotReclaimed { team, holder }
+            QuotaEvent::NotReclaimed {
+                team,
+                client: holder,
+            }
         });
     }
 
--- a/crates/quota/src/holder/enforce.rs
+++ b/crates/quota/src/client/enforce.rs
@@ -7,7 +7,7 @@
 
 use super::cache::Unread;
 use super::operation::{Draft, Effect, Operation, Purpose};
-use super::{Holder, LOAD_PAGE};
+use super::{QuotaClient, LOAD_PAGE};
 use crate::ids::{AdmissionId, TeamName};
 use crate::preemption::{select_victims_best_effort, Candidate, TeamUsage};
 use crate::records::{
@@ -39,7 +39,7 @@
     open: BTreeMap<AdmissionId, (Version, ChargeRecord)>,
 }
 
-impl Holder {
+impl QuotaClient {
     pub(super) fn plan_enforcement(&mut self) -> Result<Option<Operation>, Unread> {
         if self.accounts.is_empty() {
             return Ok(None);
@@ -49,7 +49,7 @@
             if pool.overcommitted().is_zero() || self.now < self.enforcement.next_at {
                 return Ok(None);
             }
-            let pause = self.config.refresh_every * 2;
+            let pause = self.config.refresh_interval * 2;
             self.enforcement.next_at = self.now.after(pause);
             self.enforcement.teams.clear();
             self.enforcement.open.clear();
@@ -70,7 +70,7 @@
     fn plan_marks(&mut self, ids: &[AdmissionId]) -> Option<Operation> {
         let mut draft = Draft::default();
         let mut marked = Vec::new();
-        for id in ids.iter().take(self.config.limits.changes) {
+        for id in ids.iter().take(self.config.store_limits.changes) {
             let Some((version, open)) = self.enforcement.open.get(id) else {
                 continue;
             };
--- a/crates/quota/src/holder/mod.rs
+++ b/crates/quota/src/client/mod.rs
@@ -1,7 +1,7 @@
 //! One holder of allowances: a controller, or a program that embeds this package.
 //!
-//! The holder decides without input or output. [`Holder::poll`] gives the next request to the store,
-//! [`Holder::on_outcome`] takes what became of it, [`Holder::take_decisions`] tells what was decided.
+//! The holder decides without input or output. [`QuotaClient::poll`] gives the next request to the store,
+//! [`QuotaClient::on_outcome`] takes what became of it, [`QuotaClient::take_decisions`] tells what was decided.
 //! There is one request under way at a time; many admissions share a transaction.
 //!
 //! A request whose outcome is unknown is repeated, word for word, until the store says whether it was
@@ -43,26 +43,26 @@
 
 /// What a holder is told about itself and the store.
 #[derive(Clone, Debug)]
-pub struct HolderConfig {
+pub struct ClientConfig {
     /// Its name; of processes with the same name only the last one that claimed an allowance may use
     /// it.
     pub name: ClientName,
     /// Limits of the store.
-    pub limits: StoreLimits,
+    pub store_limits: StoreLimits,
     /// About how many holders there are; a smaller share is lent ahead where there are many.
-    pub holders: u64,
+    pub expected_clients: u64,
     /// How often a holder that waits looks whether room has become free.
-    pub refresh_every: Duration,
+    pub refresh_interval: Duration,
     /// An allowance that was not needed for so long goes back.
-    pub idle_return: Duration,
+    pub idle_return_after: Duration,
     /// An answer that took longer is no word of the store any more: the charge is read again before
     /// the work may start.
-    pub confirm_after: Duration,
+    pub reconfirm_after: Duration,
 }
 
 /// What was decided.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Decision {
+pub enum QuotaEvent {
     /// The store has the charge: the work may start.
     Admitted(AdmissionId),
     /// The same admission was charged before, to that holder's allowance.
@@ -70,10 +70,10 @@
         /// The admission.
         id: AdmissionId,
         /// Who has it in hand.
-        holder: ClientName,
+        client: ClientName,
     },
     /// The same admission was charged before, and is settled.
-    AlreadySettled(AdmissionId),
+    AlreadyCompleted(AdmissionId),
     /// It is never admitted.
     Rejected {
         /// The request.
@@ -82,30 +82,30 @@
         reason: RejectReason,
     },
     /// The request was taken back before anything was charged.
-    Withdrawn(AdmissionId),
+    Cancelled(AdmissionId),
     /// An earlier process of this name had charged it; whether its work runs is not known.
     Recovered(AdmissionId),
-    /// The work has to end, to make room. It counts until [`Holder::release`].
+    /// The work has to end, to make room. It counts until [`QuotaClient::release`].
     Revoked(AdmissionId),
     /// The charge is taken back.
     Released(AdmissionId),
     /// No such admission is open.
-    NotOpen(AdmissionId),
+    NotFound(AdmissionId),
     /// The policy that was set is in the store.
-    PolicyWritten,
+    PolicyApplied,
     /// The other holder's allowance of that team is no more than what it has charged.
     Reclaimed {
         /// The team.
         team: TeamName,
         /// The holder that was given up.
-        holder: ClientName,
+        client: ClientName,
     },
     /// The other holder is there again, or keeps its own accounts: nothing was reclaimed.
     NotReclaimed {
         /// The team.
         team: TeamName,
         /// The holder.
-        holder: ClientName,
+        client: ClientName,
     },
 }
 
@@ -120,8 +120,8 @@
 
 /// A holder of allowances.
 #[derive(Debug)]
-pub struct Holder {
-    config: HolderConfig,
+pub struct QuotaClient {
+    config: ClientConfig,
     now: Time,
     cache: Cache,
     flight: Flight,
@@ -143,13 +143,13 @@
     collections: VecDeque<Collection>,
     policy_change: Option<PolicyChange>,
     enforcement: Enforcement,
-    decisions: Vec<Decision>,
+    decisions: Vec<QuotaEvent>,
 }
 
-impl Holder {
+impl QuotaClient {
     /// A holder that knows nothing yet.
-    pub fn new(config: HolderConfig) -> Holder {
-        Holder {
+    pub fn new(config: ClientConfig) -> QuotaClient {
+        QuotaClient {
             config,
             now: Time::default(),
             cache: Cache::default(),
@@ -202,7 +202,7 @@
     }
 
     /// The work runs; for whoever asks how far its admission is.
-    pub fn started(&mut self, id: &AdmissionId) {
+    pub fn mark_running(&mut self, id: &AdmissionId) {
         self.change(id, AdmissionEvent::Started);
     }
 
@@ -210,7 +210,7 @@
     /// charged.
     pub fn release(&mut self, id: AdmissionId) {
         if !id.is_storable() {
-            return self.decisions.push(Decision::NotOpen(id));
+            return self.decisions.push(QuotaEvent::NotFound(id));
         }
         match self.state(&id) {
             // Another holder may have charged the same one.
@@ -224,10 +224,10 @@
     }
 
     /// Nobody wants the work any more, and nobody was told that it may start.
-    pub fn withdraw(&mut self, id: AdmissionId) {
+    pub fn cancel(&mut self, id: AdmissionId) {
         if self.state(&id) == Some(AdmissionState::Pending) && !self.is_in_flight(&id) {
             self.drop_request(&id);
-            self.decisions.push(Decision::Withdrawn(id));
+            self.decisions.push(QuotaEvent::Cancelled(id));
             return;
         }
         self.release(id);
@@ -239,7 +239,7 @@
     }
 
     /// How many requests wait.
-    pub fn waiting(&self) -> usize {
+    pub fn pending_count(&self) -> usize {
         self.accounts.values().map(|a| a.waiting.len()).sum()
     }
 
@@ -252,13 +252,13 @@
 
     /// Opens the accounts of that team, so that what an earlier process of this name had charged is
     /// known again.
-    pub fn open_account(&mut self, team: &TeamName) {
+    pub fn recover_team(&mut self, team: &TeamName) {
         self.account(team);
     }
 
     /// The process stood still while the world went on: nothing that is known counts, and whatever was
     /// charged is read again before it is acted upon.
-    pub fn resumed_after_pause(&mut self) {
+    pub fn on_process_resumed(&mut self) {
         self.cache.forget_all();
         for (team, account) in &mut self.accounts {
             account.enter(team, account::Claim::None);
@@ -266,7 +266,7 @@
     }
 
     /// What was decided since the last call.
-    pub fn take_decisions(&mut self) -> Vec<Decision> {
+    pub fn take_events(&mut self) -> Vec<QuotaEvent> {
         std::mem::take(&mut self.decisions)
     }
 
--- a/crates/quota/src/holder/outcomes.rs
+++ b/crates/quota/src/client/outcomes.rs
@@ -6,7 +6,7 @@
 use super::account::{Claim, Loading};
 use super::enforce;
 use super::operation::{Effect, Flight, Operation, Purpose};
-use super::{Decision, Holder};
+use super::{QuotaClient, QuotaEvent};
 use crate::admission::AdmissionEvent;
 use crate::ids::{AdmissionId, AllowanceId, TeamName};
 use crate::records::{Record, RecordKey};
@@ -15,7 +15,7 @@
 /// After a refusal nothing is sent for this long.
 const REFUSED_PAUSE: Duration = Duration::from_millis(200);
 
-impl Holder {
+impl QuotaClient {
     /// Takes what became of the request that was sent last.
     pub fn on_outcome(&mut self, now: Time, outcome: Outcome) {
         self.now = self.now.max(now);
@@ -35,7 +35,7 @@
                 for (key, record) in writes {
                     self.cache.put(key, version, record);
                 }
-                let late = self.now.since(since) > self.config.confirm_after;
+                let late = self.now.since(since) > self.config.reconfirm_after;
                 self.on_committed(effect, version, late);
             }
             Outcome::Conflict(failed) => self.on_conflict(&failed, writes, effect, repeated),
@@ -188,7 +188,7 @@
                 self.cache.forget(&RecordKey::Charge(id.clone()));
                 self.unconfirmed.insert(id);
             } else {
-                self.decisions.push(Decision::Admitted(id));
+                self.decisions.push(QuotaEvent::Admitted(id));
             }
         }
     }
@@ -198,7 +198,7 @@
         self.cache.forget(&RecordKey::Charge(id.clone()));
         match self.state(&id) {
             Some(state) if state.is_charged() => self.found_settled(&id),
-            _ => self.decisions.push(Decision::Released(id)),
+            _ => self.decisions.push(QuotaEvent::Released(id)),
         }
     }
 
--- a/crates/quota/src/holder/policy.rs
+++ b/crates/quota/src/client/policy.rs
@@ -7,7 +7,7 @@
 
 use super::cache::Unread;
 use super::operation::{Draft, Effect, Operation};
-use super::{Decision, Holder};
+use super::{QuotaClient, QuotaEvent};
 use crate::allocation::TeamQuota;
 use crate::ids::{ClientName, TeamName};
 use crate::policy::{QuotaPolicy, TeamPolicy};
@@ -22,8 +22,8 @@
     left: Vec<(TeamName, TeamPolicy)>,
 }
 
-impl Holder {
-    /// Brings a policy into the store; [`Decision::PolicyWritten`] tells when all of it is there, and
+impl QuotaClient {
+    /// Brings a policy into the store; [`QuotaEvent::PolicyWritten`] tells when all of it is there, and
     /// the reclaims that it leads to follow. Teams that it does not name stay as they are.
     pub fn set_policy(&mut self, policy: QuotaPolicy) {
         self.cache.forget(&RecordKey::Pool);
@@ -50,7 +50,7 @@
         }
         let Some((team, wanted)) = next else {
             self.policy_change = None;
-            self.decisions.push(Decision::PolicyWritten);
+            self.decisions.push(QuotaEvent::PolicyApplied);
             return Ok(None);
         };
         let known = self.cache.team(&team)?.record.cloned();
--- a/crates/quota/src/holder/rebalance.rs
+++ b/crates/quota/src/client/rebalance.rs
@@ -6,13 +6,13 @@
 
 use super::cache::Unread;
 use super::operation::{Draft, Effect, Operation};
-use super::Holder;
+use super::QuotaClient;
 use crate::allocation::{AllowanceTarget, TeamQuota};
 use crate::ids::{AdmissionId, AllowanceId, ClientName, TeamName};
 use crate::records::{AllowanceRecord, Record, RecordKey};
 use crate::resource_vector::ResourceVector;
 
-impl Holder {
+impl QuotaClient {
     /// What the allowance needs: more for requests that wait here, less for others, or no change.
     pub(super) fn plan_rebalancing(
         &mut self,
@@ -45,7 +45,7 @@
                 let all = self.waiting_usage(team).saturating_sub(&unspent);
                 needed = needed.component_max(&all.component_min(&grantable));
             }
-            let more = quota.grant_size(&own, needed, self.config.holders);
+            let more = quota.grant_size(&own, needed, self.config.expected_clients);
             let target = AllowanceTarget {
                 granted: granted + more,
                 unmet_demand: None,
@@ -73,7 +73,7 @@
     fn plan_idle_return(&mut self, quota: &TeamQuota) -> Result<Option<Operation>, Unread> {
         let team = &quota.name;
         let own = self.config.name.clone();
-        let (now, idle_return) = (self.now, self.config.idle_return);
+        let (now, idle_return) = (self.now, self.config.idle_return_after);
         let account = self.account(team);
         account.earmarked = ResourceVector::ZERO;
         let is_idle = now.since(account.used_at) >= idle_return;
--- a/crates/quota/src/holder/settle.rs
+++ b/crates/quota/src/client/settle.rs
@@ -4,12 +4,12 @@
 
 use super::cache::Unread;
 use super::operation::{Draft, Effect, Operation};
-use super::{Decision, Holder};
+use super::{QuotaClient, QuotaEvent};
 use crate::completed::CompletedRecord;
 use crate::ids::{AdmissionId, RequesterId, TeamName};
 use crate::records::{Record, RecordKey};
 
-impl Holder {
+impl QuotaClient {
     /// One transaction removes open admissions and folds them into their requesters' records, so that
     /// each is taken back once, whoever repeats it.
     pub(super) fn plan_settling(&mut self) -> Result<Option<Operation>, Unread> {
@@ -17,7 +17,7 @@
         let mut folded: BTreeMap<RequesterId, CompletedRecord> = BTreeMap::new();
         let mut released = Vec::new();
         let ids: Vec<AdmissionId> = {
-            let most = self.config.limits.changes;
+            let most = self.config.store_limits.changes;
             let able = self
                 .releasing
                 .iter()
@@ -29,7 +29,7 @@
             // The removal, and one record for each requester.
             let requesters = folded.len() + usize::from(!folded.contains_key(&place));
             let changes = released.len() + 1 + requesters;
-            if changes > self.config.limits.changes {
+            if changes > self.config.store_limits.changes {
                 break;
             }
             let open = self.cache.open(RecordKey::Charge(id.clone()))?;
@@ -72,7 +72,7 @@
             self.found_settled(&id);
         } else {
             self.drop_request(&id);
-            self.decisions.push(Decision::NotOpen(id));
+            self.decisions.push(QuotaEvent::NotFound(id));
         }
     }
 }
--- a/crates/quota/src/lib.rs
+++ b/crates/quota/src/lib.rs
@@ -3,19 +3,19 @@
 //!
 //! A team's limit is lent in allowances to the holders that admit its work . A holder
 //! charges admissions within its allowance, each with a record in the store, on condition that its
-//! allowance still has the version that it knows ([`Holder`]). So limits hold without holders talking
+//! allowance still has the version that it knows ([`QuotaClient`]). So limits hold without holders talking
 //! to each other, and a holder that was given up can charge nothing more, also with a transaction
 //! that is still under way. [`audit`] rebuilds every total from the admissions.
 //!
-//! [`Holder`] decides without input or output; [`driver::BlockingQuota`] runs one against a store.
+//! [`QuotaClient`] decides without input or output; [`driver::BlockingQuotaClient`] runs one against a store.
 
 pub mod admission;
 mod allocation;
 pub mod amount;
 pub mod audit;
+pub mod blocking;
+pub mod client;
 pub mod completed;
-pub mod driver;
-pub mod holder;
 pub mod ids;
 pub mod leader;
 pub mod policy;
@@ -26,8 +26,8 @@
 pub use admission::{AdmissionRequest, AdmissionState, Priority, RejectReason};
 pub use amount::Amount;
 pub use audit::{Discrepancy, Ledger, PoolTotals, ReadError};
-pub use driver::BlockingQuota;
-pub use holder::{Decision, Holder, HolderConfig};
+pub use blocking::BlockingQuotaClient;
+pub use client::{ClientConfig, QuotaClient, QuotaEvent};
 pub use ids::{AdmissionId, AllowanceId, ClientName, RequesterId, RequesterName, TeamName};
 pub use leader::{LeaderAllowances, TeamWorkload};
 pub use policy::{QuotaPolicy, TeamPolicy};
--- a/crates/quota/tests/leader_allowances.rs
+++ b/crates/quota/tests/leader_allowances.rs
@@ -97,7 +97,7 @@
     leader.set_workload("vision", 6, 0);
     leader.synchronize(&mut store);
     assert_eq!(leader.granted("vision"), ResourceVector::from_cpus(20));
-    cluster.holders[0].request(request(&id("vision", 1, 1), 10.0));
+    cluster.clients[0].request(request(&id("vision", 1, 1), 10.0));
     cluster.settle();
     assert!(cluster.running.is_empty(), "{:?}", cluster.running);
     leader.synchronize(&mut store);
@@ -106,7 +106,7 @@
     assert_eq!(cluster.running.len(), 1, "{:?}", cluster.running);
     // What is charged already is never given back.
     leader.set_workload("vision", 10, 5);
-    cluster.holders[1].request(request(&id("vision", 2, 1), 4.0));
+    cluster.clients[1].request(request(&id("vision", 2, 1), 4.0));
     cluster.settle();
     leader.synchronize(&mut store);
     assert_eq!(leader.granted("vision"), ResourceVector::from_cpus(10));
@@ -147,7 +147,7 @@
 fn bookings_without_allowances_are_charged() {
     let policy = policy(None, &[("vision", 0, 20)]);
     let mut cluster = Cluster::new(2, policy.clone());
-    cluster.holders[0].request(request(&id("vision", 1, 1), 8.0));
+    cluster.clients[0].request(request(&id("vision", 1, 1), 8.0));
     cluster.settle();
     let mut store = cluster.shared.client(9);
     let mut leader = Leader::new(4, policy);
@@ -155,7 +155,7 @@
     leader.synchronize(&mut store);
     assert_eq!(leader.granted("vision"), ResourceVector::from_cpus(20));
     cluster.lenient = true;
-    cluster.holders[1].request(request(&id("vision", 2, 1), 1.0));
+    cluster.clients[1].request(request(&id("vision", 2, 1), 1.0));
     cluster.settle();
     assert_eq!(cluster.running.len(), 1, "{:?}", cluster.running);
     // As bookings end, the leader's allowance shrinks to what is left of the limit.
@@ -198,7 +198,7 @@
     let mut leader = Leader::new(4, policy);
     leader.synchronize(&mut store);
     let fence = leader.allowances.fence(&team("vision"));
-    cluster.holders[0].reclaim(team("vision"), ClientName::new(LEADER));
+    cluster.clients[0].reclaim(team("vision"), ClientName::new(LEADER));
     cluster.settle();
     leader.read(&mut store);
     assert_eq!(leader.allowances.fence(&team("vision")), fence);
--- a/crates/quota/tests/limits.rs
+++ b/crates/quota/tests/limits.rs
@@ -1,25 +1,25 @@
-//! Bursts that land exactly at limits, from several holders at once.
+//! Bursts that land exactly at limits, from several clients at once.
 
 mod support;
 
 use std::collections::BTreeMap;
 
-use lichencrank_quota::{Decision, Priority, RejectReason, ResourceVector};
+use lichencrank_quota::{Priority, QuotaEvent, RejectReason, ResourceVector};
 use support::{id, policy, request, team, Cluster};
 
 fn admitted(cluster: &Cluster) -> usize {
-    let decisions = cluster.decisions.iter();
-    decisions
-        .filter(|(_, d)| matches!(d, Decision::Admitted(_)))
+    let events = cluster.events.iter();
+    events
+        .filter(|(_, d)| matches!(d, QuotaEvent::Admitted(_)))
         .count()
 }
 
-/// Ninety-six CPUs are asked for at three holders at the same instant, and there are as many.
+/// Ninety-six CPUs are asked for at three clients at the same instant, and there are as many.
 #[test]
 fn a_burst_exactly_at_the_limit_is_admitted_whole() {
     let mut cluster = Cluster::new(3, policy(None, &[("vision", 0, 96)]));
     for n in 0..96 {
-        cluster.holders[n % 3].request(request(&id("vision", n, 1), 1.0));
+        cluster.clients[n % 3].request(request(&id("vision", n, 1), 1.0));
     }
     cluster.settle();
     assert_eq!(admitted(&cluster), 96);
@@ -34,7 +34,7 @@
 fn one_above_the_limit_waits_for_the_first_that_ends() {
     let mut cluster = Cluster::new(3, policy(None, &[("vision", 0, 96)]));
     for n in 0..97 {
-        cluster.holders[n % 3].request(request(&id("vision", n, 1), 1.0));
+        cluster.clients[n % 3].request(request(&id("vision", n, 1), 1.0));
     }
     cluster.settle();
     assert_eq!(admitted(&cluster), 96);
@@ -48,15 +48,15 @@
 /// small work ends one by one. The large one has to begin.
 fn flood_with_small_requests(mut cluster: Cluster, small: &str, large: &str) {
     for n in 0..12 {
-        cluster.holders[n % 3].request(request(&id(small, n, 1), 1.0));
+        cluster.clients[n % 3].request(request(&id(small, n, 1), 1.0));
     }
     cluster.settle();
     let large = id(large, 99, 1);
-    cluster.holders[2].request(request(&large, 8.0));
+    cluster.clients[2].request(request(&large, 8.0));
     cluster.settle();
     for round in 0..40u32 {
-        for holder in 0..2 {
-            cluster.holders[holder].request(request(&id(small, holder, round + 10), 1.0));
+        for client in 0..2 {
+            cluster.clients[client].request(request(&id(small, client, round + 10), 1.0));
         }
         let running = cluster.running.first().cloned();
         if let Some(first) = running.filter(|first| *first != large) {
@@ -97,14 +97,14 @@
     let mut cluster = Cluster::new(3, policy(Some(100), &teams));
     for n in 0..300 {
         let name = ["a", "c"][n % 2];
-        cluster.holders[n % 3].request(request(&id(name, n, 1), 1.0));
+        cluster.clients[n % 3].request(request(&id(name, n, 1), 1.0));
     }
     cluster.settle();
     let ledger = cluster.ledger();
     let flooded = ledger.used(&team("a")) + ledger.used(&team("c"));
     assert_eq!(flooded, ResourceVector::from_cpus(60));
     for n in 0..40 {
-        cluster.holders[n % 3].request(request(&id("b", n, 1), 1.0));
+        cluster.clients[n % 3].request(request(&id("b", n, 1), 1.0));
     }
     cluster.settle();
     assert_eq!(
@@ -124,7 +124,7 @@
         if n % 2 == 0 {
             asked.priority = Priority::BestEffort;
         }
-        cluster.holders[n % 3].request(asked);
+        cluster.clients[n % 3].request(asked);
     }
     cluster.settle();
     assert_eq!(
@@ -132,12 +132,12 @@
         ResourceVector::from_cpus(60)
     );
     cluster.lenient = true;
-    cluster.holders[1].set_policy(policy(Some(80), &teams));
+    cluster.clients[1].set_policy(policy(Some(80), &teams));
     cluster.settle();
-    let decisions = cluster.decisions.iter();
-    let revoked: Vec<_> = decisions
+    let events = cluster.events.iter();
+    let revoked: Vec<_> = events
         .filter_map(|(_, d)| match d {
-            Decision::Revoked(id) => Some(id.clone()),
+            QuotaEvent::Revoked(id) => Some(id.clone()),
             _ => None,
         })
         .collect();
@@ -165,7 +165,7 @@
     let teams = [("a", 40, 100), ("b", 40, 100)];
     let mut cluster = Cluster::new(3, policy(Some(60), &teams));
     for n in 0..100 {
-        cluster.holders[n % 3].request(request(&id(["a", "b"][n % 2], n, 1), 1.0));
+        cluster.clients[n % 3].request(request(&id(["a", "b"][n % 2], n, 1), 1.0));
     }
     cluster.settle();
     assert_eq!(
@@ -184,15 +184,15 @@
 fn a_lowered_limit_admits_nothing_before_it_fits() {
     let mut cluster = Cluster::new(3, policy(None, &[("vision", 0, 60)]));
     for n in 0..30 {
-        cluster.holders[n % 3].request(request(&id("vision", n, 1), 1.0));
+        cluster.clients[n % 3].request(request(&id("vision", n, 1), 1.0));
     }
     cluster.settle();
     cluster.lenient = true;
-    cluster.holders[0].set_policy(policy(None, &[("vision", 0, 20)]));
+    cluster.clients[0].set_policy(policy(None, &[("vision", 0, 20)]));
     cluster.settle();
     let before = admitted(&cluster);
     assert_eq!(before, 30);
-    cluster.holders[2].request(request(&id("vision", 77, 1), 1.0));
+    cluster.clients[2].request(request(&id("vision", 77, 1), 1.0));
     cluster.settle();
     assert_eq!(admitted(&cluster), before);
     let running: Vec<_> = cluster.running.iter().take(11).cloned().collect();
@@ -215,14 +215,14 @@
     let teams = [("open", 0, 0), ("small", 0, 3)];
     let mut cluster = Cluster::new(2, policy(None, &teams));
     for n in 0..200 {
-        cluster.holders[n % 2].request(request(&id("open", n, 1), 50.0));
+        cluster.clients[n % 2].request(request(&id("open", n, 1), 50.0));
     }
     for n in 0..40 {
-        cluster.holders[n % 2].request(request(&id("small", n, 1), 0.1));
+        cluster.clients[n % 2].request(request(&id("small", n, 1), 0.1));
     }
-    cluster.holders[0].request(request(&id("small", 98, 1), 3.1));
-    cluster.holders[1].request(request(&id("nobody", 99, 1), 1.0));
-    cluster.holders[1].request(request(&id("", 99, 1), 1.0));
+    cluster.clients[0].request(request(&id("small", 98, 1), 3.1));
+    cluster.clients[1].request(request(&id("nobody", 99, 1), 1.0));
+    cluster.clients[1].request(request(&id("", 99, 1), 1.0));
     cluster.settle();
     let ledger = cluster.ledger();
     assert_eq!(
@@ -230,10 +230,10 @@
         ResourceVector::from_cpus(10_000)
     );
     assert_eq!(ledger.used(&team("small")), ResourceVector::from_cpus(3));
-    let decisions = cluster.decisions.iter();
-    let reasons: Vec<RejectReason> = decisions
+    let events = cluster.events.iter();
+    let reasons: Vec<RejectReason> = events
         .filter_map(|(_, d)| match d {
-            Decision::Rejected { reason, .. } => Some(*reason),
+            QuotaEvent::Rejected { reason, .. } => Some(*reason),
             _ => None,
         })
         .collect();
@@ -246,14 +246,14 @@
     }
 }
 
-/// Repeats at other holders, before and after the end, are the same admission.
+/// Repeats at other clients, before and after the end, are the same admission.
 #[test]
 fn a_repeat_is_the_same_admission() {
     let mut cluster = Cluster::new(3, policy(None, &[("vision", 0, 10)]));
     let one = id("vision", 1, 1);
     let asked = request(&one, 2.0);
-    for holder in &mut cluster.holders {
-        holder.request(asked.clone());
+    for client in &mut cluster.clients {
+        client.request(asked.clone());
     }
     cluster.settle();
     assert_eq!(admitted(&cluster), 1);
@@ -263,13 +263,13 @@
     );
     cluster.finish(&one, 2);
     cluster.settle();
-    for holder in &mut cluster.holders {
-        holder.request(asked.clone());
+    for client in &mut cluster.clients {
+        client.request(asked.clone());
     }
     cluster.settle();
     assert_eq!(admitted(&cluster), 1);
-    let last = cluster.decisions.iter().rev().take(3);
-    let settled = last.filter(|(_, d)| *d == Decision::AlreadySettled(one.clone()));
+    let last = cluster.events.iter().rev().take(3);
+    let settled = last.filter(|(_, d)| *d == QuotaEvent::AlreadyCompleted(one.clone()));
     assert_eq!(settled.count(), 3);
     let all = BTreeMap::from([(one, asked)]);
     cluster.wind_up(&all, &["vision"]);
--- a/crates/quota/tests/loopback.rs
+++ b/crates/quota/tests/loopback.rs
@@ -9,8 +9,8 @@
 use std::time::Duration;
 
 use lichencrank_quota::{
-    AdmissionId, AdmissionRequest, BlockingQuota, ClientName, Decision, HolderConfig, Ledger,
-    Priority, QuotaPolicy, RequesterName, ResourceVector, TeamName, TeamPolicy,
+    AdmissionId, AdmissionRequest, BlockingQuotaClient, ClientConfig, ClientName, Ledger, Priority,
+    QuotaEvent, QuotaPolicy, RequesterName, ResourceVector, TeamName, TeamPolicy,
 };
 use lichencrank_store::{BlockingClient, Item, StoreLimits, Version};
 use lichencrank_testkit::http::lock;
@@ -32,21 +32,21 @@
     }
 }
 
-fn controller(number: usize, address: std::net::SocketAddr) -> BlockingQuota<BlockingClient> {
-    let config = HolderConfig {
+fn controller(number: usize, address: std::net::SocketAddr) -> BlockingQuotaClient<BlockingClient> {
+    let config = ClientConfig {
         name: ClientName::new(&format!("controller-{number}")),
-        limits: StoreLimits {
+        store_limits: StoreLimits {
             value_bytes: limits().value_bytes,
             changes: limits().txn_ops,
             requests_per_second: 1e9,
             changes_per_second: 1e9,
         },
-        holders: CONTROLLERS as u64,
-        refresh_every: Duration::from_millis(20),
-        idle_return: Duration::from_millis(100),
-        confirm_after: PATIENCE,
+        expected_clients: CONTROLLERS as u64,
+        refresh_interval: Duration::from_millis(20),
+        idle_return_after: Duration::from_millis(100),
+        reconfirm_after: PATIENCE,
     };
-    BlockingQuota::new(config, BlockingClient::new(address, PATIENCE))
+    BlockingQuotaClient::new(config, BlockingClient::new(address, PATIENCE))
 }
 
 /// Forty CPUs: rush is guaranteed ten and may have thirty, scan ten and forty, route none and twenty.
@@ -91,9 +91,9 @@
 
 /// One controller: admits what it is sent, ends work after a while, until it has answered all.
 fn run_controller(
-    mut quota: BlockingQuota<BlockingClient>,
+    mut quota: BlockingQuotaClient<BlockingClient>,
     requests: Receiver<AdmissionRequest>,
-    answers: &Sender<(AdmissionId, Decision)>,
+    answers: &Sender<(AdmissionId, QuotaEvent)>,
     over: &AtomicBool,
 ) {
     let mut running: Vec<AdmissionId> = Vec::new();
@@ -101,18 +101,18 @@
         for request in requests.try_iter() {
             quota.request(request);
         }
-        let decisions = quota.step();
-        let idle = decisions.is_empty();
-        for decision in decisions {
-            match &decision {
-                Decision::Admitted(id) => {
+        let events = quota.step();
+        let idle = events.is_empty();
+        for event in events {
+            match &event {
+                QuotaEvent::Admitted(id) => {
                     running.push(id.clone());
-                    let _ = answers.send((id.clone(), decision.clone()));
+                    let _ = answers.send((id.clone(), event.clone()));
                 }
-                Decision::AlreadyAdmitted { id, .. }
-                | Decision::AlreadySettled(id)
-                | Decision::Rejected { id, .. } => {
-                    let _ = answers.send((id.clone(), decision.clone()));
+                QuotaEvent::AlreadyAdmitted { id, .. }
+                | QuotaEvent::AlreadyCompleted(id)
+                | QuotaEvent::Rejected { id, .. } => {
+                    let _ = answers.send((id.clone(), event.clone()));
                 }
                 _ => {}
             }
@@ -131,7 +131,7 @@
     let address = serve_state(state.clone(), Arc::new(AtomicBool::new(false)));
     let mut first = controller(0, address);
     first.set_policy(policy());
-    while !first.step().contains(&Decision::PolicyWritten) {}
+    while !first.step().contains(&QuotaEvent::PolicyApplied) {}
 
     let asked = submissions(24);
     let over = Arc::new(AtomicBool::new(false));
@@ -155,7 +155,7 @@
         }
     }
     let expected = asked.len() + asked.len().div_ceil(4);
-    let told: Vec<(AdmissionId, Decision)> = answers.iter().take(expected).collect();
+    let told: Vec<(AdmissionId, QuotaEvent)> = answers.iter().take(expected).collect();
     // All is answered; all is to end.
     let all_settled = || {
         let state = lock(&state);
@@ -173,7 +173,7 @@
 }
 
 /// Replays every transaction that was carried out, and audits the ledger after each.
-fn judge(asked: &[AdmissionRequest], told: &[(AdmissionId, Decision)], state: &StateService) {
+fn judge(asked: &[AdmissionRequest], told: &[(AdmissionId, QuotaEvent)], state: &StateService) {
     let mut replayed = StateService::new(limits());
     for txn in &state.carried_out {
         replayed.txn(txn);
@@ -182,7 +182,7 @@
     }
     let admitted = told
         .iter()
-        .filter(|(_, d)| matches!(d, Decision::Admitted(_)));
+        .filter(|(_, d)| matches!(d, QuotaEvent::Admitted(_)));
     let admitted: Vec<&AdmissionId> = admitted.map(|(id, _)| id).collect();
     let distinct: BTreeSet<&AdmissionId> = admitted.iter().copied().collect();
     assert_eq!(admitted.len(), distinct.len(), "admitted twice");
--- a/crates/quota/tests/random_schedules.rs
+++ b/crates/quota/tests/random_schedules.rs
@@ -1,5 +1,5 @@
 //! Random schedules of everything that can go wrong, judged at every revision. A schedule that fails is
-//! shrunk, and printed with what each holder decided.
+//! shrunk, and printed with what each client decided.
 
 mod support;
 
@@ -8,28 +8,28 @@
 use lichencrank_quota::{AdmissionId, AdmissionRequest, Priority};
 use lichencrank_testkit::faults::Fault;
 use proptest::prelude::*;
-use support::{holder_name, id, policy, request, team, Cluster};
+use support::{client_name, id, policy, request, team, Cluster};
 
-const HOLDERS: usize = 3;
+const CLIENTS: usize = 3;
 const TEAMS: [&str; 2] = ["vision", "audio"];
 
-/// One step of a schedule. Holders are numbers.
+/// One step of a schedule. Clients are numbers.
 #[derive(Clone, Debug)]
 enum Step {
     /// A user asks; with a number that was used before it is a repeat.
     Ask {
-        holder: usize,
+        client: usize,
         team: usize,
         user: usize,
         number: u32,
         cpus: u64,
         urgent: bool,
     },
-    /// A holder does one request from beginning to end.
+    /// A client does one request from beginning to end.
     Work(usize),
-    /// A holder's request leaves it; it stands still before the request arrives.
+    /// A client's request leaves it; it stands still before the request arrives.
     Send(usize),
-    /// The request arrives; the holder stands still before it hears the answer.
+    /// The request arrives; the client stands still before it hears the answer.
     Arrive(usize),
     /// It hears the answer.
     Hear(usize),
@@ -41,14 +41,14 @@
     Kill(usize),
     /// A request of a process that ended arrives.
     OrphanArrives,
-    /// A holder gives up another one.
+    /// A client gives up another one.
     Reclaim(usize, usize),
-    /// A holder has stood still for longer than its answers count.
+    /// A client has stood still for longer than its answers count.
     Resume(usize),
-    /// Some running work ends, and a holder hears of it.
+    /// Some running work ends, and a client hears of it.
     Finish {
         which: usize,
-        holder: usize,
+        client: usize,
     },
     Advance(u64),
     Refuse(usize, bool),
@@ -56,7 +56,7 @@
 }
 
 fn any_step() -> impl Strategy<Value = Step> {
-    let holder = 0..HOLDERS;
+    let client = 0..CLIENTS;
     let fault = prop_oneof![
         Just(Fault::LostAnswer),
         Just(Fault::CarriedOutLate),
@@ -64,7 +64,7 @@
         Just(Fault::RateLimited),
     ];
     let ask = (
-        holder.clone(),
+        client.clone(),
         0..2usize,
         0..4usize,
         0..6u32,
@@ -72,22 +72,22 @@
         any::<bool>(),
     );
     prop_oneof![
-        8 => ask.prop_map(|(holder, team, user, number, cpus, urgent)| Step::Ask {
-            holder, team, user, number, cpus, urgent,
+        8 => ask.prop_map(|(client, team, user, number, cpus, urgent)| Step::Ask {
+            client, team, user, number, cpus, urgent,
         }),
-        16 => holder.clone().prop_map(Step::Work),
-        3 => holder.clone().prop_map(Step::Send),
-        3 => holder.clone().prop_map(Step::Arrive),
-        3 => holder.clone().prop_map(Step::Hear),
-        3 => (holder.clone(), fault).prop_map(|(n, fault)| Step::Fail(n, fault)),
+        16 => client.clone().prop_map(Step::Work),
+        3 => client.clone().prop_map(Step::Send),
+        3 => client.clone().prop_map(Step::Arrive),
+        3 => client.clone().prop_map(Step::Hear),
+        3 => (client.clone(), fault).prop_map(|(n, fault)| Step::Fail(n, fault)),
         2 => Just(Step::DeliverLate),
-        1 => holder.clone().prop_map(Step::Kill),
+        1 => client.clone().prop_map(Step::Kill),
         1 => Just(Step::OrphanArrives),
-        1 => (holder.clone(), holder.clone()).prop_map(|(by, other)| Step::Reclaim(by, other)),
-        1 => holder.clone().prop_map(Step::Resume),
-        4 => (0..8usize, holder.clone()).prop_map(|(which, holder)| Step::Finish { which, holder }),
+        1 => (client.clone(), client.clone()).prop_map(|(by, other)| Step::Reclaim(by, other)),
+        1 => client.clone().prop_map(Step::Resume),
+        4 => (0..8usize, client.clone()).prop_map(|(which, client)| Step::Finish { which, client }),
         4 => prop_oneof![Just(1u64), Just(150), Just(4000)].prop_map(Step::Advance),
-        1 => (holder, any::<bool>()).prop_map(|(n, refused)| Step::Refuse(n, refused)),
+        1 => (client, any::<bool>()).prop_map(|(n, refused)| Step::Refuse(n, refused)),
         1 => any::<bool>().prop_map(Step::Outage),
     ]
 }
@@ -95,7 +95,7 @@
 fn play(steps: Vec<Step>) {
     // Sixteen CPUs, of which one team is guaranteed six; both want more than there is.
     let mut cluster = Cluster::new(
-        HOLDERS,
+        CLIENTS,
         policy(Some(16), &[(TEAMS[0], 6, 12), (TEAMS[1], 0, 14)]),
     );
     let mut asked: BTreeMap<AdmissionId, AdmissionRequest> = BTreeMap::new();
@@ -105,7 +105,7 @@
     }
     cluster.trace.push("all troubles over".into());
     cluster.shared.set_outage(false);
-    for n in 0..HOLDERS {
+    for n in 0..CLIENTS {
         cluster.shared.refuse(n, false);
     }
     cluster.wind_up(&asked, &TEAMS);
@@ -118,7 +118,7 @@
 ) {
     match step {
         Step::Ask {
-            holder,
+            client,
             team,
             user,
             number,
@@ -131,7 +131,7 @@
                 new.priority = Priority::High;
             }
             let known = asked.entry(id).or_insert(new);
-            cluster.holders[holder].request(known.clone());
+            cluster.clients[client].request(known.clone());
         }
         Step::Work(n) => {
             cluster.step(n);
@@ -149,13 +149,13 @@
         Step::OrphanArrives => cluster.orphan_arrives(),
         Step::Reclaim(by, other) => {
             for name in TEAMS {
-                cluster.holders[by].reclaim(team(name), holder_name(other));
+                cluster.clients[by].reclaim(team(name), client_name(other));
             }
         }
-        Step::Resume(n) => cluster.holders[n].resumed_after_pause(),
-        Step::Finish { which, holder } => {
+        Step::Resume(n) => cluster.clients[n].on_process_resumed(),
+        Step::Finish { which, client } => {
             if let Some(id) = cluster.running.iter().nth(which).cloned() {
-                cluster.finish(&id, holder);
+                cluster.finish(&id, client);
             }
         }
         Step::Advance(ms) => cluster.advance(ms),
--- a/crates/quota/tests/support/mod.rs
+++ b/crates/quota/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Several holders over one store in memory, and a checker that judges every revision.
+//! Several clients over one store in memory, and a checker that judges every revision.
 
 #![allow(dead_code, reason = "each test uses its part")]
 
@@ -6,8 +6,8 @@
 use std::time::Duration;
 
 use lichencrank_quota::{
-    AdmissionId, AdmissionRequest, ClientName, Decision, Holder, HolderConfig, Ledger, Priority,
-    QuotaPolicy, RequesterName, ResourceVector, TeamName, TeamPolicy,
+    AdmissionId, AdmissionRequest, ClientConfig, ClientName, Ledger, Priority, QuotaClient,
+    QuotaEvent, QuotaPolicy, RequesterName, ResourceVector, TeamName, TeamPolicy,
 };
 use lichencrank_store::{ConditionalStore, Item, Outcome, Request, StoreLimits, Time, Version};
 use lichencrank_testkit::{FaultyStore, Limits, SharedState};
@@ -27,7 +27,7 @@
     TeamName::new(name)
 }
 
-pub(crate) fn holder_name(number: usize) -> ClientName {
+pub(crate) fn client_name(number: usize) -> ClientName {
     ClientName::new(&format!("controller-{number}"))
 }
 
@@ -47,14 +47,14 @@
     }
 }
 
-pub(crate) fn config(number: usize, holders: u64) -> HolderConfig {
-    HolderConfig {
-        name: holder_name(number),
-        limits: LIMITS,
-        holders,
-        refresh_every: REFRESH,
-        idle_return: Duration::from_secs(5),
-        confirm_after: CONFIRM_AFTER,
+pub(crate) fn config(number: usize, clients: u64) -> ClientConfig {
+    ClientConfig {
+        name: client_name(number),
+        store_limits: LIMITS,
+        expected_clients: clients,
+        refresh_interval: REFRESH,
+        idle_return_after: Duration::from_secs(5),
+        reconfirm_after: CONFIRM_AFTER,
     }
 }
 
@@ -76,18 +76,18 @@
     }
 }
 
-/// What a holder has sent, and how far it got.
+/// What a client has sent, and how far it got.
 enum Pending {
-    /// It left the holder, but has not reached the store.
+    /// It left the client, but has not reached the store.
     Request(Request),
-    /// The store has answered, but the holder has not heard it.
+    /// The store has answered, but the client has not heard it.
     Answer(Outcome),
 }
 
 pub(crate) struct Cluster {
     pub(crate) shared: SharedState,
     pub(crate) stores: Vec<FaultyStore>,
-    pub(crate) holders: Vec<Holder>,
+    pub(crate) clients: Vec<QuotaClient>,
     pending: Vec<Option<Pending>>,
     /// Requests of processes that ended, which may yet arrive.
     orphans: Vec<(usize, Request)>,
@@ -95,38 +95,38 @@
     /// Work that has been started and has not ended.
     pub(crate) running: BTreeSet<AdmissionId>,
     started: BTreeSet<AdmissionId>,
-    pub(crate) answers: BTreeMap<AdmissionId, Vec<Decision>>,
-    pub(crate) decisions: Vec<(usize, Decision)>,
+    pub(crate) answers: BTreeMap<AdmissionId, Vec<QuotaEvent>>,
+    pub(crate) events: Vec<(usize, QuotaEvent)>,
     /// While a policy changes, what was admitted before may exceed it.
     pub(crate) lenient: bool,
     pub(crate) trace: Vec<String>,
 }
 
 impl Cluster {
-    pub(crate) fn new(holders: usize, policy: QuotaPolicy) -> Cluster {
+    pub(crate) fn new(clients: usize, policy: QuotaPolicy) -> Cluster {
         let shared = SharedState::new(Limits {
             value_bytes: LIMITS.value_bytes,
             txn_ops: LIMITS.changes,
         });
         let mut cluster = Cluster {
-            stores: (0..holders).map(|n| shared.client(n)).collect(),
-            holders: (0..holders)
-                .map(|n| Holder::new(config(n, holders as u64)))
+            stores: (0..clients).map(|n| shared.client(n)).collect(),
+            clients: (0..clients)
+                .map(|n| QuotaClient::new(config(n, clients as u64)))
                 .collect(),
-            pending: (0..holders).map(|_| None).collect(),
+            pending: (0..clients).map(|_| None).collect(),
             orphans: Vec::new(),
             shared,
             now: Time(0),
             running: BTreeSet::new(),
             started: BTreeSet::new(),
             answers: BTreeMap::new(),
-            decisions: Vec::new(),
+            events: Vec::new(),
             lenient: false,
             trace: Vec::new(),
         };
-        cluster.holders[0].set_policy(policy);
+        cluster.clients[0].set_policy(policy);
         cluster.settle();
-        cluster.decisions.clear();
+        cluster.events.clear();
         cluster
     }
 
@@ -162,8 +162,8 @@
 
     pub(crate) fn fail(&self, what: &str) -> ! {
         let ledger = self.ledger();
-        for holder in &self.holders {
-            println!("{holder:?}");
+        for client in &self.clients {
+            println!("{client:?}");
         }
         println!(
             "{:#?}\n{:?}\n{:?}",
@@ -172,21 +172,21 @@
         panic!("{what}\n{}", self.trace.join("\n"));
     }
 
-    // ---- one holder
+    // ---- one client
 
-    /// Lets a holder send its next request, which does not reach the store yet.
+    /// Lets a client send its next request, which does not reach the store yet.
     pub(crate) fn send(&mut self, n: usize) -> bool {
         if self.pending[n].is_some() {
             return false;
         }
-        let request = self.holders[n].poll(self.now);
+        let request = self.clients[n].poll(self.now);
         let sent = request.is_some();
         self.pending[n] = request.map(Pending::Request);
         self.take_decisions(n);
         sent
     }
 
-    /// Lets a holder go on until its next charge has left it.
+    /// Lets a client go on until its next charge has left it.
     pub(crate) fn send_charge(&mut self, n: usize) {
         for _ in 0..50 {
             self.send(n);
@@ -214,11 +214,11 @@
         }
     }
 
-    /// Lets the answer reach the holder.
+    /// Lets the answer reach the client.
     pub(crate) fn hear(&mut self, n: usize) {
         match self.pending[n].take() {
             Some(Pending::Answer(outcome)) => {
-                self.holders[n].on_outcome(self.now, outcome);
+                self.clients[n].on_outcome(self.now, outcome);
                 self.take_decisions(n);
             }
             other => self.pending[n] = other,
@@ -239,7 +239,7 @@
             self.orphans.push((n, request));
         }
         self.pending[n] = None;
-        self.holders[n] = Holder::new(config(n, self.holders.len() as u64));
+        self.clients[n] = QuotaClient::new(config(n, self.clients.len() as u64));
     }
 
     /// The oldest request of an ended process arrives.
@@ -252,53 +252,52 @@
     }
 
     fn take_decisions(&mut self, n: usize) {
-        for decision in self.holders[n].take_decisions() {
-            self.trace
-                .push(format!("{:>7} {n}: {decision:?}", self.now.0));
-            self.judge(n, &decision);
-            self.decisions.push((n, decision));
+        for event in self.clients[n].take_events() {
+            self.trace.push(format!("{:>7} {n}: {event:?}", self.now.0));
+            self.judge(n, &event);
+            self.events.push((n, event));
         }
     }
 
-    fn judge(&mut self, n: usize, decision: &Decision) {
-        match decision {
-            Decision::Admitted(id) => {
+    fn judge(&mut self, n: usize, event: &QuotaEvent) {
+        match event {
+            QuotaEvent::Admitted(id) => {
                 let ledger = self.ledger();
                 let open = ledger.charges.get(id);
-                if open.is_none_or(|open| open.client != holder_name(n)) {
+                if open.is_none_or(|open| open.client != client_name(n)) {
                     self.fail(&format!("{id} starts without a charge"));
                 }
                 if !self.started.insert(id.clone()) {
                     self.fail(&format!("{id} starts twice"));
                 }
                 self.running.insert(id.clone());
-                self.answer(id, decision);
+                self.answer(id, event);
             }
-            Decision::Recovered(id) => {
+            QuotaEvent::Recovered(id) => {
                 if self.started.insert(id.clone()) {
                     self.running.insert(id.clone());
                 }
-                self.answer(id, decision);
+                self.answer(id, event);
             }
-            Decision::AlreadyAdmitted { id, .. }
-            | Decision::AlreadySettled(id)
-            | Decision::Rejected { id, .. }
-            | Decision::Withdrawn(id) => self.answer(id, decision),
+            QuotaEvent::AlreadyAdmitted { id, .. }
+            | QuotaEvent::AlreadyCompleted(id)
+            | QuotaEvent::Rejected { id, .. }
+            | QuotaEvent::Cancelled(id) => self.answer(id, event),
             _ => {}
         }
     }
 
-    fn answer(&mut self, id: &AdmissionId, decision: &Decision) {
+    fn answer(&mut self, id: &AdmissionId, event: &QuotaEvent) {
         let answers = self.answers.entry(id.clone()).or_default();
-        answers.push(decision.clone());
+        answers.push(event.clone());
     }
 
     // ---- all of them
 
-    /// Work ends, and a holder is told so.
+    /// Work ends, and a client is told so.
     pub(crate) fn finish(&mut self, id: &AdmissionId, through: usize) {
         if self.running.remove(id) {
-            self.holders[through].release(id.clone());
+            self.clients[through].release(id.clone());
         }
     }
 
@@ -311,7 +310,7 @@
     pub(crate) fn settle(&mut self) {
         for _ in 0..SETTLED_ROUNDS {
             let mut busy = false;
-            for n in 0..self.holders.len() {
+            for n in 0..self.clients.len() {
                 busy |= self.step(n);
             }
             self.advance(if busy { 1 } else { 20 });
@@ -330,16 +329,16 @@
         while !self.orphans.is_empty() {
             self.orphan_arrives();
         }
-        for holder in &mut self.holders {
+        for client in &mut self.clients {
             for name in teams {
-                holder.open_account(&team(name));
+                client.recover_team(&team(name));
             }
         }
         for _ in 0..40 {
             self.settle_briefly();
             let running: Vec<AdmissionId> = self.running.iter().cloned().collect();
             for (n, id) in running.iter().enumerate() {
-                self.finish(id, n % self.holders.len());
+                self.finish(id, n % self.clients.len());
             }
             self.repeat_releases();
             let unanswered = asked
@@ -350,7 +349,7 @@
                 break;
             }
             for (n, request) in unanswered.into_iter().enumerate() {
-                self.holders[n % 3].request(request);
+                self.clients[n % 3].request(request);
             }
         }
         self.judge_the_end(asked);
@@ -365,13 +364,13 @@
         });
         let ended: Vec<AdmissionId> = ended.cloned().collect();
         for id in ended {
-            self.holders[0].release(id);
+            self.clients[0].release(id);
         }
     }
 
     fn settle_briefly(&mut self) {
         for _ in 0..60 {
-            for n in 0..self.holders.len() {
+            for n in 0..self.clients.len() {
                 self.step(n);
             }
             self.advance(7);
--- a/tests/quota_service.rs
+++ b/tests/quota_service.rs
@@ -9,8 +9,8 @@
 use ciborium::Value;
 use lichencrank::protocol::encode;
 use lichencrank_quota::{
-    AdmissionId, AdmissionRequest, BlockingQuota, ClientName, Decision, HolderConfig, Ledger,
-    Priority, RequesterName, ResourceVector, TeamName,
+    AdmissionId, AdmissionRequest, BlockingQuotaClient, ClientConfig, ClientName, Ledger, Priority,
+    QuotaEvent, RequesterName, ResourceVector, TeamName,
 };
 use lichencrank_store::{BlockingClient, StoreLimits};
 use standin::{call, eventually, map, text, Setup, World};
@@ -42,21 +42,21 @@
     ]))
 }
 
-fn embedder(world: &World) -> BlockingQuota<BlockingClient> {
-    let config = HolderConfig {
+fn embedder(world: &World) -> BlockingQuotaClient<BlockingClient> {
+    let config = ClientConfig {
         name: ClientName::new("depot-tool"),
-        limits: StoreLimits {
+        store_limits: StoreLimits {
             value_bytes: 16 * 1024,
             changes: 16,
             requests_per_second: 500.0,
             changes_per_second: 300.0,
         },
-        holders: 2,
-        refresh_every: Duration::from_millis(100),
-        idle_return: Duration::from_millis(300),
-        confirm_after: PATIENCE,
+        expected_clients: 2,
+        refresh_interval: Duration::from_millis(100),
+        idle_return_after: Duration::from_millis(300),
+        reconfirm_after: PATIENCE,
     };
-    BlockingQuota::new(config, BlockingClient::new(world.state, PATIENCE))
+    BlockingQuotaClient::new(config, BlockingClient::new(world.state, PATIENCE))
 }
 
 fn admission(sequence: u32) -> AdmissionRequest {
@@ -128,8 +128,8 @@
     let mut admitted = Vec::new();
     while admitted.len() < 2 {
         lent(&world);
-        for decision in quota.step() {
-            if let Decision::Admitted(id) = decision {
+        for event in quota.step() {
+            if let QuotaEvent::Admitted(id) = event {
                 admitted.push(id);
             }
         }
@@ -148,10 +148,10 @@
     }
     let mut released = 0;
     while released < 2 {
-        let decisions = quota.step();
-        released += decisions
+        let events = quota.step();
+        released += events
             .iter()
-            .filter(|d| matches!(d, Decision::Released(_)))
+            .filter(|d| matches!(d, QuotaEvent::Released(_)))
             .count();
     }
     submit(&world, "job-000002", 12);
--- a/tests/simulated/embedder.rs
+++ b/tests/simulated/embedder.rs
@@ -6,8 +6,8 @@
 use lichencrank::storage::records::RunRecord;
 use lichencrank_quota::leader::LEADER;
 use lichencrank_quota::{
-    AdmissionId, AdmissionRequest, AllowanceId, ClientName, Decision, Discrepancy, Holder,
-    HolderConfig, Ledger, Priority, RequesterName, ResourceVector, TeamName,
+    AdmissionId, AdmissionRequest, AllowanceId, ClientConfig, ClientName, Discrepancy, Ledger,
+    Priority, QuotaClient, QuotaEvent, RequesterName, ResourceVector, TeamName,
 };
 use lichencrank_store::codec::{decode, encode};
 use lichencrank_store::{Item, Outcome, StoreLimits, Time, Version};
@@ -23,7 +23,7 @@
 }
 
 pub struct Embedder {
-    holder: Holder,
+    client: QuotaClient,
     demand: Demand,
     next: u32,
     running: Vec<(u64, AdmissionId)>,
@@ -31,21 +31,21 @@
 
 impl Embedder {
     pub fn new(demand: Demand) -> Embedder {
-        let config = HolderConfig {
+        let config = ClientConfig {
             name: ClientName::new("depot-tool"),
-            limits: StoreLimits {
+            store_limits: StoreLimits {
                 value_bytes: 16 * 1024,
                 changes: 16,
                 requests_per_second: 100.0,
                 changes_per_second: 100.0,
             },
-            holders: 2,
-            refresh_every: Duration::from_millis(500),
-            idle_return: Duration::from_secs(2),
-            confirm_after: Duration::from_secs(3),
+            expected_clients: 2,
+            refresh_interval: Duration::from_millis(500),
+            idle_return_after: Duration::from_secs(2),
+            reconfirm_after: Duration::from_secs(3),
         };
         Embedder {
-            holder: Holder::new(config),
+            client: QuotaClient::new(config),
             demand,
             next: 0,
             running: Vec::new(),
@@ -55,10 +55,10 @@
     /// Does what is due, and one request to the state service. Returns how many admissions began.
     pub fn step(&mut self, now: u64, away: bool, state: &mut StateService) -> usize {
         self.end_work(now);
-        while self.running.len() + self.holder.waiting() < self.demand.tasks as usize {
+        while self.running.len() + self.client.pending_count() < self.demand.tasks as usize {
             self.ask();
         }
-        if let Some(request) = self.holder.poll(Time(now)) {
+        if let Some(request) = self.client.poll(Time(now)) {
             let http = request.render();
             let outcome = if away {
                 Outcome::Refused
@@ -67,11 +67,11 @@
                 let (status, answer) = state.handle(now, http.method, &http.target, &body);
                 Outcome::read(http.kind, status, &encode(&answer))
             };
-            self.holder.on_outcome(Time(now), outcome);
+            self.client.on_outcome(Time(now), outcome);
         }
         let mut begun = 0;
-        for decision in self.holder.take_decisions() {
-            if let Decision::Admitted(id) = decision {
+        for event in self.client.take_events() {
+            if let QuotaEvent::Admitted(id) = event {
                 self.running.push((now + self.demand.run_ms, id));
                 begun += 1;
             }
@@ -95,7 +95,7 @@
             .collect();
         self.running.retain(|r| !over(r));
         for id in ended {
-            self.holder.release(id);
+            self.client.release(id);
         }
     }
 
@@ -106,7 +106,7 @@
             sequence: self.next,
         };
         self.next += 1;
-        self.holder.request(AdmissionRequest {
+        self.client.request(AdmissionRequest {
             id,
             usage: ResourceVector::rounded_up(self.demand.cpus, 0.0),
             priority: Priority::Normal,
