--- a/crates/quota/src/blocking.rs
+++ b/crates/quota/src/blocking.rs
@@ -1,5 +1,6 @@
-//! Runs a holder against a store, for programs that block.
+//! Runs a quota client against a store, for programs that may block.
 
+use std::thread;
 use std::time::{Duration, Instant};
 
 use lichencrank_store::{ConditionalStore, Time};
@@ -9,81 +10,82 @@
 use crate::ids::{AdmissionId, ClientName, TeamName};
 use crate::policy::QuotaPolicy;
 
-/// How long to wait where there is nothing to do but to wait.
+/// How long [`BlockingQuotaClient::step`] waits if there is nothing to do.
 const IDLE_WAIT: Duration = Duration::from_millis(2);
 
-/// A holder with its store. One request to the store is under way at a time, within [`Self::step`].
+/// A quota client with its store. Requests to the store are sent within [`Self::step`], one at a time.
 pub struct BlockingQuotaClient<S> {
-    holder: QuotaClient,
+    client: QuotaClient,
     store: S,
-    began: Instant,
-    stepped_at: Time,
-    pause_limit: Duration,
+    started_at: Instant,
+    last_step_at: Time,
+    /// If the time from one step to the next is longer, the process stood still.
+    max_step_interval: Duration,
 }
 
 impl<S: ConditionalStore> BlockingQuotaClient<S> {
-    /// A holder against that store.
+    /// A client of that store.
     pub fn new(config: ClientConfig, store: S) -> BlockingQuotaClient<S> {
-        let pause_limit = config.reconfirm_after;
+        let max_step_interval = config.reconfirm_after;
         BlockingQuotaClient {
-            holder: QuotaClient::new(config),
+            client: QuotaClient::new(config),
             store,
-            began: Instant::now(),
-            stepped_at: Time::default(),
-            pause_limit,
+            started_at: Instant::now(),
+            last_step_at: Time::default(),
+            max_step_interval,
         }
     }
 
-    /// Asks for an admission; [`Self::step`] tells what was decided.
+    /// Requests an admission; see [`QuotaClient::request`].
     pub fn request(&mut self, request: AdmissionRequest) {
-        self.holder.request(request);
+        self.client.request(request);
     }
 
-    /// It is proven that the work has ended, or never will begin.
+    /// Releases the charge of work that has ended; see [`QuotaClient::release`].
     pub fn release(&mut self, id: AdmissionId) {
-        self.holder.release(id);
+        self.client.release(id);
     }
 
-    /// Gives up another holder; see [`QuotaClient::reclaim`].
-    pub fn reclaim(&mut self, team: TeamName, holder: ClientName) {
-        self.holder.reclaim(team, holder);
+    /// Gives up another client; see [`QuotaClient::reclaim`].
+    pub fn reclaim(&mut self, team: TeamName, client: ClientName) {
+        self.client.reclaim(team, client);
     }
 
     /// Brings a policy into the store; see [`QuotaClient::set_policy`].
     pub fn set_policy(&mut self, policy: QuotaPolicy) {
-        self.holder.set_policy(policy);
+        self.client.set_policy(policy);
     }
 
-    /// Looks at what an earlier process of this name had charged.
+    /// Reads what earlier processes of this name have charged; see [`QuotaClient::recover_team`].
     pub fn recover_team(&mut self, team: &TeamName) {
-        self.holder.recover_team(team);
+        self.client.recover_team(team);
     }
 
-    /// The holder, to look at.
+    /// The client itself, to look at.
     pub fn client(&self) -> &QuotaClient {
-        &self.holder
+        &self.client
     }
 
-    /// Does one request to the store, if there is one to do, and tells what was decided. Waits a moment
-    /// otherwise.
+    /// Sends the next request to the store and waits for its outcome, or waits a moment if there is none.
+    /// Returns what happened.
     pub fn step(&mut self) -> Vec<QuotaEvent> {
         let now = self.now();
-        if now.since(self.stepped_at) > self.pause_limit {
-            self.holder.on_process_resumed();
+        if now.since(self.last_step_at) > self.max_step_interval {
+            self.client.on_process_resumed();
         }
-        match self.holder.poll(now) {
+        match self.client.poll(now) {
             Some(request) => {
                 let outcome = self.store.execute(&request);
-                let answered = self.now();
-                self.holder.on_outcome(answered, outcome);
+                let answered_at = self.now();
+                self.client.on_outcome(answered_at, outcome);
             }
-            None => std::thread::sleep(IDLE_WAIT),
+            None => thread::sleep(IDLE_WAIT),
         }
-        self.stepped_at = self.now();
-        self.holder.take_events()
+        self.last_step_at = self.now();
+        self.client.take_events()
     }
 
     fn now(&self) -> Time {
-        Time(self.began.elapsed().as_millis() as u64)
+        Time(self.started_at.elapsed().as_millis() as u64)
     }
 }
--- /dev/null
+++ b/crates/quota/src/client/charging.rs
@@ -0,0 +1,173 @@
+//! Charging admissions within the allowance.
+
+use lichencrank_store::{json_size, Version};
+
+use super::operation::{Effect, Operation, TransactionBuilder};
+use super::record_cache::CacheMiss;
+use super::review::ReviewReason;
+use super::{QuotaClient, QuotaEvent};
+use crate::admission::{AdmissionEvent, AdmissionRequest, RejectReason};
+use crate::allocation::TeamQuota;
+use crate::ids::AdmissionId;
+use crate::records::{ChargeRecord, ChargeState, Record, RecordKey};
+use crate::resource_vector::ResourceVector;
+
+/// About the size of a charge in a transaction, in bytes.
+const CHARGE_BYTES: usize = 400;
+/// Most bytes of a transaction's charges. The rest of what the store takes is for conditions and framing.
+const MAX_BATCH_BYTES: usize = 44 * 1024;
+/// Conditions of each charge: on the charge's key and on the requester's completed admissions.
+const CONDITIONS_PER_CHARGE: usize = 2;
+/// Once the record of a requester's completed admissions takes this part of the largest value, its
+/// requests are rejected, as a release could not be recorded.
+const MAX_COMPLETED_SHARE: f64 = 0.75;
+
+/// Charges that share a transaction.
+struct ChargeBatch {
+    transaction: TransactionBuilder,
+    /// What the allowance has left after the charges so far.
+    unspent: ResourceVector,
+    charged: Vec<AdmissionId>,
+}
+
+/// What became of a pending request.
+enum ChargeAttempt {
+    /// It is charged by the batch.
+    Charged,
+    /// It was answered without a charge.
+    Answered,
+    /// The allowance has not enough left for it.
+    InsufficientAllowance,
+}
+
+impl QuotaClient {
+    /// Charges pending requests in their order, as many as the allowance and a transaction hold.
+    pub(super) fn plan_charges(
+        &mut self,
+        quota: &TeamQuota,
+    ) -> Result<Option<Operation>, CacheMiss> {
+        let team = &quota.name;
+        let allowance = self.own_allowance(team);
+        let mut batch = ChargeBatch {
+            transaction: TransactionBuilder::default(),
+            unspent: self.unspent(team)?,
+            charged: Vec::new(),
+        };
+        let version = self.cache.allowance(&allowance)?.version;
+        let key = RecordKey::Allowance(allowance);
+        batch.transaction.require(&key, version);
+        let max_changes = self.config.store_limits.changes;
+        let queue = self.team_mut(team).queue();
+        let pending: Vec<AdmissionId> = queue.take(max_changes).cloned().collect();
+        for id in pending {
+            if !self.has_space(&batch) {
+                break;
+            }
+            match self.try_charge(&id, &quota.team.limit, &mut batch)? {
+                ChargeAttempt::Charged => batch.charged.push(id),
+                ChargeAttempt::Answered => {}
+                ChargeAttempt::InsufficientAllowance => break,
+            }
+        }
+        if batch.charged.is_empty() {
+            return Ok(None);
+        }
+        let now = self.now;
+        self.team_mut(team).set_last_charge_at(now);
+        let effect = Effect::Charged(batch.charged);
+        Ok(Some(batch.transaction.commit(effect)))
+    }
+
+    /// Whether one more charge fits into the transaction.
+    fn has_space(&self, batch: &ChargeBatch) -> bool {
+        let limits = &self.config.store_limits;
+        let changes = batch.transaction.change_count() + 1;
+        let conditions = batch.transaction.condition_count() + CONDITIONS_PER_CHARGE;
+        changes <= limits.changes
+            && conditions <= limits.conditions()
+            && changes * CHARGE_BYTES <= MAX_BATCH_BYTES
+    }
+
+    /// Adds the charge of a request to the batch, unless it is answered without one or too large for
+    /// what is left.
+    fn try_charge(
+        &mut self,
+        id: &AdmissionId,
+        limit: &ResourceVector,
+        batch: &mut ChargeBatch,
+    ) -> Result<ChargeAttempt, CacheMiss> {
+        let Some(&AdmissionRequest {
+            usage, priority, ..
+        }) = self.admissions.request(id)
+        else {
+            return Ok(ChargeAttempt::Answered);
+        };
+        if self.answer_without_charge(id, &usage, limit)? {
+            return Ok(ChargeAttempt::Answered);
+        }
+        if !usage.fits_within(&batch.unspent) {
+            return Ok(ChargeAttempt::InsufficientAllowance);
+        }
+        batch.unspent = batch.unspent.saturating_sub(&usage);
+        let charge = ChargeRecord {
+            client: self.config.name.clone(),
+            epoch: self.team_mut(&id.team).last_own_epoch(),
+            usage,
+            priority,
+            state: ChargeState::Charged,
+        };
+        let key = RecordKey::Charge(id.clone());
+        let transaction = &mut batch.transaction;
+        transaction.put(key, Version::ABSENT, Record::Charge(charge));
+        // The charge of a completed admission is absent as well: without this condition a transaction
+        // that is carried out late could charge it again.
+        let requester = id.requester_id();
+        let version = self.cache.completed(&requester)?.version;
+        transaction.require(&RecordKey::Completed(requester), version);
+        Ok(ChargeAttempt::Charged)
+    }
+
+    /// Answers a request that is completed, or rejected whatever the allowance is. Returns whether it
+    /// did.
+    fn answer_without_charge(
+        &mut self,
+        id: &AdmissionId,
+        usage: &ResourceVector,
+        limit: &ResourceVector,
+    ) -> Result<bool, CacheMiss> {
+        if !usage.fits_within(limit) {
+            self.reject(id.clone(), RejectReason::LargerThanLimit);
+            return Ok(true);
+        }
+        let Some(completed) = self.cache.completed(&id.requester_id())?.record else {
+            return Ok(false);
+        };
+        if completed.sequences.contains(id.sequence) {
+            self.admissions.remove_pending(id);
+            self.events.push(QuotaEvent::AlreadyCompleted(id.clone()));
+            return Ok(true);
+        }
+        let max_bytes = self.config.store_limits.value_bytes as f64 * MAX_COMPLETED_SHARE;
+        if json_size(completed) as f64 > max_bytes {
+            self.reject(id.clone(), RejectReason::TooManySequenceGaps);
+            return Ok(true);
+        }
+        Ok(false)
+    }
+
+    /// The transaction that charges these admissions is committed. `is_late` if the answer took longer
+    /// than it can be relied on.
+    pub(super) fn on_charged(&mut self, ids: Vec<AdmissionId>, is_late: bool) {
+        for id in ids {
+            self.admissions
+                .transition(&id, AdmissionEvent::ChargeCommitted);
+            if self.ended.contains(&id) {
+                self.admissions.transition(&id, AdmissionEvent::EndProven);
+            } else if is_late {
+                self.review(ReviewReason::LateAnswer, id);
+            } else {
+                self.events.push(QuotaEvent::Admitted(id));
+            }
+        }
+    }
+}
--- a/crates/quota/src/client/mod.rs
+++ b/crates/quota/src/client/mod.rs
@@ -1,367 +1,284 @@
-//! One holder of allowances: a controller, or a program that embeds this package.
+//! A quota client: a controller, or a program that embeds this package, which admits work within the
+//! allowances that are granted to it.
 //!
-//! The holder decides without input or output. [`QuotaClient::poll`] gives the next request to the store,
-//! [`QuotaClient::on_outcome`] takes what became of it, [`QuotaClient::take_decisions`] tells what was decided.
-//! There is one request under way at a time; many admissions share a transaction.
+//! The client decides without input or output. [`QuotaClient::poll`] gives the next request to the
+//! store, [`QuotaClient::on_outcome`] takes its outcome, and [`QuotaClient::take_events`] tells the
+//! caller what was decided. One request is under way at a time; many admissions share a transaction.
 //!
-//! A request whose outcome is unknown is repeated, word for word, until the store says whether it was
+//! A transaction whose outcome is unknown is sent again, unchanged, until the store says whether it was
 //! carried out. Nothing else is decided meanwhile.
 
-mod account;
-mod admissions;
-mod cache;
-mod charge;
-mod collect;
-mod enforce;
+mod admission_table;
+mod charging;
+mod config;
+mod event;
 mod operation;
-mod outcomes;
-mod policy;
-mod rebalance;
-mod settle;
+mod outcome;
+mod ownership;
+mod pending_operation;
+mod policy_update;
+mod rebalancing;
+mod reclaim;
+mod reclaim_queue;
+mod record_cache;
+mod release;
+mod review;
+mod revocation;
+mod revocation_sweep;
+mod team_state;
 
-use std::collections::{BTreeMap, BTreeSet, VecDeque};
-use std::time::Duration;
+use std::collections::BTreeSet;
+use std::mem;
 
-use lichencrank_store::{Request, StoreLimits, Time};
+use lichencrank_store::{Request, Time};
 
 use crate::admission::{AdmissionEvent, AdmissionRequest, AdmissionState, RejectReason};
-use crate::ids::{AdmissionId, ClientName, TeamName};
+use crate::ids::{AdmissionId, AllowanceId, ClientName, TeamName};
 use crate::records::{PoolRecord, RecordKey};
 use crate::resource_vector::ResourceVector;
 
-use account::{Account, Place};
-use cache::{Cache, Unread};
-use collect::Collection;
-use enforce::Enforcement;
-use operation::{Flight, Operation, Purpose};
-use policy::PolicyChange;
-
-/// Open admissions read at once.
-const LOAD_PAGE: u32 = 500;
-/// Most bytes of a transaction, with room to spare for its framing.
-const BATCH_BYTES: usize = 44 * 1024;
-
-/// What a holder is told about itself and the store.
-#[derive(Clone, Debug)]
-pub struct ClientConfig {
-    /// Its name; of processes with the same name only the last one that claimed an allowance may use
-    /// it.
-    pub name: ClientName,
-    /// Limits of the store.
-    pub store_limits: StoreLimits,
-    /// About how many holders there are; a smaller share is lent ahead where there are many.
-    pub expected_clients: u64,
-    /// How often a holder that waits looks whether room has become free.
-    pub refresh_interval: Duration,
-    /// An allowance that was not needed for so long goes back.
-    pub idle_return_after: Duration,
-    /// An answer that took longer is no word of the store any more: the charge is read again before
-    /// the work may start.
-    pub reconfirm_after: Duration,
-}
-
-/// What was decided.
-#[derive(Clone, Debug, PartialEq)]
-pub enum QuotaEvent {
-    /// The store has the charge: the work may start.
-    Admitted(AdmissionId),
-    /// The same admission was charged before, to that holder's allowance.
-    AlreadyAdmitted {
-        /// The admission.
-        id: AdmissionId,
-        /// Who has it in hand.
-        client: ClientName,
-    },
-    /// The same admission was charged before, and is settled.
-    AlreadyCompleted(AdmissionId),
-    /// It is never admitted.
-    Rejected {
-        /// The request.
-        id: AdmissionId,
-        /// Why.
-        reason: RejectReason,
-    },
-    /// The request was taken back before anything was charged.
-    Cancelled(AdmissionId),
-    /// An earlier process of this name had charged it; whether its work runs is not known.
-    Recovered(AdmissionId),
-    /// The work has to end, to make room. It counts until [`QuotaClient::release`].
-    Revoked(AdmissionId),
-    /// The charge is taken back.
-    Released(AdmissionId),
-    /// No such admission is open.
-    NotFound(AdmissionId),
-    /// The policy that was set is in the store.
-    PolicyApplied,
-    /// The other holder's allowance of that team is no more than what it has charged.
-    Reclaimed {
-        /// The team.
-        team: TeamName,
-        /// The holder that was given up.
-        client: ClientName,
-    },
-    /// The other holder is there again, or keeps its own accounts: nothing was reclaimed.
-    NotReclaimed {
-        /// The team.
-        team: TeamName,
-        /// The holder.
-        client: ClientName,
-    },
-}
+use admission_table::AdmissionTable;
+use operation::Operation;
+use pending_operation::PendingOperation;
+use policy_update::PolicyUpdate;
+use reclaim_queue::ReclaimQueue;
+use record_cache::{CacheMiss, RecordCache};
+use review::{ChargeReview, ReviewReason};
+use revocation_sweep::RevocationSweep;
+use team_state::TeamState;
 
-/// An admission that this holder has in hand.
-#[derive(Debug)]
-struct Admission {
-    request: AdmissionRequest,
-    state: AdmissionState,
-    /// Orders requests by their arrival.
-    arrival: u64,
-}
+pub use config::ClientConfig;
+pub use event::QuotaEvent;
 
-/// A holder of allowances.
+/// Admits work within allowances; see the [module](self).
 #[derive(Debug)]
 pub struct QuotaClient {
     config: ClientConfig,
+    /// The latest time that the caller has told.
     now: Time,
-    cache: Cache,
-    flight: Flight,
-    /// Nothing is sent before.
-    pause_until: Time,
-    accounts: BTreeMap<TeamName, Account>,
-    /// The team that had its turn last.
-    last_turn: Option<TeamName>,
-    admissions: BTreeMap<AdmissionId, Admission>,
-    arrivals: u64,
-    /// Open keys to look at, as a transaction failed on them or its outcome was unknown.
-    suspects: BTreeSet<AdmissionId>,
-    /// Requests for what is charged already.
-    repeats: BTreeSet<AdmissionId>,
-    /// Charges to confirm, as their answer came late.
-    unconfirmed: BTreeSet<AdmissionId>,
-    /// Admissions whose end is proven.
-    releasing: BTreeSet<AdmissionId>,
-    collections: VecDeque<Collection>,
-    policy_change: Option<PolicyChange>,
-    enforcement: Enforcement,
-    decisions: Vec<QuotaEvent>,
+    cache: RecordCache,
+    pending_operation: PendingOperation,
+    /// Nothing is sent before this time, as the store was unavailable or over its rate limit.
+    paused_until: Time,
+    admissions: AdmissionTable,
+    /// The team for which an operation was planned last; the others have their turns first.
+    last_planned_team: Option<TeamName>,
+    /// Charges that have to be read again before anything is decided on them.
+    reviews: BTreeSet<ChargeReview>,
+    /// Admissions that have ended, also ones of other clients, whose charges are to be released.
+    ended: BTreeSet<AdmissionId>,
+    reclaims: ReclaimQueue,
+    policy_update: Option<PolicyUpdate>,
+    revocation_sweep: RevocationSweep,
+    events: Vec<QuotaEvent>,
 }
 
 impl QuotaClient {
-    /// A holder that knows nothing yet.
+    /// A client that has read nothing yet.
     pub fn new(config: ClientConfig) -> QuotaClient {
         QuotaClient {
             config,
             now: Time::default(),
-            cache: Cache::default(),
-            flight: Flight::Idle,
-            pause_until: Time::default(),
-            accounts: BTreeMap::new(),
-            last_turn: None,
-            admissions: BTreeMap::new(),
-            arrivals: 0,
-            suspects: BTreeSet::new(),
-            repeats: BTreeSet::new(),
-            unconfirmed: BTreeSet::new(),
-            releasing: BTreeSet::new(),
-            collections: VecDeque::new(),
-            policy_change: None,
-            enforcement: Enforcement::default(),
-            decisions: Vec::new(),
+            cache: RecordCache::default(),
+            pending_operation: PendingOperation::default(),
+            paused_until: Time::default(),
+            admissions: AdmissionTable::default(),
+            last_planned_team: None,
+            reviews: BTreeSet::new(),
+            ended: BTreeSet::new(),
+            reclaims: ReclaimQueue::default(),
+            policy_update: None,
+            revocation_sweep: RevocationSweep::default(),
+            events: Vec::new(),
         }
     }
 
-    /// Its name.
+    /// The name in its configuration.
     pub fn name(&self) -> &ClientName {
         &self.config.name
     }
 
-    /// Asks for an admission. A repeat of one that is in hand changes nothing.
+    // ---- admissions
+
+    /// Requests an admission. Repeating a request that is pending changes nothing; for one that is
+    /// charged, the store is asked whether it still is.
     pub fn request(&mut self, request: AdmissionRequest) {
         let id = request.id.clone();
         if !id.is_storable() {
             return self.reject(id, RejectReason::InvalidName);
         }
-        if let Some(admission) = self.admissions.get(&id) {
-            if admission.state.is_charged() {
-                // Somebody else may have settled it meanwhile.
-                self.cache.forget(&RecordKey::Charge(id.clone()));
-                self.repeats.insert(id);
-            }
-            return;
+        match self.admissions.state(&id) {
+            // Another client may have released it meanwhile.
+            Some(state) if state.is_charged() => self.review(ReviewReason::RepeatedRequest, id),
+            Some(_) => {}
+            None => self.admissions.insert(request, self.now),
         }
-        self.arrivals += 1;
-        let admission = Admission {
-            request,
-            state: AdmissionState::Pending,
-            arrival: self.arrivals,
-        };
-        let place = admission.place();
-        let account = self.account(&id.team);
-        account.waiting.insert(place);
-        self.admissions.insert(id, admission);
     }
 
-    /// The work runs; for whoever asks how far its admission is.
+    /// The work of an admission runs. Has no effect but on [`Self::state`].
     pub fn mark_running(&mut self, id: &AdmissionId) {
-        self.change(id, AdmissionEvent::Started);
+        self.admissions.transition(id, AdmissionEvent::Started);
     }
 
-    /// It is proven that the work has ended, or never will begin. Also for work that another holder has
-    /// charged.
+    /// The work is proven to have ended, or never to start: its charge is released. Any client may be
+    /// told so, also one that did not charge it.
     pub fn release(&mut self, id: AdmissionId) {
         if !id.is_storable() {
-            return self.decisions.push(QuotaEvent::NotFound(id));
+            return self.events.push(QuotaEvent::NotFound(id));
         }
-        match self.state(&id) {
-            // Another holder may have charged the same one.
-            Some(AdmissionState::Pending) if !self.is_in_flight(&id) => self.drop_request(&id),
-            Some(state) if state.is_charged() => {
-                self.change(&id, AdmissionEvent::EndProven);
-            }
-            _ => {}
+        if self.is_uncharged_request(&id) {
+            // Another client may have charged the same admission, so the release goes on.
+            self.admissions.remove_pending(&id);
+        } else if self.admissions.is_charged(&id) {
+            self.admissions.transition(&id, AdmissionEvent::EndProven);
         }
-        self.releasing.insert(id);
+        self.ended.insert(id);
     }
 
-    /// Nobody wants the work any more, and nobody was told that it may start.
+    /// The work is not wanted any more, and nobody was told that it may start.
     pub fn cancel(&mut self, id: AdmissionId) {
-        if self.state(&id) == Some(AdmissionState::Pending) && !self.is_in_flight(&id) {
-            self.drop_request(&id);
-            self.decisions.push(QuotaEvent::Cancelled(id));
-            return;
+        if self.is_uncharged_request(&id) {
+            self.admissions.remove_pending(&id);
+            return self.events.push(QuotaEvent::Cancelled(id));
         }
         self.release(id);
     }
 
-    /// How far an admission in hand is.
+    /// Whether the request is pending, and no transaction that charges it is under way.
+    fn is_uncharged_request(&self, id: &AdmissionId) -> bool {
+        let key = RecordKey::Charge(id.clone());
+        self.admissions.is_pending(id) && !self.pending_operation.writes(&key)
+    }
+
+    /// State of an admission that this client handles.
     pub fn state(&self, id: &AdmissionId) -> Option<AdmissionState> {
-        self.admissions.get(id).map(|admission| admission.state)
+        self.admissions.state(id)
     }
 
-    /// How many requests wait.
+    /// Number of pending requests.
     pub fn pending_count(&self) -> usize {
-        self.accounts.values().map(|a| a.waiting.len()).sum()
+        self.admissions.pending_count()
     }
 
-    /// What this holder has charged of a team, as far as it knows.
+    /// The sum of this client's charges to a team, as far as it knows.
     pub fn charged(&self, team: &TeamName) -> ResourceVector {
-        self.accounts
-            .get(team)
-            .map_or(ResourceVector::ZERO, |a| a.charged)
+        let team = self.admissions.team(team);
+        team.map_or(ResourceVector::ZERO, TeamState::charged)
     }
 
-    /// Opens the accounts of that team, so that what an earlier process of this name had charged is
-    /// known again.
+    /// Acquires the allowance of a team and reads what earlier processes of this name have charged to
+    /// it, which is reported as [`QuotaEvent::Recovered`]. Happens by itself once an admission of the
+    /// team is requested.
     pub fn recover_team(&mut self, team: &TeamName) {
-        self.account(team);
+        self.team_mut(team);
     }
 
-    /// The process stood still while the world went on: nothing that is known counts, and whatever was
-    /// charged is read again before it is acted upon.
+    /// The process stood still while the world went on: nothing that was read is relied on any more, and
+    /// all charges are read again before anything else is charged.
     pub fn on_process_resumed(&mut self) {
-        self.cache.forget_all();
-        for (team, account) in &mut self.accounts {
-            account.enter(team, account::Claim::None);
+        self.cache.invalidate_all();
+        for team in self.admissions.teams_mut() {
+            team.lose_ownership();
         }
     }
 
-    /// What was decided since the last call.
+    /// What happened since the last call.
     pub fn take_events(&mut self) -> Vec<QuotaEvent> {
-        std::mem::take(&mut self.decisions)
+        mem::take(&mut self.events)
+    }
+
+    /// Rejects a request for good.
+    fn reject(&mut self, id: AdmissionId, reason: RejectReason) {
+        tracing::info!("admission {id}: rejected, {reason}");
+        self.admissions.remove_pending(&id);
+        self.events.push(QuotaEvent::Rejected { id, reason });
     }
 
-    /// The next request to the store, unless one is under way or there is nothing to do.
+    // ---- operations
+
+    /// The next request to the store. `None` if the outcome of one is awaited, if there is nothing to
+    /// do, or while the store is given a pause.
     pub fn poll(&mut self, now: Time) -> Option<Request> {
         self.now = self.now.max(now);
-        if self.now < self.pause_until {
+        if self.now < self.paused_until || self.pending_operation.is_awaiting_outcome() {
             return None;
         }
-        match std::mem::take(&mut self.flight) {
-            sent @ Flight::Sent { .. } => {
-                self.flight = sent;
-                return None;
-            }
-            Flight::Repeat { operation, since } => {
-                return Some(self.send(operation, since, true));
-            }
-            Flight::Idle => {}
+        if let Some(request) = self.pending_operation.resend() {
+            return Some(request);
         }
         let operation = self.next_operation()?;
-        Some(self.send(operation, self.now, false))
+        Some(self.pending_operation.send(operation, self.now))
     }
 
-    fn send(&mut self, operation: Operation, since: Time, repeated: bool) -> Request {
-        let request = operation.request.clone();
-        self.flight = Flight::Sent {
-            operation,
-            since,
-            repeated,
-        };
-        request
-    }
-
-    /// What has to be read goes before whatever depends on it.
+    /// The next operation; a read, if it depends on a record that is not cached.
     fn next_operation(&mut self) -> Option<Operation> {
         match self.plan() {
             Ok(operation) => operation,
-            Err(Unread(key)) => Some(Operation {
-                request: Request::Get(key.path()),
-                purpose: Purpose::Read(key),
-            }),
+            Err(CacheMiss(key)) => Some(Operation::read(key)),
         }
     }
 
-    /// What is to be done next: what is unclear first, then what makes room, then what takes it.
-    fn plan(&mut self) -> Result<Option<Operation>, Unread> {
-        self.resolve_suspects()?;
-        self.confirm_late_charges()?;
-        self.answer_repeats()?;
-        if let Some(operation) = self.plan_settling()? {
+    /// What is to be done next: first what is uncertain, then what frees room, then what takes it.
+    fn plan(&mut self) -> Result<Option<Operation>, CacheMiss> {
+        self.review_charges()?;
+        if let Some(operation) = self.plan_releases()? {
             return Ok(Some(operation));
         }
-        if let Some(operation) = self.plan_policy()? {
+        if let Some(operation) = self.plan_policy_update()? {
             return Ok(Some(operation));
         }
-        if let Some(operation) = self.plan_collection()? {
+        if let Some(operation) = self.plan_reclaim()? {
             return Ok(Some(operation));
         }
-        if let Some(operation) = self.plan_enforcement()? {
+        if let Some(operation) = self.plan_revocation()? {
             return Ok(Some(operation));
         }
-        self.plan_accounts()
+        self.plan_teams()
     }
 
-    /// Every team has its turn, beginning behind the one that had it last.
-    fn plan_accounts(&mut self) -> Result<Option<Operation>, Unread> {
-        let mut teams: Vec<TeamName> = self.accounts.keys().cloned().collect();
-        if let Some(last) = &self.last_turn {
-            let behind = teams.partition_point(|team| team <= last);
-            teams.rotate_left(behind);
+    /// The next operation of any team. All have their turns, beginning behind the one that had it last.
+    fn plan_teams(&mut self) -> Result<Option<Operation>, CacheMiss> {
+        let mut teams: Vec<TeamName> = self.admissions.team_names().cloned().collect();
+        if let Some(last) = &self.last_planned_team {
+            let behind_last = teams.partition_point(|team| team <= last);
+            teams.rotate_left(behind_last);
         }
         for team in teams {
-            let operation = self.plan_account(&team)?;
+            let operation = self.plan_team(&team)?;
             if operation.is_some() {
-                self.last_turn = Some(team);
+                self.last_planned_team = Some(team);
                 return Ok(operation);
             }
         }
         Ok(None)
     }
 
-    fn account(&mut self, team: &TeamName) -> &mut Account {
-        let now = self.now;
-        let account = self.accounts.entry(team.clone());
-        account.or_insert_with(|| Account::new(now))
+    // ---- shared lookups
+
+    fn team_mut(&mut self, team: &TeamName) -> &mut TeamState {
+        self.admissions.team_or_insert(team, self.now)
     }
 
-    /// The pool; as if there were no end of capacity where there is no record of it.
-    fn pool(&self) -> Result<PoolRecord, Unread> {
-        Ok(self.cache.pool()?.record.unwrap_or_default())
+    /// Id of this client's allowance of a team.
+    fn own_allowance(&self, team: &TeamName) -> AllowanceId {
+        AllowanceId::new(team, &self.config.name)
+    }
+
+    /// The pool; without a record of it, one of unlimited capacity.
+    fn pool(&self) -> Result<PoolRecord, CacheMiss> {
+        Ok(self.cache.pool()?.record.cloned().unwrap_or_default())
+    }
+
+    /// What is granted to this client of a team.
+    fn granted(&self, team: &TeamName) -> Result<ResourceVector, CacheMiss> {
+        let allowance = self.cache.allowance(&self.own_allowance(team))?;
+        Ok(allowance
+            .record
+            .map_or(ResourceVector::ZERO, |record| record.granted))
     }
-}
 
-impl Admission {
-    fn place(&self) -> Place {
-        (self.request.priority, self.arrival, self.request.id.clone())
+    /// What this client's allowance of a team has left.
+    fn unspent(&self, team: &TeamName) -> Result<ResourceVector, CacheMiss> {
+        Ok(self.granted(team)?.saturating_sub(&self.charged(team)))
     }
 }
--- a/crates/quota/src/leader/mod.rs
+++ b/crates/quota/src/leader/mod.rs
@@ -57,6 +57,12 @@
     record: Record,
 }
 
+/// The records of one team as they should be.
+struct DesiredRecords {
+    quota: TeamQuota,
+    allowance: AllowanceRecord,
+}
+
 /// The allowances of one leader. Decides without input or output: the caller reads the records, carries
 /// out the transactions, and reports their outcomes.
 #[derive(Clone, Debug)]
@@ -221,32 +227,14 @@
         policy: &TeamPolicy,
         workload: &TeamWorkload,
     ) -> Vec<RecordUpdate> {
+        let DesiredRecords { quota, allowance } = self.desired(snapshot, name, policy, workload);
         let known_team = snapshot.team(name).map(|team| &team.record);
-        let known_allowance = snapshot.allowance(name).map(|allowance| &allowance.record);
-        let known_pool = &snapshot.pool().record;
-        let quota = TeamQuota {
-            name: name.clone(),
-            team: known_team.cloned().unwrap_or_default(),
-            pool: PoolRecord {
-                capacity: self.policy.capacity,
-                ..known_pool.clone()
-            },
-        };
-        let quota = quota.with_policy(policy);
-        let granted = known_allowance.map_or(ResourceVector::ZERO, |known| known.granted);
-        let target = leader_target(&quota, &self.client, granted, workload);
-        let TeamQuota { team, pool, .. } = quota.with_allowance(&self.client, &target);
-        let allowance = AllowanceRecord {
-            epoch: self.epoch,
-            granted: target.granted,
-            fenced: false,
-            charges_kept_externally: true,
-        };
+        let known_allowance = snapshot.allowance(name).map(|known| &known.record);
         let mut updates = Vec::new();
-        if known_team != Some(&team) {
+        if known_team != Some(&quota.team) {
             updates.push(RecordUpdate {
                 key: RecordKey::Team(name.clone()),
-                record: Record::Team(team),
+                record: Record::Team(quota.team),
             });
         }
         if known_allowance != Some(&allowance) {
@@ -255,12 +243,44 @@
                 record: Record::Allowance(allowance),
             });
         }
-        if pool != *known_pool {
+        if snapshot.pool().record != quota.pool {
             updates.push(RecordUpdate {
                 key: RecordKey::Pool,
-                record: Record::Pool(pool),
+                record: Record::Pool(quota.pool),
             });
         }
         updates
     }
+
+    /// The records of a team as they should be, by the policy and the team's workload.
+    fn desired(
+        &self,
+        snapshot: &RecordSnapshot,
+        name: &TeamName,
+        policy: &TeamPolicy,
+        workload: &TeamWorkload,
+    ) -> DesiredRecords {
+        let team = snapshot.team(name).map(|team| team.record.clone());
+        let quota = TeamQuota {
+            name: name.clone(),
+            team: team.unwrap_or_default(),
+            pool: PoolRecord {
+                capacity: self.policy.capacity,
+                ..snapshot.pool().record.clone()
+            },
+        };
+        let quota = quota.with_policy(policy);
+        let allowance = snapshot.allowance(name);
+        let granted = allowance.map_or(ResourceVector::ZERO, |known| known.record.granted);
+        let target = leader_target(&quota, &self.client, granted, workload);
+        DesiredRecords {
+            quota: quota.with_allowance(&self.client, &target),
+            allowance: AllowanceRecord {
+                epoch: self.epoch,
+                granted: target.granted,
+                fenced: false,
+                charges_kept_externally: true,
+            },
+        }
+    }
 }
