--- a/crates/quota/tests/leader_allowances.rs
+++ b/crates/quota/tests/leader_allowances.rs
@@ -10,7 +10,7 @@
     ClientName, LeaderAllowances, QuotaPolicy, ResourceVector, TeamName, TeamWorkload,
 };
 use lichencrank_store::{ConditionalStore, Outcome, Request, Version};
-use support::{id, policy, request, team, Cluster};
+use support::{admission_id, policy, team, Cluster};
 
 /// Most changes of one transaction.
 const MAX_CHANGES: usize = 4;
@@ -97,21 +97,21 @@
     leader.set_workload("vision", 6, 0);
     leader.synchronize(&mut store);
     assert_eq!(leader.granted("vision"), ResourceVector::from_cpus(20));
-    cluster.clients[0].request(request(&id("vision", 1, 1), 10.0));
-    cluster.settle();
-    assert!(cluster.running.is_empty(), "{:?}", cluster.running);
+    cluster.request(0, &admission_id("vision", 1, 1), 10.0);
+    cluster.run_until_quiet();
+    cluster.assert_running_count(0);
     leader.synchronize(&mut store);
     assert_eq!(leader.granted("vision"), ResourceVector::from_cpus(10));
-    cluster.settle();
-    assert_eq!(cluster.running.len(), 1, "{:?}", cluster.running);
+    cluster.run_until_quiet();
+    cluster.assert_running_count(1);
     // What is charged already is never given back.
     leader.set_workload("vision", 10, 5);
-    cluster.clients[1].request(request(&id("vision", 2, 1), 4.0));
-    cluster.settle();
+    cluster.request(1, &admission_id("vision", 2, 1), 4.0);
+    cluster.run_until_quiet();
     leader.synchronize(&mut store);
     assert_eq!(leader.granted("vision"), ResourceVector::from_cpus(10));
-    assert_eq!(cluster.running.len(), 1, "{:?}", cluster.running);
-    assert_eq!(cluster.ledger().audit(), []);
+    cluster.assert_running_count(1);
+    cluster.assert_consistent();
 }
 
 /// The next leader acquires the allowances: whatever the one before still has under way is conditional
@@ -147,23 +147,23 @@
 fn bookings_without_allowances_are_charged() {
     let policy = policy(None, &[("vision", 0, 20)]);
     let mut cluster = Cluster::new(2, policy.clone());
-    cluster.clients[0].request(request(&id("vision", 1, 1), 8.0));
-    cluster.settle();
+    cluster.request(0, &admission_id("vision", 1, 1), 8.0);
+    cluster.run_until_quiet();
     let mut store = cluster.shared.client(9);
     let mut leader = Leader::new(4, policy);
     leader.set_workload("vision", 20, 3);
     leader.synchronize(&mut store);
     assert_eq!(leader.granted("vision"), ResourceVector::from_cpus(20));
-    cluster.lenient = true;
-    cluster.clients[1].request(request(&id("vision", 2, 1), 1.0));
-    cluster.settle();
-    assert_eq!(cluster.running.len(), 1, "{:?}", cluster.running);
+    cluster.excess_is_allowed = true;
+    cluster.request(1, &admission_id("vision", 2, 1), 1.0);
+    cluster.run_until_quiet();
+    cluster.assert_running_count(1);
     // As bookings end, the leader's allowance shrinks to what is left of the limit.
     leader.set_workload("vision", 11, 0);
     leader.synchronize(&mut store);
     assert_eq!(leader.granted("vision"), ResourceVector::from_cpus(11));
-    cluster.settle();
-    assert_eq!(cluster.running.len(), 2, "{:?}", cluster.running);
+    cluster.run_until_quiet();
+    cluster.assert_running_count(2);
 }
 
 /// With a capacity the leader takes what its work needs, and holds nothing that another of its teams
@@ -185,7 +185,7 @@
     }
     assert_eq!(leader.granted("a"), ResourceVector::from_cpus(12));
     assert_eq!(leader.granted("b"), ResourceVector::from_cpus(28));
-    assert_eq!(cluster.ledger().audit(), []);
+    cluster.assert_consistent();
 }
 
 /// A leader's charges are in its own records: as nobody else can sum them up, nobody reclaims its
@@ -199,7 +199,7 @@
     leader.synchronize(&mut store);
     let fence = leader.allowances.fence(&team("vision"));
     cluster.clients[0].reclaim(team("vision"), ClientName::new(LEADER));
-    cluster.settle();
+    cluster.run_until_quiet();
     leader.read(&mut store);
     assert_eq!(leader.allowances.fence(&team("vision")), fence);
     let version = fence.map(|condition| condition.version);
--- a/crates/quota/tests/limits.rs
+++ b/crates/quota/tests/limits.rs
@@ -4,70 +4,58 @@
 
 use std::collections::BTreeMap;
 
-use lichencrank_quota::{Priority, QuotaEvent, RejectReason, ResourceVector};
-use support::{id, policy, request, team, Cluster};
+use lichencrank_quota::{AdmissionId, Priority, QuotaEvent, RejectReason, ResourceVector};
+use support::{admission_id, admission_request, policy, team, Cluster};
 
-fn admitted(cluster: &Cluster) -> usize {
-    let events = cluster.events.iter();
-    events
-        .filter(|(_, d)| matches!(d, QuotaEvent::Admitted(_)))
-        .count()
-}
+const ALL_CLIENTS: [usize; 3] = [0, 1, 2];
 
-/// Ninety-six CPUs are asked for at three clients at the same instant, and there are as many.
+/// 96 CPUs are asked for at three clients at the same instant, and there are as many.
 #[test]
-fn a_burst_exactly_at_the_limit_is_admitted_whole() {
+fn burst_exactly_at_the_limit_is_admitted_whole() {
     let mut cluster = Cluster::new(3, policy(None, &[("vision", 0, 96)]));
     for n in 0..96 {
-        cluster.clients[n % 3].request(request(&id("vision", n, 1), 1.0));
+        cluster.request(n % 3, &admission_id("vision", n, 1), 1.0);
     }
-    cluster.settle();
-    assert_eq!(admitted(&cluster), 96);
-    assert_eq!(
-        cluster.ledger().used(&team("vision")),
-        ResourceVector::from_cpus(96)
-    );
+    cluster.run_until_quiet();
+    assert_eq!(cluster.admitted_count(), 96);
+    cluster.assert_used("vision", 96);
 }
 
-/// One more than there are: all but one begin, and the last begins once any of them has ended.
+/// One more than there are: all but one start, and the last starts once any of them has ended.
 #[test]
 fn one_above_the_limit_waits_for_the_first_that_ends() {
     let mut cluster = Cluster::new(3, policy(None, &[("vision", 0, 96)]));
     for n in 0..97 {
-        cluster.clients[n % 3].request(request(&id("vision", n, 1), 1.0));
-    }
-    cluster.settle();
-    assert_eq!(admitted(&cluster), 96);
-    let some = cluster.running.first().cloned().expect("work runs");
-    cluster.finish(&some, 1);
-    cluster.settle();
-    assert_eq!(admitted(&cluster), 97);
+        cluster.request(n % 3, &admission_id("vision", n, 1), 1.0);
+    }
+    cluster.run_until_quiet();
+    assert_eq!(cluster.admitted_count(), 96);
+    let running = cluster.running.first().cloned().expect("work runs");
+    cluster.finish_work(&running, 1);
+    cluster.run_until_quiet();
+    assert_eq!(cluster.admitted_count(), 97);
 }
 
 /// Fills twelve CPUs with small work, then asks for a large piece while small requests keep coming and
-/// small work ends one by one. The large one has to begin.
-fn flood_with_small_requests(mut cluster: Cluster, small: &str, large: &str) {
+/// small work ends one by one. The large one has to start.
+fn flood_with_small_requests(mut cluster: Cluster, small_team: &str, large_team: &str) {
     for n in 0..12 {
-        cluster.clients[n % 3].request(request(&id(small, n, 1), 1.0));
+        cluster.request(n % 3, &admission_id(small_team, n, 1), 1.0);
     }
-    cluster.settle();
-    let large = id(large, 99, 1);
-    cluster.clients[2].request(request(&large, 8.0));
-    cluster.settle();
-    for round in 0..40u32 {
+    cluster.run_until_quiet();
+    let large = admission_id(large_team, 99, 1);
+    cluster.request(2, &large, 8.0);
+    cluster.run_until_quiet();
+    for round in 0..40 {
         for client in 0..2 {
-            cluster.clients[client].request(request(&id(small, client, round + 10), 1.0));
+            let small = admission_id(small_team, client, round + 10);
+            cluster.request(client, &small, 1.0);
         }
         let running = cluster.running.first().cloned();
         if let Some(first) = running.filter(|first| *first != large) {
-            cluster.finish(&first, 0);
-        }
-        for _ in 0..30 {
-            for n in 0..3 {
-                cluster.step(n);
-            }
-            cluster.advance(10);
+            cluster.finish_work(&first, 0);
         }
+        cluster.run(&ALL_CLIENTS, 30, 10);
         if cluster.answers.contains_key(&large) {
             return;
         }
@@ -84,79 +72,76 @@
 
 /// The same where the small requests are those of another team, and both borrow.
 #[test]
-fn a_team_is_not_starved_by_small_requests_of_another() {
+fn team_is_not_starved_by_small_requests_of_another() {
     let cluster = Cluster::new(3, policy(Some(12), &[("a", 0, 12), ("b", 0, 12)]));
     flood_with_small_requests(cluster, "a", "b");
 }
 
-/// Three teams at once on machines that don't have all limits together: no borrowing takes what
-/// another team's guarantee needs, whoever comes first.
+/// Three teams at once on machines that don't have all limits together: no borrowing takes what another
+/// team's guarantee needs, whoever comes first.
 #[test]
 fn guarantees_hold_while_others_flood() {
     let teams = [("a", 20, 100), ("b", 40, 100), ("c", 0, 100)];
     let mut cluster = Cluster::new(3, policy(Some(100), &teams));
     for n in 0..300 {
         let name = ["a", "c"][n % 2];
-        cluster.clients[n % 3].request(request(&id(name, n, 1), 1.0));
+        cluster.request(n % 3, &admission_id(name, n, 1), 1.0);
     }
-    cluster.settle();
+    cluster.run_until_quiet();
     let ledger = cluster.ledger();
     let flooded = ledger.used(&team("a")) + ledger.used(&team("c"));
-    assert_eq!(flooded, ResourceVector::from_cpus(60));
+    let expected = ResourceVector::from_cpus(60);
+    assert_eq!(flooded, expected, "used by teams a and c");
     for n in 0..40 {
-        cluster.clients[n % 3].request(request(&id("b", n, 1), 1.0));
+        cluster.request(n % 3, &admission_id("b", n, 1), 1.0);
     }
-    cluster.settle();
-    assert_eq!(
-        cluster.ledger().used(&team("b")),
-        ResourceVector::from_cpus(40)
-    );
-    assert_eq!(cluster.ledger().audit(), []);
+    cluster.run_until_quiet();
+    cluster.assert_used("b", 40);
+    cluster.assert_consistent();
 }
 
-/// Capacity shrinks: borrowed work is told to end, the least urgent first, and counts until it has.
+fn revoked(cluster: &Cluster) -> Vec<AdmissionId> {
+    let events = cluster.events.iter();
+    let revoked = events.filter_map(|(_, event)| match event {
+        QuotaEvent::Revoked(id) => Some(id.clone()),
+        _ => None,
+    });
+    revoked.collect()
+}
+
+/// Capacity shrinks: borrowed work is told to end, the least urgent first, and stays charged until it
+/// has.
 #[test]
 fn borrowed_work_ends_when_capacity_shrinks() {
     let teams = [("a", 20, 100), ("b", 40, 100)];
     let mut cluster = Cluster::new(3, policy(Some(100), &teams));
     for n in 0..60 {
-        let mut asked = request(&id("a", n, 1), 1.0);
+        let mut request = admission_request(&admission_id("a", n, 1), 1.0);
         if n % 2 == 0 {
-            asked.priority = Priority::BestEffort;
+            request.priority = Priority::BestEffort;
         }
-        cluster.clients[n % 3].request(asked);
+        cluster.clients[n % 3].request(request);
     }
-    cluster.settle();
-    assert_eq!(
-        cluster.ledger().used(&team("a")),
-        ResourceVector::from_cpus(60)
-    );
-    cluster.lenient = true;
+    cluster.run_until_quiet();
+    cluster.assert_used("a", 60);
+    cluster.excess_is_allowed = true;
     cluster.clients[1].set_policy(policy(Some(80), &teams));
-    cluster.settle();
-    let events = cluster.events.iter();
-    let revoked: Vec<_> = events
-        .filter_map(|(_, d)| match d {
-            QuotaEvent::Revoked(id) => Some(id.clone()),
-            _ => None,
-        })
-        .collect();
-    let ledger = cluster.ledger();
+    cluster.run_until_quiet();
+    let revoked = revoked(&cluster);
     assert_eq!(revoked.len(), 20, "{revoked:?}");
-    assert!(revoked
-        .iter()
-        .all(|id| ledger.charges[id].priority == Priority::BestEffort));
-    assert_eq!(ledger.used(&team("a")), ResourceVector::from_cpus(60));
+    let charges = cluster.ledger().charges;
     for id in &revoked {
-        cluster.finish(id, 2);
+        let priority = charges[id].priority;
+        assert_eq!(priority, Priority::BestEffort, "{id} is revoked");
     }
-    cluster.settle();
-    cluster.lenient = false;
-    assert_eq!(
-        cluster.ledger().used(&team("a")),
-        ResourceVector::from_cpus(40)
-    );
-    assert_eq!(cluster.ledger().audit(), []);
+    cluster.assert_used("a", 60);
+    for id in &revoked {
+        cluster.finish_work(id, 2);
+    }
+    cluster.run_until_quiet();
+    cluster.excess_is_allowed = false;
+    cluster.assert_used("a", 40);
+    cluster.assert_consistent();
 }
 
 /// Machines that don't even have the guarantees: nothing is borrowed, guarantees are admitted.
@@ -165,112 +150,106 @@
     let teams = [("a", 40, 100), ("b", 40, 100)];
     let mut cluster = Cluster::new(3, policy(Some(60), &teams));
     for n in 0..100 {
-        cluster.clients[n % 3].request(request(&id(["a", "b"][n % 2], n, 1), 1.0));
+        let name = ["a", "b"][n % 2];
+        cluster.request(n % 3, &admission_id(name, n, 1), 1.0);
     }
-    cluster.settle();
-    assert_eq!(
-        cluster.ledger().used(&team("a")),
-        ResourceVector::from_cpus(40)
-    );
-    assert_eq!(
-        cluster.ledger().used(&team("b")),
-        ResourceVector::from_cpus(40)
-    );
+    cluster.run_until_quiet();
+    cluster.assert_used("a", 40);
+    cluster.assert_used("b", 40);
 }
 
-/// A limit is lowered under running work: that goes on, what is unspent is recalled, nothing begins
+/// A limit is lowered under running work: that goes on, what is unspent is reclaimed, and nothing starts
 /// before it fits.
 #[test]
-fn a_lowered_limit_admits_nothing_before_it_fits() {
+fn lowered_limit_admits_nothing_before_it_fits() {
     let mut cluster = Cluster::new(3, policy(None, &[("vision", 0, 60)]));
     for n in 0..30 {
-        cluster.clients[n % 3].request(request(&id("vision", n, 1), 1.0));
+        cluster.request(n % 3, &admission_id("vision", n, 1), 1.0);
     }
-    cluster.settle();
-    cluster.lenient = true;
+    cluster.run_until_quiet();
+    cluster.excess_is_allowed = true;
     cluster.clients[0].set_policy(policy(None, &[("vision", 0, 20)]));
-    cluster.settle();
-    let before = admitted(&cluster);
-    assert_eq!(before, 30);
-    cluster.clients[2].request(request(&id("vision", 77, 1), 1.0));
-    cluster.settle();
-    assert_eq!(admitted(&cluster), before);
-    let running: Vec<_> = cluster.running.iter().take(11).cloned().collect();
-    for id in running {
-        cluster.finish(&id, 1);
-    }
-    cluster.settle();
-    cluster.lenient = false;
-    assert_eq!(admitted(&cluster), before + 1);
-    assert_eq!(
-        cluster.ledger().used(&team("vision")),
-        ResourceVector::from_cpus(20)
-    );
+    cluster.run_until_quiet();
+    assert_eq!(cluster.admitted_count(), 30);
+    cluster.request(2, &admission_id("vision", 77, 1), 1.0);
+    cluster.run_until_quiet();
+    assert_eq!(cluster.admitted_count(), 30);
+    let ending: Vec<AdmissionId> = cluster.running.iter().take(11).cloned().collect();
+    for id in ending {
+        cluster.finish_work(&id, 1);
+    }
+    cluster.run_until_quiet();
+    cluster.excess_is_allowed = false;
+    assert_eq!(cluster.admitted_count(), 31);
+    cluster.assert_used("vision", 20);
 }
 
-/// Zero is no limit; a task larger than the limit, or of a team that nobody knows, is turned down at
-/// once; fractions add up exactly.
+/// Zero is no limit; fractions add up exactly; a request larger than the limit, of a team that nobody
+/// knows, or with a name that fits into no key is rejected at once.
 #[test]
-fn odd_amounts_are_defined() {
-    let teams = [("open", 0, 0), ("small", 0, 3)];
+fn unusual_amounts_and_names_are_defined() {
+    let teams = [("unlimited", 0, 0), ("small", 0, 3)];
     let mut cluster = Cluster::new(2, policy(None, &teams));
     for n in 0..200 {
-        cluster.clients[n % 2].request(request(&id("open", n, 1), 50.0));
+        cluster.request(n % 2, &admission_id("unlimited", n, 1), 50.0);
     }
     for n in 0..40 {
-        cluster.clients[n % 2].request(request(&id("small", n, 1), 0.1));
-    }
-    cluster.clients[0].request(request(&id("small", 98, 1), 3.1));
-    cluster.clients[1].request(request(&id("nobody", 99, 1), 1.0));
-    cluster.clients[1].request(request(&id("", 99, 1), 1.0));
-    cluster.settle();
-    let ledger = cluster.ledger();
-    assert_eq!(
-        ledger.used(&team("open")),
-        ResourceVector::from_cpus(10_000)
-    );
-    assert_eq!(ledger.used(&team("small")), ResourceVector::from_cpus(3));
-    let events = cluster.events.iter();
-    let reasons: Vec<RejectReason> = events
-        .filter_map(|(_, d)| match d {
-            QuotaEvent::Rejected { reason, .. } => Some(*reason),
-            _ => None,
-        })
-        .collect();
-    for reason in [
-        RejectReason::LargerThanLimit,
-        RejectReason::UnknownTeam,
-        RejectReason::InvalidName,
-    ] {
-        assert!(reasons.contains(&reason), "{reasons:?}");
+        cluster.request(n % 2, &admission_id("small", n, 1), 0.1);
+    }
+    let rejected = [
+        (
+            0,
+            admission_id("small", 98, 1),
+            3.1,
+            RejectReason::LargerThanLimit,
+        ),
+        (
+            1,
+            admission_id("unknown", 99, 1),
+            1.0,
+            RejectReason::UnknownTeam,
+        ),
+        (1, admission_id("", 99, 1), 1.0, RejectReason::InvalidName),
+    ];
+    for (client, id, cpus, _) in &rejected {
+        cluster.request(*client, id, *cpus);
+    }
+    cluster.run_until_quiet();
+    cluster.assert_used("unlimited", 10_000);
+    cluster.assert_used("small", 3);
+    for (_, id, _, reason) in rejected {
+        let expected = vec![QuotaEvent::Rejected {
+            id: id.clone(),
+            reason,
+        }];
+        assert_eq!(cluster.answers.get(&id), Some(&expected), "answers to {id}");
     }
 }
 
 /// Repeats at other clients, before and after the end, are the same admission.
 #[test]
-fn a_repeat_is_the_same_admission() {
+fn repeated_request_is_the_same_admission() {
     let mut cluster = Cluster::new(3, policy(None, &[("vision", 0, 10)]));
-    let one = id("vision", 1, 1);
-    let asked = request(&one, 2.0);
-    for client in &mut cluster.clients {
-        client.request(asked.clone());
-    }
-    cluster.settle();
-    assert_eq!(admitted(&cluster), 1);
-    assert_eq!(
-        cluster.ledger().used(&team("vision")),
-        ResourceVector::from_cpus(2)
-    );
-    cluster.finish(&one, 2);
-    cluster.settle();
-    for client in &mut cluster.clients {
-        client.request(asked.clone());
-    }
-    cluster.settle();
-    assert_eq!(admitted(&cluster), 1);
-    let last = cluster.events.iter().rev().take(3);
-    let settled = last.filter(|(_, d)| *d == QuotaEvent::AlreadyCompleted(one.clone()));
-    assert_eq!(settled.count(), 3);
-    let all = BTreeMap::from([(one, asked)]);
-    cluster.wind_up(&all, &["vision"]);
+    let id = admission_id("vision", 1, 1);
+    for client in ALL_CLIENTS {
+        cluster.request(client, &id, 2.0);
+    }
+    cluster.run_until_quiet();
+    assert_eq!(cluster.admitted_count(), 1);
+    cluster.assert_used("vision", 2);
+    cluster.finish_work(&id, 2);
+    cluster.run_until_quiet();
+    for client in ALL_CLIENTS {
+        cluster.request(client, &id, 2.0);
+    }
+    cluster.run_until_quiet();
+    assert_eq!(cluster.admitted_count(), 1);
+    let last_events: Vec<_> = cluster.events.iter().rev().take(3).collect();
+    for (_, event) in &last_events {
+        let expected = QuotaEvent::AlreadyCompleted(id.clone());
+        assert_eq!(*event, expected, "last events: {last_events:?}");
+    }
+    assert_eq!(last_events.len(), 3, "{last_events:?}");
+    let request = admission_request(&id, 2.0);
+    cluster.finish_everything(&BTreeMap::from([(id, request)]), &["vision"]);
 }
--- a/crates/quota/tests/loopback.rs
+++ b/crates/quota/tests/loopback.rs
@@ -1,11 +1,12 @@
 //! Three controllers, each with a thread and a connection of its own, against a store on loopback;
-//! thousands of submissions race. Every revision of the store is judged afterwards.
+//! thousands of requests race. Every revision of the store is audited afterwards.
 
 use std::collections::{BTreeMap, BTreeSet};
+use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::mpsc::{channel, Receiver, Sender};
 use std::sync::{Arc, Mutex};
-use std::thread;
+use std::thread::{self, JoinHandle};
 use std::time::Duration;
 
 use lichencrank_quota::{
@@ -18,12 +19,45 @@
 use lichencrank_testkit::{Limits, StateService};
 
 const CONTROLLERS: usize = 3;
-const TEAMS: [&str; 3] = ["rush", "scan", "route"];
 const USERS: usize = 12;
-const EACH: u32 = 150;
-/// An admission is over once so many others have begun at its controller since.
-const RUNS_FOR: usize = 12;
-const PATIENCE: Duration = Duration::from_secs(10);
+const REQUESTS_PER_USER: u32 = 150;
+/// Every so many requests, one is sent to a second controller as well.
+const REPEAT_EVERY: usize = 4;
+/// An admission ends once so many others have started at its controller since.
+const OTHERS_BEFORE_END: usize = 12;
+const STORE_TIMEOUT: Duration = Duration::from_secs(10);
+const CAPACITY_CPUS: u64 = 40;
+
+/// A team and its quota, in CPUs.
+struct Team {
+    name: &'static str,
+    guarantee: u64,
+    limit: u64,
+}
+
+const TEAMS: [Team; 3] = [
+    Team {
+        name: "rush",
+        guarantee: 10,
+        limit: 30,
+    },
+    Team {
+        name: "scan",
+        guarantee: 10,
+        limit: 40,
+    },
+    Team {
+        name: "route",
+        guarantee: 0,
+        limit: 20,
+    },
+];
+
+/// What a controller answered to a request.
+struct Answer {
+    id: AdmissionId,
+    event: QuotaEvent,
+}
 
 fn limits() -> Limits {
     Limits {
@@ -32,7 +66,7 @@
     }
 }
 
-fn controller(number: usize, address: std::net::SocketAddr) -> BlockingQuotaClient<BlockingClient> {
+fn controller(number: usize, address: SocketAddr) -> BlockingQuotaClient<BlockingClient> {
     let config = ClientConfig {
         name: ClientName::new(&format!("controller-{number}")),
         store_limits: StoreLimits {
@@ -44,156 +78,198 @@
         expected_clients: CONTROLLERS as u64,
         refresh_interval: Duration::from_millis(20),
         idle_return_after: Duration::from_millis(100),
-        reconfirm_after: PATIENCE,
+        reconfirm_after: STORE_TIMEOUT,
     };
-    BlockingQuotaClient::new(config, BlockingClient::new(address, PATIENCE))
+    BlockingQuotaClient::new(config, BlockingClient::new(address, STORE_TIMEOUT))
 }
 
-/// Forty CPUs: rush is guaranteed ten and may have thirty, scan ten and forty, route none and twenty.
 fn policy() -> QuotaPolicy {
-    let amounts = [(10, 30), (10, 40), (0, 20)];
-    let teams = TEAMS.iter().zip(amounts).map(|(name, (guarantee, limit))| {
+    let teams = TEAMS.iter().map(|team| {
         let policy = TeamPolicy {
-            guarantee: ResourceVector::from_cpus(guarantee),
-            limit: ResourceVector::from_limit_settings(limit as f64, 0.0),
+            guarantee: ResourceVector::from_cpus(team.guarantee),
+            limit: ResourceVector::from_limit_settings(team.limit as f64, 0.0),
         };
-        (TeamName::new(name), policy)
+        (TeamName::new(team.name), policy)
     });
     QuotaPolicy {
         capacity: ResourceVector {
             gpus: ResourceVector::UNLIMITED.gpus,
-            ..ResourceVector::from_cpus(40)
+            ..ResourceVector::from_cpus(CAPACITY_CPUS)
         },
         teams: teams.collect(),
     }
 }
 
-fn submissions(seed: u64) -> Vec<AdmissionRequest> {
+/// The requests of all users in random order.
+fn requests(seed: u64) -> Vec<AdmissionRequest> {
     let mut random = fastrand::Rng::with_seed(seed);
-    let mut all = Vec::new();
+    let mut requests = Vec::new();
     for user in 0..USERS {
-        for sequence in 0..EACH {
+        for sequence in 0..REQUESTS_PER_USER {
             let id = AdmissionId {
-                team: TeamName::new(TEAMS[user % TEAMS.len()]),
+                team: TeamName::new(TEAMS[user % TEAMS.len()].name),
                 requester: RequesterName::new(&format!("user-{user}")),
                 sequence,
             };
-            all.push(AdmissionRequest {
+            requests.push(AdmissionRequest {
                 id,
                 usage: ResourceVector::from_cpus(random.u64(1..=3)),
                 priority: Priority::Normal,
             });
         }
     }
-    random.shuffle(&mut all);
-    all
+    random.shuffle(&mut requests);
+    requests
 }
 
-/// One controller: admits what it is sent, ends work after a while, until it has answered all.
+/// One controller: admits what it is sent, and ends work in its order, until all is over.
 fn run_controller(
     mut quota: BlockingQuotaClient<BlockingClient>,
     requests: Receiver<AdmissionRequest>,
-    answers: &Sender<(AdmissionId, QuotaEvent)>,
-    over: &AtomicBool,
+    answers: &Sender<Answer>,
+    is_over: &AtomicBool,
 ) {
     let mut running: Vec<AdmissionId> = Vec::new();
-    while !over.load(Ordering::SeqCst) {
+    while !is_over.load(Ordering::SeqCst) {
         for request in requests.try_iter() {
             quota.request(request);
         }
         let events = quota.step();
-        let idle = events.is_empty();
+        let is_idle = events.is_empty();
         for event in events {
-            match &event {
-                QuotaEvent::Admitted(id) => {
-                    running.push(id.clone());
-                    let _ = answers.send((id.clone(), event.clone()));
-                }
-                QuotaEvent::AlreadyAdmitted { id, .. }
-                | QuotaEvent::AlreadyCompleted(id)
-                | QuotaEvent::Rejected { id, .. } => {
-                    let _ = answers.send((id.clone(), event.clone()));
-                }
-                _ => {}
+            if let QuotaEvent::Admitted(id) = &event {
+                running.push(id.clone());
+            }
+            if let Some(id) = answered(&event) {
+                let id = id.clone();
+                let _ = answers.send(Answer { id, event });
             }
         }
-        // Work ends in its order; all of it where nothing new begins.
-        let keep = if idle { 0 } else { RUNS_FOR };
-        while running.len() > keep {
+        // All work ends where nothing new starts, as it may be that work which others wait for.
+        let kept = if is_idle { 0 } else { OTHERS_BEFORE_END };
+        while running.len() > kept {
             quota.release(running.remove(0));
         }
     }
 }
 
+/// The request that an event answers.
+fn answered(event: &QuotaEvent) -> Option<&AdmissionId> {
+    match event {
+        QuotaEvent::Admitted(id)
+        | QuotaEvent::AlreadyAdmitted { id, .. }
+        | QuotaEvent::AlreadyCompleted(id)
+        | QuotaEvent::Rejected { id, .. } => Some(id),
+        _ => None,
+    }
+}
+
+/// Controllers that run in threads of their own.
+struct Controllers {
+    requests: Vec<Sender<AdmissionRequest>>,
+    answers: Receiver<Answer>,
+    is_over: Arc<AtomicBool>,
+    threads: Vec<JoinHandle<()>>,
+}
+
+impl Controllers {
+    fn start(address: SocketAddr) -> Controllers {
+        let is_over = Arc::new(AtomicBool::new(false));
+        let (answer, answers) = channel();
+        let mut requests = Vec::new();
+        let mut threads = Vec::new();
+        for number in 0..CONTROLLERS {
+            let (send, receive) = channel();
+            requests.push(send);
+            let (answer, is_over) = (answer.clone(), is_over.clone());
+            let quota = controller(number, address);
+            threads.push(thread::spawn(move || {
+                run_controller(quota, receive, &answer, &is_over);
+            }));
+        }
+        Controllers {
+            requests,
+            answers,
+            is_over,
+            threads,
+        }
+    }
+
+    /// Sends every request to one controller, and some to a second one. Returns the number of answers
+    /// that are to come.
+    fn send(&self, requests: &[AdmissionRequest]) -> usize {
+        for (n, request) in requests.iter().enumerate() {
+            let _ = self.requests[n % CONTROLLERS].send(request.clone());
+            if n % REPEAT_EVERY == 0 {
+                let _ = self.requests[(n + 1) % CONTROLLERS].send(request.clone());
+            }
+        }
+        requests.len() + requests.len().div_ceil(REPEAT_EVERY)
+    }
+
+    fn stop(self) {
+        self.is_over.store(true, Ordering::SeqCst);
+        for thread in self.threads {
+            thread.join().expect("a controller ends well");
+        }
+    }
+}
+
 #[test]
-fn thousands_of_racing_submissions_never_exceed_a_limit() {
+fn racing_requests_never_exceed_a_limit() {
     let state = Arc::new(Mutex::new(StateService::new(limits())));
     let address = serve_state(state.clone(), Arc::new(AtomicBool::new(false)));
     let mut first = controller(0, address);
     first.set_policy(policy());
     while !first.step().contains(&QuotaEvent::PolicyApplied) {}
 
-    let asked = submissions(24);
-    let over = Arc::new(AtomicBool::new(false));
-    let (answer, answers) = channel();
-    let mut queues = Vec::new();
-    let mut threads = Vec::new();
-    for number in 0..CONTROLLERS {
-        let (send, receive) = channel();
-        queues.push(send);
-        let (answer, over) = (answer.clone(), over.clone());
-        let quota = controller(number, address);
-        threads.push(thread::spawn(move || {
-            run_controller(quota, receive, &answer, &over);
-        }));
-    }
-    // Every submission goes to one controller, every fourth to another one as well.
-    for (n, request) in asked.iter().enumerate() {
-        let _ = queues[n % CONTROLLERS].send(request.clone());
-        if n % 4 == 0 {
-            let _ = queues[(n + 1) % CONTROLLERS].send(request.clone());
-        }
-    }
-    let expected = asked.len() + asked.len().div_ceil(4);
-    let told: Vec<(AdmissionId, QuotaEvent)> = answers.iter().take(expected).collect();
-    // All is answered; all is to end.
-    let all_settled = || {
-        let state = lock(&state);
-        let open = state.count("quota/open/");
-        open == 0
-    };
-    while !all_settled() {
+    let requests = requests(24);
+    let controllers = Controllers::start(address);
+    let expected = controllers.send(&requests);
+    let answers: Vec<Answer> = controllers.answers.iter().take(expected).collect();
+    while lock(&state).count("quota/open/") > 0 {
         thread::sleep(Duration::from_millis(5));
     }
-    over.store(true, Ordering::SeqCst);
-    for thread in threads {
-        thread.join().expect("a controller ends well");
-    }
-    judge(&asked, &told, &lock(&state));
+    controllers.stop();
+    let state = lock(&state);
+    assert_consistent_at_every_revision(&state);
+    assert_each_admitted_once(&requests, &answers);
+    assert_each_completed_once(&requests, &state);
 }
 
 /// Replays every transaction that was carried out, and audits the ledger after each.
-fn judge(asked: &[AdmissionRequest], told: &[(AdmissionId, QuotaEvent)], state: &StateService) {
+fn assert_consistent_at_every_revision(state: &StateService) {
     let mut replayed = StateService::new(limits());
     for txn in &state.carried_out {
         replayed.txn(txn);
-        let differences = ledger(&replayed).audit();
-        assert_eq!(differences, [], "after revision {}", replayed.revision());
+        let found = ledger(&replayed).audit();
+        assert_eq!(found, [], "after revision {}", replayed.revision());
     }
-    let admitted = told
+}
+
+fn assert_each_admitted_once(requests: &[AdmissionRequest], answers: &[Answer]) {
+    let admitted = answers
         .iter()
-        .filter(|(_, d)| matches!(d, QuotaEvent::Admitted(_)));
-    let admitted: Vec<&AdmissionId> = admitted.map(|(id, _)| id).collect();
+        .filter(|answer| matches!(answer.event, QuotaEvent::Admitted(_)));
+    let admitted: Vec<&AdmissionId> = admitted.map(|answer| &answer.id).collect();
     let distinct: BTreeSet<&AdmissionId> = admitted.iter().copied().collect();
-    assert_eq!(admitted.len(), distinct.len(), "admitted twice");
-    assert_eq!(distinct.len(), asked.len(), "not all were admitted");
-    let usages: BTreeMap<&AdmissionId, ResourceVector> =
-        asked.iter().map(|r| (&r.id, r.usage)).collect();
+    assert_eq!(admitted.len(), distinct.len(), "admitted more than once");
+    assert_eq!(distinct.len(), requests.len(), "admitted of all requests");
+}
+
+fn assert_each_completed_once(requests: &[AdmissionRequest], state: &StateService) {
+    let usages: BTreeMap<&AdmissionId, ResourceVector> = requests
+        .iter()
+        .map(|request| (&request.id, request.usage))
+        .collect();
     let expected: ResourceVector = usages.values().copied().sum();
-    let settled = ledger(state).completed;
-    let released: ResourceVector = settled.values().map(|s| s.total_released).sum();
-    let count: u64 = settled.values().map(|s| s.sequences.len()).sum();
-    assert_eq!((count, released), (asked.len() as u64, expected));
+    let completed = ledger(state).completed;
+    let records = completed.values();
+    let released: ResourceVector = records.map(|record| record.total_released).sum();
+    assert_eq!(released, expected, "sum of released charges");
+    let records = completed.values();
+    let count: u64 = records.map(|record| record.sequences.len()).sum();
+    assert_eq!(count, requests.len() as u64, "completed admissions");
 }
 
 fn ledger(state: &StateService) -> Ledger {
