--- a/crates/quota/src/admission.rs
+++ b/crates/quota/src/admission.rs
@@ -74,7 +74,7 @@
 }
 
 impl AdmissionState {
-    /// The state that follows on an event. All transitions are in here.
+    /// The state that follows on an event. This is the only place where states change.
     ///
     /// # Errors
     ///
--- a/crates/quota/src/allocation/mod.rs
+++ b/crates/quota/src/allocation/mod.rs
@@ -1,6 +1,6 @@
 //! How a team's limit is divided into allowances, and what may be granted to whom.
 //!
-//! Everything in here is computed from records without side effects. Whoever writes a result makes the
+//! All of it is computed from records, without side effects. Whoever writes a result makes the
 //! transaction conditional on the versions of the records that it was computed from.
 
 mod pool;
--- a/crates/quota/src/client/admission_table.rs
+++ b/crates/quota/src/client/admission_table.rs
@@ -95,18 +95,22 @@
         before != after
     }
 
+    /// The state of an admission; `None` if this client doesn't handle it.
     pub(super) fn state(&self, id: &AdmissionId) -> Option<AdmissionState> {
         self.admissions.get(id).map(|admission| admission.state)
     }
 
+    /// Whether the admission is requested and not charged.
     pub(super) fn is_pending(&self, id: &AdmissionId) -> bool {
         self.state(id) == Some(AdmissionState::Pending)
     }
 
+    /// Whether the admission is charged, as far as this client knows.
     pub(super) fn is_charged(&self, id: &AdmissionId) -> bool {
         self.state(id).is_some_and(AdmissionState::is_charged)
     }
 
+    /// The request of an admission.
     pub(super) fn request(&self, id: &AdmissionId) -> Option<&AdmissionRequest> {
         self.admissions.get(id).map(|admission| &admission.request)
     }
@@ -145,6 +149,7 @@
 
     // ---- teams
 
+    /// The state of a team, if anything was requested of it.
     pub(super) fn team(&self, team: &TeamName) -> Option<&TeamState> {
         self.teams.get(team)
     }
@@ -153,6 +158,7 @@
         self.teams.get_mut(team)
     }
 
+    /// The state of a team, which is new if nothing was requested of it yet.
     pub(super) fn team_or_insert(&mut self, team: &TeamName, now: Time) -> &mut TeamState {
         let state = self.teams.entry(team.clone());
         state.or_insert_with(|| TeamState::new(team.clone(), now))
--- a/crates/quota/src/client/mod.rs
+++ b/crates/quota/src/client/mod.rs
@@ -218,7 +218,7 @@
         }
     }
 
-    /// What is to be done next: first what is uncertain, then what frees room, then what takes it.
+    /// What is to be done next: first what is uncertain, then what frees resources, then what takes them.
     fn plan(&mut self) -> Result<Option<Operation>, CacheMiss> {
         self.review_charges()?;
         if let Some(operation) = self.plan_releases()? {
--- a/crates/quota/src/client/outcome.rs
+++ b/crates/quota/src/client/outcome.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use lichencrank_store::{Outcome, Page, Time, Version};
+use lichencrank_store::{Item, Outcome, Page, Time, Version};
 
 use super::operation::{Effect, Purpose, Write};
 use super::pending_operation::Attempt;
@@ -83,6 +83,16 @@
         }
     }
 
+    /// A record that was read, or its absence, goes into the cache.
+    fn on_record(&mut self, key: RecordKey, item: Option<&Item>) {
+        let version = item.map_or(Version::ABSENT, |item| item.version);
+        let record = item.and_then(|item| key.read_record(item));
+        if let RecordKey::Allowance(id) = &key {
+            self.check_ownership(id, record.as_ref());
+        }
+        self.cache.insert(key, version, record);
+    }
+
     /// Sends nothing for a while, as the store did not carry out a request.
     fn pause(&mut self, outcome: &Outcome) {
         let pause = match outcome {
--- a/crates/quota/src/client/ownership.rs
+++ b/crates/quota/src/client/ownership.rs
@@ -6,8 +6,6 @@
 
 use std::collections::BTreeSet;
 
-use lichencrank_store::{Item, Version};
-
 use super::operation::{Effect, Operation, TransactionBuilder};
 use super::outcome::PageRecord;
 use super::record_cache::CacheMiss;
@@ -189,14 +187,4 @@
             self.on_released(&id);
         }
     }
-
-    /// A record that was read, or its absence, goes into the cache.
-    pub(super) fn on_record(&mut self, key: RecordKey, item: Option<&Item>) {
-        let version = item.map_or(Version::ABSENT, |item| item.version);
-        let record = item.and_then(|item| key.read_record(item));
-        if let RecordKey::Allowance(id) = &key {
-            self.check_ownership(id, record.as_ref());
-        }
-        self.cache.insert(key, version, record);
-    }
 }
--- a/crates/quota/src/client/record_cache.rs
+++ b/crates/quota/src/client/record_cache.rs
@@ -30,56 +30,61 @@
     records: BTreeMap<RecordKey, Cached<Record>>,
 }
 
-/// Defines a lookup of records of one kind.
-macro_rules! lookup {
-    ($name:ident, $kind:ident, $record:ty) => {
-        fn $name(&self, key: RecordKey) -> Result<Cached<&$record>, CacheMiss> {
-            let Some(cached) = self.records.get(&key) else {
-                return Err(CacheMiss(key));
-            };
-            let record = match &cached.record {
-                Some(Record::$kind(record)) => Some(record),
-                _ => None,
-            };
-            Ok(Cached {
-                version: cached.version,
-                record,
-            })
-        }
-    };
-}
-
 impl RecordCache {
-    lookup!(find_pool, Pool, PoolRecord);
-    lookup!(find_team, Team, TeamRecord);
-    lookup!(find_allowance, Allowance, AllowanceRecord);
-    lookup!(find_charge, Charge, ChargeRecord);
-    lookup!(find_completed, Completed, CompletedRecord);
-
     pub(super) fn pool(&self) -> Result<Cached<&PoolRecord>, CacheMiss> {
-        self.find_pool(RecordKey::Pool)
+        self.find(RecordKey::Pool, |record| match record {
+            Record::Pool(pool) => Some(pool),
+            _ => None,
+        })
     }
 
     pub(super) fn team(&self, team: &TeamName) -> Result<Cached<&TeamRecord>, CacheMiss> {
-        self.find_team(RecordKey::Team(team.clone()))
+        self.find(RecordKey::Team(team.clone()), |record| match record {
+            Record::Team(team) => Some(team),
+            _ => None,
+        })
     }
 
     pub(super) fn allowance(
         &self,
         id: &AllowanceId,
     ) -> Result<Cached<&AllowanceRecord>, CacheMiss> {
-        self.find_allowance(RecordKey::Allowance(id.clone()))
+        self.find(RecordKey::Allowance(id.clone()), |record| match record {
+            Record::Allowance(allowance) => Some(allowance),
+            _ => None,
+        })
     }
 
     pub(super) fn charge(&self, id: &AdmissionId) -> Result<Cached<&ChargeRecord>, CacheMiss> {
-        self.find_charge(RecordKey::Charge(id.clone()))
+        self.find(RecordKey::Charge(id.clone()), |record| match record {
+            Record::Charge(charge) => Some(charge),
+            _ => None,
+        })
     }
 
     pub(super) fn completed(
         &self,
         id: &RequesterId,
     ) -> Result<Cached<&CompletedRecord>, CacheMiss> {
-        self.find_completed(RecordKey::Completed(id.clone()))
+        self.find(RecordKey::Completed(id.clone()), |record| match record {
+            Record::Completed(completed) => Some(completed),
+            _ => None,
+        })
+    }
+
+    /// Looks a record up, and takes it as one of a kind.
+    fn find<T>(
+        &self,
+        key: RecordKey,
+        as_kind: for<'r> fn(&'r Record) -> Option<&'r T>,
+    ) -> Result<Cached<&T>, CacheMiss> {
+        let Some(cached) = self.records.get(&key) else {
+            return Err(CacheMiss(key));
+        };
+        Ok(Cached {
+            version: cached.version,
+            record: cached.record.as_ref().and_then(as_kind),
+        })
     }
 
     /// The version of a cached record or of its absence.
--- a/crates/quota/src/client/revocation_sweep.rs
+++ b/crates/quota/src/client/revocation_sweep.rs
@@ -126,7 +126,7 @@
         };
     }
 
-    /// Borrowed work to revoke. What is revoked already will end, and makes room without another word.
+    /// Borrowed work to revoke. What is revoked already will end, so it takes no part.
     fn select_victims(&self, pool: &PoolRecord) -> Vec<AdmissionId> {
         let mut usage: BTreeMap<TeamName, TeamUsage> = BTreeMap::new();
         for (team, record) in &self.teams {
--- a/crates/quota/src/client/team_state.rs
+++ b/crates/quota/src/client/team_state.rs
@@ -56,6 +56,7 @@
 }
 
 impl TeamState {
+    /// A team of which nothing is known.
     pub(super) fn new(name: TeamName, now: Time) -> TeamState {
         TeamState {
             name,
@@ -72,10 +73,12 @@
 
     // ---- ownership of the allowance
 
+    /// Whether the allowance belongs to this process.
     pub(super) fn ownership(&self) -> &Ownership {
         &self.ownership
     }
 
+    /// Whether the charges to the allowance are being read.
     pub(super) fn is_loading(&self) -> bool {
         matches!(self.ownership, Ownership::Loading { .. })
     }
@@ -154,6 +157,7 @@
 
     // ---- charges
 
+    /// The sum of the charges to the allowance.
     pub(super) fn charged(&self) -> ResourceVector {
         self.charged
     }
@@ -164,28 +168,34 @@
         self.reserved = self.reserved.saturating_sub(usage);
     }
 
+    /// A charge is released.
     pub(super) fn remove_charge(&mut self, usage: &ResourceVector) {
         self.charged = self.charged.saturating_sub(usage);
     }
 
+    /// What was granted for pending requests and is not charged yet.
     pub(super) fn reserved(&self) -> ResourceVector {
         self.reserved
     }
 
+    /// That much was granted for pending requests.
     pub(super) fn reserve(&mut self, amount: ResourceVector) {
         self.reserved += amount;
     }
 
+    /// No request is pending for which anything was granted.
     pub(super) fn clear_reserved(&mut self) {
         self.reserved = ResourceVector::ZERO;
     }
 
     // ---- pending requests
 
+    /// A request is pending from here on.
     pub(super) fn enqueue(&mut self, position: QueuePosition) {
         self.queue.insert(position);
     }
 
+    /// A request is pending no more.
     pub(super) fn dequeue(&mut self, position: &QueuePosition) {
         self.queue.remove(position);
     }
@@ -195,6 +205,7 @@
         self.queue.iter().map(|position| &position.id)
     }
 
+    /// Number of pending requests.
     pub(super) fn pending_count(&self) -> usize {
         self.queue.len()
     }
@@ -227,6 +238,7 @@
         self.last_charge_at
     }
 
+    /// A request is charged now.
     pub(super) fn set_last_charge_at(&mut self, now: Time) {
         self.last_charge_at = now;
     }
