--- a/src/coordination/cluster/allocations.rs
+++ b/src/coordination/cluster/allocations.rs
@@ -3,6 +3,7 @@
 use super::host::{Allocation, CordonReason, Host, StopReason};
 use super::job::{JobPhase, ReplicaOutage, TaskState};
 use super::ClusterState;
+use crate::storage::records::RunRecordId;
 use crate::types::{HostName, JobId, TaskId, Time};
 
 /// What follows from the request to stop a task.
@@ -39,9 +40,12 @@
             Allocation::uncommitted(attempt, incarnation, resources, change.count),
         );
         self.charge(&team, &resources);
-        self.records.mark_dirty(task.job, change.record, true);
-        let uncommitted = (task.job, change.record);
-        let uncommitted = self.uncommitted_allocations.entry(uncommitted).or_default();
+        let record = RunRecordId {
+            job: task.job,
+            number: change.record,
+        };
+        self.records.mark_dirty(record, true);
+        let uncommitted = self.uncommitted_allocations.entry(record).or_default();
         uncommitted.push((name.clone(), task));
     }
 
@@ -105,7 +109,11 @@
         let team = job.team.clone();
         let change = job.set_task(task.index, state);
         if let Some(change) = change {
-            self.records.mark_dirty(task.job, change.record, false);
+            let record = RunRecordId {
+                job: task.job,
+                number: change.record,
+            };
+            self.records.mark_dirty(record, false);
         }
         self.discharge(&team, &allocation.resources);
         self.check_completion(task.job, now);
--- a/src/coordination/cluster/job/mod.rs
+++ b/src/coordination/cluster/job/mod.rs
@@ -197,6 +197,23 @@
         self.unarchived_outcome = Some(self.outcome());
     }
 
+    /// A run record of it is deleted.
+    pub(super) fn on_run_record_deleted(&mut self, number: u32) {
+        self.abandoned_records.remove(&number);
+        if let Some(chunk) = self.chunks.get_mut(number as usize) {
+            *chunk = None;
+        }
+    }
+
+    /// Whether it is over and nothing is left of it in the records but its archived outcome.
+    pub(super) fn is_deleted(&self) -> bool {
+        let mut chunks = self.chunks.iter().flatten();
+        self.phase == JobPhase::GarbageCollecting
+            && self.unarchived_outcome.is_none()
+            && self.abandoned_records.is_empty()
+            && chunks.all(|chunk| !chunk.may_have_record())
+    }
+
     /// The one place where the phase changes.
     pub(super) fn set_phase(&mut self, phase: JobPhase, now: Time) {
         tracing::debug!("{}: {:?} -> {phase:?}", self.id, self.phase);
@@ -254,7 +271,10 @@
         self.chunks.get(number as usize)?.as_deref()
     }
 
-    pub(super) fn chunk_mut(&mut self, number: u32) -> Option<&mut Chunk> {
+    pub(in crate::coordination::cluster) fn chunk_mut(
+        &mut self,
+        number: u32,
+    ) -> Option<&mut Chunk> {
         self.chunks.get_mut(number as usize)?.as_deref_mut()
     }
 
--- a/src/coordination/cluster/loading.rs
+++ b/src/coordination/cluster/loading.rs
@@ -3,26 +3,25 @@
 use super::host::{Allocation, Host, HostLifecycle, StopReason};
 use super::job::{Job, JobPhase};
 use super::ClusterState;
-use crate::storage::records::RunRecord;
+use crate::storage::records::{RunRecord, RunRecordId};
 use crate::types::{JobId, TaskId, Time, Version};
 
 impl ClusterState {
     /// Takes in a run record, with the allocations that it holds.
     pub(crate) fn load_run_record(
         &mut self,
-        id: JobId,
-        number: u32,
+        id: RunRecordId,
         record: &RunRecord,
         version: Version,
         now: Time,
     ) {
         let job = self
             .jobs
-            .entry(id)
-            .or_insert_with(|| Job::from_run_record(id, record, now));
+            .entry(id.job)
+            .or_insert_with(|| Job::from_run_record(id.job, record, now));
         let (resources, team) = (job.task_resources, job.team.clone());
         let stop_reason = (job.phase == JobPhase::Cancelled).then_some(StopReason::Cancelled);
-        for recorded in job.load_run_record(number, record, version) {
+        for recorded in job.load_run_record(id.number, record, version) {
             let host = self
                 .hosts
                 .entry(recorded.host.clone())
@@ -35,7 +34,7 @@
                 stop_reason,
             );
             let task = TaskId {
-                job: id,
+                job: id.job,
                 index: recorded.index,
             };
             host.allocate(task, allocation);
--- a/src/coordination/cluster/mod.rs
+++ b/src/coordination/cluster/mod.rs
@@ -16,7 +16,6 @@
 mod loading;
 mod persistence;
 mod reconciliation;
-mod record_split;
 mod record_writer;
 
 pub(crate) use allocations::StopEffect;
@@ -33,6 +32,7 @@
 use crate::coordination::resources::Resources;
 use crate::coordination::Policy;
 use crate::protocol::cloud::MachineType;
+use crate::storage::records::RunRecordId;
 use crate::types::{HostName, JobId, TaskId, Time, Version};
 use host::Host;
 use job::Job;
@@ -47,8 +47,8 @@
     hosts: BTreeMap<HostName, Host>,
     jobs: Jobs,
     records: RecordWriter,
-    /// Allocations whose record is not known to be written, by job and number of the run record.
-    uncommitted_allocations: BTreeMap<(JobId, u32), Vec<AllocatedTask>>,
+    /// Allocations whose run record is not known to be written.
+    uncommitted_allocations: BTreeMap<RunRecordId, Vec<AllocatedTask>>,
     /// What each team's allocations take, until they are proven to have ended.
     team_usage: BTreeMap<String, Usage>,
     /// Hosts whose release the cloud confirmed lately, and when. Late heartbeats and the lagging list may still
--- a/src/coordination/cluster/persistence.rs
+++ b/src/coordination/cluster/persistence.rs
@@ -7,6 +7,7 @@
 use super::host::AllocationPhase;
 use super::record_writer::CommitResult;
 use super::{AllocatedTask, ClusterState};
+use crate::storage::records::RunRecordId;
 use crate::types::{HostName, JobId, Time, Version};
 
 /// What the outcome of a batch means for the leader.
@@ -80,25 +81,14 @@
         }
     }
 
-    /// The run records whose versions have to be read before they can be written again.
-    pub(crate) fn take_records_of_unknown_version(&mut self) -> Vec<(JobId, u32)> {
+    /// Takes the run records whose versions have to be read before they can be written again.
+    pub(crate) fn take_records_of_unknown_version(&mut self) -> BTreeSet<RunRecordId> {
         self.records.take_version_unknown()
     }
 
     /// The version of a run record was read; `None` if it could not be, and has to be read again.
-    pub(crate) fn on_run_record_version(
-        &mut self,
-        job: JobId,
-        number: u32,
-        version: Option<Version>,
-    ) {
-        match version {
-            Some(version) => {
-                self.records
-                    .on_version_read(&mut self.jobs, job, number, version);
-            }
-            None => self.records.version_still_unknown(job, number),
-        }
+    pub(crate) fn on_run_record_version(&mut self, id: RunRecordId, version: Option<Version>) {
+        self.records.on_version_read(&mut self.jobs, id, version);
     }
 
     /// Sets the keys and versions that allocations of each team depend on, beside their own.
@@ -110,7 +100,7 @@
     /// Allocations in these records may be started now. Returns the hosts that have such.
     pub(super) fn on_records_written(
         &mut self,
-        written: &[(JobId, u32)],
+        written: &[RunRecordId],
         now: Time,
     ) -> BTreeSet<HostName> {
         let mut hosts_to_command = BTreeSet::new();
@@ -119,20 +109,20 @@
         }
         // Allocations may have waited for room among the records.
         self.request_scheduling();
-        for (id, _) in written {
-            self.check_completion(*id, now);
+        for id in written {
+            self.check_completion(id.job, now);
         }
-        for (id, number) in written {
-            let Some(waiting) = self.uncommitted_allocations.remove(&(*id, *number)) else {
+        for id in written {
+            let Some(waiting) = self.uncommitted_allocations.remove(id) else {
                 continue;
             };
-            let chunk = self.jobs.get(id).and_then(|job| job.chunk(*number));
+            let job = self.jobs.get(&id.job);
+            let chunk = job.and_then(|job| job.chunk(id.number));
             let written_change = chunk.map_or(0, |chunk| chunk.written_change);
             let still_waiting =
                 self.commit_allocations(waiting, written_change, &mut hosts_to_command);
             if !still_waiting.is_empty() {
-                self.uncommitted_allocations
-                    .insert((*id, *number), still_waiting);
+                self.uncommitted_allocations.insert(*id, still_waiting);
             }
         }
         hosts_to_command
@@ -177,12 +167,15 @@
         let (of_job, others): (BTreeMap<_, _>, BTreeMap<_, _>) =
             std::mem::take(&mut self.uncommitted_allocations)
                 .into_iter()
-                .partition(|((job, _), _)| *job == id);
+                .partition(|(record, _)| record.job == id);
         self.uncommitted_allocations = others;
         for (host, task) in of_job.into_values().flatten() {
-            let number = job.chunk_of(task.index);
-            let waiting = self.uncommitted_allocations.entry((id, number));
-            waiting.or_default().push((host, task));
+            let record = RunRecordId {
+                job: id,
+                number: job.chunk_of(task.index),
+            };
+            let waiting = self.uncommitted_allocations.entry(record).or_default();
+            waiting.push((host, task));
         }
     }
 }
--- a/src/coordination/cluster/reconciliation.rs
+++ b/src/coordination/cluster/reconciliation.rs
@@ -15,6 +15,7 @@
 use crate::coordination::run_times::RunTimes;
 use crate::coordination::Policy;
 use crate::protocol::workers::{AttemptState, AttemptStatus, EndReason, WorkerHeartbeat};
+use crate::storage::records::RunRecordId;
 use crate::types::{seconds, Attempt, Incarnation, SequenceNumber, TaskId, Term, Time};
 
 /// An attempt that was started by a direct command stays in its worker's memory for so many of its leases after it
@@ -392,9 +393,11 @@
             return;
         };
         let (team, resources) = (job.team.clone(), job.task_resources);
-        self.cluster
-            .records
-            .mark_dirty(task.job, change.record, true);
+        let record = RunRecordId {
+            job: task.job,
+            number: change.record,
+        };
+        self.cluster.records.mark_dirty(record, true);
         self.cluster.charge(&team, &resources);
         let allocation =
             Allocation::found_running(attempt, host.incarnation, resources, change.count);
--- a/src/coordination/leader/records.rs
+++ b/src/coordination/leader/records.rs
@@ -1,13 +1,14 @@
 //! The leader's records: reading them at the start, the next batch of writes, and what became of the last one.
 
+use std::collections::BTreeSet;
 use std::time::Duration;
 
 use lichencrank_store::{Outcome, Txn};
 
 use crate::coordination::cluster::BatchResult;
 use crate::coordination::{Leader, LeaderPhase, LeadershipLost};
-use crate::storage::records::RunRecord;
-use crate::types::{JobId, Time, Version};
+use crate::storage::records::{RunRecord, RunRecordId};
+use crate::types::{Time, Version};
 
 /// A new leader awaits the heartbeats of all hosts for so many intervals, and a margin.
 const HEARTBEAT_ROUND_INTERVALS: f64 = 1.25;
@@ -26,14 +27,12 @@
     /// Takes in a run record while the records are read.
     pub fn on_run_record(
         &mut self,
-        job: JobId,
-        number: u32,
+        id: RunRecordId,
         record: &RunRecord,
         version: Version,
         now: Time,
     ) {
-        self.cluster
-            .load_run_record(job, number, record, version, now);
+        self.cluster.load_run_record(id, record, version, now);
     }
 
     /// All records are read: from now on heartbeats complete the view of the cluster.
@@ -80,19 +79,22 @@
     }
 
     /// Takes the run records whose versions have to be read before they can be written again.
-    pub fn take_records_of_unknown_version(&mut self) -> Vec<(JobId, u32)> {
+    pub fn take_records_of_unknown_version(&mut self) -> BTreeSet<RunRecordId> {
         self.cluster.take_records_of_unknown_version()
     }
 
     /// The version of a run record was read; `None` if it could not be, and has to be read again.
-    pub fn on_run_record_version(&mut self, job: JobId, number: u32, version: Option<Version>) {
-        self.cluster.on_run_record_version(job, number, version);
+    pub fn on_run_record_version(&mut self, id: RunRecordId, version: Option<Version>) {
+        self.cluster.on_run_record_version(id, version);
     }
 
     /// How many records wait to be written.
     pub fn write_backlog(&self) -> WriteBacklog {
-        let (urgent, other) = self.cluster.records().backlog();
-        WriteBacklog { urgent, other }
+        let records = self.cluster.records();
+        WriteBacklog {
+            urgent: records.urgent_count(),
+            other: records.other_count(),
+        }
     }
 
     /// Whether something waits for a record to be written.
--- a/src/coordination/scheduling/placement.rs
+++ b/src/coordination/scheduling/placement.rs
@@ -12,6 +12,7 @@
 use crate::coordination::resources::Resources;
 use crate::coordination::{Leader, View};
 use crate::protocol::users::{JobSpec, Priority};
+use crate::storage::records::RunRecordId;
 use crate::types::{HostName, JobId, TaskId, Time};
 
 /// Tasks allocated in one pass; the rest waits for the next, so that a pass never takes long.
@@ -143,7 +144,10 @@
         };
         // An allocation that waits long for its record would only hold the host idle.
         let records = self.cluster.records();
-        let is_queued = records.is_urgent(job.id, job.chunk_of(index));
+        let is_queued = records.is_urgent(RunRecordId {
+            job: job.id,
+            number: job.chunk_of(index),
+        });
         if !is_queued && records.urgent_count() >= placement.max_waiting_records {
             return NextStep::Finish;
         }
--- a/src/node/api/mod.rs
+++ b/src/node/api/mod.rs
@@ -15,7 +15,7 @@
 use crate::protocol::peers::{RelayedRequest, RelayedResponse};
 use crate::protocol::users::{self, ErrorBody, JobSpec, JobState, JobStatus, Submission};
 use crate::settings::Team;
-use crate::storage::records::{self, JobRecord, OutcomeRecord, RunRecord};
+use crate::storage::records::{self, JobRecord, OutcomeRecord, RunRecord, RunRecordId};
 use crate::storage::store::{Outcome, RequestClass, StoreRequest};
 use crate::transport::{ConnId, Response};
 use crate::types::{JobId, Time, Version};
@@ -247,7 +247,9 @@
         };
         let ask = match &open.stage {
             Stage::ReadingLive => StoreRequest::Get(records::live_key(job)),
-            Stage::ReadingCounts => StoreRequest::Get(records::run_key(job, 0)),
+            Stage::ReadingCounts => {
+                StoreRequest::Get(records::run_key(RunRecordId { job, number: 0 }))
+            }
             Stage::ReadingOver => StoreRequest::Get(records::outcome_key(job)),
             Stage::ReadingBookings => StoreRequest::List {
                 prefix: records::run_prefix(job),
--- a/src/node/api/outcomes.rs
+++ b/src/node/api/outcomes.rs
@@ -131,8 +131,8 @@
         let record: Option<RunRecord> = item.and_then(|i| i.record());
         let (done, running) = record.map_or((0, 0), |r| {
             (
-                r.done_count() + r.other_records.0,
-                r.allocations.len() as u64 + r.other_records.1,
+                r.done_count() + r.other_records.done,
+                r.allocations.len() as u64 + r.other_records.allocated,
             )
         });
         if let Some(known) = self.known.get_mut(&job) {
--- a/src/node/leader_duties/loading.rs
+++ b/src/node/leader_duties/loading.rs
@@ -60,12 +60,12 @@
             },
             LeaderRequest::Watch => self.on_watch(outcome, now),
             LeaderRequest::Batch => return self.controller.on_batch_outcome(outcome, now),
-            LeaderRequest::Reread(job, chunk) => {
+            LeaderRequest::RunRecordVersion(id) => {
                 let version = match outcome {
                     Outcome::Item(item) => Some(item.map_or(Version(0), |i| i.version)),
                     _ => None,
                 };
-                self.controller.on_run_record_version(job, chunk, version);
+                self.controller.on_run_record_version(id, version);
             }
             LeaderRequest::Quota { prefix, after } => {
                 self.on_quota_page(prefix, after, outcome, now)
@@ -123,12 +123,12 @@
 
     pub(super) fn on_run_page(&mut self, page: Page, now: Time) {
         for item in &page.items {
-            let Some((job, chunk)) = records::parse_run_key(&item.key) else {
+            let Some(id) = records::parse_run_key(&item.key) else {
                 continue;
             };
             if let Some(record) = item.record() {
                 self.controller
-                    .on_run_record(job, chunk, &record, item.version, now);
+                    .on_run_record(id, &record, item.version, now);
             }
         }
         if let Some(last) = page.items.last().filter(|_| page.more) {
--- a/src/node/leader_duties/mod.rs
+++ b/src/node/leader_duties/mod.rs
@@ -19,7 +19,7 @@
 };
 use crate::protocol::workers::{Command, CommandRequest};
 use crate::protocol::{decode, encode};
-use crate::storage::records;
+use crate::storage::records::{self, RunRecordId};
 use crate::storage::store::{Outcome, RequestClass, StoreRequest};
 use crate::transport::{CallError, CallId, Network, Response};
 use crate::types::{HostName, Incarnation, JobId, Time, Version};
@@ -37,7 +37,7 @@
     },
     Watch,
     Batch,
-    Reread(JobId, u32),
+    RunRecordVersion(RunRecordId),
     Types,
     /// Reading the records of the accounts: which prefix, behind which key.
     Quota {
@@ -212,13 +212,13 @@
             self.keep_zones_record(writes, now);
             self.commit(writes, now);
         }
-        for (job, chunk) in self.controller.take_records_of_unknown_version() {
-            let ask = StoreRequest::Get(records::run_key(job, chunk));
+        for id in self.controller.take_records_of_unknown_version() {
+            let ask = StoreRequest::Get(records::run_key(id));
             self.pending.push((
                 RequestClass::Allocation,
                 ask,
                 BATCH_LIMIT,
-                LeaderRequest::Reread(job, chunk),
+                LeaderRequest::RunRecordVersion(id),
             ));
         }
         if self.may_act(net) {
--- a/src/storage/records.rs
+++ b/src/storage/records.rs
@@ -9,7 +9,7 @@
 //! | `types` | the machine types as last seen |
 
 use ciborium::Value;
-use serde::{Deserialize, Serialize};
+use serde::{Deserialize, Deserializer, Serialize, Serializer};
 
 use crate::protocol::cloud::MachineType;
 use crate::protocol::users::{JobSpec, JobState};
@@ -43,9 +43,18 @@
     format!("{RUN_PREFIX}{job}/")
 }
 
-/// Key of a job's run record of that number.
-pub fn run_key(job: JobId, chunk: u32) -> String {
-    format!("{RUN_PREFIX}{job}/{chunk:05}")
+/// Names a run record.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct RunRecordId {
+    /// The job.
+    pub job: JobId,
+    /// Number of the record within its job.
+    pub number: u32,
+}
+
+/// Key of a run record.
+pub fn run_key(id: RunRecordId) -> String {
+    format!("{RUN_PREFIX}{}/{:05}", id.job, id.number)
 }
 
 /// The job of a key below [`LIVE_PREFIX`].
@@ -53,10 +62,13 @@
     JobId::parse(key.strip_prefix(LIVE_PREFIX)?)
 }
 
-/// The job and the number of a key below [`RUN_PREFIX`].
-pub fn parse_run_key(key: &str) -> Option<(JobId, u32)> {
-    let (job, chunk) = key.strip_prefix(RUN_PREFIX)?.split_once('/')?;
-    Some((JobId::parse(job)?, chunk.parse().ok()?))
+/// The run record of a key below [`RUN_PREFIX`].
+pub fn parse_run_key(key: &str) -> Option<RunRecordId> {
+    let (job, number) = key.strip_prefix(RUN_PREFIX)?.split_once('/')?;
+    Some(RunRecordId {
+        job: JobId::parse(job)?,
+        number: number.parse().ok()?,
+    })
 }
 
 /// An accepted job.
@@ -131,16 +143,17 @@
     pub term: Term,
 }
 
-/// One run of a job's tasks. Short names, as the size of a value is limited.
+/// Allocations, attempts and finished tasks of a range of a job's tasks. The stored names are short, as the size of a value
+/// is limited.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct RunRecord {
-    /// Index of the first task, and how many tasks the job's chunks hold.
+    /// Number of the first task of the range.
     #[serde(rename = "first")]
     pub first_task: u32,
-    /// How many tasks a record of this job holds.
+    /// How many tasks each run record of this job holds, but for the last.
     #[serde(rename = "size")]
     pub tasks_per_record: u32,
-    /// What each task takes and from whose limit, as a cancelled job's description is gone.
+    /// Team of the job, as the description of a cancelled job is gone.
     pub team: String,
     /// CPUs of a task.
     pub cpus: f64,
@@ -149,51 +162,146 @@
     /// Memory of a task in GB.
     #[serde(rename = "mem")]
     pub memory_gb: f64,
-    /// Finished tasks as (offset, how many).
+    /// Finished tasks.
     #[serde(rename = "done", default)]
-    pub finished: Vec<(u32, u32)>,
-    /// Tasks that are booked on a machine.
+    pub finished: Vec<FinishedRange>,
+    /// Tasks that are allocated to a host.
     #[serde(rename = "booked", default)]
-    pub allocations: Vec<BookedRecord>,
-    /// Waiting tasks that were tried: (offset, last attempt).
-    #[serde(default)]
-    pub tried: Vec<(u32, Attempt)>,
-    /// In the first chunk of a job with several: finished and booked tasks of the others.
+    pub allocations: Vec<AllocationEntry>,
+    /// Waiting tasks of which there were attempts.
+    #[serde(rename = "tried", default)]
+    pub attempted: Vec<AttemptedEntry>,
+    /// In the first record of a job with several: what the others hold.
     #[serde(rename = "rest", default)]
-    pub other_records: (u64, u64),
+    pub other_records: TaskCounts,
+}
+
+/// Finished tasks next to each other. Stored as a list: offset of the first in the record's range, count.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct FinishedRange {
+    /// Offset of the first in the record's range.
+    pub first: u32,
+    /// How many there are.
+    pub count: u32,
+}
+
+/// A task that is allocated to a host. Stored as a list: offset, attempt, host, incarnation.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct AllocationEntry {
+    /// Offset of the task in the record's range.
+    pub offset: u32,
+    /// Which attempt it is.
+    pub attempt: Attempt,
+    /// The host.
+    pub host: HostName,
+    /// Incarnation of the worker that the attempt is meant for.
+    pub incarnation: Incarnation,
 }
 
-/// (offset, attempt, host, incarnation)
-pub type BookedRecord = (u32, Attempt, HostName, Incarnation);
+/// A waiting task of which there were attempts. Stored as a list: offset, last attempt.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct AttemptedEntry {
+    /// Offset of the task in the record's range.
+    pub offset: u32,
+    /// The last attempt.
+    pub last_attempt: Attempt,
+}
+
+/// How many tasks are done and allocated. Stored as a list: done, allocated.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct TaskCounts {
+    /// Tasks that are done.
+    pub done: u64,
+    /// Tasks that are allocated to a host.
+    pub allocated: u64,
+}
+
+/// Stores a struct as a list of its fields, in this order.
+macro_rules! stored_as_list {
+    ($name:ident: $($field:ident),+) => {
+        impl Serialize for $name {
+            fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
+                ($(&self.$field,)+).serialize(serializer)
+            }
+        }
+
+        impl<'de> Deserialize<'de> for $name {
+            fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
+                let ($($field,)+) = Deserialize::deserialize(deserializer)?;
+                Ok($name { $($field),+ })
+            }
+        }
+    };
+}
+
+stored_as_list!(FinishedRange: first, count);
+stored_as_list!(AllocationEntry: offset, attempt, host, incarnation);
+stored_as_list!(AttemptedEntry: offset, last_attempt);
+stored_as_list!(TaskCounts: done, allocated);
+
+/// Usual bytes of a run record without entries, and of each kind of entry.
+const USUAL_BYTES: EntryBytes = EntryBytes {
+    record: 200,
+    allocation: 48,
+    attempted: 14,
+    finished: 12,
+};
+/// The most bytes of a run record without entries, and of each kind of entry: numbers of up to 20 digits where there may be
+/// such, with commas and brackets. Names come on top.
+const MAX_BYTES: EntryBytes = EntryBytes {
+    record: 400,
+    allocation: 60,
+    attempted: 36,
+    finished: 24,
+};
+
+struct EntryBytes {
+    record: usize,
+    allocation: usize,
+    attempted: usize,
+    finished: usize,
+}
 
 impl RunRecord {
-    /// How many tasks are done.
+    /// How many tasks of the range are done.
     pub fn done_count(&self) -> u64 {
-        self.finished.iter().map(|(_, n)| u64::from(*n)).sum()
+        let ranges = self.finished.iter();
+        ranges.map(|range| u64::from(range.count)).sum()
     }
 
-    /// About its size, with machine names, attempts and incarnations of usual length.
+    /// About its size in bytes, with names of hosts, attempts and incarnations of usual length.
     pub fn usual_size(&self) -> usize {
-        200 + self.allocations.len() * 48 + self.tried.len() * 14 + self.finished.len() * 12
+        self.size_of_entries(&USUAL_BYTES)
     }
 
-    /// Whether the record surely is no larger than that; where this does not say so, it is measured.
-    pub fn surely_fits(&self, most: usize) -> bool {
-        // Numbers of up to 20 digits where there may be such, commas and brackets.
-        let booked: usize = self
-            .allocations
-            .iter()
-            .map(|b| b.2.as_str().len() + 60)
-            .sum();
-        let at_most = 400 + self.team.len() * 2 + self.finished.len() * 24 + self.tried.len() * 36;
-        at_most + booked <= most
+    /// Whether the record surely has no more bytes than that. Where this returns false, it has to be measured.
+    pub fn surely_fits(&self, max_bytes: usize) -> bool {
+        let hosts = self.allocations.iter();
+        let host_names: usize = hosts.map(|entry| entry.host.as_str().len()).sum();
+        // Each character of a team's name may need two.
+        let names = self.team.len() * 2 + host_names;
+        self.size_of_entries(&MAX_BYTES) + names <= max_bytes
+    }
+
+    fn size_of_entries(&self, bytes: &EntryBytes) -> usize {
+        bytes.record
+            + self.allocations.len() * bytes.allocation
+            + self.attempted.len() * bytes.attempted
+            + self.finished.len() * bytes.finished
     }
 }
 
 pub use lichencrank_store::json_size as size;
 
-/// How many tasks a chunk holds so that its record stays below the limit with machine names, attempts
-/// and incarnations of usual length. One that does not is split further.
+/// Bytes of a run record without entries, and of each task in it, with names of usual length, where some tasks are allocated
+/// and others done or attempted.
+const RECORD_BYTES: f64 = 350.0;
+const TASK_BYTES: f64 = 27.0;
+/// The most tasks of a run record.
+const MAX_TASKS_PER_RECORD: f64 = 256.0;
+
+/// How many tasks a run record holds so that it stays below that many KiB with names of usual length. One that does not is
+/// split.
 pub fn tasks_per_record(value_kb: f64) -> u32 {
-    ((value_kb * 1024.0 - 350.0) / 27.0).clamp(1.0, 256.0) as u32
+    ((value_kb * 1024.0 - RECORD_BYTES) / TASK_BYTES).clamp(1.0, MAX_TASKS_PER_RECORD) as u32
 }
--- a/tests/api.rs
+++ b/tests/api.rs
@@ -10,7 +10,7 @@
 use lichencrank::protocol::{decode, encode, Amount};
 use lichencrank::settings::Team;
 use lichencrank::storage::records::{
-    self, ArchivableOutcome, BookedRecord, JobRecord, OutcomeRecord, RunRecord,
+    self, AllocationEntry, ArchivableOutcome, JobRecord, OutcomeRecord, RunRecord,
 };
 use lichencrank::storage::store::{Outcome, StoreRequest};
 use lichencrank::transport::ConnId;
@@ -396,7 +396,7 @@
     desk.accept(1..2, 7);
     let user = desk.cancel(1);
     desk.leader_says(1, false);
-    let bookings = |booked: Vec<BookedRecord>| {
+    let bookings = |booked: Vec<AllocationEntry>| {
         let items = vec![Item {
             key: "run/job-000001/00000".into(),
             value: value(&RunRecord {
@@ -411,7 +411,12 @@
             revision: Version(9),
         })
     };
-    let one = vec![(0, Attempt(1), HostName::new("vm-1"), Incarnation(1))];
+    let one = vec![AllocationEntry {
+        offset: 0,
+        attempt: Attempt(1),
+        host: HostName::new("vm-1"),
+        incarnation: Incarnation(1),
+    }];
     assert!(
         matches!(&desk.asked[0].0, StoreRequest::List { prefix, .. } if prefix == "run/job-000001/")
     );
--- a/tests/record_split.rs
+++ b/tests/record_split.rs
@@ -11,7 +11,9 @@
 use lichencrank::protocol::workers::{AttemptState, AttemptStatus, EndReason, WorkerHeartbeat};
 use lichencrank::protocol::Amount;
 use lichencrank::settings::{Team, Tuning};
-use lichencrank::storage::records::{self, JobRecord, RunRecord};
+use lichencrank::storage::records::{
+    self, AllocationEntry, AttemptedEntry, JobRecord, RunRecord, RunRecordId,
+};
 use lichencrank::storage::store::Outcome;
 use lichencrank::types::{
     Attempt, HostName, Incarnation, JobId, SequenceNumber, TaskId, Term, Time, Version,
@@ -89,15 +91,21 @@
         for offset in 0..240 {
             let attempt = Attempt(1 + u64::from(offset % 3));
             if offset % 8 == 7 {
-                record.tried.push((offset, attempt));
+                record.attempted.push(AttemptedEntry {
+                    offset,
+                    last_attempt: attempt,
+                });
             } else {
-                let host = host_of(first + offset);
-                record
-                    .allocations
-                    .push((offset, attempt, host, Incarnation(1)));
+                record.allocations.push(AllocationEntry {
+                    offset,
+                    attempt,
+                    host: host_of(first + offset),
+                    incarnation: Incarnation(1),
+                });
             }
         }
-        changes.push(put(&records::run_key(JOB, number), value(&record)));
+        let id = RunRecordId { job: JOB, number };
+        changes.push(put(&records::run_key(id), value(&record)));
     }
     let (status, _) = state.txn(&map(vec![("apply", Value::Array(changes))]));
     assert_eq!(status, 200);
@@ -167,9 +175,9 @@
         controller.on_job(record, Version(version));
     }
     for (key, data, version) in items(state, "run/") {
-        let (job, number) = records::parse_run_key(&key).expect("a run record");
+        let id = records::parse_run_key(&key).expect("the key of a run record");
         let record: RunRecord = data.deserialized().expect("a run record");
-        controller.on_run_record(job, number, &record, Version(version), NOW);
+        controller.on_run_record(id, &record, Version(version), NOW);
     }
     controller.on_loaded(NOW);
     controller
@@ -196,17 +204,19 @@
     let description: JobRecord = items(state, "live/")[0].1.deserialized().expect("one");
     let mut picture = Picture::new();
     for (key, data, _) in items(state, "run/") {
-        let (_, number) = records::parse_run_key(&key).expect("a run record");
+        let RunRecordId { number, .. } =
+            records::parse_run_key(&key).expect("the key of a run record");
         if number >= TASKS.div_ceil(description.tasks_per_record) {
             continue;
         }
         let record: RunRecord = data.deserialized().expect("a run record");
         let first = number * description.tasks_per_record;
-        for (offset, attempt) in record.tried {
-            picture.insert(first + offset, (attempt.0, None));
+        for entry in record.attempted {
+            picture.insert(first + entry.offset, (entry.last_attempt.0, None));
         }
-        for (offset, attempt, host, _) in record.allocations {
-            picture.insert(first + offset, (attempt.0, Some(host.to_string())));
+        for entry in record.allocations {
+            let host = entry.host.to_string();
+            picture.insert(first + entry.offset, (entry.attempt.0, Some(host)));
         }
     }
     picture
--- a/tests/size.rs
+++ b/tests/size.rs
@@ -208,9 +208,9 @@
             }
         }
         for (key, (value, version)) in &self.items {
-            if let Some((job, chunk)) = records::parse_run_key(key) {
+            if let Some(id) = records::parse_run_key(key) {
                 let record = value.deserialized().expect("a run record");
-                c.on_run_record(job, chunk, &record, *version, now);
+                c.on_run_record(id, &record, *version, now);
             }
         }
         c.on_loaded(now);
--- a/tests/traces.rs
+++ b/tests/traces.rs
@@ -18,7 +18,9 @@
 };
 use lichencrank::protocol::Amount;
 use lichencrank::settings::{Team, Tuning};
-use lichencrank::storage::records::{JobRecord, OutcomeRecord, RunRecord};
+use lichencrank::storage::records::{
+    AllocationEntry, JobRecord, OutcomeRecord, RunRecord, RunRecordId,
+};
 use lichencrank::storage::store::Outcome;
 use lichencrank::types::{
     Attempt, HostName, Incarnation, JobId, SequenceNumber, TaskId, Term, Time, Version,
@@ -299,7 +301,9 @@
                         let booked: Vec<String> = r
                             .allocations
                             .iter()
-                            .map(|b| format!("{}#{}@{}/{}", b.0, b.1, b.2, b.3))
+                            .map(|b| {
+                                format!("{}#{}@{}/{}", b.offset, b.attempt, b.host, b.incarnation)
+                            })
                             .collect();
                         let done = r.done_count();
                         format!("set {key}: {done} done, booked [{}]", booked.join(" "))
@@ -353,16 +357,19 @@
             let (task, place) = word.split_once('@').expect("task@place");
             let (offset, attempt) = task.split_once('#').expect("offset#attempt");
             let (name, session) = place.split_once('/').expect("host/session");
-            record.allocations.push((
-                offset.parse().expect("an offset"),
-                Attempt(attempt.parse().expect("an attempt")),
-                host(name),
-                Incarnation(session.parse().expect("a session")),
-            ));
+            record.allocations.push(AllocationEntry {
+                offset: offset.parse().expect("an offset"),
+                attempt: Attempt(attempt.parse().expect("an attempt")),
+                host: host(name),
+                incarnation: Incarnation(session.parse().expect("an incarnation")),
+            });
         }
-        let chunk = words[1].parse().expect("a chunk");
+        let id = RunRecordId {
+            job: id(words[0]),
+            number: words[1].parse().expect("the number of a run record"),
+        };
         self.controller
-            .on_run_record(id(words[0]), chunk, &record, Version(9), self.now);
+            .on_run_record(id, &record, Version(9), self.now);
     }
 
     fn event(&mut self, line: &str) {
@@ -422,9 +429,9 @@
             "write" => self.write(&words[1..]),
             "reread" => {
                 let version = Version(words[1].parse().expect("a version"));
-                for (job, chunk) in self.controller.take_records_of_unknown_version() {
+                for id in self.controller.take_records_of_unknown_version() {
                     let version = Some(version);
-                    self.controller.on_run_record_version(job, chunk, version);
+                    self.controller.on_run_record_version(id, version);
                 }
             }
             "lease" => {
--- a/tests/versions.rs
+++ b/tests/versions.rs
@@ -11,7 +11,7 @@
 };
 use lichencrank::protocol::{decode, encode};
 use lichencrank::settings::{Settings, Tuning};
-use lichencrank::storage::records::{self, JobRecord, RunRecord};
+use lichencrank::storage::records::{self, AllocationEntry, JobRecord, RunRecord, RunRecordId};
 use lichencrank::storage::records::{ArchivableOutcome, LeaderRecord, OutcomeRecord, TermRecord};
 use lichencrank::transport::{
     CallId, ConnId, ListenerKind, Network, Request, Response, SocketUsage, TransportEvent,
@@ -177,8 +177,13 @@
     assert_eq!(names(&again), names(&before));
 
     let run: RunRecord = stored(RUN).deserialized().expect("a run record");
-    let booked = (4, Attempt(2), HostName::new("vm-000231"), Incarnation(1));
-    assert_eq!(run.allocations, [booked]);
+    let allocation = AllocationEntry {
+        offset: 4,
+        attempt: Attempt(2),
+        host: HostName::new("vm-000231"),
+        incarnation: Incarnation(1),
+    };
+    assert_eq!(run.allocations, [allocation]);
     let again: OldChunk = value(&run).deserialized().expect("an old one");
     let before: OldChunk = stored(RUN).deserialized().expect("an old one");
     assert_eq!(again, before);
@@ -190,7 +195,10 @@
     let job = JobId(412);
     assert_eq!(records::live_key(job), "live/job-000412");
     assert_eq!(records::outcome_key(job), "over/job-000412");
-    assert_eq!(records::run_key(job, 3), "run/job-000412/00003");
+    assert_eq!(
+        records::run_key(RunRecordId { job, number: 3 }),
+        "run/job-000412/00003"
+    );
     assert_eq!(records::LEADER_KEY, "lead/holder");
     assert_eq!(records::TERM_KEY, "lead/term");
     assert_eq!(records::MACHINE_TYPES_KEY, "types");
@@ -287,7 +295,7 @@
             "run" => {
                 let record: RunRecord = kept.record();
                 bookings += record.allocations.len();
-                attempts += record.tried.len();
+                attempts += record.attempted.len();
             }
             "types" => assert_types_survive(&kept),
             other => panic!("{other}: no kind of message or record"),
