--- a/tests/simulated/mod.rs
+++ b/tests/simulated/mod.rs
@@ -10,6 +10,7 @@
 pub mod network;
 pub mod process;
 mod rollout;
+pub mod runner;
 pub mod script;
 pub mod site;
 mod troubles;
--- /dev/null
+++ b/tests/simulated/runner.rs
@@ -0,0 +1,77 @@
+//! Loads scenario files and plays them, one simulation for each seed.
+
+use std::ops::Range;
+use std::path::Path;
+
+use super::process::Launcher;
+use super::script::Script;
+use super::World;
+
+/// A scenario file.
+pub struct Scenario {
+    /// The file's name without its extension.
+    pub name: String,
+    script: Script,
+}
+
+impl Scenario {
+    /// Reads `<directory>/<name>.scenario`; panics if that is no valid scenario.
+    pub fn load(directory: &Path, name: &str) -> Scenario {
+        let path = directory.join(format!("{name}.scenario"));
+        let text = std::fs::read_to_string(&path)
+            .unwrap_or_else(|error| panic!("{}: {error}", path.display()));
+        Scenario {
+            name: name.to_owned(),
+            script: Script::parse(&text),
+        }
+    }
+
+    /// A simulation of the scenario, and the script that it is to play.
+    pub fn simulation(&self, seed: u64, launcher: Launcher) -> (World, &Script) {
+        let world = World::new(self.script.site.clone(), seed, launcher);
+        (world, &self.script)
+    }
+
+    /// Plays the scenario with each seed. Returns one description for each run that failed.
+    pub fn failures(&self, seeds: Range<u64>, launcher: Launcher) -> Vec<String> {
+        let failure = |seed| {
+            let (mut world, script) = self.simulation(seed, launcher);
+            let error = world.play(script).err()?;
+            Some(format!("{}, seed {seed}:\n{error}", self.name))
+        };
+        seeds.filter_map(failure).collect()
+    }
+}
+
+/// The names of all scenario files of a directory, sorted.
+pub fn scenario_names(directory: &Path) -> Vec<String> {
+    let entries = std::fs::read_dir(directory)
+        .unwrap_or_else(|error| panic!("{}: {error}", directory.display()));
+    let paths = entries.map(|entry| entry.expect("an entry of the directory").path());
+    let mut names: Vec<String> = paths
+        .filter(|path| {
+            path.extension()
+                .is_some_and(|extension| extension == "scenario")
+        })
+        .filter_map(|path| Some(path.file_stem()?.to_string_lossy().into_owned()))
+        .collect();
+    names.sort();
+    names
+}
+
+/// The seeds in an environment variable, such as `100..200`; `None` if it is not set.
+pub fn seeds_from_environment(variable: &str) -> Option<Range<u64>> {
+    let text = std::env::var(variable).ok()?;
+    let range = text.split_once("..").and_then(|(first, end)| {
+        let first = first.parse().ok()?;
+        let end = end.parse().ok()?;
+        Some(first..end)
+    });
+    Some(range.unwrap_or_else(|| panic!("{variable} is {text}, not a range such as 100..200")))
+}
+
+/// Starts the log of the controllers at the level in `LOG_LEVEL`; without it they log nothing.
+pub fn start_logging() {
+    let level = std::env::var("LOG_LEVEL").ok();
+    lichencrank::logging::start(level.as_deref().or(Some("off")));
+}
--- a/tests/upgrade/tests/rollout.rs
+++ b/tests/upgrade/tests/rollout.rs
@@ -10,8 +10,9 @@
 mod simulated;
 
 use simulated::process::{launch_current, Launch, Launcher, Process, Start, Version};
-use simulated::script::Script;
-use simulated::World;
+use simulated::runner::{scenario_names, seeds_from_environment, start_logging, Scenario};
+use std::ops::Range;
+use std::path::{Path, PathBuf};
 
 /// Defines the launcher of an earlier version: its node behind the interface of the simulated world.
 macro_rules! earlier_version {
@@ -143,100 +144,80 @@
 earlier_version!(version_87cd4a4, lichencrank_87cd4a4);
 earlier_version!(version_b348541, lichencrank_b348541);
 
-/// The versions that upgrades start from.
-const EARLIER: [(&str, Launch); 2] = [
-    ("87cd4a4", version_87cd4a4::launch),
-    ("b348541", version_b348541::launch),
+/// A version that upgrades start from.
+struct EarlierVersion {
+    /// The first digits of its commit.
+    name: &'static str,
+    launch: Launch,
+}
+
+const EARLIER_VERSIONS: [EarlierVersion; 2] = [
+    EarlierVersion {
+        name: "87cd4a4",
+        launch: version_87cd4a4::launch,
+    },
+    EarlierVersion {
+        name: "b348541",
+        launch: version_b348541::launch,
+    },
 ];
 
-/// Seeds to play instead of a scenario's own, such as `100..200`, to hunt by hand.
-fn seeds() -> std::ops::Range<u64> {
-    let text = std::env::var("CLUSTER_SEEDS").unwrap_or_default();
-    let range = text.split_once("..").map(|(from, to)| {
-        let number = |text: &str| text.parse().expect("a range of seeds");
-        number(from)..number(to)
-    });
-    range.unwrap_or(1..4)
-}
+/// The seeds of every scenario, unless `CLUSTER_SEEDS` names others.
+const DEFAULT_SEEDS: Range<u64> = 1..4;
 
-fn play(name: &str) {
-    play_from(name, &EARLIER);
+fn scenario_directory() -> PathBuf {
+    Path::new(env!("CARGO_MANIFEST_DIR")).join("scenarios")
 }
 
-fn play_from(name: &str, versions: &[(&str, Launch)]) {
-    let level = std::env::var("LOG_LEVEL").ok();
-    lichencrank::logging::start(level.as_deref().or(Some("off")));
-    let file = format!("{}/scenarios/{name}.scenario", env!("CARGO_MANIFEST_DIR"));
-    let text = std::fs::read_to_string(&file).unwrap_or_else(|e| panic!("{file}: {e}"));
-    let script = Script::parse(&text);
-    let mut broken = Vec::new();
-    for (version, launch) in versions {
+fn play(name: &str, versions: &[EarlierVersion]) {
+    start_logging();
+    let scenario = Scenario::load(&scenario_directory(), name);
+    let seeds = seeds_from_environment("CLUSTER_SEEDS").unwrap_or(DEFAULT_SEEDS);
+    let mut failures = Vec::new();
+    for version in versions {
         let launcher = Launcher {
             first: Version::Earlier,
-            launch: *launch,
+            launch: version.launch,
         };
-        for seed in seeds() {
-            let mut world = World::new(script.site.clone(), seed, launcher);
-            if let Err(why) = world.play(&script) {
-                broken.push(format!("{name} from {version}, seed {seed}:\n{why}"));
-            }
+        for failure in scenario.failures(seeds.clone(), launcher) {
+            failures.push(format!("from {}: {failure}", version.name));
         }
     }
-    assert!(broken.is_empty(), "{}", broken.join("\n\n"));
-}
-
-#[test]
-fn leader_first() {
-    play("leader_first");
-}
-
-#[test]
-fn leader_last() {
-    play("leader_last");
-}
-
-#[test]
-fn one_zone_first() {
-    play("one_zone_first");
-}
-
-#[test]
-fn back_and_forth() {
-    play("back_and_forth");
+    assert!(failures.is_empty(), "{}", failures.join("\n\n"));
 }
 
-#[test]
-fn limits_fall() {
-    play("limits_fall");
-}
-
-#[test]
-fn limits_fall_at_takeover() {
-    play("limits_fall_at_takeover");
-}
-
-#[test]
-fn cancelled_between_versions() {
-    play("cancelled_between_versions");
-}
-
-#[test]
-fn zones_between_versions() {
-    play("zones_between_versions");
-}
+/// Defines one test for each scenario file, which plays it with each of the earlier versions.
+macro_rules! scenarios {
+    ($($name:ident: $versions:expr;)*) => {
+        $(
+            #[test]
+            fn $name() {
+                play(stringify!($name), $versions);
+            }
+        )*
 
-#[test]
-fn quota_between_versions() {
-    play("quota_between_versions");
+        const SCENARIOS: &[&str] = &[$(stringify!($name)),*];
+    };
 }
 
-#[test]
-fn broken_off() {
-    play("broken_off");
+scenarios! {
+    leader_first: &EARLIER_VERSIONS;
+    leader_last: &EARLIER_VERSIONS;
+    one_zone_first: &EARLIER_VERSIONS;
+    back_and_forth: &EARLIER_VERSIONS;
+    limits_fall: &EARLIER_VERSIONS;
+    limits_fall_at_takeover: &EARLIER_VERSIONS;
+    cancelled_between_versions: &EARLIER_VERSIONS;
+    zones_between_versions: &EARLIER_VERSIONS;
+    quota_between_versions: &EARLIER_VERSIONS;
+    broken_off: &EARLIER_VERSIONS;
+    // Version 87cd4a4 does not know services.
+    broken_off_with_services: &EARLIER_VERSIONS[1..];
 }
 
-/// The first version does not know services.
 #[test]
-fn broken_off_with_services() {
-    play_from("broken_off_with_services", &EARLIER[1..]);
+fn every_scenario_file_is_played() {
+    let mut played = SCENARIOS.to_vec();
+    played.sort_unstable();
+    assert_eq!(scenario_names(&scenario_directory()), played);
 }
