--- a/tests/simulated/mod.rs
+++ b/tests/simulated/mod.rs
@@ -3,10 +3,11 @@
 //! nodes are the service's own; nothing that it does is done here a second time.
 
 pub mod checker;
+pub mod clock;
 mod cloud;
-pub mod displacement;
 mod embedder;
 mod fingerprint;
+pub mod ids;
 pub mod network;
 pub mod process;
 mod rollout;
@@ -25,12 +26,14 @@
 };
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
+use std::fmt;
 use std::rc::Rc;
 
-use checker::{Checker, Fact, Rules};
+use checker::{Bounds, Checker, HeldTask, Invariant, Observation, Violation};
+use clock::SimTime;
 use cloud::Cloud;
-use displacement::Displacement;
 use fingerprint::Fingerprint;
+use ids::TaskId;
 use lichencrank_testkit::state_service::{self, hold_ms, Limits, StateService};
 use lichencrank_testkit::values::{self, get, number, text};
 use network::{Call, Out, SimNet};
@@ -147,7 +150,6 @@
     zone_cut: (String, u64),
     /// When it was cut off.
     zone_cut_at: u64,
-    displacement: Displacement,
 }
 
 /// The requests and changes that the state service still takes this second.
@@ -178,6 +180,34 @@
     }
 }
 
+/// Why a run failed.
+pub struct RunFailure {
+    violations: Vec<Violation>,
+    unmet_expectations: Vec<String>,
+    /// The last lines of the history.
+    history: Vec<String>,
+    fingerprint: u64,
+}
+
+impl fmt::Display for RunFailure {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        for line in &self.history {
+            writeln!(formatter, "{line}")?;
+        }
+        for violation in &self.violations {
+            writeln!(formatter, "{violation}")?;
+        }
+        for expectation in &self.unmet_expectations {
+            writeln!(formatter, "the scenario was missed: {expectation}")?;
+        }
+        write!(
+            formatter,
+            "fingerprint of the run: {:016x}",
+            self.fingerprint
+        )
+    }
+}
+
 pub struct World {
     clock: Rc<Cell<u64>>,
     random: fastrand::Rng,
@@ -199,7 +229,7 @@
     /// Reports kept for the next leader.
     kept_reports: Vec<Request>,
     at_takeover: Vec<(u64, script::Deed)>,
-    pub checker: Checker,
+    checker: Checker,
     /// When what took place, for a scenario to assert that its troubles met.
     marks: BTreeMap<&'static str, Vec<u64>>,
     term: u64,
@@ -221,14 +251,18 @@
 const LOOK_EVERY: u64 = 250;
 /// By then a leader has noticed that a zone is cut off.
 const NOTICED_MS: u64 = 15_000;
+/// A healthy worker has reported by then after a cut.
+const RETURNED_MS: u64 = 8_000;
 
 impl World {
-    pub fn new(site: Site, seed: u64, launcher: Launcher) -> World {
+    pub fn new(script: &Script, seed: u64, launcher: Launcher) -> World {
+        let site = script.site.clone();
         let clock = Rc::new(Cell::new(0));
-        let rules = Rules {
-            cancel_ms: (site.cancel_s * 1000.0) as u64,
-            limits: site.limits(),
+        let bounds = Bounds {
+            cancellation_deadline: clock::duration_from_seconds(site.cancel_s),
+            team_cpu_limits: site.limits(),
         };
+        let faults_end_at = SimTime::from_millis(script.calm_at);
         let mut world = World {
             random: fastrand::Rng::with_seed(seed),
             events: BTreeMap::new(),
@@ -249,7 +283,7 @@
             troubles: Troubles::default(),
             kept_reports: Vec::new(),
             at_takeover: Vec::new(),
-            checker: Checker::new(rules),
+            checker: Checker::new(bounds, faults_end_at),
             marks: BTreeMap::new(),
             term: 0,
             leader: None,
@@ -311,7 +345,8 @@
         };
         let begun = embedder.step(now, away, &mut self.state);
         let (team, cpus) = embedder.uses();
-        self.checker.embedded(now, &team, cpus);
+        let now = SimTime::from_millis(now);
+        self.checker.observe_embedded_work(now, &team, cpus);
         for _ in 0..begun {
             self.mark("embedded");
         }
@@ -327,12 +362,21 @@
             .iter()
             .all(|slot| slot.version == Version::Current)
             && self.launcher.first == Version::Current;
-        let now = self.now();
         for difference in embedder::audit(&self.state, knows) {
-            self.checker.audit_failed(now, difference);
+            self.report(Invariant::QuotaAccounts, difference);
         }
     }
 
+    fn observe(&mut self, observation: Observation) {
+        let now = SimTime::from_millis(self.now());
+        self.checker.observe(now, observation);
+    }
+
+    fn report(&mut self, invariant: Invariant, details: String) {
+        let now = SimTime::from_millis(self.now());
+        self.checker.report(now, invariant, details);
+    }
+
     fn mark(&mut self, what: &'static str) {
         let now = self.now();
         self.marks.entry(what).or_default().push(now);
@@ -352,11 +396,10 @@
     }
 
     /// Plays the script to its end and says what broke, with the history.
-    pub fn play(&mut self, script: &Script) -> Result<(), String> {
+    pub fn play(&mut self, script: &Script) -> Result<(), RunFailure> {
         for (number, (at, _)) in script.lines.iter().enumerate() {
             self.at(*at, Event::Line(number));
         }
-        self.checker.calm_at = script.calm_at;
         self.at_takeover.clone_from(&script.at_takeover);
         while let Some(((time, _), event)) = self.events.pop_first() {
             if time > script.until {
@@ -364,23 +407,42 @@
             }
             self.clock.set(time);
             self.happen(event, script);
-            if !self.checker.broken.is_empty() {
+            if !self.checker.violations().is_empty() {
                 break;
             }
         }
-        if self.checker.broken.is_empty() {
-            self.checker.close(script.until);
-            // GarbageCollected keeps up: what is over leaves nothing but its final state.
-            let left = (self.state.count("run/"), self.state.count("live/"));
-            if left != (0, 0) {
-                let what = format!("{} run records and {} jobs are not swept", left.0, left.1);
-                self.checker.broken.push(what);
+        if self.checker.violations().is_empty() {
+            self.check_end(script);
+        }
+        let failure = RunFailure {
+            violations: self.checker.violations().to_vec(),
+            unmet_expectations: self.unmet_expectations(script),
+            history: self.history[self.history.len().saturating_sub(150)..].to_vec(),
+            fingerprint: self.fingerprint(),
+        };
+        if failure.violations.is_empty() && failure.unmet_expectations.is_empty() {
+            Ok(())
+        } else {
+            Err(failure)
+        }
+    }
+
+    fn check_end(&mut self, script: &Script) {
+        self.checker.check_end(SimTime::from_millis(script.until));
+        for records in ["run/", "live/"] {
+            let left = self.state.count(records);
+            if left > 0 {
+                let details = format!("{left} records under {records} are left");
+                self.report(Invariant::RecordsAreCollected, details);
             }
         }
+    }
+
+    fn unmet_expectations(&self, script: &Script) -> Vec<String> {
+        let mut unmet = Vec::new();
         for mark in &script.never {
             if let Some(times) = self.marks.get(mark.as_str()) {
-                let what = format!("{mark} took place {} times", times.len());
-                self.checker.broken.push(what);
+                unmet.push(format!("{mark} took place {} times", times.len()));
             }
         }
         for (mark, least, from, to) in &script.expected {
@@ -389,21 +451,10 @@
                 times.iter().filter(|t| (*from..=*to).contains(t)).count()
             });
             if seen < *least {
-                self.checker
-                    .broken
-                    .push(format!("the scenario was missed: {mark} {seen} of {least}"));
+                unmet.push(format!("{mark} took place {seen} times, not {least}"));
             }
         }
-        if self.checker.broken.is_empty() {
-            return Ok(());
-        }
-        let from = self.history.len().saturating_sub(150);
-        Err(format!(
-            "{}\n{}\nfingerprint of the run: {:016x}",
-            self.history[from..].join("\n"),
-            self.checker.broken.join("\n"),
-            self.fingerprint()
-        ))
+        unmet
     }
 
     /// The hash of every message that a node has sent or received.
@@ -441,8 +492,8 @@
             }
             Event::Look => {
                 let now = self.now();
-                self.checker.pass(now);
-                if self.checker.at_limit() {
+                self.checker.check_liveness(SimTime::from_millis(now));
+                if self.checker.are_limits_exhausted() {
                     self.mark("at-limit");
                 }
                 self.audit_quota();
@@ -893,6 +944,40 @@
         self.at(when, Event::Reply(from, Ok(response)));
     }
 
+    /// Machines that the leader returns: what it gives up of a zone that is cut off is judged.
+    fn judge_release(&mut self, names: &[String]) {
+        let now = self.now();
+        let (zone, cut_until) = self.troubles.zone_cut.clone();
+        let in_zone = self.workers.values().filter(|worker| worker.zone == zone);
+        let machines: BTreeMap<String, Vec<HeldTask>> = in_zone
+            .map(|worker| (worker.name.clone(), worker.held_tasks()))
+            .collect();
+        let released = names.iter().filter_map(|name| machines.get(name));
+        if (cut_until..cut_until + RETURNED_MS).contains(&now) {
+            let wanted = released
+                .clone()
+                .filter(|held| self.checker.is_wanted_work(held));
+            for _ in 0..wanted.count() {
+                self.mark("given-up-after-return");
+            }
+        }
+        if self.site.tracks_zones && self.is_cut_off(&zone) {
+            for _ in 0..released.count() {
+                self.mark("given-up-in-cut");
+            }
+            let now = SimTime::from_millis(now);
+            self.checker.observe_zone_release(now, names, &machines);
+        }
+    }
+
+    /// Whether nothing keeps that node from leading.
+    fn could_go_on(&self, node: usize) -> bool {
+        let slot = &self.slots[node];
+        let now = self.now();
+        let halted = slot.halted > now;
+        slot.node.is_some() && !halted && !self.is_cut_off(&slot.settings.zone)
+    }
+
     fn rented(&mut self, body: &Value) -> (u16, Value) {
         let request = text(body, "ask");
         if let Some(answer) = self.cloud.asked.get(&request) {
@@ -921,7 +1006,7 @@
         if let Some(mut worker) = self.workers.remove(name) {
             worker.end();
             self.deeds(&mut worker);
-            self.checker.see(now, Fact::MachineGone(name.to_owned()));
+            self.observe(Observation::MachineGone(name.to_owned()));
         }
         self.cloud.remove(name, now);
     }
@@ -932,27 +1017,32 @@
         for deed in std::mem::take(&mut worker.deeds) {
             let host = worker.name.clone();
             let (Deed::Taken(task) | Deed::Begun(task) | Deed::Over(task, _)) = &deed;
-            let Some((job, task)) = users::task_of(task) else {
+            let Some(task) = TaskId::parse(task) else {
                 continue;
             };
             self.note(format!("{host}: {deed:?}"));
-            let fact = match deed {
-                Deed::Taken(_) => Fact::Taken(host, job, task),
-                Deed::Begun(_) => Fact::Begun(host, job, task),
-                Deed::Over(_, done) => Fact::Over {
+            let observation = match deed {
+                Deed::Taken(_) => Observation::TaskAccepted { host, task },
+                Deed::Begun(_) => Observation::TaskStarted { host, task },
+                Deed::Over(_, is_complete) => Observation::TaskEnded {
                     host,
-                    job,
                     task,
-                    done,
+                    is_complete,
                 },
             };
-            let ends = matches!(fact, Fact::Over { done: true, .. });
-            self.checker.see(now, fact);
+            let ends = matches!(
+                observation,
+                Observation::TaskEnded {
+                    is_complete: true,
+                    ..
+                }
+            );
+            self.observe(observation);
             if now < worker.quick_until {
                 self.mark("work-on-a-new-machine");
             }
             if ends {
-                self.task_done(job);
+                self.task_done(task.job);
             }
         }
     }
@@ -983,13 +1073,12 @@
             self.cloud.begin(&worker.name);
             worker.begin(now, (self.site.lease_s * 1000.0) as u64);
             worker.quick_until = now + 3000;
-            let fact = Fact::MachineUp {
+            self.observe(Observation::MachineUp {
                 host: worker.name.clone(),
                 zone: worker.zone.clone(),
-                spot: worker.spot,
+                is_spot: worker.spot,
                 cpus: worker.cpus,
-            };
-            self.checker.see(now, fact);
+            });
         }
         if now < worker.hangs {
             worker.hung = true;
--- a/tests/simulated/runner.rs
+++ b/tests/simulated/runner.rs
@@ -28,7 +28,7 @@
 
     /// A simulation of the scenario, and the script that it is to play.
     pub fn simulation(&self, seed: u64, launcher: Launcher) -> (World, &Script) {
-        let world = World::new(self.script.site.clone(), seed, launcher);
+        let world = World::new(&self.script, seed, launcher);
         (world, &self.script)
     }
 
--- a/tests/simulated/troubles.rs
+++ b/tests/simulated/troubles.rs
@@ -1,6 +1,7 @@
 //! What scenarios bring about: jobs, and the troubles of controllers, machines and other services.
 
-use super::checker::{Asked, Fact, Job};
+use super::checker::{JobSpec, Observation, RequestKind};
+use super::ids::JobId;
 use super::script::{Deed, Ill, Shape, Who};
 use super::users::{body, UserJob};
 use super::{Bucket, Cut, Limits, World};
@@ -97,7 +98,7 @@
             Deed::ZonesApart(for_ms) => self.troubles.zones_apart = now + for_ms,
             Deed::ZoneCut(zone, for_ms) => {
                 let in_zone = self.workers.values().filter(|w| w.zone == zone);
-                self.troubles.displacement.begin(in_zone.count());
+                self.checker.observe_isolation(in_zone.count());
                 self.troubles.zone_cut = (zone, now + for_ms);
                 self.troubles.zone_cut_at = now;
             }
@@ -127,22 +128,22 @@
             fickle,
         };
         self.users.jobs.insert(id, job);
-        let now = self.now();
-        let known = Job {
+        let spec = JobSpec {
             team: shape.team.clone(),
-            tasks: shape.tasks,
-            cpus: shape.cpus,
+            task_count: shape.tasks,
+            cpus_per_task: shape.cpus,
             zone: shape.zone.clone(),
-            one_zone: shape.one_zone,
-            spread: shape.spread,
-            spot: !shape.ordinary,
-            service: shape.service,
-            ends_everywhere: shape.replicas_end_ms.is_some(),
-            odd: odd > 0,
-            urgent: matches!(shape.urgency.as_str(), "high" | "critical"),
+            single_zone: shape.one_zone,
+            spread_over_zones: shape.spread,
+            allows_spot: !shape.ordinary,
+            is_service: shape.service,
+            replicas_keep_ending: shape.replicas_end_ms.is_some(),
+            is_invalid: odd > 0,
+            is_urgent: matches!(shape.urgency.as_str(), "high" | "critical"),
         };
-        self.checker.see(now, Fact::Submitted(id, known));
-        self.user_at(at, id, Asked::Submission, None, true);
+        let job = JobId(id);
+        self.observe(Observation::JobPlanned { job, spec });
+        self.user_at(at, id, RequestKind::Submit, None, true);
     }
 
     /// Jobs that fit no machine or lack a field; repeats of all others; cancellations of those that
@@ -169,10 +170,10 @@
         for id in open {
             let job = &self.users.jobs[&id];
             if !job.odd && job.accepted {
-                self.user_at(now + 10, id, Asked::Submission, None, false);
+                self.user_at(now + 10, id, RequestKind::Submit, None, false);
             }
             if self.users.jobs[&id].over {
-                self.user_at(now + 20, id, Asked::Cancellation, None, false);
+                self.user_at(now + 20, id, RequestKind::Cancel, None, false);
             }
         }
     }
@@ -223,13 +224,13 @@
         let ids: Vec<u64> = open.map(|(id, _)| *id).collect();
         let mut running: Vec<u64> = ids
             .into_iter()
-            .filter(|id| any || self.checker.running(*id) > 0)
+            .filter(|id| any || self.checker.running_task_count(JobId(*id)) > 0)
             .collect();
         self.random.shuffle(&mut running);
         for id in running.into_iter().take(count) {
             let node = self.nodes(through).first().copied();
             let when = now + self.random.u64(0..200);
-            self.user_at(when, id, Asked::Cancellation, node, true);
+            self.user_at(when, id, RequestKind::Cancel, node, true);
             if hang_ms > 0 {
                 let prefix = format!("job-{id:06}/");
                 let holds = |p: &super::worker::Piece| p.task.starts_with(&prefix);
--- a/tests/simulated/users.rs
+++ b/tests/simulated/users.rs
@@ -5,7 +5,9 @@
 use lichencrank::transport::{ListenerKind, Request, Response};
 use std::collections::BTreeMap;
 
-use super::checker::{Asked, Fact, Said};
+use super::checker::{AnsweredRequest, JobAnswer, Observation, RequestKind};
+use super::clock::SimTime;
+use super::ids::{JobId, TaskId};
 use super::script::Shape;
 use super::{Event, Origin, Side, World};
 use lichencrank_testkit::values::{map, text};
@@ -13,7 +15,7 @@
 pub enum Step {
     Ask {
         job: u64,
-        asked: Asked,
+        asked: RequestKind,
         node: Option<usize>,
         /// When it was first asked; `None` for a look that is not repeated.
         first: Option<u64>,
@@ -24,7 +26,7 @@
 
 struct UserRequest {
     job: u64,
-    asked: Asked,
+    asked: RequestKind,
     node: usize,
     sent: u64,
     first: Option<u64>,
@@ -54,17 +56,12 @@
     pub(super) cancel_at_end: (f64, u64),
 }
 
-/// The job and the task of a name such as `job-000001/2`.
-pub fn task_of(name: &str) -> Option<(u64, u32)> {
-    let (job, task) = name.strip_prefix("job-")?.split_once('/')?;
-    Some((job.parse().ok()?, task.parse().ok()?))
-}
-
 impl Users {
     /// What workers learn of a task: its CPUs and run time.
     pub fn lookup(&self, task: &str) -> Option<(f64, u64)> {
-        let (id, index) = task_of(task)?;
-        let job = self.jobs.get(&id).filter(|j| !j.odd && index < j.tasks)?;
+        let TaskId { job, index } = TaskId::parse(task)?;
+        let job = self.jobs.get(&job.0);
+        let job = job.filter(|j| !j.odd && index < j.tasks)?;
         Some((job.cpus, job.run_ms))
     }
 }
@@ -133,7 +130,7 @@
         &mut self,
         time: u64,
         job: u64,
-        asked: Asked,
+        asked: RequestKind,
         node: Option<usize>,
         again: bool,
     ) {
@@ -161,25 +158,25 @@
         fit.get(at).copied()
     }
 
-    fn ask(&mut self, job: u64, asked: Asked, node: Option<usize>, first: Option<u64>) {
+    fn ask(&mut self, job: u64, asked: RequestKind, node: Option<usize>, first: Option<u64>) {
         let now = self.now();
         let some = self.some_node();
         let Some(user_job) = self.users.jobs.get_mut(&job) else {
             return;
         };
         let body = user_job.body.clone();
-        if asked == Asked::Cancellation && !user_job.cancels {
+        if asked == RequestKind::Cancel && !user_job.cancels {
             user_job.cancels = true;
-            self.checker.see(now, Fact::CancelAsked(job));
-            if self.checker.running(job) > 0 {
+            self.observe(Observation::CancellationRequested(JobId(job)));
+            if self.checker.running_task_count(JobId(job)) > 0 {
                 self.mark("running-cancelled");
             }
         }
         let name = format!("job-{job:06}");
         let (method, target, body) = match asked {
-            Asked::Submission => ("POST", "/api/jobs".to_owned(), body),
-            Asked::Poll => ("GET", format!("/api/jobs/{name}"), Vec::new()),
-            Asked::Cancellation => ("POST", format!("/api/jobs/{name}/withdraw"), Vec::new()),
+            RequestKind::Submit => ("POST", "/api/jobs".to_owned(), body),
+            RequestKind::Poll => ("GET", format!("/api/jobs/{name}"), Vec::new()),
+            RequestKind::Cancel => ("POST", format!("/api/jobs/{name}/withdraw"), Vec::new()),
         };
         let request = Request {
             method: method.into(),
@@ -190,7 +187,7 @@
         self.users.next_ask += 1;
         let id = self.users.next_ask;
         let to = node.or(some);
-        let limit = if asked == Asked::Poll {
+        let limit = if asked == RequestKind::Poll {
             POLL_MS
         } else {
             SUBMIT_MS
@@ -226,59 +223,55 @@
         let body: Option<Value> = response.and_then(|r| decode(&r.body).ok());
         let state = body.map_or(String::new(), |b| text(&b, "status"));
         let said = match (status, state.as_str()) {
-            (200 | 201, "queued" | "running") => Said::Open,
-            (200, "done") => Said::Done,
-            (200, "cancelled") => Said::Cancelled,
-            (404, _) => Said::Unknown,
-            (400 | 422, _) => Said::Refused,
-            _ => Said::Nothing,
+            (200 | 201, "queued" | "running") => JobAnswer::Open,
+            (200, "done") => JobAnswer::Done,
+            (200, "cancelled") => JobAnswer::Cancelled,
+            (404, _) => JobAnswer::Unknown,
+            (400 | 422, _) => JobAnswer::Rejected,
+            _ => JobAnswer::Unanswered,
         };
         let (job, asked, node) = (ask.job, ask.asked, ask.node);
-        if said != Said::Nothing || asked != Asked::Poll {
+        if said != JobAnswer::Unanswered || asked != RequestKind::Poll {
             self.note(format!(
                 "job {job}: node {node} to {asked:?}: {status} {state}"
             ));
         }
-        let running = self.checker.running(job);
-        let sent = ask.sent;
-        self.checker.see(
-            now,
-            Fact::Told {
-                job,
-                asked,
-                sent,
-                said,
-            },
-        );
-        if said == Said::Refused {
+        let running = self.checker.running_task_count(JobId(job));
+        self.observe(Observation::RequestAnswered(AnsweredRequest {
+            job: JobId(job),
+            kind: asked,
+            sent_at: SimTime::from_millis(ask.sent),
+            answer: said,
+        }));
+        if said == JobAnswer::Rejected {
             self.mark("refused");
         }
-        if said == Said::Nothing {
+        if said == JobAnswer::Unanswered {
             self.mark("unanswered");
-            if asked == Asked::Cancellation {
+            if asked == RequestKind::Cancel {
                 self.mark("unconfirmed");
             }
         }
         let Some(user_job) = self.users.jobs.get_mut(&job) else {
             return;
         };
-        let accepted = matches!(said, Said::Open | Said::Done | Said::Cancelled);
+        let accepted = said.is_acceptance();
         let newly = accepted && !user_job.accepted;
-        let over = matches!(said, Said::Done | Said::Cancelled) && !user_job.over;
+        let over = said.is_final() && !user_job.over;
         user_job.accepted |= accepted;
         user_job.over |= over;
         let fickle = user_job.fickle && !user_job.cancels;
         let is_over = user_job.over;
         if newly {
             let poll_at = now + self.random.u64(1000..5000);
-            self.user_at(poll_at, job, Asked::Poll, None, true);
+            self.user_at(poll_at, job, RequestKind::Poll, None, true);
             if fickle {
                 let cancel_at = now + self.random.u64(0..8000);
-                self.user_at(cancel_at, job, Asked::Cancellation, None, true);
+                self.user_at(cancel_at, job, RequestKind::Cancel, None, true);
             }
         }
         if over {
-            if said == Said::Cancelled {
+            if said == JobAnswer::Cancelled {
                 self.confirmer = Some(node);
                 self.mark("confirmed");
                 if running > 0 {
@@ -296,15 +289,15 @@
         }
         let Some(first) = ask.first else { return };
         match asked {
-            Asked::Poll => {
+            RequestKind::Poll => {
                 let pause = if is_over { 20_000 } else { 5000 };
                 let next = now + pause + self.random.u64(0..1000);
-                self.user_at(next, job, Asked::Poll, None, true);
+                self.user_at(next, job, RequestKind::Poll, None, true);
             }
-            _ if said != Said::Nothing && said != Said::Unknown => {}
+            _ if said != JobAnswer::Unanswered && said != JobAnswer::Unknown => {}
             // Called off without end, as only that makes it sure.
-            Asked::Submission if now > first + TRY_MS => {}
-            Asked::Submission | Asked::Cancellation => {
+            RequestKind::Submit if now > first + TRY_MS => {}
+            RequestKind::Submit | RequestKind::Cancel => {
                 let step = Step::Ask {
                     job,
                     asked,
@@ -327,23 +320,24 @@
         for node in 0..self.slots.len() {
             for _ in 0..3 {
                 let when = now + 1 + self.random.u64(0..25);
-                self.user_at(when, job, Asked::Poll, Some(node), false);
+                self.user_at(when, job, RequestKind::Poll, Some(node), false);
             }
             let when = now + 1 + self.random.u64(0..25);
-            self.user_at(when, job, Asked::Submission, Some(node), false);
+            self.user_at(when, job, RequestKind::Submit, Some(node), false);
         }
         if self.random.f64() < 0.2 {
             let when = now + self.random.u64(0..20);
-            self.user_at(when, job, Asked::Cancellation, None, true);
+            self.user_at(when, job, RequestKind::Cancel, None, true);
         }
     }
 
-    pub(super) fn task_done(&mut self, job: u64) {
+    pub(super) fn task_done(&mut self, job: JobId) {
         let now = self.now();
         if self.checker.is_service(job) {
             // A replica that ended runs again.
             return self.mark("replica-ended");
         }
+        let job = job.0;
         let Some(user_job) = self.users.jobs.get_mut(&job) else {
             return;
         };
@@ -355,9 +349,9 @@
         if self.chance(self.users.cancel_at_end) {
             self.mark("cancelled-at-its-end");
             let when = now + self.random.u64(0..300);
-            self.user_at(when, job, Asked::Cancellation, None, true);
-            self.user_at(when, job, Asked::Submission, None, false);
-            self.user_at(when + 3, job, Asked::Poll, None, false);
+            self.user_at(when, job, RequestKind::Cancel, None, true);
+            self.user_at(when, job, RequestKind::Submit, None, false);
+            self.user_at(when + 3, job, RequestKind::Poll, None, false);
         }
     }
 }
--- a/tests/simulated/worker.rs
+++ b/tests/simulated/worker.rs
@@ -2,6 +2,8 @@
 
 use ciborium::Value;
 
+use super::checker::HeldTask;
+use super::ids::TaskId;
 use super::CallRef;
 use lichencrank_testkit::values::{list, map, number, text};
 
@@ -122,6 +124,17 @@
         there.map(|p| p.task.as_str())
     }
 
+    /// All tasks that are here, also those that have ended.
+    pub fn held_tasks(&self) -> Vec<HeldTask> {
+        let held = |piece: &Piece| {
+            Some(HeldTask {
+                task: TaskId::parse(&piece.task)?,
+                has_ended: matches!(piece.state, State::Ended { .. }),
+            })
+        };
+        self.pieces.iter().filter_map(held).collect()
+    }
+
     pub fn holds_work(&self) -> bool {
         self.present().next().is_some()
     }
--- a/tests/simulation_checker.rs
+++ b/tests/simulation_checker.rs
@@ -1,252 +1,328 @@
-//! The checker of the simulated world notices each kind of violation, and none in a correct history.
+//! The checker of the simulated world reports each kind of violation, and none in a correct history.
 
 #[allow(
     dead_code,
-    reason = "only the checker of the simulated world is used here"
+    reason = "the cluster test uses the rest of the simulated world"
 )]
 mod simulated;
 
-use simulated::checker::{Asked, Checker, Fact, Job, Rules, Said};
 use std::collections::BTreeMap;
+use std::time::Duration;
 
-/// A checker that knows job 1 (two tasks of 2 CPUs) and machines m1 and m2 in zone a, m3 in b.
-fn judge(change: impl Fn(&mut Job)) -> Checker {
-    let limits = BTreeMap::from([("t1".to_owned(), 4.0)]);
-    let cancel_ms = 40_000;
-    let mut checker = Checker::new(Rules { cancel_ms, limits });
-    let mut job = Job {
-        team: "t1".into(),
-        tasks: 2,
-        cpus: 2.0,
-        zone: None,
-        one_zone: false,
-        spread: false,
-        spot: true,
-        service: false,
-        ends_everywhere: false,
-        odd: false,
-        urgent: false,
-    };
-    change(&mut job);
-    checker.see(0, Fact::Submitted(1, job));
-    for (host, zone) in [("m1", "a"), ("m2", "a"), ("m3", "b")] {
-        let up = Fact::MachineUp {
+use simulated::checker::{
+    AnsweredRequest, Bounds, Checker, Invariant, JobAnswer, JobSpec, Observation, RequestKind,
+};
+use simulated::clock::SimTime;
+use simulated::ids::{JobId, TaskId};
+
+const JOB: JobId = JobId(1);
+const CANCELLATION_DEADLINE: Duration = Duration::from_secs(40);
+const FAULTS_END_MS: u64 = 50_000;
+
+/// A checker with one planned job, machines m1 and m2 in zone a, and m3 in zone b. Times are milliseconds.
+struct History {
+    checker: Checker,
+}
+
+impl History {
+    /// The job has two tasks of 2 CPUs, which is all that its team may use.
+    fn new() -> History {
+        History::with_job(|_| ())
+    }
+
+    fn with_job(change: impl Fn(&mut JobSpec)) -> History {
+        let mut spec = JobSpec {
+            team: "t1".into(),
+            task_count: 2,
+            cpus_per_task: 2.0,
+            zone: None,
+            single_zone: false,
+            spread_over_zones: false,
+            allows_spot: true,
+            is_service: false,
+            replicas_keep_ending: false,
+            is_invalid: false,
+            is_urgent: false,
+        };
+        change(&mut spec);
+        let bounds = Bounds {
+            cancellation_deadline: CANCELLATION_DEADLINE,
+            team_cpu_limits: BTreeMap::from([("t1".to_owned(), 4.0)]),
+        };
+        let mut history = History {
+            checker: Checker::new(bounds, SimTime::from_millis(FAULTS_END_MS)),
+        };
+        history.observe(0, Observation::JobPlanned { job: JOB, spec });
+        for (host, zone) in [("m1", "a"), ("m2", "a"), ("m3", "b")] {
+            let machine_up = Observation::MachineUp {
+                host: host.into(),
+                zone: zone.into(),
+                is_spot: host == "m2",
+                cpus: 8.0,
+            };
+            history.observe(0, machine_up);
+        }
+        history
+    }
+
+    fn observe(&mut self, at: u64, observation: Observation) {
+        let now = SimTime::from_millis(at);
+        self.checker.observe(now, observation);
+    }
+
+    fn request_about(&mut self, job: JobId, at: u64, kind: RequestKind, answer: JobAnswer) {
+        let request = AnsweredRequest {
+            job,
+            kind,
+            sent_at: SimTime::from_millis(at - 1),
+            answer,
+        };
+        self.observe(at, Observation::RequestAnswered(request));
+    }
+
+    fn request(&mut self, at: u64, kind: RequestKind, answer: JobAnswer) {
+        self.request_about(JOB, at, kind, answer);
+    }
+
+    fn accept(&mut self) {
+        self.request(10, RequestKind::Submit, JobAnswer::Open);
+    }
+
+    fn cancel(&mut self) {
+        self.observe(30, Observation::CancellationRequested(JOB));
+        self.request(40, RequestKind::Cancel, JobAnswer::Cancelled);
+    }
+
+    fn start_task(&mut self, at: u64, host: &str, index: u32) {
+        let (host, task) = (host.to_owned(), TaskId { job: JOB, index });
+        let accepted = Observation::TaskAccepted {
+            host: host.clone(),
+            task,
+        };
+        self.observe(at, accepted);
+        self.observe(at, Observation::TaskStarted { host, task });
+    }
+
+    fn end_task(&mut self, at: u64, host: &str, index: u32, is_complete: bool) {
+        let ended = Observation::TaskEnded {
             host: host.into(),
-            zone: zone.into(),
-            spot: host == "m2",
-            cpus: 8.0,
+            task: TaskId { job: JOB, index },
+            is_complete,
         };
-        checker.see(0, up);
+        self.observe(at, ended);
+    }
+
+    /// Polls the job each second, checks liveness half a second later, and expects no violation.
+    #[track_caller]
+    fn poll_without_violation(&mut self, seconds: std::ops::Range<u64>) {
+        for second in seconds {
+            let at = second * 1000;
+            self.request(at + 11, RequestKind::Poll, JobAnswer::Open);
+            self.check_liveness(at + 500);
+        }
+        self.expect_no_violation();
+    }
+
+    fn check_liveness(&mut self, at: u64) {
+        self.checker.check_liveness(SimTime::from_millis(at));
+    }
+
+    fn check_end(&mut self, at: u64) {
+        self.checker.check_end(SimTime::from_millis(at));
+    }
+
+    #[track_caller]
+    fn expect_no_violation(&self) {
+        let violations = self.checker.violations();
+        assert!(violations.is_empty(), "{violations:?}");
+    }
+
+    #[track_caller]
+    fn expect_violation(&self, expected: Invariant) {
+        let violations = self.checker.violations();
+        let invariants: Vec<Invariant> = violations.iter().map(|v| v.invariant).collect();
+        assert_eq!(invariants, [expected], "{violations:?}");
     }
-    checker
 }
 
-fn told(checker: &mut Checker, at: u64, asked: Asked, said: Said) {
-    let (job, sent) = (1, at - 1);
-    checker.see(
-        at,
-        Fact::Told {
-            job,
-            asked,
-            sent,
-            said,
-        },
-    );
+#[test]
+fn a_correct_history_violates_nothing() {
+    let mut history = History::new();
+    history.accept();
+    history.start_task(20, "m1", 0);
+    history.start_task(20, "m3", 1);
+    history.end_task(3000, "m1", 0, false);
+    history.start_task(4000, "m2", 0);
+    history.end_task(9000, "m2", 0, true);
+    history.end_task(9000, "m3", 1, true);
+    history.request(9100, RequestKind::Poll, JobAnswer::Done);
+    history.check_liveness(200_000);
+    history.check_end(200_000);
+    history.expect_no_violation();
 }
 
-fn begun(checker: &mut Checker, at: u64, host: &str, task: u32) {
-    checker.see(at, Fact::Taken(host.into(), 1, task));
-    checker.see(at, Fact::Begun(host.into(), 1, task));
+#[test]
+fn a_task_on_two_machines_is_reported() {
+    let mut history = History::new();
+    history.start_task(20, "m1", 0);
+    history.start_task(30, "m2", 0);
+    history.expect_violation(Invariant::TaskRunsOnce);
 }
 
-fn over(checker: &mut Checker, at: u64, host: &str, task: u32, done: bool) {
-    let (host, job) = (host.into(), 1);
-    checker.see(
-        at,
-        Fact::Over {
-            host,
-            job,
-            task,
-            done,
-        },
-    );
-}
-
-#[track_caller]
-fn objects(checker: &Checker, rule: &str) {
-    let broken: Vec<_> = checker.broken.iter().map(|b| b.split(' ').next()).collect();
-    assert_eq!(broken, [Some(rule)], "{:?}", checker.broken);
-}
-
-#[test]
-fn an_honest_history_breaks_nothing() {
-    let mut checker = judge(|_| ());
-    told(&mut checker, 10, Asked::Submission, Said::Open);
-    begun(&mut checker, 20, "m1", 0);
-    begun(&mut checker, 20, "m3", 1);
-    over(&mut checker, 3000, "m1", 0, false);
-    begun(&mut checker, 4000, "m2", 0);
-    over(&mut checker, 9000, "m2", 0, true);
-    over(&mut checker, 9000, "m3", 1, true);
-    told(&mut checker, 9100, Asked::Poll, Said::Done);
-    checker.pass(200_000);
-    checker.close(200_000);
-    assert!(checker.broken.is_empty(), "{:?}", checker.broken);
-}
-
-#[test]
-fn ran_twice_is_seen() {
-    let mut checker = judge(|_| ());
-    begun(&mut checker, 20, "m1", 0);
-    begun(&mut checker, 30, "m2", 0);
-    objects(&checker, "ran_twice");
-}
-
-#[test]
-fn a_broken_limit_is_seen() {
-    let mut checker = judge(|job| job.cpus = 3.0);
-    begun(&mut checker, 20, "m1", 0);
-    begun(&mut checker, 30, "m2", 1);
-    objects(&checker, "quota");
-}
-
-#[test]
-fn wrong_places_are_seen() {
-    let mut checker = judge(|job| job.zone = Some("b".into()));
-    begun(&mut checker, 20, "m1", 0);
-    objects(&checker, "wrong_place");
-    let mut checker = judge(|job| job.spot = false);
-    begun(&mut checker, 20, "m2", 0);
-    objects(&checker, "wrong_place");
-    let mut checker = judge(|job| job.one_zone = true);
-    begun(&mut checker, 20, "m1", 0);
-    begun(&mut checker, 20, "m3", 1);
-    objects(&checker, "wrong_place");
-    let mut checker = judge(|job| job.spread = true);
-    begun(&mut checker, 20, "m1", 0);
-    begun(&mut checker, 20, "m2", 1);
-    objects(&checker, "wrong_place");
-}
+#[test]
+fn a_team_above_its_limit_is_reported() {
+    let mut history = History::with_job(|job| job.cpus_per_task = 3.0);
+    history.start_task(20, "m1", 0);
+    history.start_task(30, "m2", 1);
+    history.expect_violation(Invariant::TeamLimit);
+}
 
 #[test]
-fn cancelled_work_that_stays_or_starts_is_seen() {
-    let mut checker = judge(|_| ());
-    begun(&mut checker, 20, "m1", 0);
-    checker.see(30, Fact::CancelAsked(1));
-    told(&mut checker, 40, Asked::Cancellation, Said::Cancelled);
-    checker.pass(40_000);
-    assert!(checker.broken.is_empty());
-    checker.pass(40_041);
-    objects(&checker, "ran_cancelled");
-    let mut checker = judge(|_| ());
-    checker.see(30, Fact::CancelAsked(1));
-    told(&mut checker, 40, Asked::Cancellation, Said::Cancelled);
-    begun(&mut checker, 40_041, "m1", 0);
-    objects(&checker, "ran_cancelled");
-}
-
-#[test]
-fn forgotten_jobs_are_seen() {
-    let mut checker = judge(|_| ());
-    told(&mut checker, 10, Asked::Submission, Said::Open);
-    told(&mut checker, 20, Asked::Poll, Said::Unknown);
-    objects(&checker, "forgotten");
-    let mut checker = judge(|_| ());
-    told(&mut checker, 10, Asked::Submission, Said::Open);
-    told(&mut checker, 20, Asked::Submission, Said::Refused);
-    objects(&checker, "forgotten");
-    let mut checker = judge(|_| ());
-    told(&mut checker, 10, Asked::Submission, Said::Open);
-    checker.calm_at = 50_000;
-    begun(&mut checker, 20, "m1", 0);
-    begun(&mut checker, 20, "m2", 1);
-    told(&mut checker, 60_000, Asked::Poll, Said::Nothing);
-    checker.pass(125_000);
-    assert!(checker.broken.is_empty());
-    checker.pass(125_001);
-    objects(&checker, "forgotten");
-}
-
-#[test]
-fn invented_jobs_are_seen() {
-    let mut checker = judge(|_| ());
-    let (job, sent) = (7, 9);
-    let (asked, said) = (Asked::Poll, Said::Open);
-    let told = Fact::Told {
-        job,
-        asked,
-        sent,
-        said,
-    };
-    checker.see(10, told);
-    objects(&checker, "invented");
-}
-
-#[test]
-fn done_before_all_tasks_are_is_seen() {
-    let mut checker = judge(|_| ());
-    told(&mut checker, 10, Asked::Submission, Said::Open);
-    begun(&mut checker, 20, "m1", 0);
-    over(&mut checker, 30, "m1", 0, true);
-    told(&mut checker, 40, Asked::Poll, Said::Done);
-    objects(&checker, "not_done");
+fn a_task_outside_its_zone_is_reported() {
+    let mut history = History::with_job(|job| job.zone = Some("b".into()));
+    history.start_task(20, "m1", 0);
+    history.expect_violation(Invariant::Placement);
 }
 
 #[test]
-fn older_answers_are_seen() {
-    let mut checker = judge(|_| ());
-    checker.see(30, Fact::CancelAsked(1));
-    told(&mut checker, 40, Asked::Cancellation, Said::Cancelled);
-    told(&mut checker, 50, Asked::Poll, Said::Open);
-    objects(&checker, "went_back");
-    let mut checker = judge(|_| ());
-    told(&mut checker, 10, Asked::Submission, Said::Open);
-    told(&mut checker, 40, Asked::Poll, Said::Cancelled);
-    objects(&checker, "went_back");
-}
-
-#[test]
-fn an_odd_job_that_is_accepted_is_seen() {
-    let mut checker = judge(|job| job.odd = true);
-    told(&mut checker, 10, Asked::Submission, Said::Open);
-    objects(&checker, "accepted");
-}
-
-#[test]
-fn a_day_without_a_start_is_seen() {
-    let mut checker = judge(|_| ());
-    checker.close(1000);
-    objects(&checker, "nothing_ran");
-}
-
-#[test]
-fn unfinished_jobs_are_seen() {
-    let mut checker = judge(|_| ());
-    told(&mut checker, 10, Asked::Submission, Said::Open);
-    begun(&mut checker, 20, "m1", 0);
-    checker.close(1000);
-    objects(&checker, "unfinished");
+fn a_task_on_an_unwanted_spot_machine_is_reported() {
+    let mut history = History::with_job(|job| job.allows_spot = false);
+    history.start_task(20, "m2", 0);
+    history.expect_violation(Invariant::Placement);
 }
-
-#[test]
-fn work_that_waits_beside_a_free_machine_is_seen() {
-    let mut checker = judge(|_| ());
-    checker.calm_at = 10_000;
-    told(&mut checker, 10, Asked::Submission, Said::Open);
-    for at in 0..101 {
-        told(&mut checker, at * 1000 + 11, Asked::Poll, Said::Open);
-        checker.pass(at * 1000 + 500);
-    }
-    assert!(checker.broken.is_empty(), "{:?}", checker.broken);
-    checker.pass(101_000);
-    objects(&checker, "neglected");
-    // What is bound to a zone without room may wait.
-    let mut checker = judge(|job| job.zone = Some("c".into()));
-    checker.calm_at = 10_000;
-    told(&mut checker, 10, Asked::Submission, Said::Open);
-    for at in 0..130 {
-        told(&mut checker, at * 1000 + 11, Asked::Poll, Said::Open);
-        checker.pass(at * 1000 + 500);
-    }
-    assert!(checker.broken.is_empty(), "{:?}", checker.broken);
+
+#[test]
+fn a_single_zone_job_in_two_zones_is_reported() {
+    let mut history = History::with_job(|job| job.single_zone = true);
+    history.start_task(20, "m1", 0);
+    history.start_task(20, "m3", 1);
+    history.expect_violation(Invariant::Placement);
+}
+
+#[test]
+fn a_spread_job_in_one_zone_is_reported() {
+    let mut history = History::with_job(|job| job.spread_over_zones = true);
+    history.start_task(20, "m1", 0);
+    history.start_task(20, "m2", 1);
+    history.expect_violation(Invariant::Placement);
+}
+
+#[test]
+fn cancelled_work_that_outlives_its_deadline_is_reported() {
+    let mut history = History::new();
+    history.start_task(20, "m1", 0);
+    history.cancel();
+    history.check_liveness(40_000);
+    history.expect_no_violation();
+    history.check_liveness(40_041);
+    history.expect_violation(Invariant::CancelledWorkEnds);
+}
+
+#[test]
+fn cancelled_work_that_starts_after_its_deadline_is_reported() {
+    let mut history = History::new();
+    history.cancel();
+    history.start_task(40_041, "m1", 0);
+    history.expect_violation(Invariant::CancelledWorkEnds);
+}
+
+#[test]
+fn an_accepted_job_that_is_unknown_later_is_reported() {
+    let mut history = History::new();
+    history.accept();
+    history.request(20, RequestKind::Poll, JobAnswer::Unknown);
+    history.expect_violation(Invariant::AcceptedJobsStayKnown);
+}
+
+#[test]
+fn an_accepted_job_whose_repeated_submission_is_rejected_is_reported() {
+    let mut history = History::new();
+    history.accept();
+    history.request(20, RequestKind::Submit, JobAnswer::Rejected);
+    history.expect_violation(Invariant::AcceptedJobsStayKnown);
+}
+
+#[test]
+fn an_accepted_job_without_an_answer_for_long_is_reported() {
+    let mut history = History::new();
+    history.accept();
+    history.start_task(20, "m1", 0);
+    history.start_task(20, "m2", 1);
+    history.request(60_000, RequestKind::Poll, JobAnswer::Unanswered);
+    history.check_liveness(FAULTS_END_MS + 75_000);
+    history.expect_no_violation();
+    history.check_liveness(FAULTS_END_MS + 75_001);
+    history.expect_violation(Invariant::AcceptedJobsStayKnown);
+}
+
+#[test]
+fn an_answer_about_a_job_that_nobody_submitted_is_reported() {
+    let mut history = History::new();
+    history.request_about(JobId(7), 10, RequestKind::Poll, JobAnswer::Open);
+    history.expect_violation(Invariant::OnlySubmittedJobs);
+}
+
+#[test]
+fn done_before_all_tasks_are_complete_is_reported() {
+    let mut history = History::new();
+    history.accept();
+    history.start_task(20, "m1", 0);
+    history.end_task(30, "m1", 0, true);
+    history.request(40, RequestKind::Poll, JobAnswer::Done);
+    history.expect_violation(Invariant::DoneOnlyWhenComplete);
+}
+
+#[test]
+fn an_answer_older_than_the_last_is_reported() {
+    let mut history = History::new();
+    history.cancel();
+    history.request(50, RequestKind::Poll, JobAnswer::Open);
+    history.expect_violation(Invariant::AnswersNeverRegress);
+}
+
+#[test]
+fn a_cancellation_that_nobody_requested_is_reported() {
+    let mut history = History::new();
+    history.accept();
+    history.request(40, RequestKind::Poll, JobAnswer::Cancelled);
+    history.expect_violation(Invariant::AnswersNeverRegress);
+}
+
+#[test]
+fn an_invalid_job_that_is_accepted_is_reported() {
+    let mut history = History::with_job(|job| job.is_invalid = true);
+    history.accept();
+    history.expect_violation(Invariant::InvalidJobsAreRejected);
+}
+
+#[test]
+fn a_scenario_that_runs_nothing_is_reported() {
+    let mut history = History::new();
+    history.check_end(1000);
+    history.expect_violation(Invariant::SomeWorkRuns);
+}
+
+#[test]
+fn an_unfinished_job_is_reported() {
+    let mut history = History::new();
+    history.accept();
+    history.start_task(20, "m1", 0);
+    history.check_end(1000);
+    history.expect_violation(Invariant::JobsFinish);
+}
+
+#[test]
+fn a_task_that_waits_beside_a_free_machine_is_reported() {
+    let mut history = History::new();
+    history.accept();
+    history.poll_without_violation(0..141);
+    history.check_liveness(141_000);
+    history.expect_violation(Invariant::NoStarvation);
+}
+
+#[test]
+fn a_task_may_wait_for_room_in_its_zone() {
+    let mut history = History::with_job(|job| job.zone = Some("c".into()));
+    history.accept();
+    history.poll_without_violation(0..170);
 }
