--- a/tests/fingerprints.rs
+++ b/tests/fingerprints.rs
@@ -40,14 +40,13 @@
 }
 
 fn fingerprint_line(scenario: &Scenario, seed: u64) -> String {
-    let (mut world, script) = scenario.simulation(seed, Launcher::current());
-    let verdict = if world.play(script).is_ok() {
-        "passed"
-    } else {
-        "FAILED"
+    let mut simulation = scenario.simulation(seed, Launcher::current());
+    let verdict = match simulation.run() {
+        Ok(()) => "passed",
+        Err(_) => "FAILED",
     };
     let name = &scenario.name;
-    format!("{name} {seed} {:016x} {verdict}", world.fingerprint())
+    format!("{name} {seed} {:016x} {verdict}", simulation.fingerprint())
 }
 
 #[test]
--- a/tests/simulated/cloud.rs
+++ b/tests/simulated/cloud.rs
@@ -1,92 +1,131 @@
-//! The cloud's side of the simulated world: what was rented, and the list that lags.
+//! The cloud's side of machines: which are rented, and a list of them that lags.
 
-use ciborium::Value;
 use std::collections::BTreeMap;
+use std::time::Duration;
 
-use super::site::Site;
-use super::worker::Worker;
+use ciborium::Value;
 use lichencrank_testkit::values::map;
 
-pub struct Machine {
-    described: Vec<(&'static str, Value)>,
-    rented_at: u64,
-    pub up_at: u64,
-    pub begun: bool,
-    gone_at: Option<u64>,
+use super::clock::{seconds, SimTime};
+use super::faults::FaultWindow;
+use super::worker::MachineSpec;
+
+/// A machine that is or was rented.
+struct RentedMachine {
+    spec: MachineSpec,
+    rented_at: SimTime,
+    up_at: SimTime,
+    gone_at: Option<SimTime>,
 }
 
+/// The cloud.
 pub struct Cloud {
-    pub machines: BTreeMap<String, Machine>,
-    pub asked: BTreeMap<String, Value>,
-    /// How long machines take to boot, where a case wants it otherwise.
-    pub boot_ms: Option<u64>,
-    lag: u64,
+    machines: BTreeMap<String, RentedMachine>,
+    /// The answers to requests to rent, by the key that makes a repeated one idempotent.
+    rental_answers: BTreeMap<String, Value>,
+    rentable_machines: usize,
+    list_lag: Duration,
+    /// How long machines boot, where a scenario sets it.
+    fixed_boot_time: Option<Duration>,
+    outage: FaultWindow,
 }
 
 impl Cloud {
-    pub fn new(site: &Site) -> Cloud {
+    /// A cloud that rents so many machines in all, and whose list lags.
+    pub fn new(rentable_machines: usize, list_lag: Duration) -> Cloud {
         Cloud {
             machines: BTreeMap::new(),
-            asked: BTreeMap::new(),
-            boot_ms: None,
-            lag: (site.list_lag_s * 1000.0) as u64,
+            rental_answers: BTreeMap::new(),
+            rentable_machines,
+            list_lag,
+            fixed_boot_time: None,
+            outage: FaultWindow::default(),
         }
     }
 
-    pub fn add(&mut self, worker: &Worker, now: u64, up_at: u64) {
-        let described = vec![
-            ("ref", worker.name.as_str().into()),
-            ("address", worker.address.as_str().into()),
-            ("hosttype", worker.kind.as_str().into()),
-            ("hall", worker.zone.as_str().into()),
-            ("loaners", worker.spot.into()),
-        ];
-        let machine = Machine {
-            described,
+    /// All requests are refused while this lasts.
+    pub fn start_outage(&mut self, window: FaultWindow) {
+        self.outage = window;
+    }
+
+    /// Whether all requests are refused now.
+    pub fn is_away(&self, now: SimTime) -> bool {
+        self.outage.is_active(now)
+    }
+
+    /// Machines that are rented from now on boot that fast.
+    pub fn set_boot_time(&mut self, boot_time: Duration) {
+        self.fixed_boot_time = Some(boot_time);
+    }
+
+    /// How long machines boot, if that is set.
+    pub fn fixed_boot_time(&self) -> Option<Duration> {
+        self.fixed_boot_time
+    }
+
+    /// How many machines have been rented so far.
+    pub fn rental_count(&self) -> usize {
+        self.machines.len()
+    }
+
+    /// How many machines may be rented now.
+    pub fn available_machines(&self) -> usize {
+        let machines = self.machines.values();
+        let rented = machines.filter(|machine| machine.gone_at.is_none()).count();
+        self.rentable_machines.saturating_sub(rented)
+    }
+
+    /// The answer that a request to rent with that key got before.
+    pub fn earlier_rental_answer(&self, key: &str) -> Option<&Value> {
+        self.rental_answers.get(key)
+    }
+
+    /// Keeps the answer to a request to rent.
+    pub fn keep_rental_answer(&mut self, key: String, answer: Value) {
+        self.rental_answers.insert(key, answer);
+    }
+
+    /// A machine is rented now.
+    pub fn add(&mut self, spec: MachineSpec, now: SimTime, up_at: SimTime) {
+        let machine = RentedMachine {
+            spec: spec.clone(),
             rented_at: now,
             up_at,
-            begun: false,
             gone_at: None,
         };
-        self.machines.insert(worker.name.clone(), machine);
+        self.machines.insert(spec.host, machine);
     }
 
-    pub fn begin(&mut self, name: &str) {
-        if let Some(machine) = self.machines.get_mut(name) {
-            machine.begun = true;
-        }
-    }
-
-    pub fn remove(&mut self, name: &str, now: u64) {
-        if let Some(machine) = self.machines.get_mut(name) {
+    /// A machine is gone now, unless it is already.
+    pub fn remove(&mut self, host: &str, now: SimTime) {
+        if let Some(machine) = self.machines.get_mut(host) {
             machine.gone_at.get_or_insert(now);
         }
     }
 
-    /// How many machines are rented now.
-    pub fn there(&self) -> usize {
-        let there = |m: &&Machine| m.gone_at.is_none();
-        self.machines.values().filter(there).count()
-    }
-
-    pub fn list(&self, now: u64, target: &str) -> Value {
-        let seen = now.saturating_sub(self.lag);
-        let query = target.split_once('?').map_or("", |(_, q)| q);
-        let after = query.split('&').find_map(|p| p.strip_prefix("after="));
-        let there = self.machines.iter().filter(|(name, m)| {
-            let gone = m.gone_at.is_some_and(|at| at <= seen);
-            m.rented_at <= seen && !gone && after.is_none_or(|a| name.as_str() > a)
-        });
-        let hosts = there.map(|(_, m)| {
-            let up = m.up_at <= seen;
-            let status = if up { "running" } else { "starting" };
-            let mut fields = m.described.clone();
-            fields.push(("status", status.into()));
-            let age = (seen - m.rented_at) as f64 / 1000.0;
-            fields.push(("ageS", age.into()));
-            map(fields)
+    /// The list of machines, as it was some time ago.
+    pub fn list(&self, now: SimTime, target: &str) -> Value {
+        let seen_at = now.saturating_sub(self.list_lag);
+        let query = target.split_once('?').map_or("", |(_, query)| query);
+        let mut parameters = query.split('&');
+        let after = parameters.find_map(|parameter| parameter.strip_prefix("after="));
+        let listed = self.machines.iter().filter(|(host, machine)| {
+            let is_gone = machine.gone_at.is_some_and(|gone_at| gone_at <= seen_at);
+            let is_on_page = after.is_none_or(|after| host.as_str() > after);
+            machine.rented_at <= seen_at && !is_gone && is_on_page
         });
+        let hosts = listed.map(|(_, machine)| list_entry(machine, seen_at));
         let hosts = Value::Array(hosts.collect());
         map(vec![("hosts", hosts), ("truncated", false.into())])
     }
 }
+
+fn list_entry(machine: &RentedMachine, seen_at: SimTime) -> Value {
+    let is_up = machine.up_at <= seen_at;
+    let status = if is_up { "running" } else { "starting" };
+    let age = seen_at.since(machine.rented_at);
+    let mut fields = machine.spec.fields("ref");
+    fields.push(("status", status.into()));
+    fields.push(("ageS", seconds(age).into()));
+    map(fields)
+}
--- /dev/null
+++ b/tests/simulated/deployment.rs
@@ -0,0 +1,243 @@
+//! The deployment that a scenario plays in: controllers, zones, limits and teams.
+
+use std::collections::BTreeMap;
+use std::net::SocketAddr;
+use std::time::Duration;
+
+use ciborium::Value;
+use lichencrank_testkit::values::map;
+use serde_json::json;
+
+use super::checker::Bounds;
+use super::clock::seconds;
+use super::ids::NodeIndex;
+
+/// Where controllers find the key-value store.
+pub const STORE_ADDRESS: &str = "10.2.0.1:2379";
+/// Where controllers find the cloud.
+pub const CLOUD_ADDRESS: &str = "10.2.0.2:8443";
+
+/// A kind of machine that the cloud rents.
+#[derive(Clone, Copy, Debug)]
+pub struct MachineType {
+    /// Its name.
+    pub name: &'static str,
+    /// CPUs for tasks.
+    pub cpus: f64,
+}
+
+/// The only machine type.
+pub const MACHINE_TYPE: MachineType = MachineType {
+    name: "c8",
+    cpus: 8.0,
+};
+
+/// A team of users.
+#[derive(Clone, Debug)]
+pub struct Team {
+    /// Its name.
+    pub name: String,
+    /// The most CPUs that it may use.
+    pub cpu_limit: Option<f64>,
+}
+
+/// What the key-value store takes.
+#[derive(Clone, Copy, Debug)]
+pub struct StoreLimits {
+    /// Requests in a second.
+    pub requests_per_second: f64,
+    /// Changes in a second.
+    pub writes_per_second: f64,
+    /// The largest value, in units of 1024 bytes of JSON.
+    pub value_kilobytes: f64,
+    /// The most changes in a transaction.
+    pub transaction_operations: usize,
+}
+
+/// Limits of the key-value store that come into force during a scenario.
+#[derive(Clone, Copy, Debug)]
+pub struct LoweredStoreLimits {
+    /// The largest value, in units of 1024 bytes of JSON.
+    pub value_kilobytes: f64,
+    /// The most changes in a transaction.
+    pub transaction_operations: usize,
+    /// Changes in a second.
+    pub writes_per_second: f64,
+}
+
+/// Machines that are up when the scenario starts.
+#[derive(Clone, Debug)]
+pub struct InitialMachines {
+    /// How many.
+    pub count: usize,
+    /// Their zone.
+    pub zone: String,
+}
+
+/// The deployment of a scenario.
+#[derive(Clone, Debug)]
+pub struct Deployment {
+    /// How many controllers there are, in the zones by turns.
+    pub controller_count: usize,
+    /// Names of the zones.
+    pub zones: Vec<String>,
+    /// The time from one heartbeat of a worker to the next.
+    pub heartbeat_interval: Duration,
+    /// How long a worker keeps its tasks without an answer to its heartbeats.
+    pub worker_lease: Duration,
+    /// By when the tasks of a cancelled job have to end.
+    pub cancellation_deadline: Duration,
+    /// Limits of the key-value store at the start.
+    pub store_limits: StoreLimits,
+    /// Limits that come into force later; upgraded controllers know of them.
+    pub next_store_limits: Option<LoweredStoreLimits>,
+    /// By how much the cloud's list of machines lags.
+    pub machine_list_lag: Duration,
+    /// How many machines the cloud rents in all.
+    pub rentable_machines: usize,
+    /// About how long a machine boots.
+    pub boot_time: Duration,
+    /// The features file.
+    pub features: String,
+    /// Whether the leader tracks zones.
+    pub tracks_zones: bool,
+    /// The teams that may submit jobs.
+    pub teams: Vec<Team>,
+    /// Machines that are up when the scenario starts.
+    pub initial_machines: Vec<InitialMachines>,
+}
+
+impl Default for Deployment {
+    fn default() -> Deployment {
+        Deployment {
+            controller_count: 3,
+            zones: vec!["a".to_owned()],
+            heartbeat_interval: Duration::from_secs(3),
+            worker_lease: Duration::from_secs(16),
+            cancellation_deadline: Duration::from_secs(41),
+            store_limits: StoreLimits {
+                requests_per_second: 200.0,
+                writes_per_second: 100.0,
+                value_kilobytes: 16.0,
+                transaction_operations: 16,
+            },
+            next_store_limits: None,
+            machine_list_lag: Duration::from_secs(5),
+            rentable_machines: 0,
+            boot_time: Duration::from_secs(20),
+            features: String::new(),
+            tracks_zones: false,
+            teams: Vec::new(),
+            initial_machines: Vec::new(),
+        }
+    }
+}
+
+impl Deployment {
+    /// All controllers.
+    pub fn controllers(&self) -> impl Iterator<Item = NodeIndex> {
+        (0..self.controller_count).map(NodeIndex)
+    }
+
+    /// The zone of a controller.
+    pub fn zone_of(&self, node: NodeIndex) -> &str {
+        &self.zones[node.0 % self.zones.len()]
+    }
+
+    /// The name of a controller.
+    pub fn name_of(&self, node: NodeIndex) -> String {
+        format!("node-{node}")
+    }
+
+    /// Where the other controllers reach a controller.
+    pub fn internal_address(&self, node: NodeIndex) -> SocketAddr {
+        SocketAddr::from((host_of(node), 8081))
+    }
+
+    /// What the checker has to know.
+    pub fn bounds(&self) -> Bounds {
+        let limited = self.teams.iter();
+        let limits = limited.filter_map(|team| Some((team.name.clone(), team.cpu_limit?)));
+        Bounds {
+            cancellation_deadline: self.cancellation_deadline,
+            team_cpu_limits: limits.collect::<BTreeMap<_, _>>(),
+        }
+    }
+
+    /// The cloud's list of machine types.
+    pub fn machine_types(&self) -> Value {
+        let MachineType { name, cpus } = MACHINE_TYPE;
+        let zones = self.zones.iter().map(|zone| zone.as_str().into()).collect();
+        let machine_type = map(vec![
+            ("sku", name.into()),
+            ("cpus", cpus.into()),
+            ("cards", 0.0.into()),
+            ("ramGb", (cpus * 4.0).into()),
+            ("cacheGb", 50.0.into()),
+            ("pullGbPerS", 1.0.into()),
+            ("rate", (cpus * 0.05).into()),
+            ("lowPrice", (cpus * 0.02).into()),
+            ("startupS", seconds(self.boot_time).into()),
+            ("halls", Value::Array(zones)),
+        ]);
+        map(vec![("hosttypes", Value::Array(vec![machine_type]))])
+    }
+
+    /// The settings file of a controller. With `knows_next_limits` it tells of limits to come.
+    pub fn settings_file(&self, node: NodeIndex, knows_next_limits: bool) -> String {
+        let next_limits = self.next_store_limits.filter(|_| knows_next_limits);
+        let next_limits = next_limits.map(|next| {
+            json!({
+                "value_kb": next.value_kilobytes,
+                "txn_ops": next.transaction_operations,
+                "write_rps": next.writes_per_second,
+            })
+        });
+        let others = self.controllers().filter(|other| *other != node);
+        let others: Vec<serde_json::Value> = others
+            .map(|other| {
+                json!({
+                    "host_name": self.name_of(other),
+                    "area": self.zone_of(other),
+                    "addr": self.internal_address(other),
+                })
+            })
+            .collect();
+        let teams = self.teams.iter().map(|team| {
+            let limit = team.cpu_limit.unwrap_or(0.0);
+            json!({"name": team.name, "cpus": limit / 2.0, "cpus_max": limit})
+        });
+        let teams: Vec<serde_json::Value> = teams.collect();
+        let settings = json!({
+            "host_name": self.name_of(node),
+            "area": self.zone_of(node),
+            "front": SocketAddr::from((host_of(node), 8080)),
+            "internal_addr": self.internal_address(node),
+            "others": others,
+            "outside": {"cloud": CLOUD_ADDRESS, "state": STORE_ADDRESS},
+            "settings": {
+                "zones": self.zones,
+                "teams": teams,
+                "workers": {
+                    "report_s": seconds(self.heartbeat_interval),
+                    "lease_s": seconds(self.worker_lease),
+                    "cancel_s": seconds(self.cancellation_deadline),
+                },
+                "state": {
+                    "rps": self.store_limits.requests_per_second,
+                    "write_rps": self.store_limits.writes_per_second,
+                    "value_kb": self.store_limits.value_kilobytes,
+                    "txn_ops": self.store_limits.transaction_operations,
+                    "next": next_limits,
+                },
+                "cloud": {"rps": 20.0, "list_lag_s": seconds(self.machine_list_lag)},
+                "resources": {"sockets": 1000},
+            }
+        });
+        settings.to_string()
+    }
+}
+
+fn host_of(node: NodeIndex) -> [u8; 4] {
+    [10, 0, 0, node.0 as u8 + 1]
+}
--- a/tests/simulated/embedder.rs
+++ b/tests/simulated/embedder.rs
@@ -1,36 +1,46 @@
-//! A program that embeds the quota library beside the simulated controllers, and the audit of what both
-//! have charged together.
+//! A program that embeds the quota library beside the simulated controllers.
 
 use std::time::Duration;
 
-use lichencrank::storage::records::RunRecord;
-use lichencrank_quota::accounts::LEADER;
 use lichencrank_quota::{
-    AdmissionId, AdmissionRequest, Decision, Difference, Holder, HolderConfig, HolderName, Ledger,
-    Priority, RequesterName, TeamName, Usage,
+    AdmissionId, AdmissionRequest, Decision, Holder, HolderConfig, HolderName, Priority,
+    RequesterName, TeamName, Usage,
 };
 use lichencrank_store::codec::{decode, encode};
-use lichencrank_store::{Item, Outcome, StoreLimits, Time, Version};
+use lichencrank_store::{Outcome, StoreLimits, Time};
 use lichencrank_testkit::StateService;
 
-/// What the embedding program asks for, over and over.
+use super::clock::SimTime;
+
+/// What an embedding program asks for, over and over.
 #[derive(Clone, Debug)]
-pub struct Demand {
+pub struct AdmissionDemand {
+    /// The team whose limit it uses.
     pub team: String,
-    pub tasks: u32,
+    /// How many admissions it keeps running or waiting.
+    pub admission_count: usize,
+    /// CPUs of each.
     pub cpus: f64,
-    pub run_ms: u64,
+    /// How long each runs.
+    pub run_time: Duration,
+}
+
+struct RunningAdmission {
+    id: AdmissionId,
+    ends_at: SimTime,
 }
 
+/// An embedding program.
 pub struct Embedder {
     holder: Holder,
-    demand: Demand,
-    next: u32,
-    running: Vec<(u64, AdmissionId)>,
+    demand: AdmissionDemand,
+    next_sequence: u32,
+    running: Vec<RunningAdmission>,
 }
 
 impl Embedder {
-    pub fn new(demand: Demand) -> Embedder {
+    /// A program that starts now.
+    pub fn new(demand: AdmissionDemand) -> Embedder {
         let config = HolderConfig {
             name: HolderName::new("depot-tool"),
             limits: StoreLimits {
@@ -47,99 +57,84 @@
         Embedder {
             holder: Holder::new(config),
             demand,
-            next: 0,
+            next_sequence: 0,
             running: Vec::new(),
         }
     }
 
-    /// Does what is due, and one request to the state service. Returns how many admissions began.
-    pub fn step(&mut self, now: u64, away: bool, state: &mut StateService) -> usize {
-        self.end_work(now);
-        while self.running.len() + self.holder.waiting() < self.demand.tasks as usize {
-            self.ask();
-        }
-        if let Some(request) = self.holder.poll(Time(now)) {
-            let http = request.render();
-            let outcome = if away {
-                Outcome::Refused
-            } else {
-                let body = decode(&http.body).unwrap_or(ciborium::Value::Null);
-                let (status, answer) = state.handle(now, http.method, &http.target, &body);
-                Outcome::read(http.kind, status, &encode(&answer))
-            };
-            self.holder.on_outcome(Time(now), outcome);
-        }
-        let mut begun = 0;
-        for decision in self.holder.take_decisions() {
-            if let Decision::Admitted(id) = decision {
-                self.running.push((now + self.demand.run_ms, id));
-                begun += 1;
-            }
-        }
-        begun
+    /// The team whose limit the program uses.
+    pub fn team(&self) -> &str {
+        &self.demand.team
     }
 
-    /// What its running work takes of its team's limit.
-    pub fn uses(&self) -> (String, f64) {
-        let cpus = self.running.len() as f64 * self.demand.cpus;
-        (self.demand.team.clone(), cpus)
+    /// CPUs of the work that runs.
+    pub fn used_cpus(&self) -> f64 {
+        self.running.len() as f64 * self.demand.cpus
     }
 
-    fn end_work(&mut self, now: u64) {
-        let over = |(ends, _): &(u64, AdmissionId)| *ends <= now;
-        let ended: Vec<AdmissionId> = self
-            .running
-            .iter()
-            .filter(|r| over(r))
-            .map(|r| r.1.clone())
-            .collect();
-        self.running.retain(|r| !over(r));
-        for id in ended {
-            self.holder.release(id);
+    /// Does what is due, with one request to the key-value store at the most; `store` is `None` during an
+    /// outage. Returns how many admissions began.
+    pub fn advance(&mut self, now: SimTime, store: Option<&mut StateService>) -> usize {
+        self.end_work(now);
+        while self.running.len() + self.holder.waiting() < self.demand.admission_count {
+            self.request_admission();
         }
+        self.send_request(now, store);
+        self.start_admitted_work(now)
     }
 
-    fn ask(&mut self) {
+    fn end_work(&mut self, now: SimTime) {
+        let is_over = |admission: &RunningAdmission| admission.ends_at <= now;
+        let (ended, running) = std::mem::take(&mut self.running)
+            .into_iter()
+            .partition(is_over);
+        self.running = running;
+        let ended: Vec<RunningAdmission> = ended;
+        for admission in ended {
+            self.holder.release(admission.id);
+        }
+    }
+
+    fn request_admission(&mut self) {
         let id = AdmissionId {
             team: TeamName::new(&self.demand.team),
             requester: RequesterName::new("depot"),
-            sequence: self.next,
+            sequence: self.next_sequence,
         };
-        self.next += 1;
+        self.next_sequence += 1;
         self.holder.request(AdmissionRequest {
             id,
             usage: Usage::needed(self.demand.cpus, 0.0),
             priority: Priority::Normal,
         });
     }
-}
 
-/// Everything in the records that does not add up. After a leader of a version without the feature the
-/// leader's charges may exceed its allowance until the next one has taken them in.
-pub fn audit(state: &StateService, leader_knows: bool) -> Vec<String> {
-    let mut ledger = Ledger::default();
-    for (key, value) in state.below("quota/") {
-        ledger.take(&Item {
-            key: key.to_owned(),
-            value: value.clone(),
-            version: Version(0),
-        });
-    }
-    for (_, value) in state.below("run/") {
-        let Ok(record) = value.deserialized::<RunRecord>() else {
-            continue;
+    fn send_request(&mut self, now: SimTime, store: Option<&mut StateService>) {
+        let time = Time(now.as_millis());
+        let Some(request) = self.holder.poll(time) else {
+            return;
+        };
+        let http = request.render();
+        let outcome = match store {
+            None => Outcome::Refused,
+            Some(store) => {
+                let body = decode(&http.body).unwrap_or(ciborium::Value::Null);
+                let (status, answer) =
+                    store.handle(now.as_millis(), http.method, &http.target, &body);
+                Outcome::read(http.kind, status, &encode(&answer))
+            }
         };
-        let place = (TeamName::new(&record.team), HolderName::new(LEADER));
-        let booked = record.allocations.len() as u64;
-        let usage = Usage::needed(record.cpus, record.gpus).times(booked);
-        *ledger.self_accounted.entry(place).or_default() += usage;
+        self.holder.on_outcome(time, outcome);
+    }
+
+    fn start_admitted_work(&mut self, now: SimTime) -> usize {
+        let running_before = self.running.len();
+        for decision in self.holder.take_decisions() {
+            if let Decision::Admitted(id) = decision {
+                let ends_at = now + self.demand.run_time;
+                self.running.push(RunningAdmission { id, ends_at });
+            }
+        }
+        self.running.len() - running_before
     }
-    let differences = ledger.audit().into_iter().filter(|difference| {
-        let by_leader = matches!(
-            difference,
-            Difference::OverAllowance { .. } | Difference::OverLimit { .. }
-        );
-        leader_knows || !by_leader
-    });
-    differences.map(|d| d.to_string()).collect()
 }
--- a/tests/simulated/fingerprint.rs
+++ b/tests/simulated/fingerprint.rs
@@ -1,10 +1,14 @@
-//! A fingerprint of a simulated run: a hash over every message that a node sent or received, with its
-//! bytes, the node and the simulated time. Two runs with the same fingerprint behaved alike on the wire.
+//! A fingerprint of a simulated run: a hash over every message that a controller sent or received, with its
+//! bytes, the controller and the simulated time. Two runs with the same fingerprint behaved alike on the
+//! wire.
 
-use lichencrank::transport::{ListenerKind, Request, Response, TransportEvent};
 use std::hash::{DefaultHasher, Hash, Hasher};
 
-use super::network::{Call, Out};
+use lichencrank::transport::{ListenerKind, Request, Response, TransportEvent};
+
+use super::clock::SimTime;
+use super::ids::NodeIndex;
+use super::transport::{Outgoing, OutgoingCall};
 
 /// The running hash. It is comparable between builds by one toolchain, not between toolchains.
 #[derive(Default)]
@@ -18,9 +22,9 @@
         self.hasher.finish()
     }
 
-    /// Takes in a message that arrived at a node.
-    pub fn received(&mut self, now_ms: u64, node: usize, event: &TransportEvent) {
-        ("received", now_ms, node).hash(&mut self.hasher);
+    /// Takes in a message that arrived at a controller.
+    pub fn add_received(&mut self, now: SimTime, node: NodeIndex, event: &TransportEvent) {
+        ("received", now.as_millis(), node.0).hash(&mut self.hasher);
         match event {
             TransportEvent::Request {
                 conn,
@@ -28,40 +32,44 @@
                 request,
             } => {
                 ("request", conn.serial, *listener == ListenerKind::Public).hash(&mut self.hasher);
-                self.request(request);
+                self.add_request(request);
             }
             TransportEvent::Reply { call, result } => {
                 ("reply", call.0).hash(&mut self.hasher);
                 match result {
-                    Ok(response) => self.response(response),
+                    Ok(response) => self.add_response(response),
                     Err(error) => format!("{error:?}").hash(&mut self.hasher),
                 }
             }
         }
     }
 
-    /// Takes in a message that a node sent.
-    pub fn sent(&mut self, now_ms: u64, node: usize, out: &Out) {
-        ("sent", now_ms, node).hash(&mut self.hasher);
-        match out {
-            Out::Respond(conn, response) => {
-                ("response", conn.serial).hash(&mut self.hasher);
-                self.response(response);
+    /// Takes in a message that a controller sent.
+    pub fn add_sent(&mut self, now: SimTime, node: NodeIndex, message: &Outgoing) {
+        ("sent", now.as_millis(), node.0).hash(&mut self.hasher);
+        match message {
+            Outgoing::Response {
+                connection,
+                response,
+            } => {
+                ("response", connection.serial).hash(&mut self.hasher);
+                self.add_response(response);
             }
-            Out::Call(call) => self.call(call),
+            Outgoing::Call(call) => self.add_call(call),
         }
     }
 
-    fn call(&mut self, call: &Call) {
-        ("call", call.id.0, call.to, call.limit).hash(&mut self.hasher);
+    fn add_call(&mut self, call: &OutgoingCall) {
+        let timeout_ms = call.timeout.as_millis() as u64;
+        ("call", call.id.0, call.to, timeout_ms).hash(&mut self.hasher);
         (&call.method, &call.target, &call.body).hash(&mut self.hasher);
     }
 
-    fn request(&mut self, request: &Request) {
+    fn add_request(&mut self, request: &Request) {
         (&request.method, &request.target, &request.body).hash(&mut self.hasher);
     }
 
-    fn response(&mut self, response: &Response) {
+    fn add_response(&mut self, response: &Response) {
         (response.status, response.retry_after, &response.body).hash(&mut self.hasher);
     }
 }
--- a/tests/simulated/ids.rs
+++ b/tests/simulated/ids.rs
@@ -3,6 +3,8 @@
 
 use std::fmt;
 
+use lichencrank::transport::CallId;
+
 /// A job, by the number in its name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct JobId(pub u64);
@@ -37,3 +39,35 @@
         write!(formatter, "{}/{}", self.job, self.index)
     }
 }
+
+/// A controller node, by its position in the deployment, from 0.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub struct NodeIndex(pub usize);
+
+impl fmt::Display for NodeIndex {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(formatter, "{}", self.0)
+    }
+}
+
+/// One process of a controller node. What is meant for an earlier process of the node is not for it.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub struct ProcessId {
+    /// The node that the process runs on.
+    pub node: NodeIndex,
+    /// Counts the processes of the node, from 1.
+    pub generation: u64,
+}
+
+/// A call that a controller process has made.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct CallHandle {
+    /// The caller.
+    pub process: ProcessId,
+    /// The call's number within the process.
+    pub call: CallId,
+}
+
+/// A request of a user.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct RequestId(pub u64);
--- a/tests/simulated/network.rs
+++ b/tests/simulated/network.rs
@@ -1,127 +1,228 @@
-//! The seam between a node and the simulated world.
+//! The simulated network: which messages arrive, and when; which calls and requests are open.
 
-use lichencrank::transport::{CallId, ConnId, Network, Request, Response, SocketUsage};
-use lichencrank::types::Time;
-use std::cell::{Cell, RefCell};
-use std::net::SocketAddr;
-use std::rc::Rc;
+use std::collections::{BTreeSet, HashMap};
 use std::time::Duration;
 
-pub struct Call {
-    pub id: CallId,
-    pub to: SocketAddr,
-    pub method: String,
-    pub target: String,
-    pub body: Vec<u8>,
-    pub limit: u64,
+use super::clock::SimTime;
+use super::context::Context;
+use super::event_queue::Event;
+use super::faults::FaultWindow;
+use super::ids::{CallHandle, NodeIndex, ProcessId, RequestId};
+use super::script::command::LinkKind;
+use super::worker::HeartbeatId;
+
+/// Who waits for the response to a request at a controller.
+#[derive(Clone, Debug)]
+pub enum Requester {
+    /// Another controller.
+    Controller(CallHandle),
+    /// A worker that sent a heartbeat.
+    Worker(HeartbeatId),
+    /// A user.
+    User(RequestId),
+    /// The request is a late copy: nobody waits.
+    Nobody,
 }
 
-impl Call {
-    pub fn request(self) -> Request {
-        Request {
-            method: self.method,
-            target: self.target,
-            body: self.body,
-            close: false,
+/// The other end of a connection of a controller.
+#[derive(Clone, Copy, Debug)]
+pub enum RemoteEnd<'a> {
+    /// The key-value store.
+    Store,
+    /// Another controller.
+    Controller(NodeIndex),
+    /// A worker in that zone.
+    Worker {
+        /// The zone.
+        zone: &'a str,
+    },
+    /// A user.
+    User,
+}
+
+impl RemoteEnd<'_> {
+    fn kind(self) -> LinkKind {
+        match self {
+            RemoteEnd::Store => LinkKind::Store,
+            RemoteEnd::Controller(_) => LinkKind::Controllers,
+            RemoteEnd::Worker { .. } => LinkKind::Workers,
+            RemoteEnd::User => LinkKind::Users,
         }
     }
 }
 
-/// What a node sent.
-pub enum Out {
-    Respond(ConnId, Response),
-    Call(Call),
+/// Some connections of a controller are cut.
+#[derive(Debug)]
+pub struct Partition {
+    /// The controller.
+    pub node: NodeIndex,
+    /// Which connections.
+    pub links: Vec<LinkKind>,
+    /// How long the partition lasts.
+    pub window: FaultWindow,
+    /// Messages arrive when the partition ends; otherwise they are lost.
+    pub holds_messages: bool,
 }
 
-pub struct SimNet {
-    clock: Rc<Cell<u64>>,
-    started: u64,
-    serial: u64,
-    out: Rc<RefCell<Vec<Out>>>,
+impl Partition {
+    fn cuts(&self, now: SimTime, node: NodeIndex, remote: RemoteEnd) -> bool {
+        let is_end = self.node == node
+            || matches!(remote, RemoteEnd::Controller(other) if other == self.node);
+        is_end && self.window.is_active(now) && self.links.contains(&remote.kind())
+    }
 }
 
-impl SimNet {
-    pub fn new(clock: Rc<Cell<u64>>, started: u64, out: Rc<RefCell<Vec<Out>>>) -> SimNet {
-        SimNet {
-            clock,
-            started,
-            serial: 0,
-            out,
-        }
-    }
+/// A zone that reaches nothing outside.
+#[derive(Clone, Debug)]
+pub struct ZoneIsolation {
+    /// The zone.
+    pub zone: String,
+    /// When it began.
+    pub started_at: SimTime,
+    /// How long it lasts.
+    pub window: FaultWindow,
 }
 
-/// What a call says, in terms that no version of the service owns.
-pub struct PlainCall<'a> {
-    pub to: SocketAddr,
-    pub method: &'a str,
-    pub target: &'a str,
-    pub body: &'a [u8],
-    pub limit: Duration,
+/// Calls in flight, open requests, and faults of the network.
+#[derive(Debug)]
+pub struct Network {
+    /// The zone of each controller.
+    controller_zones: Vec<String>,
+    /// Calls whose callers still wait.
+    open_calls: BTreeSet<CallHandle>,
+    /// Who waits for a response, by the process that has the request and the connection's number.
+    open_requests: HashMap<(ProcessId, u64), Requester>,
+    partitions: Vec<Partition>,
+    zone_separation: FaultWindow,
+    /// The last isolation of a zone.
+    isolation: Option<ZoneIsolation>,
 }
 
-/// For processes of any version.
-impl SimNet {
-    /// Milliseconds since the process started.
-    pub fn now_ms(&self) -> u64 {
-        self.clock.get() - self.started
+impl Network {
+    /// A network without faults.
+    pub fn new(controller_zones: Vec<String>) -> Network {
+        Network {
+            controller_zones,
+            open_calls: BTreeSet::new(),
+            open_requests: HashMap::new(),
+            partitions: Vec::new(),
+            zone_separation: FaultWindow::default(),
+            isolation: None,
+        }
     }
 
-    pub fn time_of_day_ms(&self) -> u64 {
-        super::EPOCH_MS + self.clock.get()
+    /// A partition begins.
+    pub fn partition(&mut self, partition: Partition) {
+        self.partitions.push(partition);
     }
 
-    pub fn send_response(&mut self, conn: ConnId, response: Response) {
-        let sent = Out::Respond(conn, response);
-        self.out.borrow_mut().push(sent);
+    /// No zone reaches another while this lasts.
+    pub fn separate_zones(&mut self, window: FaultWindow) {
+        self.zone_separation = window;
     }
 
-    /// Sends a call and gives it a number.
-    pub fn send_call(&mut self, call: &PlainCall) -> u64 {
-        self.serial += 1;
-        self.out.borrow_mut().push(Out::Call(Call {
-            id: CallId(self.serial),
-            to: call.to,
-            method: call.method.to_owned(),
-            target: call.target.to_owned(),
-            body: call.body.to_vec(),
-            limit: call.limit.as_millis() as u64,
-        }));
-        self.serial
+    /// A zone is isolated.
+    pub fn isolate_zone(&mut self, isolation: ZoneIsolation) {
+        self.isolation = Some(isolation);
+    }
+
+    /// The last isolation of a zone, which may be over.
+    pub fn last_isolation(&self) -> Option<&ZoneIsolation> {
+        self.isolation.as_ref()
+    }
+
+    /// The zone of a controller.
+    pub fn zone_of(&self, node: NodeIndex) -> &str {
+        &self.controller_zones[node.0]
+    }
+
+    /// Whether the zone reaches nothing outside now.
+    pub fn is_isolated(&self, now: SimTime, zone: &str) -> bool {
+        let isolation = self.isolation.as_ref();
+        isolation.is_some_and(|isolation| isolation.zone == zone && isolation.window.is_active(now))
+    }
+
+    /// Whether the two zones can't reach each other now.
+    fn are_separated(&self, now: SimTime, one: &str, other: &str) -> bool {
+        let is_cut = self.zone_separation.is_active(now)
+            || self.is_isolated(now, one)
+            || self.is_isolated(now, other);
+        one != other && is_cut
+    }
+
+    fn is_cut_by_zones(&self, now: SimTime, node: NodeIndex, remote: RemoteEnd) -> bool {
+        let zone = self.zone_of(node);
+        match remote {
+            RemoteEnd::Controller(other) => self.are_separated(now, zone, self.zone_of(other)),
+            RemoteEnd::Worker { zone: other } => self.are_separated(now, zone, other),
+            RemoteEnd::Store | RemoteEnd::User => self.is_isolated(now, zone),
+        }
+    }
+
+    /// How long a message between a controller and the other end takes, if it takes `latency` on a network
+    /// without faults. `None` if it is lost.
+    pub fn delay(
+        &self,
+        now: SimTime,
+        node: NodeIndex,
+        remote: RemoteEnd,
+        latency: Duration,
+    ) -> Option<Duration> {
+        if self.is_cut_by_zones(now, node, remote) {
+            return None;
+        }
+        let mut partitions = self.partitions.iter();
+        match partitions.find(|partition| partition.cuts(now, node, remote)) {
+            None => Some(latency),
+            Some(partition) if partition.holds_messages => {
+                Some(partition.window.ends_at().since(now) + latency)
+            }
+            Some(_) => None,
+        }
+    }
+
+    /// Whether messages between a controller and the other end arrive now.
+    pub fn is_connected(&self, now: SimTime, node: NodeIndex, remote: RemoteEnd) -> bool {
+        let delay = self.delay(now, node, remote, Duration::ZERO);
+        delay.is_some()
+    }
+
+    /// Schedules the arrival of a message between a controller and the other end, unless it is lost.
+    pub fn send(
+        &self,
+        context: &mut Context,
+        node: NodeIndex,
+        remote: RemoteEnd,
+        latency: Duration,
+        arrival: Event,
+    ) {
+        if let Some(delay) = self.delay(context.now(), node, remote, latency) {
+            context.schedule_after(delay, arrival);
+        }
     }
-}
 
-impl Network for SimNet {
-    fn now(&self) -> Time {
-        Time(self.now_ms())
+    /// A controller waits for the outcome of a call.
+    pub fn open_call(&mut self, call: CallHandle) {
+        self.open_calls.insert(call);
     }
 
-    fn time_of_day(&self) -> u64 {
-        self.time_of_day_ms()
+    /// The outcome of a call is there. `false` if the caller no longer waits.
+    pub fn close_call(&mut self, call: CallHandle) -> bool {
+        self.open_calls.remove(&call)
     }
 
-    fn respond(&mut self, conn: ConnId, response: &Response) {
-        self.send_response(conn, response.clone());
+    /// A process is gone with the calls that it waited for.
+    pub fn drop_calls_of(&mut self, process: ProcessId) {
+        self.open_calls.retain(|call| call.process != process);
     }
 
-    fn call(
-        &mut self,
-        to: SocketAddr,
-        method: &str,
-        target: &str,
-        body: &[u8],
-        limit: Duration,
-    ) -> CallId {
-        CallId(self.send_call(&PlainCall {
-            to,
-            method,
-            target,
-            body,
-            limit,
-        }))
+    /// A process has received a request.
+    pub fn open_request(&mut self, process: ProcessId, connection: u64, requester: Requester) {
+        self.open_requests.insert((process, connection), requester);
     }
 
-    fn socket_usage(&self) -> SocketUsage {
-        SocketUsage::default()
+    /// A process responds to a request. `None` if it has done so before.
+    pub fn close_request(&mut self, process: ProcessId, connection: u64) -> Option<Requester> {
+        self.open_requests.remove(&(process, connection))
     }
 }
--- /dev/null
+++ b/tests/simulated/quota_audit.rs
@@ -0,0 +1,46 @@
+//! The audit of what controllers and embedding programs have charged to the teams' limits together.
+
+use lichencrank::storage::records::RunRecord;
+use lichencrank_quota::accounts::LEADER;
+use lichencrank_quota::{Difference, HolderName, Ledger, TeamName, Usage};
+use lichencrank_store::{Item, Version};
+use lichencrank_testkit::StateService;
+
+/// Everything in the records that does not add up. After a leader of a version without the feature its charges
+/// may exceed its allowance until the next leader has taken them in: unless `all_know_quota`, that is left
+/// out.
+pub fn differences(store: &StateService, all_know_quota: bool) -> Vec<String> {
+    let differences = ledger(store).audit().into_iter();
+    differences
+        .filter(|difference| all_know_quota || !may_follow_from_earlier_leader(difference))
+        .map(|difference| difference.to_string())
+        .collect()
+}
+
+fn may_follow_from_earlier_leader(difference: &Difference) -> bool {
+    matches!(
+        difference,
+        Difference::OverAllowance { .. } | Difference::OverLimit { .. }
+    )
+}
+
+fn ledger(store: &StateService) -> Ledger {
+    let mut ledger = Ledger::default();
+    for (key, value) in store.below("quota/") {
+        ledger.take(&Item {
+            key: key.to_owned(),
+            value: value.clone(),
+            version: Version(0),
+        });
+    }
+    for (_, value) in store.below("run/") {
+        let Ok(record) = value.deserialized::<RunRecord>() else {
+            continue;
+        };
+        let account = (TeamName::new(&record.team), HolderName::new(LEADER));
+        let allocations = record.allocations.len() as u64;
+        let usage = Usage::needed(record.cpus, record.gpus).times(allocations);
+        *ledger.self_accounted.entry(account).or_default() += usage;
+    }
+    ledger
+}
--- /dev/null
+++ b/tests/simulated/routing.rs
@@ -0,0 +1,258 @@
+//! Messages between controllers and everything else.
+
+use std::time::Duration;
+
+use ciborium::Value;
+use lichencrank::protocol::{decode, encode};
+use lichencrank::transport::{CallError, ConnId, ListenerKind, Request, Response, TransportEvent};
+
+use super::deployment::{CLOUD_ADDRESS, STORE_ADDRESS};
+use super::event_queue::Event;
+use super::ids::{CallHandle, NodeIndex, ProcessId};
+use super::network::{RemoteEnd, Requester};
+use super::simulation::Simulation;
+use super::store::{Delivery, StoreOutcome, StoreResponse, WatchResponse};
+use super::transport::{Outgoing, OutgoingCall};
+use super::worker::MachineSpec;
+
+/// Time that a call to the cloud takes, in milliseconds, beside the latency of the network.
+const CLOUD_CALL_DELAY: Duration = Duration::from_millis(50);
+const CLOUD_CALL_SPREAD_MS: u64 = 100;
+
+/// Running controllers.
+impl Simulation {
+    pub(super) fn start_controller(&mut self, node: NodeIndex) {
+        let messages = self.controllers.start(&mut self.context, node);
+        self.send_all(node, messages);
+    }
+
+    pub(super) fn run_controller_timer(&mut self, process: ProcessId) {
+        let messages = self.controllers.run_timer(&mut self.context, process);
+        self.send_all(process.node, messages);
+    }
+
+    fn run_controller(&mut self, node: NodeIndex, event: TransportEvent) {
+        let messages = self.controllers.run(&mut self.context, node, Some(event));
+        self.send_all(node, messages);
+    }
+
+    fn send_all(&mut self, node: NodeIndex, messages: Vec<Outgoing>) {
+        let process = self.controllers.last_process(node);
+        for message in messages {
+            match message {
+                Outgoing::Response {
+                    connection,
+                    response,
+                } => self.send_response(process, connection, response),
+                Outgoing::Call(call) => self.send_call(process, call),
+            }
+        }
+    }
+}
+
+/// Requests to controllers, and their responses.
+impl Simulation {
+    pub(super) fn deliver_request(
+        &mut self,
+        node: NodeIndex,
+        listener: ListenerKind,
+        requester: Requester,
+        request: Request,
+    ) {
+        if !self.controllers.has_process(node) {
+            if let Requester::Controller(call) = requester {
+                self.deliver_reply(call, Err(CallError::NotSent));
+            }
+            return;
+        }
+        let serial = self.context.next_connection_number();
+        let process = self.controllers.last_process(node);
+        self.network.open_request(process, serial, requester);
+        let event = TransportEvent::Request {
+            conn: ConnId { slot: 0, serial },
+            listener,
+            request,
+        };
+        self.run_controller(node, event);
+    }
+
+    fn send_response(&mut self, process: ProcessId, connection: ConnId, response: Response) {
+        let Some(requester) = self.network.close_request(process, connection.serial) else {
+            return;
+        };
+        let node = process.node;
+        let latency = self.context.network_latency();
+        let (context, network) = (&mut self.context, &self.network);
+        match requester {
+            Requester::Nobody => {}
+            Requester::Controller(call) => {
+                let remote = RemoteEnd::Controller(call.process.node);
+                let result = Ok(response);
+                let arrival = Event::ControllerReply { call, result };
+                network.send(context, node, remote, latency, arrival);
+            }
+            Requester::Worker(heartbeat) => {
+                let Some(zone) = self.fleet.zone_of(&heartbeat.host) else {
+                    return;
+                };
+                let arrival = Event::HeartbeatResponse {
+                    heartbeat,
+                    response,
+                };
+                network.send(context, node, RemoteEnd::Worker { zone }, latency, arrival);
+            }
+            Requester::User(request) => {
+                let arrival = Event::UserResponse { request, response };
+                network.send(context, node, RemoteEnd::User, latency, arrival);
+            }
+        }
+    }
+}
+
+/// Calls of controllers, and their outcomes.
+impl Simulation {
+    fn send_call(&mut self, process: ProcessId, call: OutgoingCall) {
+        let handle = CallHandle {
+            process,
+            call: call.id,
+        };
+        self.network.open_call(handle);
+        let timed_out = Event::ControllerReply {
+            call: handle,
+            result: Err(CallError::Lost),
+        };
+        self.context.schedule_after(call.timeout, timed_out);
+        let latency = self.context.network_latency();
+        let address = call.to.to_string();
+        if address == STORE_ADDRESS {
+            self.call_store(handle, call, latency);
+        } else if address == CLOUD_ADDRESS {
+            self.call_cloud(handle, call, latency);
+        } else if let Some(peer) = self.controllers.find_by_internal_address(call.to) {
+            self.call_controller(handle, call, peer, latency);
+        } else if let Some(machine) = self.fleet.find_by_address(&address) {
+            let machine = machine.clone();
+            self.call_worker(handle, &call, machine, latency);
+        }
+    }
+
+    fn call_store(&mut self, handle: CallHandle, call: OutgoingCall, latency: Duration) {
+        let now = self.context.now();
+        let node = handle.process.node;
+        let Some(delay) = self.network.delay(now, node, RemoteEnd::Store, latency) else {
+            return;
+        };
+        let disturbance = self.store.disturb(&mut self.context, &call);
+        let arrival = Event::StoreRequest {
+            call: handle,
+            request: call,
+            delivery: disturbance.delivery,
+        };
+        self.context
+            .schedule_after(delay + disturbance.delay, arrival);
+    }
+
+    fn call_cloud(&mut self, handle: CallHandle, call: OutgoingCall, latency: Duration) {
+        let zone = self.network.zone_of(handle.process.node);
+        if self.network.is_isolated(self.context.now(), zone) {
+            return;
+        }
+        let spread = self.context.random_millis(0..CLOUD_CALL_SPREAD_MS);
+        let arrival = Event::CloudRequest {
+            call: handle,
+            request: call,
+        };
+        self.context
+            .schedule_after(latency + CLOUD_CALL_DELAY + spread, arrival);
+    }
+
+    fn call_controller(
+        &mut self,
+        handle: CallHandle,
+        call: OutgoingCall,
+        peer: NodeIndex,
+        latency: Duration,
+    ) {
+        let arrival = Event::ControllerRequest {
+            node: peer,
+            listener: ListenerKind::Internal,
+            requester: Requester::Controller(handle),
+            request: call.into_request(),
+        };
+        let remote = RemoteEnd::Controller(peer);
+        let node = handle.process.node;
+        self.network
+            .send(&mut self.context, node, remote, latency, arrival);
+    }
+
+    fn call_worker(
+        &mut self,
+        handle: CallHandle,
+        call: &OutgoingCall,
+        machine: MachineSpec,
+        latency: Duration,
+    ) {
+        let arrival = Event::WorkerCommand {
+            host: machine.host,
+            call: handle,
+            command: decode(&call.body).unwrap_or(Value::Null),
+        };
+        let remote = RemoteEnd::Worker {
+            zone: &machine.zone,
+        };
+        let node = handle.process.node;
+        self.network
+            .send(&mut self.context, node, remote, latency, arrival);
+    }
+
+    pub(super) fn deliver_reply(&mut self, call: CallHandle, result: Result<Response, CallError>) {
+        if !self.network.close_call(call) {
+            return;
+        }
+        let CallHandle { process, call } = call;
+        if self.controllers.last_process(process.node) == process {
+            self.run_controller(process.node, TransportEvent::Reply { call, result });
+        }
+    }
+}
+
+/// The key-value store.
+impl Simulation {
+    pub(super) fn deliver_to_store(
+        &mut self,
+        call: CallHandle,
+        request: OutgoingCall,
+        delivery: Delivery,
+    ) {
+        let context = &mut self.context;
+        let response = match self.store.handle(context, call, request, delivery) {
+            StoreOutcome::Unanswered => return,
+            StoreOutcome::Refused(response) => response,
+            StoreOutcome::Processed(response) => {
+                self.observe_leadership();
+                response
+            }
+        };
+        if delivery == Delivery::Answered {
+            self.send_store_response(call, response);
+        }
+    }
+
+    pub(super) fn answer_watches(&mut self) {
+        let responses = self.store.take_watch_responses(self.context.now());
+        for WatchResponse { call, response } in responses {
+            self.send_store_response(call, response);
+        }
+    }
+
+    fn send_store_response(&mut self, call: CallHandle, response: StoreResponse) {
+        let latency = self.context.network_latency();
+        let node = call.process.node;
+        let arrival = Event::ControllerReply {
+            call,
+            result: Ok(Response::new(response.status, encode(&response.body))),
+        };
+        self.network
+            .send(&mut self.context, node, RemoteEnd::Store, latency, arrival);
+    }
+}
--- a/tests/simulated/runner.rs
+++ b/tests/simulated/runner.rs
@@ -5,7 +5,7 @@
 
 use super::process::Launcher;
 use super::script::Script;
-use super::World;
+use super::simulation::Simulation;
 
 /// A scenario file.
 pub struct Scenario {
@@ -20,23 +20,23 @@
         let path = directory.join(format!("{name}.scenario"));
         let text = std::fs::read_to_string(&path)
             .unwrap_or_else(|error| panic!("{}: {error}", path.display()));
+        let script =
+            Script::parse(&text).unwrap_or_else(|error| panic!("{}: {error}", path.display()));
         Scenario {
             name: name.to_owned(),
-            script: Script::parse(&text),
+            script,
         }
     }
 
-    /// A simulation of the scenario, and the script that it is to play.
-    pub fn simulation(&self, seed: u64, launcher: Launcher) -> (World, &Script) {
-        let world = World::new(&self.script, seed, launcher);
-        (world, &self.script)
+    /// A simulation of the scenario.
+    pub fn simulation(&self, seed: u64, launcher: Launcher) -> Simulation {
+        Simulation::new(&self.script, seed, launcher)
     }
 
     /// Plays the scenario with each seed. Returns one description for each run that failed.
     pub fn failures(&self, seeds: Range<u64>, launcher: Launcher) -> Vec<String> {
         let failure = |seed| {
-            let (mut world, script) = self.simulation(seed, launcher);
-            let error = world.play(script).err()?;
+            let error = self.simulation(seed, launcher).run().err()?;
             Some(format!("{}, seed {seed}:\n{error}", self.name))
         };
         seeds.filter_map(failure).collect()
--- /dev/null
+++ b/tests/simulated/script/error.rs
@@ -0,0 +1,44 @@
+//! What can be wrong with a script.
+
+use std::fmt;
+
+/// A line of a script that has no meaning.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct ScriptError {
+    /// Number of the line, from 1.
+    pub(super) line_number: usize,
+    pub(super) problem: Problem,
+}
+
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub(super) enum Problem {
+    /// The keyword of a line, or of its command, is not known.
+    UnknownKeyword(String),
+    /// An argument is none of the words that may stand in its place.
+    UnknownWord {
+        expected: &'static str,
+        found: String,
+    },
+    MissingArgument {
+        position: usize,
+    },
+    NotANumber(String),
+}
+
+impl fmt::Display for ScriptError {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(formatter, "line {}: ", self.line_number)?;
+        match &self.problem {
+            Problem::UnknownKeyword(word) => write!(formatter, "unknown keyword {word}"),
+            Problem::UnknownWord { expected, found } => {
+                write!(formatter, "{found} is no {expected}")
+            }
+            Problem::MissingArgument { position } => {
+                write!(formatter, "argument {position} is missing")
+            }
+            Problem::NotANumber(word) => write!(formatter, "{word} is no number"),
+        }
+    }
+}
+
+impl std::error::Error for ScriptError {}
--- /dev/null
+++ b/tests/simulated/simulation.rs
@@ -0,0 +1,400 @@
+//! A run of one scenario with one seed: the loop over its events, and the verdict.
+
+use std::fmt;
+use std::time::Duration;
+
+use super::checker::{Checker, Invariant, Violation};
+use super::clock::{SimClock, SimTime};
+use super::context::Context;
+use super::controllers::Controllers;
+use super::deployment::Deployment;
+use super::embedder::Embedder;
+use super::event_queue::{Event, EventQueue};
+use super::fleet::{Fleet, Surroundings};
+use super::history::Mark;
+use super::ids::NodeIndex;
+use super::leadership::Leadership;
+use super::load_balancer;
+use super::network::Network;
+use super::process::{Launcher, Version};
+use super::quota_audit;
+use super::rolling_upgrade::RollingUpgrade;
+use super::script::{Expectation, ScheduledCommand, Script};
+use super::store::KeyValueStore;
+use super::users::{Membership, Users};
+
+/// How often time passes for machines, and for the store; how often the checker looks.
+const MACHINE_STEP: Duration = Duration::from_millis(50);
+const STORE_STEP: Duration = Duration::from_millis(10);
+const LIVENESS_CHECK_INTERVAL: Duration = Duration::from_millis(250);
+/// How much of the history a failure shows.
+const SHOWN_HISTORY_LINES: usize = 150;
+/// Where the store holds the records of work that is not over.
+const RECORDS_OF_OPEN_WORK: [&str; 2] = ["run/", "live/"];
+
+/// A simulation. Each part keeps its own state; what one part does to another goes through here.
+pub struct Simulation {
+    pub(super) context: Context,
+    pub(super) deployment: Deployment,
+    pub(super) controllers: Controllers,
+    pub(super) network: Network,
+    pub(super) store: KeyValueStore,
+    pub(super) fleet: Fleet,
+    pub(super) users: Users,
+    pub(super) embedder: Option<Embedder>,
+    pub(super) leadership: Leadership,
+    pub(super) upgrade: RollingUpgrade,
+    /// Commands that wait for a takeover.
+    pub(super) takeover_commands: Vec<ScheduledCommand>,
+    expectations: Vec<Expectation>,
+    end_at: SimTime,
+}
+
+/// Why a run failed.
+#[derive(Debug)]
+pub struct RunFailure {
+    violations: Vec<Violation>,
+    unmet_expectations: Vec<String>,
+    /// The last lines of the history.
+    history: Vec<String>,
+    fingerprint: u64,
+}
+
+impl fmt::Display for RunFailure {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        for line in &self.history {
+            writeln!(formatter, "{line}")?;
+        }
+        for violation in &self.violations {
+            writeln!(formatter, "{violation}")?;
+        }
+        for expectation in &self.unmet_expectations {
+            writeln!(formatter, "the scenario was missed: {expectation}")?;
+        }
+        write!(
+            formatter,
+            "fingerprint of the run: {:016x}",
+            self.fingerprint
+        )
+    }
+}
+
+impl Simulation {
+    /// A simulation in which the controllers and the first machines of the scenario have started.
+    pub fn new(script: &Script, seed: u64, launcher: Launcher) -> Simulation {
+        let deployment = script.deployment.clone();
+        let clock = SimClock::default();
+        let checker = Checker::new(deployment.bounds(), script.faults_end_at);
+        let zones = deployment
+            .controllers()
+            .map(|node| deployment.zone_of(node));
+        let network = Network::new(zones.map(str::to_owned).collect());
+        let features = deployment.features.clone();
+        let mut simulation = Simulation {
+            context: Context::new(EventQueue::new(clock.clone()), seed, checker),
+            controllers: Controllers::new(launcher, features, clock),
+            network,
+            store: KeyValueStore::new(deployment.store_limits),
+            fleet: Fleet::new(&deployment),
+            users: Users::default(),
+            embedder: None,
+            leadership: Leadership::default(),
+            upgrade: RollingUpgrade::new(launcher.first_version, deployment.controller_count),
+            takeover_commands: script.takeover_commands.clone(),
+            expectations: script.expectations.clone(),
+            end_at: script.end_at,
+            deployment,
+        };
+        simulation.start_deployment();
+        simulation.schedule_commands(&script.commands);
+        simulation
+    }
+
+    fn start_deployment(&mut self) {
+        // One after the other: those that start early can't reach the late ones yet.
+        for node in self.deployment.controllers() {
+            let settings = self.settings_file(node);
+            self.controllers.add(&self.deployment, node, settings);
+            self.start_controller(node);
+        }
+        for machines in &self.deployment.initial_machines {
+            for _ in 0..machines.count {
+                let zone = &machines.zone;
+                self.fleet.add_machine_that_is_up(&mut self.context, zone);
+            }
+        }
+        for event in [
+            Event::AdvanceMachines,
+            Event::AdvanceStore,
+            Event::CheckLiveness,
+        ] {
+            self.context.schedule(SimTime::START, event);
+        }
+    }
+
+    fn schedule_commands(&mut self, commands: &[ScheduledCommand]) {
+        for ScheduledCommand { at, command } in commands {
+            let command = Box::new(command.clone());
+            self.context.schedule(*at, Event::ScriptCommand(command));
+        }
+    }
+
+    /// Plays the scenario to its end, or to the first violation.
+    ///
+    /// # Errors
+    /// The violations and missed expectations, with the history.
+    pub fn run(&mut self) -> Result<(), RunFailure> {
+        while let Some(event) = self.context.next_event(self.end_at) {
+            self.handle(event);
+            if self.has_violations() {
+                break;
+            }
+        }
+        if !self.has_violations() {
+            self.check_end();
+        }
+        self.verdict()
+    }
+
+    /// The hash of every message that a controller has sent or received.
+    pub fn fingerprint(&self) -> u64 {
+        self.controllers.fingerprint()
+    }
+
+    fn has_violations(&self) -> bool {
+        !self.context.checker().violations().is_empty()
+    }
+
+    fn handle(&mut self, event: Event) {
+        match event {
+            Event::ControllerTimer(process) => self.run_controller_timer(process),
+            Event::ControllerRequest {
+                node,
+                listener,
+                requester,
+                request,
+            } => self.deliver_request(node, listener, requester, request),
+            Event::ControllerReply { call, result } => self.deliver_reply(call, result),
+            Event::StoreRequest {
+                call,
+                request,
+                delivery,
+            } => self.deliver_to_store(call, request, delivery),
+            Event::CloudRequest { call, request } => {
+                let (fleet, mut surroundings) = self.fleet_and_surroundings();
+                fleet.handle_cloud_request(&mut surroundings, call, &request);
+            }
+            Event::WorkerCommand {
+                host,
+                call,
+                command,
+            } => {
+                let (fleet, mut surroundings) = self.fleet_and_surroundings();
+                fleet.handle_command(&mut surroundings, &host, call, command);
+            }
+            Event::HeartbeatResponse {
+                heartbeat,
+                response,
+            } => {
+                let (fleet, mut surroundings) = self.fleet_and_surroundings();
+                fleet.handle_heartbeat_response(&mut surroundings, &heartbeat, &response);
+            }
+            Event::UserRequest(planned) => {
+                let Simulation {
+                    context,
+                    controllers,
+                    network,
+                    users,
+                    ..
+                } = self;
+                let balanced = load_balancer::choose_controller(context, controllers, network);
+                users.send(context, network, planned, balanced);
+            }
+            Event::UserResponse { request, response } => {
+                let membership = self.membership();
+                let context = &mut self.context;
+                self.users
+                    .handle_response(context, request, Some(response), membership);
+            }
+            Event::UserTimeout(request) => {
+                let membership = self.membership();
+                let context = &mut self.context;
+                self.users
+                    .handle_response(context, request, None, membership);
+            }
+            Event::AdvanceMachines => self.advance_machines(),
+            Event::AdvanceStore => self.advance_store(),
+            Event::CheckLiveness => self.check_liveness(),
+            Event::ScriptCommand(command) => self.execute(*command),
+            Event::StartController(node) => self.start_controller(node),
+            Event::UpgradeNext(order) => self.upgrade_next(&order),
+            Event::RollBack(node) => self.roll_back(node),
+        }
+    }
+
+    /// The machines, and what they deal with.
+    pub(super) fn fleet_and_surroundings(&mut self) -> (&mut Fleet, Surroundings<'_>) {
+        let surroundings = Surroundings {
+            context: &mut self.context,
+            network: &self.network,
+            controllers: &self.controllers,
+            users: &mut self.users,
+        };
+        (&mut self.fleet, surroundings)
+    }
+
+    fn membership(&self) -> Membership {
+        Membership {
+            controller_count: self.controllers.count(),
+            leader: self.leadership.leader(),
+        }
+    }
+
+    /// The settings file with which a controller's next process starts.
+    pub(super) fn settings_file(&self, node: NodeIndex) -> String {
+        let knows_next_limits = self.upgrade.knows_next_limits(node);
+        self.deployment.settings_file(node, knows_next_limits)
+    }
+
+    fn advance_machines(&mut self) {
+        let (fleet, mut surroundings) = self.fleet_and_surroundings();
+        fleet.advance(&mut surroundings);
+        self.context
+            .schedule_after(MACHINE_STEP, Event::AdvanceMachines);
+    }
+
+    fn advance_store(&mut self) {
+        let now = self.context.now();
+        if self.store.advance(now) {
+            self.observe_leadership();
+            self.answer_watches();
+        }
+        self.advance_embedder();
+        self.context.schedule_after(STORE_STEP, Event::AdvanceStore);
+    }
+
+    fn advance_embedder(&mut self) {
+        let Some(embedder) = &mut self.embedder else {
+            return;
+        };
+        let now = self.context.now();
+        let admitted = embedder.advance(now, self.store.available_service(now));
+        let checker = self.context.checker_mut();
+        checker.observe_embedded_work(now, embedder.team(), embedder.used_cpus());
+        for _ in 0..admitted {
+            self.context.mark(Mark::EmbedderAdmitted);
+        }
+    }
+
+    /// Takes in who leads, by the store's records.
+    pub(super) fn observe_leadership(&mut self) {
+        let record = self.store.leader_record();
+        let change = self.leadership.update(&record, &self.controllers);
+        if change.replaced.is_some_and(|node| self.could_lead_on(node)) {
+            self.context.mark(Mark::NeedlessTakeover);
+        }
+        if change.is_new_term {
+            self.handle_takeover();
+        }
+    }
+
+    /// Whether nothing keeps a node from leading.
+    fn could_lead_on(&self, node: NodeIndex) -> bool {
+        let now = self.context.now();
+        let zone = self.network.zone_of(node);
+        self.controllers.is_running(node, now) && !self.network.is_isolated(now, zone)
+    }
+
+    fn handle_takeover(&mut self) {
+        self.context.mark(Mark::Takeover);
+        let leader = self.leadership.leader();
+        if let Some(leader) = leader {
+            let version = self.controllers.version(leader);
+            if let Some(mark) = self.leadership.note_version(version) {
+                self.context.mark(mark);
+            }
+        }
+        let term = self.leadership.term();
+        self.context
+            .note(format!("term {term}: node {leader:?} leads"));
+        let now = self.context.now();
+        let (due, waiting) = std::mem::take(&mut self.takeover_commands)
+            .into_iter()
+            .partition(|scheduled| scheduled.at <= now);
+        self.takeover_commands = waiting;
+        let due: Vec<ScheduledCommand> = due;
+        for scheduled in due {
+            self.execute(scheduled.command);
+        }
+        self.fleet.send_retained_heartbeats(&mut self.context);
+    }
+
+    fn check_liveness(&mut self) {
+        let now = self.context.now();
+        self.context.checker_mut().check_liveness(now);
+        if self.context.checker().are_limits_exhausted() {
+            self.context.mark(Mark::LimitsExhausted);
+        }
+        self.audit_quota();
+        self.context
+            .schedule_after(LIVENESS_CHECK_INTERVAL, Event::CheckLiveness);
+    }
+
+    /// Judges what the records say of the teams' limits.
+    fn audit_quota(&mut self) {
+        if self.deployment.features.is_empty() {
+            return;
+        }
+        let all_know_quota = self.upgrade.first_version() == Version::Current
+            && self.controllers.all_run(Version::Current);
+        for difference in quota_audit::differences(self.store.service(), all_know_quota) {
+            self.context.report(Invariant::QuotaAccounts, difference);
+        }
+    }
+
+    fn check_end(&mut self) {
+        self.context.checker_mut().check_end(self.end_at);
+        for prefix in RECORDS_OF_OPEN_WORK {
+            let count = self.store.service().count(prefix);
+            if count > 0 {
+                let details = format!("{count} records under {prefix} are left");
+                self.context.report(Invariant::RecordsAreCollected, details);
+            }
+        }
+    }
+
+    fn verdict(&self) -> Result<(), RunFailure> {
+        let violations = self.context.checker().violations().to_vec();
+        let unmet_expectations = self.unmet_expectations();
+        if violations.is_empty() && unmet_expectations.is_empty() {
+            return Ok(());
+        }
+        let history = self.context.history().last_lines(SHOWN_HISTORY_LINES);
+        Err(RunFailure {
+            violations,
+            unmet_expectations,
+            history: history.to_vec(),
+            fingerprint: self.fingerprint(),
+        })
+    }
+
+    fn unmet_expectations(&self) -> Vec<String> {
+        let history = self.context.history();
+        let unmet = |expectation: &Expectation| match *expectation {
+            Expectation::Never(mark) => {
+                let seen = history.count(mark, SimTime::START, SimTime::MAX);
+                (seen > 0).then(|| format!("{mark:?} took place {seen} times"))
+            }
+            Expectation::AtLeast {
+                mark,
+                count,
+                from,
+                to,
+            } => {
+                let seen = history.count(mark, from, to);
+                (seen < count).then(|| format!("{mark:?} took place {seen} times, not {count}"))
+            }
+        };
+        self.expectations.iter().filter_map(unmet).collect()
+    }
+}
--- a/tests/upgrade/tests/rollout.rs
+++ b/tests/upgrade/tests/rollout.rs
@@ -9,7 +9,7 @@
 )]
 mod simulated;
 
-use simulated::process::{launch_current, Launch, Launcher, Process, Start, Version};
+use simulated::process::{launch_current, Launch, Launcher, Process, ProcessConfig, Version};
 use simulated::runner::{scenario_names, seeds_from_environment, start_logging, Scenario};
 use std::ops::Range;
 use std::path::{Path, PathBuf};
@@ -19,7 +19,7 @@
     ($module:ident, $service:ident) => {
         mod $module {
             use super::*;
-            use crate::simulated::network::{PlainCall, SimNet};
+            use crate::simulated::transport::{CallParameters, SimTransport};
             use lichencrank::transport as current;
             use std::net::SocketAddr;
             use std::time::Duration;
@@ -28,11 +28,12 @@
             use $service::transport as earlier;
             use $service::types::Time;
 
-            struct Net(SimNet);
+            /// The network of the earlier version on the transport of the simulation.
+            struct Net(SimTransport);
 
             impl earlier::Network for Net {
                 fn now(&self) -> Time {
-                    Time(self.0.now_ms())
+                    Time(self.0.uptime_ms())
                 }
 
                 fn time_of_day(&self) -> u64 {
@@ -61,12 +62,12 @@
                     body: &[u8],
                     limit: Duration,
                 ) -> earlier::CallId {
-                    earlier::CallId(self.0.send_call(&PlainCall {
+                    earlier::CallId(self.0.send_call(&CallParameters {
                         to,
                         method,
                         target,
                         body,
-                        limit,
+                        timeout: limit,
                     }))
                 }
 
@@ -123,18 +124,18 @@
                     Node::attend(self);
                 }
 
-                fn next_wake(&self) -> u64 {
-                    Node::next_wake(self).0
+                fn next_wakeup(&self) -> Duration {
+                    Duration::from_millis(Node::next_wake(self).0)
                 }
             }
 
-            pub fn launch(start: Start) -> Box<dyn Process> {
-                if start.version == Version::Current {
-                    return launch_current(start);
+            pub fn launch(config: ProcessConfig) -> Box<dyn Process> {
+                if config.version == Version::Current {
+                    return launch_current(config);
                 }
-                let settings = Settings::parse(&start.settings).expect("settings");
-                let net = Net(start.net);
-                let node = Node::new(settings, Tuning::default(), net, start.incarnation);
+                let settings = Settings::parse(&config.settings).expect("settings");
+                let net = Net(config.transport);
+                let node = Node::new(settings, Tuning::default(), net, config.incarnation);
                 Box::new(node)
             }
         }
@@ -176,7 +177,7 @@
     let mut failures = Vec::new();
     for version in versions {
         let launcher = Launcher {
-            first: Version::Earlier,
+            first_version: Version::Earlier,
             launch: version.launch,
         };
         for failure in scenario.failures(seeds.clone(), launcher) {
