--- a/tests/simulated/fleet.rs
+++ b/tests/simulated/fleet.rs
@@ -237,7 +237,7 @@
         };
         let machines: BTreeMap<String, Vec<HeldTask>> = self
             .workers_in(&isolation.zone)
-            .map(|worker| (worker.spec().host.clone(), worker.held_tasks()))
+            .map(|worker| (worker.spec().host.clone(), worker.tasks().held_tasks()))
             .collect();
         let released = || hosts.iter().filter_map(|host| machines.get(host));
         if isolation.window.is_active(now) {
@@ -261,7 +261,7 @@
     fn remove_machine(&mut self, surroundings: &mut Surroundings, host: &str) {
         let now = surroundings.context.now();
         if let Some(mut worker) = self.workers.remove(host) {
-            worker.give_up_all_tasks();
+            worker.shut_down();
             observe_tasks(surroundings, &mut worker);
             let gone = Observation::MachineGone(host.to_owned());
             surroundings.context.observe(gone);
@@ -324,10 +324,7 @@
         if worker.update_pause(now) {
             return;
         }
-        let session = worker.session();
-        let held_work = worker.holds_work();
-        worker.advance(now);
-        if worker.session() > session && held_work {
+        if worker.advance(now) {
             surroundings.context.mark(Mark::WorkerLeaseExpired);
         }
         for QueuedCommand { call, command } in worker.take_queued_commands() {
@@ -336,7 +333,7 @@
         let random = surroundings.context.random().f64();
         let share = LEAST_INTERVAL_SHARE + INTERVAL_SHARE_SPREAD * random;
         let interval = scaled(self.heartbeat_interval, share);
-        if worker.is_heartbeat_due(now, interval) {
+        if worker.heartbeats().is_due(now, interval) {
             self.send_heartbeat(surroundings, worker);
         }
         observe_tasks(surroundings, worker);
@@ -350,21 +347,21 @@
             ..
         } = surroundings;
         let now = context.now();
-        let node = worker.controller(self.controller_count);
+        let node = worker.heartbeats().controller(self.controller_count);
         let status = worker.status(now);
-        let heartbeat = worker.start_heartbeat(now);
+        let heartbeat = worker.send_heartbeat(now);
         let request = Request {
             method: "POST".into(),
             target: "/agent/beat".into(),
             body: encode(&status),
             close: false,
         };
-        if !worker.sends(now) {
+        if !worker.faults().lets_out(now) {
             return;
         }
         self.copy_heartbeat(context, node, &request);
         if !controllers.has_process(node) {
-            worker.try_next_controller(now);
+            worker.heartbeats().try_next_controller(now);
             return;
         }
         let latency = context.network_latency();
@@ -412,8 +409,8 @@
     ) {
         self.with_worker(&heartbeat.host, |fleet, worker| {
             let now = surroundings.context.now();
-            let arrives = worker.receives(now) && !worker.is_paused(now);
-            if !arrives || !worker.awaits(heartbeat) {
+            let arrives = worker.faults().lets_in(now) && !worker.is_paused(now);
+            if !arrives || !worker.heartbeats().awaits(heartbeat) {
                 return;
             }
             worker.advance(now);
@@ -425,7 +422,7 @@
                     worker.accept_heartbeat_response(heartbeat, &body, now, &lookup);
                 }
                 421 => fleet.follow_redirection(surroundings, worker, &text(&body, "foreman")),
-                _ => worker.try_next_controller(now),
+                _ => worker.heartbeats().try_next_controller(now),
             }
             observe_tasks(surroundings, worker);
         });
@@ -440,13 +437,13 @@
     ) {
         let now = surroundings.context.now();
         let named = surroundings.controllers.find_by_name(leader);
-        let present = worker.controller(self.controller_count);
+        let present = worker.heartbeats().controller(self.controller_count);
         match named.filter(|named| *named != present) {
             Some(named) => {
                 let delay = surroundings.context.random_millis(0..500);
-                worker.redirect(named, now + delay);
+                worker.heartbeats().redirect(named, now + delay);
             }
-            None => worker.try_next_controller(now),
+            None => worker.heartbeats().try_next_controller(now),
         }
     }
 
@@ -460,7 +457,7 @@
     ) {
         self.with_worker(host, |_, worker| {
             let now = surroundings.context.now();
-            if !worker.has_booted() || !worker.receives(now) {
+            if !worker.has_booted() || !worker.faults().lets_in(now) {
                 return;
             }
             if worker.is_paused(now) {
@@ -511,7 +508,7 @@
 /// Tells the checker and the users what has happened to tasks.
 fn observe_tasks(surroundings: &mut Surroundings, worker: &mut Worker) {
     let now = surroundings.context.now();
-    for TaskEvent { task, change } in worker.take_events() {
+    for TaskEvent { task, change } in worker.take_task_events() {
         let host = worker.spec().host.clone();
         let Some(task) = TaskId::parse(&task) else {
             continue;
@@ -554,8 +551,8 @@
     /// The machines that hold tasks of a job stand still.
     pub fn pause_machines_of(&mut self, job: JobId, window: FaultWindow) {
         let workers = self.workers.values_mut();
-        for worker in workers.filter(|worker| worker.holds_job(job)) {
-            worker.pause(window);
+        for worker in workers.filter(|worker| worker.tasks().holds_job(job)) {
+            worker.faults_mut().pause = window;
         }
     }
 
@@ -588,16 +585,16 @@
             }
             let window = FaultWindow::until(until);
             match fault {
-                MachineFault::Pause => worker.pause(window),
-                MachineFault::InboundLoss => worker.lose_inbound(window),
-                MachineFault::OutboundLoss => worker.lose_outbound(window),
-                MachineFault::Isolation => worker.isolate(window),
+                MachineFault::Pause => worker.faults_mut().pause = window,
+                MachineFault::InboundLoss => worker.faults_mut().inbound_loss = window,
+                MachineFault::OutboundLoss => worker.faults_mut().outbound_loss = window,
+                MachineFault::Isolation => worker.faults_mut().isolation = window,
                 MachineFault::Crash => self.remove_machine(surroundings, &host),
                 MachineFault::PreemptionNotice => {
                     worker.give_notice(until);
                     surroundings.context.mark(Mark::PreemptionNotice);
                 }
-                MachineFault::FailingTasks => worker.fail_tasks(window),
+                MachineFault::FailingTasks => worker.faults_mut().failing_tasks = window,
             }
         }
     }
