--- a/tests/simulated/commands.rs
+++ b/tests/simulated/commands.rs
@@ -15,7 +15,7 @@
     UpgradeOrder, UserCommand,
 };
 use super::simulation::Simulation;
-use super::users::plan_request;
+use super::users::PlannedRequest;
 
 /// How long a controller is down when its version is replaced.
 const UPGRADE_RESTART_TIME: Duration = Duration::from_secs(2);
@@ -119,7 +119,8 @@
             let node = self.select_nodes(through).first().copied();
             let spread = self.context.random_millis(0..CANCELLATION_SPREAD_MS);
             let at = self.context.now() + spread;
-            plan_request(&mut self.context, at, job, RequestKind::Cancel, node);
+            let context = &mut self.context;
+            PlannedRequest::schedule_through(context, at, job, RequestKind::Cancel, node);
             if machine_pause > Duration::ZERO {
                 let window = self.window(machine_pause);
                 self.fleet.pause_machines_of(job, window);
@@ -304,10 +305,11 @@
                 duration,
             } => {
                 let fault = self.random_fault(*probability, *duration);
-                self.fleet.delay_heartbeats(fault);
+                self.fleet.heartbeat_copies().start_late_copies(fault);
             }
             MachineCommand::RetainHeartbeats { duration } => {
-                self.fleet.retain_heartbeats(self.window(*duration));
+                let window = self.window(*duration);
+                self.fleet.heartbeat_copies().start_retention(window);
             }
             MachineCommand::EndReplicas { probability, end } => {
                 let context = &mut self.context;
--- /dev/null
+++ b/tests/simulated/fleet/messages.rs
@@ -0,0 +1,242 @@
+//! What passes between workers and controllers: time for workers, heartbeats and commands.
+
+use ciborium::Value;
+use lichencrank::protocol::{decode, encode};
+use lichencrank::transport::{ListenerKind, Request, Response};
+use lichencrank_testkit::values::text;
+
+use super::{scaled, Fleet, Surroundings};
+use crate::simulated::checker::Observation;
+use crate::simulated::deployment::MACHINE_TYPE;
+use crate::simulated::event_queue::Event;
+use crate::simulated::history::Mark;
+use crate::simulated::ids::{CallHandle, TaskId};
+use crate::simulated::network::{RemoteEnd, Requester};
+use crate::simulated::worker::{HeartbeatId, QueuedCommand, TaskChange, TaskEvent, Worker};
+
+/// Heartbeats go out after this share of the interval at least, and so much later at random.
+const LEAST_INTERVAL_SHARE: f64 = 0.75;
+const INTERVAL_SHARE_SPREAD: f64 = 0.5;
+/// When a worker reports to a controller that another one has named, in milliseconds.
+const REDIRECTION_DELAY_MS: std::ops::Range<u64> = 0..500;
+
+impl Fleet {
+    /// Time passes for all machines.
+    pub fn advance(&mut self, surroundings: &mut Surroundings) {
+        let now = surroundings.context.now();
+        for host in self.hosts() {
+            if self.workers[&host].is_preempted(now) {
+                surroundings.context.mark(Mark::MachinePreempted);
+                self.remove_machine(surroundings, &host);
+                continue;
+            }
+            self.with_worker(&host, |fleet, worker| {
+                fleet.advance_worker(surroundings, worker);
+            });
+        }
+    }
+
+    pub(super) fn hosts(&self) -> Vec<String> {
+        self.workers.keys().cloned().collect()
+    }
+
+    /// Does something with a worker that is taken out of the fleet meanwhile.
+    fn with_worker(&mut self, host: &str, action: impl FnOnce(&mut Fleet, &mut Worker)) {
+        if let Some(mut worker) = self.workers.remove(host) {
+            action(self, &mut worker);
+            self.workers.insert(host.to_owned(), worker);
+        }
+    }
+
+    fn advance_worker(&mut self, surroundings: &mut Surroundings, worker: &mut Worker) {
+        let now = surroundings.context.now();
+        if now < worker.up_at() {
+            return;
+        }
+        if !worker.has_booted() {
+            worker.boot(now, self.worker_lease);
+            let spec = worker.spec();
+            surroundings.context.observe(Observation::MachineUp {
+                host: spec.host.clone(),
+                zone: spec.zone.clone(),
+                is_spot: spec.is_spot,
+                cpus: MACHINE_TYPE.cpus,
+            });
+        }
+        if worker.update_pause(now) {
+            return;
+        }
+        if worker.advance(now) {
+            surroundings.context.mark(Mark::WorkerLeaseExpired);
+        }
+        for QueuedCommand { call, command } in worker.take_queued_commands() {
+            execute_command(surroundings, worker, call, &command);
+        }
+        let random = surroundings.context.random().f64();
+        let share = LEAST_INTERVAL_SHARE + INTERVAL_SHARE_SPREAD * random;
+        let interval = scaled(self.heartbeat_interval, share);
+        if worker.heartbeats().is_due(now, interval) {
+            self.send_heartbeat(surroundings, worker);
+        }
+        observe_tasks(surroundings, worker);
+    }
+
+    fn send_heartbeat(&mut self, surroundings: &mut Surroundings, worker: &mut Worker) {
+        let Surroundings {
+            context,
+            network,
+            controllers,
+            ..
+        } = surroundings;
+        let now = context.now();
+        let node = worker.heartbeats().controller(self.controller_count);
+        let status = worker.status(now);
+        let heartbeat = worker.send_heartbeat(now);
+        let request = Request {
+            method: "POST".into(),
+            target: "/agent/beat".into(),
+            body: encode(&status),
+            close: false,
+        };
+        if !worker.faults().lets_out(now) {
+            return;
+        }
+        self.heartbeat_copies.copy(context, node, &request);
+        if !controllers.has_process(node) {
+            worker.heartbeats().try_next_controller(now);
+            return;
+        }
+        let latency = context.network_latency();
+        let zone = &worker.spec().zone;
+        let arrival = Event::ControllerRequest {
+            node,
+            listener: ListenerKind::Public,
+            requester: Requester::Worker(heartbeat),
+            request,
+        };
+        network.send(context, node, RemoteEnd::Worker { zone }, latency, arrival);
+    }
+
+    /// The response to a heartbeat arrives.
+    pub fn handle_heartbeat_response(
+        &mut self,
+        surroundings: &mut Surroundings,
+        heartbeat: &HeartbeatId,
+        response: &Response,
+    ) {
+        self.with_worker(&heartbeat.host, |fleet, worker| {
+            let now = surroundings.context.now();
+            let arrives = worker.faults().lets_in(now) && !worker.is_paused(now);
+            if !arrives || !worker.heartbeats().awaits(heartbeat) {
+                return;
+            }
+            worker.advance(now);
+            let body: Value = decode(&response.body).unwrap_or(Value::Null);
+            match response.status {
+                200 => {
+                    let users = &surroundings.users;
+                    let lookup = |task: &str| users.task_profile(task);
+                    worker.accept_heartbeat_response(heartbeat, &body, now, &lookup);
+                }
+                421 => fleet.follow_redirection(surroundings, worker, &text(&body, "foreman")),
+                _ => worker.heartbeats().try_next_controller(now),
+            }
+            observe_tasks(surroundings, worker);
+        });
+    }
+
+    /// A controller says that another one leads.
+    fn follow_redirection(
+        &self,
+        surroundings: &mut Surroundings,
+        worker: &mut Worker,
+        leader: &str,
+    ) {
+        let now = surroundings.context.now();
+        let named = surroundings.controllers.find_by_name(leader);
+        let present = worker.heartbeats().controller(self.controller_count);
+        match named.filter(|named| *named != present) {
+            Some(named) => {
+                let delay = surroundings.context.random_millis(REDIRECTION_DELAY_MS);
+                worker.heartbeats().redirect(named, now + delay);
+            }
+            None => worker.heartbeats().try_next_controller(now),
+        }
+    }
+
+    /// A command of a controller arrives at a worker.
+    pub fn handle_command(
+        &mut self,
+        surroundings: &mut Surroundings,
+        host: &str,
+        call: CallHandle,
+        command: Value,
+    ) {
+        self.with_worker(host, |_, worker| {
+            let now = surroundings.context.now();
+            if !worker.has_booted() || !worker.faults().lets_in(now) {
+                return;
+            }
+            if worker.is_paused(now) {
+                worker.queue_command(QueuedCommand { call, command });
+            } else {
+                worker.advance(now);
+                execute_command(surroundings, worker, call, &command);
+            }
+        });
+    }
+}
+
+fn execute_command(
+    surroundings: &mut Surroundings,
+    worker: &mut Worker,
+    call: CallHandle,
+    command: &Value,
+) {
+    let now = surroundings.context.now();
+    let users = &surroundings.users;
+    let lookup = |task: &str| users.task_profile(task);
+    let is_executed = worker.execute_command(command, now, &lookup);
+    let status = if is_executed { 200 } else { 409 };
+    let response = Response::new(status, encode(&worker.status(now)));
+    observe_tasks(surroundings, worker);
+    let Surroundings {
+        context, network, ..
+    } = surroundings;
+    let latency = context.network_latency();
+    let zone = &worker.spec().zone;
+    let arrival = Event::ControllerReply {
+        call,
+        result: Ok(response),
+    };
+    let node = call.process.node;
+    network.send(context, node, RemoteEnd::Worker { zone }, latency, arrival);
+}
+
+/// Tells the checker and the users what has happened to tasks.
+pub(super) fn observe_tasks(surroundings: &mut Surroundings, worker: &mut Worker) {
+    let now = surroundings.context.now();
+    for TaskEvent { task, change } in worker.take_task_events() {
+        let host = worker.spec().host.clone();
+        let Some(task) = TaskId::parse(&task) else {
+            continue;
+        };
+        let context = &mut *surroundings.context;
+        context.note(format!("{host}: {task} {change:?}"));
+        context.observe(match change {
+            TaskChange::Accepted => Observation::TaskAccepted { host, task },
+            TaskChange::Started => Observation::TaskStarted { host, task },
+            TaskChange::Ended { is_complete } => Observation::TaskEnded {
+                host,
+                task,
+                is_complete,
+            },
+        });
+        if worker.is_new(now) {
+            context.mark(Mark::WorkOnNewMachine);
+        }
+        if change == (TaskChange::Ended { is_complete: true }) {
+            surroundings.users.handle_completed_task(context, task.job);
+        }
+    }
+}
--- a/tests/simulated/mod.rs
+++ b/tests/simulated/mod.rs
@@ -15,7 +15,7 @@
 //! | [`embedder`], [`quota_audit`] | a program beside the controllers that shares their limits |
 //! | [`leadership`], [`rolling_upgrade`] | who leads, who is upgraded |
 //! | [`script`], [`deployment`], [`runner`] | scenario files |
-//! | [`checker`], [`history`], [`fingerprint`] | what a run has to show |
+//! | [`checker`], [`history`], [`verdict`], [`fingerprint`] | what a run has to show |
 
 pub mod checker;
 pub mod clock;
@@ -46,4 +46,5 @@
 mod store;
 pub mod transport;
 mod users;
+mod verdict;
 mod worker;
--- a/tests/simulated/script/error.rs
+++ b/tests/simulated/script/error.rs
@@ -42,3 +42,9 @@
 }
 
 impl std::error::Error for ScriptError {}
+
+/// A word that has no meaning in its place.
+pub(super) fn unknown_word(expected: &'static str, found: &str) -> Problem {
+    let found = found.to_owned();
+    Problem::UnknownWord { expected, found }
+}
--- a/tests/simulated/script/mod.rs
+++ b/tests/simulated/script/mod.rs
@@ -1,7 +1,8 @@
-//! Scenario scripts. `tests/scenarios/README.md` lists their words; [`parser`] maps them to the terms of the
+//! Scenario scripts. `tests/scenarios/README.md` lists their words; [`parser`] and [`command_parser`] map them to the terms of the
 //! simulation.
 
 pub mod command;
+mod command_parser;
 mod error;
 mod lexer;
 mod parser;
--- a/tests/simulated/script/parser.rs
+++ b/tests/simulated/script/parser.rs
@@ -1,27 +1,17 @@
-//! Reads scripts. The words of the scripts are known here and nowhere else.
+//! Reads scripts. Their words are known here and in the parser of commands, and nowhere else.
 
-use std::time::Duration;
-
-use super::command::{
-    CloudFault, Command, ControllerCommand, LinkKind, MachineCommand, MachineFault, NetworkFault,
-    NodeSelector, ReplicaEnd, StoreFault, UpgradeOrder, UserCommand,
-};
-use super::error::{Problem, ScriptError};
+use super::command_parser::command;
+use super::error::{unknown_word, Problem, ScriptError};
 use super::lexer::Line;
 use super::{Expectation, ScheduledCommand, Script};
 use crate::simulated::clock::SimTime;
 use crate::simulated::deployment::{
     Deployment, InitialMachines, LoweredStoreLimits, Team, MACHINE_TYPE,
 };
-use crate::simulated::embedder::AdmissionDemand;
 use crate::simulated::history::Mark;
-use crate::simulated::job_template::JobTemplate;
 
 /// The team of jobs that name none. It is there, without a limit, if a script lists no teams.
-const DEFAULT_TEAM: &str = "t1";
-const DEFAULT_RUN_TIME: Duration = Duration::from_secs(10);
-const DEFAULT_RESTART_AFTER: Duration = Duration::from_secs(3);
-const DEFAULT_UPGRADE_INTERVAL: Duration = Duration::from_secs(10);
+pub(super) const DEFAULT_TEAM: &str = "t1";
 const DEFAULT_NEXT_TRANSACTION_OPERATIONS: usize = 5;
 const DEFAULT_NEXT_WRITES_PER_SECOND: f64 = 20.0;
 
@@ -117,11 +107,6 @@
     Mark::from_name(word).ok_or_else(|| unknown_word("mark", word))
 }
 
-fn unknown_word(expected: &'static str, found: &str) -> Problem {
-    let found = found.to_owned();
-    Problem::UnknownWord { expected, found }
-}
-
 /// `site [KEY VALUE]…`
 fn set_deployment(deployment: &mut Deployment, line: &Line) -> Result<(), Problem> {
     let durations = [
@@ -211,239 +196,3 @@
         command: command(&line.without(2))?,
     })
 }
-
-fn command(line: &Line) -> Result<Command, Problem> {
-    if let Some(command) = user_command(line)? {
-        return Ok(Command::Users(command));
-    }
-    if let Some(command) = controller_command(line)? {
-        return Ok(Command::Controllers(command));
-    }
-    if let Some(fault) = network_fault(line)? {
-        return Ok(Command::Network(fault));
-    }
-    if let Some(fault) = store_fault(line)? {
-        return Ok(Command::Store(fault));
-    }
-    if let Some(fault) = cloud_fault(line)? {
-        return Ok(Command::Cloud(fault));
-    }
-    if let Some(command) = machine_command(line)? {
-        return Ok(Command::Machines(command));
-    }
-    Err(Problem::UnknownKeyword(line.keyword().to_owned()))
-}
-
-/// How long the effect of a command lasts.
-fn duration(line: &Line) -> Result<Duration, Problem> {
-    Ok(line.duration_of("for")?.unwrap_or(Duration::ZERO))
-}
-
-fn user_command(line: &Line) -> Result<Option<UserCommand>, Problem> {
-    let parsed = match line.keyword() {
-        "submit" => UserCommand::Submit {
-            count: line.number_at(1)? as u64,
-            interval: line.duration_of("every")?.unwrap_or(Duration::ZERO),
-            template: job_template(line)?,
-            cancelled_share: line.number_of("cancelled")?.unwrap_or(0.0),
-        },
-        "odd" => UserCommand::SubmitInvalid {
-            count: line.number_at(1)? as u64,
-        },
-        "cancel" => UserCommand::Cancel {
-            count: line.number_at(1)? as usize,
-            through: node_selector(line.value_of("through").unwrap_or("other"))?,
-            include_waiting: line.has("any"),
-            machine_pause: line.duration_of("hang")?.unwrap_or(Duration::ZERO),
-        },
-        "looks" => UserCommand::PollInBursts {
-            duration: duration(line)?,
-        },
-        "cancel-at-end" => UserCommand::CancelAtCompletion {
-            probability: line.number_at(1)?,
-            duration: duration(line)?,
-        },
-        "embed" => UserCommand::StartEmbedder(AdmissionDemand {
-            admission_count: line.number_at(1)? as usize,
-            cpus: line.number_of("cpus")?.unwrap_or(1.0),
-            run_time: line.duration_of("run")?.unwrap_or(DEFAULT_RUN_TIME),
-            team: line.value_of("team").unwrap_or(DEFAULT_TEAM).to_owned(),
-        }),
-        _ => return Ok(None),
-    };
-    Ok(Some(parsed))
-}
-
-fn job_template(line: &Line) -> Result<JobTemplate, Problem> {
-    Ok(JobTemplate {
-        team: line.value_of("team").unwrap_or(DEFAULT_TEAM).to_owned(),
-        priority: line.value_of("urgency").unwrap_or("normal").to_owned(),
-        task_count: line.number_of("tasks")?.unwrap_or(1.0) as u32,
-        cpus_per_task: line.number_of("cpus")?.unwrap_or(1.0),
-        run_time: line.duration_of("run")?.unwrap_or(DEFAULT_RUN_TIME),
-        zone: line.value_of("zone").map(str::to_owned),
-        single_zone: line.has("together"),
-        spread_over_zones: line.has("apart"),
-        allows_spot: !line.has("ordinary"),
-        is_service: line.has("service"),
-        replica_run_time: line.duration_of("ends")?,
-    })
-}
-
-fn controller_command(line: &Line) -> Result<Option<ControllerCommand>, Problem> {
-    let interval = || -> Result<Duration, Problem> {
-        let interval = line.duration_of("every")?;
-        Ok(interval.unwrap_or(DEFAULT_UPGRADE_INTERVAL))
-    };
-    let parsed = match line.keyword() {
-        "kill" => ControllerCommand::Kill {
-            nodes: node_selector(line.argument(1)?)?,
-            restart_after: line.duration_of("back")?.unwrap_or(DEFAULT_RESTART_AFTER),
-        },
-        "halt" => ControllerCommand::Pause {
-            nodes: node_selector(line.argument(1)?)?,
-            duration: duration(line)?,
-        },
-        "upgrade" => ControllerCommand::Upgrade {
-            interval: interval()?,
-            order: upgrade_order(line),
-        },
-        "roll-back" => ControllerCommand::RollBack {
-            interval: interval()?,
-        },
-        _ => return Ok(None),
-    };
-    Ok(Some(parsed))
-}
-
-fn upgrade_order(line: &Line) -> UpgradeOrder {
-    if line.has("leader-first") {
-        UpgradeOrder::LeaderFirst
-    } else if line.has("leader-last") {
-        UpgradeOrder::LeaderLast
-    } else if let Some(zone) = line.value_of("zone-first") {
-        UpgradeOrder::ZoneFirst(zone.to_owned())
-    } else {
-        UpgradeOrder::ByPosition
-    }
-}
-
-fn network_fault(line: &Line) -> Result<Option<NetworkFault>, Problem> {
-    let duration = duration(line)?;
-    let parsed = match line.keyword() {
-        "cut" => NetworkFault::Partition {
-            nodes: node_selector(line.argument(1)?)?,
-            links: line
-                .words_after("from")
-                .iter()
-                .map(|word| link_kind(word))
-                .collect::<Result<_, _>>()?,
-            duration,
-            holds_messages: line.has("held"),
-        },
-        "zones-apart" => NetworkFault::SeparateZones { duration },
-        "cut-zone" => NetworkFault::IsolateZone {
-            zone: line.argument(1)?.to_owned(),
-            duration,
-        },
-        _ => return Ok(None),
-    };
-    Ok(Some(parsed))
-}
-
-fn link_kind(word: &str) -> Result<LinkKind, Problem> {
-    match word {
-        "state" => Ok(LinkKind::Store),
-        "peers" => Ok(LinkKind::Controllers),
-        "workers" => Ok(LinkKind::Workers),
-        "users" => Ok(LinkKind::Users),
-        other => Err(unknown_word("kind of link", other)),
-    }
-}
-
-fn store_fault(line: &Line) -> Result<Option<StoreFault>, Problem> {
-    let duration = duration(line)?;
-    let parsed = match line.keyword() {
-        "refuse" => StoreFault::RefuseRequests {
-            nodes: node_selector(line.argument(1)?)?,
-            duration,
-        },
-        "outage" => StoreFault::Outage { duration },
-        "slow" => StoreFault::SlowRequests {
-            max_delay: line.duration_at(1)?,
-            duration,
-        },
-        "lost-answers" => StoreFault::LostAnswers {
-            probability: line.number_at(1)?,
-            duration,
-        },
-        "late-writes" => StoreFault::LateWrites {
-            probability: line.number_at(1)?,
-            duration,
-        },
-        "limits-fall" => StoreFault::LowerLimits,
-        _ => return Ok(None),
-    };
-    Ok(Some(parsed))
-}
-
-fn cloud_fault(line: &Line) -> Result<Option<CloudFault>, Problem> {
-    let parsed = match line.keyword() {
-        "cloud-outage" => CloudFault::Outage {
-            duration: duration(line)?,
-        },
-        "boot" => CloudFault::SetBootTime(line.duration_at(1)?),
-        _ => return Ok(None),
-    };
-    Ok(Some(parsed))
-}
-
-fn machine_command(line: &Line) -> Result<Option<MachineCommand>, Problem> {
-    let duration = duration(line)?;
-    let parsed = match line.keyword() {
-        "machines" => MachineCommand::Fault {
-            fault: machine_fault(line.argument(1)?)?,
-            probability: line.number_of("share")?.unwrap_or(1.0),
-            zone: line.value_of("zone").map(str::to_owned),
-            duration,
-        },
-        "late-reports" => MachineCommand::LateHeartbeats {
-            probability: line.number_at(1)?,
-            duration,
-        },
-        "keep-reports" => MachineCommand::RetainHeartbeats { duration },
-        "end-replicas" => MachineCommand::EndReplicas {
-            probability: line.number_at(1)?,
-            end: match line.has("error") {
-                true => ReplicaEnd::Failed,
-                false => ReplicaEnd::Completed,
-            },
-        },
-        _ => return Ok(None),
-    };
-    Ok(Some(parsed))
-}
-
-fn machine_fault(word: &str) -> Result<MachineFault, Problem> {
-    match word {
-        "hang" => Ok(MachineFault::Pause),
-        "deaf" => Ok(MachineFault::InboundLoss),
-        "mute" => Ok(MachineFault::OutboundLoss),
-        "cut" => Ok(MachineFault::Isolation),
-        "die" => Ok(MachineFault::Crash),
-        "notice" => Ok(MachineFault::PreemptionNotice),
-        "sick" => Ok(MachineFault::FailingTasks),
-        other => Err(unknown_word("fault of machines", other)),
-    }
-}
-
-fn node_selector(word: &str) -> Result<NodeSelector, Problem> {
-    match word {
-        "leader" => Ok(NodeSelector::Leader),
-        "other" => Ok(NodeSelector::OneFollower),
-        "others" => Ok(NodeSelector::AllFollowers),
-        "confirmer" => Ok(NodeSelector::LastConfirmer),
-        "all" => Ok(NodeSelector::All),
-        other => Err(unknown_word("choice of nodes", other)),
-    }
-}
--- a/tests/simulated/simulation.rs
+++ b/tests/simulated/simulation.rs
@@ -1,9 +1,8 @@
-//! A run of one scenario with one seed: the loop over its events, and the verdict.
+//! A run of one scenario with one seed: the parts of the simulation, and the loop over its events.
 
-use std::fmt;
 use std::time::Duration;
 
-use super::checker::{Checker, Invariant, Violation};
+use super::checker::{Checker, Invariant};
 use super::clock::{SimClock, SimTime};
 use super::context::Context;
 use super::controllers::Controllers;
@@ -22,15 +21,12 @@
 use super::script::{Expectation, ScheduledCommand, Script};
 use super::store::KeyValueStore;
 use super::users::{Membership, Users};
+use super::verdict::RunFailure;
 
 /// How often time passes for machines, and for the store; how often the checker looks.
 const MACHINE_STEP: Duration = Duration::from_millis(50);
 const STORE_STEP: Duration = Duration::from_millis(10);
 const LIVENESS_CHECK_INTERVAL: Duration = Duration::from_millis(250);
-/// How much of the history a failure shows.
-const SHOWN_HISTORY_LINES: usize = 150;
-/// Where the store holds the records of work that is not over.
-const RECORDS_OF_OPEN_WORK: [&str; 2] = ["run/", "live/"];
 
 /// A simulation. Each part keeps its own state; what one part does to another goes through here.
 pub struct Simulation {
@@ -46,37 +42,8 @@
     pub(super) upgrade: RollingUpgrade,
     /// Commands that wait for a takeover.
     pub(super) takeover_commands: Vec<ScheduledCommand>,
-    expectations: Vec<Expectation>,
-    end_at: SimTime,
-}
-
-/// Why a run failed.
-#[derive(Debug)]
-pub struct RunFailure {
-    violations: Vec<Violation>,
-    unmet_expectations: Vec<String>,
-    /// The last lines of the history.
-    history: Vec<String>,
-    fingerprint: u64,
-}
-
-impl fmt::Display for RunFailure {
-    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        for line in &self.history {
-            writeln!(formatter, "{line}")?;
-        }
-        for violation in &self.violations {
-            writeln!(formatter, "{violation}")?;
-        }
-        for expectation in &self.unmet_expectations {
-            writeln!(formatter, "the scenario was missed: {expectation}")?;
-        }
-        write!(
-            formatter,
-            "fingerprint of the run: {:016x}",
-            self.fingerprint
-        )
-    }
+    pub(super) expectations: Vec<Expectation>,
+    pub(super) end_at: SimTime,
 }
 
 impl Simulation {
@@ -326,7 +293,9 @@
         for scheduled in due {
             self.execute(scheduled.command);
         }
-        self.fleet.send_retained_heartbeats(&mut self.context);
+        let controller_count = self.controllers.count();
+        let copies = self.fleet.heartbeat_copies();
+        copies.send_retained(&mut self.context, controller_count);
     }
 
     fn check_liveness(&mut self) {
@@ -351,50 +320,4 @@
             self.context.report(Invariant::QuotaAccounts, difference);
         }
     }
-
-    fn check_end(&mut self) {
-        self.context.checker_mut().check_end(self.end_at);
-        for prefix in RECORDS_OF_OPEN_WORK {
-            let count = self.store.service().count(prefix);
-            if count > 0 {
-                let details = format!("{count} records under {prefix} are left");
-                self.context.report(Invariant::RecordsAreCollected, details);
-            }
-        }
-    }
-
-    fn verdict(&self) -> Result<(), RunFailure> {
-        let violations = self.context.checker().violations().to_vec();
-        let unmet_expectations = self.unmet_expectations();
-        if violations.is_empty() && unmet_expectations.is_empty() {
-            return Ok(());
-        }
-        let history = self.context.history().last_lines(SHOWN_HISTORY_LINES);
-        Err(RunFailure {
-            violations,
-            unmet_expectations,
-            history: history.to_vec(),
-            fingerprint: self.fingerprint(),
-        })
-    }
-
-    fn unmet_expectations(&self) -> Vec<String> {
-        let history = self.context.history();
-        let unmet = |expectation: &Expectation| match *expectation {
-            Expectation::Never(mark) => {
-                let seen = history.count(mark, SimTime::START, SimTime::MAX);
-                (seen > 0).then(|| format!("{mark:?} took place {seen} times"))
-            }
-            Expectation::AtLeast {
-                mark,
-                count,
-                from,
-                to,
-            } => {
-                let seen = history.count(mark, from, to);
-                (seen < count).then(|| format!("{mark:?} took place {seen} times, not {count}"))
-            }
-        };
-        self.expectations.iter().filter_map(unmet).collect()
-    }
 }
