--- a/tests/fingerprints.rs
+++ b/tests/fingerprints.rs
@@ -1,5 +1,5 @@
-//! Prints one fingerprint a scenario and seed, over every message between nodes and stand-ins. A change
-//! that is to leave the behaviour as it is leaves every line as it was:
+//! Prints one fingerprint for each scenario and seed, over every message between controllers and stand-ins. A
+//! change that must not affect behaviour leaves every line as it was:
 //!
 //! ```text
 //! cargo test --release --test fingerprints -- --ignored --nocapture > before.txt
@@ -7,10 +7,7 @@
 //!
 //! `FINGERPRINT_SEEDS=1..5` plays other seeds, `FINGERPRINT_SCENARIOS=gap,limits` only those scenarios.
 
-#[allow(
-    dead_code,
-    reason = "the cluster test uses the rest of the simulated world"
-)]
+#[allow(dead_code, reason = "the cluster test uses the rest of the simulation")]
 mod simulated;
 
 use simulated::process::Launcher;
--- a/tests/simulated/deployment.rs
+++ b/tests/simulated/deployment.rs
@@ -185,57 +185,67 @@
 
     /// The settings file of a controller. With `knows_next_limits` it tells of limits to come.
     pub fn settings_file(&self, node: NodeIndex, knows_next_limits: bool) -> String {
-        let next_limits = self.next_store_limits.filter(|_| knows_next_limits);
-        let next_limits = next_limits.map(|next| {
-            json!({
-                "value_kb": next.value_kilobytes,
-                "txn_ops": next.transaction_operations,
-                "write_rps": next.writes_per_second,
-            })
-        });
-        let others = self.controllers().filter(|other| *other != node);
-        let others: Vec<serde_json::Value> = others
-            .map(|other| {
-                json!({
-                    "host_name": self.name_of(other),
-                    "area": self.zone_of(other),
-                    "addr": self.internal_address(other),
-                })
-            })
-            .collect();
-        let teams = self.teams.iter().map(|team| {
-            let limit = team.cpu_limit.unwrap_or(0.0);
-            json!({"name": team.name, "cpus": limit / 2.0, "cpus_max": limit})
-        });
-        let teams: Vec<serde_json::Value> = teams.collect();
         let settings = json!({
             "host_name": self.name_of(node),
             "area": self.zone_of(node),
             "front": SocketAddr::from((host_of(node), 8080)),
             "internal_addr": self.internal_address(node),
-            "others": others,
+            "others": self.peer_settings(node),
             "outside": {"cloud": CLOUD_ADDRESS, "state": STORE_ADDRESS},
             "settings": {
                 "zones": self.zones,
-                "teams": teams,
+                "teams": self.team_settings(),
                 "workers": {
                     "report_s": seconds(self.heartbeat_interval),
                     "lease_s": seconds(self.worker_lease),
                     "cancel_s": seconds(self.cancellation_deadline),
                 },
-                "state": {
-                    "rps": self.store_limits.requests_per_second,
-                    "write_rps": self.store_limits.writes_per_second,
-                    "value_kb": self.store_limits.value_kilobytes,
-                    "txn_ops": self.store_limits.transaction_operations,
-                    "next": next_limits,
-                },
+                "state": self.store_settings(knows_next_limits),
                 "cloud": {"rps": 20.0, "list_lag_s": seconds(self.machine_list_lag)},
                 "resources": {"sockets": 1000},
             }
         });
         settings.to_string()
     }
+
+    fn peer_settings(&self, node: NodeIndex) -> Vec<serde_json::Value> {
+        let others = self.controllers().filter(|other| *other != node);
+        others
+            .map(|other| {
+                json!({
+                    "host_name": self.name_of(other),
+                    "area": self.zone_of(other),
+                    "addr": self.internal_address(other),
+                })
+            })
+            .collect()
+    }
+
+    fn team_settings(&self) -> Vec<serde_json::Value> {
+        let settings = |team: &Team| {
+            let limit = team.cpu_limit.unwrap_or(0.0);
+            json!({"name": team.name, "cpus": limit / 2.0, "cpus_max": limit})
+        };
+        self.teams.iter().map(settings).collect()
+    }
+
+    fn store_settings(&self, knows_next_limits: bool) -> serde_json::Value {
+        let next = self.next_store_limits.filter(|_| knows_next_limits);
+        let next = next.map(|next| {
+            json!({
+                "value_kb": next.value_kilobytes,
+                "txn_ops": next.transaction_operations,
+                "write_rps": next.writes_per_second,
+            })
+        });
+        json!({
+            "rps": self.store_limits.requests_per_second,
+            "write_rps": self.store_limits.writes_per_second,
+            "value_kb": self.store_limits.value_kilobytes,
+            "txn_ops": self.store_limits.transaction_operations,
+            "next": next,
+        })
+    }
 }
 
 fn host_of(node: NodeIndex) -> [u8; 4] {
--- a/tests/simulated/routing.rs
+++ b/tests/simulated/routing.rs
@@ -8,12 +8,14 @@
 
 use super::deployment::{CLOUD_ADDRESS, STORE_ADDRESS};
 use super::event_queue::Event;
-use super::ids::{CallHandle, NodeIndex, ProcessId};
+use super::ids::{CallHandle, NodeIndex, ProcessId, RequestId};
+use super::load_balancer;
 use super::network::{RemoteEnd, Requester};
 use super::simulation::Simulation;
 use super::store::{Delivery, StoreOutcome, StoreResponse, WatchResponse};
 use super::transport::{Outgoing, OutgoingCall};
-use super::worker::MachineSpec;
+use super::users::{Membership, PlannedRequest};
+use super::worker::{HeartbeatId, MachineSpec};
 
 /// Time that a call to the cloud takes, in milliseconds, beside the latency of the network.
 const CLOUD_CALL_DELAY: Duration = Duration::from_millis(50);
@@ -216,6 +218,50 @@
     }
 }
 
+/// Users, workers and the cloud.
+impl Simulation {
+    pub(super) fn send_user_request(&mut self, planned: PlannedRequest) {
+        let Simulation {
+            context,
+            controllers,
+            network,
+            users,
+            ..
+        } = self;
+        let balanced = load_balancer::choose_controller(context, controllers, network);
+        users.send(context, network, planned, balanced);
+    }
+
+    /// Without a response the user no longer waits for one.
+    pub(super) fn deliver_to_user(&mut self, request: RequestId, response: Option<Response>) {
+        let membership = Membership {
+            controller_count: self.controllers.count(),
+            leader: self.leadership.leader(),
+        };
+        self.users
+            .handle_response(&mut self.context, request, response, membership);
+    }
+
+    pub(super) fn deliver_to_worker(&mut self, host: &str, call: CallHandle, command: Value) {
+        let (fleet, mut surroundings) = self.fleet_and_surroundings();
+        fleet.handle_command(&mut surroundings, host, call, command);
+    }
+
+    pub(super) fn deliver_heartbeat_response(
+        &mut self,
+        heartbeat: &HeartbeatId,
+        response: &Response,
+    ) {
+        let (fleet, mut surroundings) = self.fleet_and_surroundings();
+        fleet.handle_heartbeat_response(&mut surroundings, heartbeat, response);
+    }
+
+    pub(super) fn deliver_to_cloud(&mut self, call: CallHandle, request: &OutgoingCall) {
+        let (fleet, mut surroundings) = self.fleet_and_surroundings();
+        fleet.handle_cloud_request(&mut surroundings, call, request);
+    }
+}
+
 /// The key-value store.
 impl Simulation {
     pub(super) fn deliver_to_store(
--- a/tests/simulated/script/mod.rs
+++ b/tests/simulated/script/mod.rs
@@ -1,5 +1,5 @@
-//! Scenario scripts. `tests/scenarios/README.md` lists their words; [`parser`] and [`command_parser`] map them to the terms of the
-//! simulation.
+//! Scenario scripts. `tests/scenarios/README.md` lists their words; [`parser`] and [`command_parser`] map
+//! them to the terms of the simulation.
 
 pub mod command;
 mod command_parser;
--- a/tests/simulated/script/parser.rs
+++ b/tests/simulated/script/parser.rs
@@ -141,21 +141,25 @@
     if let Some(zones) = line.value_of("zones") {
         deployment.zones = zones.split(',').map(str::to_owned).collect();
     }
-    if let Some(value_kilobytes) = line.number_of("next_value_kb")? {
-        let operations = line.number_of("next_txn_ops")?;
-        let writes_per_second = line.number_of("next_write_rps")?;
-        deployment.next_store_limits = Some(LoweredStoreLimits {
-            value_kilobytes,
-            transaction_operations: operations
-                .map_or(DEFAULT_NEXT_TRANSACTION_OPERATIONS, |number| {
-                    number as usize
-                }),
-            writes_per_second: writes_per_second.unwrap_or(DEFAULT_NEXT_WRITES_PER_SECOND),
-        });
-    }
+    deployment.next_store_limits = next_store_limits(line)?.or(deployment.next_store_limits);
     Ok(())
 }
 
+fn next_store_limits(line: &Line) -> Result<Option<LoweredStoreLimits>, Problem> {
+    let Some(value_kilobytes) = line.number_of("next_value_kb")? else {
+        return Ok(None);
+    };
+    let operations = line.number_of("next_txn_ops")?;
+    let writes_per_second = line.number_of("next_write_rps")?;
+    Ok(Some(LoweredStoreLimits {
+        value_kilobytes,
+        transaction_operations: operations.map_or(DEFAULT_NEXT_TRANSACTION_OPERATIONS, |number| {
+            number as usize
+        }),
+        writes_per_second: writes_per_second.unwrap_or(DEFAULT_NEXT_WRITES_PER_SECOND),
+    }))
+}
+
 /// `team NAME limit CPUS`
 fn team(line: &Line) -> Result<Team, Problem> {
     let cpu_limit = line.number_of("limit")?.filter(|limit| *limit > 0.0);
--- a/tests/simulated/simulation.rs
+++ b/tests/simulated/simulation.rs
@@ -13,14 +13,13 @@
 use super::history::Mark;
 use super::ids::NodeIndex;
 use super::leadership::Leadership;
-use super::load_balancer;
 use super::network::Network;
 use super::process::{Launcher, Version};
 use super::quota_audit;
 use super::rolling_upgrade::RollingUpgrade;
 use super::script::{Expectation, ScheduledCommand, Script};
 use super::store::KeyValueStore;
-use super::users::{Membership, Users};
+use super::users::Users;
 use super::verdict::RunFailure;
 
 /// How often time passes for machines, and for the store; how often the checker looks.
@@ -147,48 +146,21 @@
                 request,
                 delivery,
             } => self.deliver_to_store(call, request, delivery),
-            Event::CloudRequest { call, request } => {
-                let (fleet, mut surroundings) = self.fleet_and_surroundings();
-                fleet.handle_cloud_request(&mut surroundings, call, &request);
-            }
+            Event::CloudRequest { call, request } => self.deliver_to_cloud(call, &request),
             Event::WorkerCommand {
                 host,
                 call,
                 command,
-            } => {
-                let (fleet, mut surroundings) = self.fleet_and_surroundings();
-                fleet.handle_command(&mut surroundings, &host, call, command);
-            }
+            } => self.deliver_to_worker(&host, call, command),
             Event::HeartbeatResponse {
                 heartbeat,
                 response,
-            } => {
-                let (fleet, mut surroundings) = self.fleet_and_surroundings();
-                fleet.handle_heartbeat_response(&mut surroundings, &heartbeat, &response);
-            }
-            Event::UserRequest(planned) => {
-                let Simulation {
-                    context,
-                    controllers,
-                    network,
-                    users,
-                    ..
-                } = self;
-                let balanced = load_balancer::choose_controller(context, controllers, network);
-                users.send(context, network, planned, balanced);
-            }
+            } => self.deliver_heartbeat_response(&heartbeat, &response),
+            Event::UserRequest(planned) => self.send_user_request(planned),
             Event::UserResponse { request, response } => {
-                let membership = self.membership();
-                let context = &mut self.context;
-                self.users
-                    .handle_response(context, request, Some(response), membership);
-            }
-            Event::UserTimeout(request) => {
-                let membership = self.membership();
-                let context = &mut self.context;
-                self.users
-                    .handle_response(context, request, None, membership);
+                self.deliver_to_user(request, Some(response));
             }
+            Event::UserTimeout(request) => self.deliver_to_user(request, None),
             Event::AdvanceMachines => self.advance_machines(),
             Event::AdvanceStore => self.advance_store(),
             Event::CheckLiveness => self.check_liveness(),
@@ -210,13 +182,6 @@
         (&mut self.fleet, surroundings)
     }
 
-    fn membership(&self) -> Membership {
-        Membership {
-            controller_count: self.controllers.count(),
-            leader: self.leadership.leader(),
-        }
-    }
-
     /// The settings file with which a controller's next process starts.
     pub(super) fn settings_file(&self, node: NodeIndex) -> String {
         let knows_next_limits = self.upgrade.knows_next_limits(node);
--- a/tests/simulated/store.rs
+++ b/tests/simulated/store.rs
@@ -258,6 +258,17 @@
             });
             return StoreOutcome::Unanswered;
         }
+        self.process(context, node, &call, delivery)
+    }
+
+    fn process(
+        &mut self,
+        context: &mut Context,
+        node: NodeIndex,
+        call: &OutgoingCall,
+        delivery: Delivery,
+    ) -> StoreOutcome {
+        let now = context.now();
         let body = decode(&call.body).unwrap_or(Value::Null);
         let writes = list(&body, "apply").len() as f64;
         if writes > 0.0 && !self.write_limiter.try_take(now, writes) {
--- a/tests/simulated/users/mod.rs
+++ b/tests/simulated/users/mod.rs
@@ -22,7 +22,6 @@
 pub use answers::Membership;
 pub use request::PlannedRequest;
 
-/// How long users wait for a response.
 const POLL_TIMEOUT: Duration = Duration::from_secs(2);
 const CHANGE_TIMEOUT: Duration = Duration::from_secs(5);
 /// Submissions of one command spread over this time.
@@ -243,10 +242,7 @@
         };
         if planned.kind == RequestKind::Cancel && !job.cancellation_requested {
             job.cancellation_requested = true;
-            context.observe(Observation::CancellationRequested(planned.job));
-            if context.checker().running_task_count(planned.job) > 0 {
-                context.mark(Mark::RunningJobCancelled);
-            }
+            observe_cancellation(context, planned.job);
         }
         let request = planned.to_http(&job.request_body);
         self.last_request += 1;
@@ -258,11 +254,7 @@
             sent_at: now,
         };
         self.pending_requests.insert(id, pending);
-        let timeout = match planned.kind {
-            RequestKind::Poll => POLL_TIMEOUT,
-            RequestKind::Submit | RequestKind::Cancel => CHANGE_TIMEOUT,
-        };
-        context.schedule_after(timeout, Event::UserTimeout(id));
+        context.schedule_after(response_timeout(planned.kind), Event::UserTimeout(id));
         let Some(node) = node else { return };
         let latency = context.network_latency();
         let arrival = Event::ControllerRequest {
@@ -274,3 +266,18 @@
         network.send(context, node, RemoteEnd::User, latency, arrival);
     }
 }
+
+fn observe_cancellation(context: &mut Context, job: JobId) {
+    context.observe(Observation::CancellationRequested(job));
+    if context.checker().running_task_count(job) > 0 {
+        context.mark(Mark::RunningJobCancelled);
+    }
+}
+
+/// How long a user waits for a response.
+fn response_timeout(kind: RequestKind) -> Duration {
+    match kind {
+        RequestKind::Poll => POLL_TIMEOUT,
+        RequestKind::Submit | RequestKind::Cancel => CHANGE_TIMEOUT,
+    }
+}
--- a/tests/simulation_checker.rs
+++ b/tests/simulation_checker.rs
@@ -1,16 +1,14 @@
-//! The checker of the simulated world reports each kind of violation, and none in a correct history.
+//! The checker of the simulation reports each kind of violation, and none in a correct history.
 
-#[allow(
-    dead_code,
-    reason = "the cluster test uses the rest of the simulated world"
-)]
+#[allow(dead_code, reason = "the cluster test uses the rest of the simulation")]
 mod simulated;
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use simulated::checker::{
-    AnsweredRequest, Bounds, Checker, Invariant, JobAnswer, JobSpec, Observation, RequestKind,
+    AnsweredRequest, Bounds, Checker, HeldTask, Invariant, JobAnswer, JobSpec, Observation,
+    RequestKind,
 };
 use simulated::clock::SimTime;
 use simulated::ids::{JobId, TaskId};
@@ -24,6 +22,22 @@
     checker: Checker,
 }
 
+fn job_spec() -> JobSpec {
+    JobSpec {
+        team: "t1".into(),
+        task_count: 2,
+        cpus_per_task: 2.0,
+        zone: None,
+        single_zone: false,
+        spread_over_zones: false,
+        allows_spot: true,
+        is_service: false,
+        replicas_keep_ending: false,
+        is_invalid: false,
+        is_urgent: false,
+    }
+}
+
 impl History {
     /// The job has two tasks of 2 CPUs, which is all that its team may use.
     fn new() -> History {
@@ -31,19 +45,7 @@
     }
 
     fn with_job(change: impl Fn(&mut JobSpec)) -> History {
-        let mut spec = JobSpec {
-            team: "t1".into(),
-            task_count: 2,
-            cpus_per_task: 2.0,
-            zone: None,
-            single_zone: false,
-            spread_over_zones: false,
-            allows_spot: true,
-            is_service: false,
-            replicas_keep_ending: false,
-            is_invalid: false,
-            is_urgent: false,
-        };
+        let mut spec = job_spec();
         change(&mut spec);
         let bounds = Bounds {
             cancellation_deadline: CANCELLATION_DEADLINE,
@@ -112,6 +114,29 @@
         self.observe(at, ended);
     }
 
+    fn plan_urgent_job(&mut self, job: JobId) {
+        let spec = JobSpec {
+            is_urgent: true,
+            ..job_spec()
+        };
+        self.observe(0, Observation::JobPlanned { job, spec });
+    }
+
+    /// The leader gives up `released` of an isolated zone, of which `machines` hold a task of the job each.
+    fn release(&mut self, at: u64, released: &str, machines: &[&str]) {
+        let task = HeldTask {
+            task: TaskId { job: JOB, index: 0 },
+            has_ended: false,
+        };
+        let machines: BTreeMap<String, Vec<HeldTask>> = machines
+            .iter()
+            .map(|host| ((*host).to_owned(), vec![task]))
+            .collect();
+        let now = SimTime::from_millis(at);
+        let released = [released.to_owned()];
+        self.checker.observe_zone_release(now, &released, &machines);
+    }
+
     /// Polls the job each second, checks liveness half a second later, and expects no violation.
     #[track_caller]
     fn poll_without_violation(&mut self, seconds: std::ops::Range<u64>) {
@@ -326,3 +351,64 @@
     history.accept();
     history.poll_without_violation(0..170);
 }
+
+#[test]
+fn a_service_that_is_done_is_reported() {
+    let mut history = History::with_job(|job| job.is_service = true);
+    history.accept();
+    for (index, host) in [(0, "m1"), (1, "m2")] {
+        history.start_task(20, host, index);
+        history.end_task(30, host, index, true);
+    }
+    history.request(40, RequestKind::Poll, JobAnswer::Done);
+    history.expect_violation(Invariant::DoneOnlyWhenComplete);
+}
+
+#[test]
+fn too_many_releases_in_an_isolated_zone_are_reported() {
+    let mut history = History::new();
+    history.checker.observe_isolation(1);
+    // A new leader's two bursts of two, six within a minute, and one in excess.
+    for second in 0..11 {
+        history.release(second * 1000, "m1", &["m1"]);
+    }
+    history.expect_no_violation();
+    history.release(11_000, "m1", &["m1"]);
+    history.expect_violation(Invariant::ZoneRelease);
+}
+
+#[test]
+fn releases_in_an_isolated_zone_may_go_on_after_a_minute() {
+    let mut history = History::new();
+    history.checker.observe_isolation(1);
+    for second in 0..11 {
+        history.release(second * 1000, "m1", &["m1"]);
+    }
+    history.release(60_000, "m1", &["m1"]);
+    history.expect_no_violation();
+}
+
+#[test]
+fn a_release_before_that_of_urgent_work_is_reported() {
+    let mut history = History::new();
+    let urgent_job = JobId(2);
+    history.plan_urgent_job(urgent_job);
+    let held = |job| {
+        vec![HeldTask {
+            task: TaskId { job, index: 0 },
+            has_ended: false,
+        }]
+    };
+    let machines = BTreeMap::from([
+        ("m1".to_owned(), held(JOB)),
+        ("m2".to_owned(), held(urgent_job)),
+    ]);
+    let now = SimTime::from_millis(1000);
+    let both = ["m1".to_owned(), "m2".to_owned()];
+    history.checker.observe_zone_release(now, &both, &machines);
+    history.expect_no_violation();
+    history
+        .checker
+        .observe_zone_release(now, &both[..1], &machines);
+    history.expect_violation(Invariant::ZoneRelease);
+}
--- a/tests/upgrade/tests/rollout.rs
+++ b/tests/upgrade/tests/rollout.rs
@@ -1,24 +1,21 @@
 //! Rolling upgrades, played by controllers that really run two versions of the service, in one
-//! simulated world. The checker judges every event as it happens: no job lost, no task on two machines,
-//! no answer older than one given. A failure prints the seed and the history.
+//! simulation. The checker judges every event as it happens: no job is lost, no task runs on two machines,
+//! no answer is older than one given before. A failure prints the seed and the history of the run.
 
 #[path = "../../simulated/mod.rs"]
-#[allow(
-    dead_code,
-    reason = "the cluster test uses the rest of the simulated world"
-)]
+#[allow(dead_code, reason = "the cluster test uses the rest of the simulation")]
 mod simulated;
 
-use simulated::process::{launch_current, Launch, Launcher, Process, ProcessConfig, Version};
+use simulated::process::{Launch, Launcher, Version};
 use simulated::runner::{scenario_names, seeds_from_environment, start_logging, Scenario};
 use std::ops::Range;
 use std::path::{Path, PathBuf};
 
-/// Defines the launcher of an earlier version: its node behind the interface of the simulated world.
+/// Defines the launcher of an earlier version: its node behind the interface of the simulation.
 macro_rules! earlier_version {
     ($module:ident, $service:ident) => {
         mod $module {
-            use super::*;
+            use crate::simulated::process::{launch_current, Process, ProcessConfig, Version};
             use crate::simulated::transport::{CallParameters, SimTransport};
             use lichencrank::transport as current;
             use std::net::SocketAddr;
@@ -28,10 +25,10 @@
             use $service::transport as earlier;
             use $service::types::Time;
 
-            /// The network of the earlier version on the transport of the simulation.
-            struct Net(SimTransport);
+            /// The earlier version's network, on the transport of the simulation.
+            struct TransportAdapter(SimTransport);
 
-            impl earlier::Network for Net {
+            impl earlier::Network for TransportAdapter {
                 fn now(&self) -> Time {
                     Time(self.0.uptime_ms())
                 }
@@ -115,7 +112,7 @@
                 }
             }
 
-            impl Process for Node<Net> {
+            impl Process for Node<TransportAdapter> {
                 fn handle_event(&mut self, event: current::TransportEvent) {
                     Node::on(self, translated(event));
                 }
@@ -134,8 +131,8 @@
                     return launch_current(config);
                 }
                 let settings = Settings::parse(&config.settings).expect("settings");
-                let net = Net(config.transport);
-                let node = Node::new(settings, Tuning::default(), net, config.incarnation);
+                let network = TransportAdapter(config.transport);
+                let node = Node::new(settings, Tuning::default(), network, config.incarnation);
                 Box::new(node)
             }
         }
