--- a/tests/simulated/fleet/messages.rs
+++ b/tests/simulated/fleet/messages.rs
@@ -75,7 +75,7 @@
         let random = surroundings.context.random().f64();
         let share = LEAST_INTERVAL_SHARE + INTERVAL_SHARE_SPREAD * random;
         let interval = scaled(self.heartbeat_interval, share);
-        if worker.heartbeats().is_due(now, interval) {
+        if worker.heartbeats_mut().is_due(now, interval) {
             self.send_heartbeat(surroundings, worker);
         }
         observe_tasks(surroundings, worker);
@@ -89,7 +89,7 @@
             ..
         } = surroundings;
         let now = context.now();
-        let node = worker.heartbeats().controller(self.controller_count);
+        let node = worker.heartbeats_mut().controller(self.controller_count);
         let status = worker.status(now);
         let heartbeat = worker.send_heartbeat(now);
         let request = Request {
@@ -103,7 +103,7 @@
         }
         self.heartbeat_copies.copy(context, node, &request);
         if !controllers.has_process(node) {
-            worker.heartbeats().try_next_controller(now);
+            worker.heartbeats_mut().try_next_controller(now);
             return;
         }
         let latency = context.network_latency();
@@ -127,7 +127,7 @@
         self.with_worker(&heartbeat.host, |fleet, worker| {
             let now = surroundings.context.now();
             let arrives = worker.faults().lets_in(now) && !worker.is_paused(now);
-            if !arrives || !worker.heartbeats().awaits(heartbeat) {
+            if !arrives || !worker.heartbeats_mut().awaits(heartbeat) {
                 return;
             }
             worker.advance(now);
@@ -139,7 +139,7 @@
                     worker.accept_heartbeat_response(heartbeat, &body, now, &lookup);
                 }
                 421 => fleet.follow_redirection(surroundings, worker, &text(&body, "foreman")),
-                _ => worker.heartbeats().try_next_controller(now),
+                _ => worker.heartbeats_mut().try_next_controller(now),
             }
             observe_tasks(surroundings, worker);
         });
@@ -154,13 +154,13 @@
     ) {
         let now = surroundings.context.now();
         let named = surroundings.controllers.find_by_name(leader);
-        let present = worker.heartbeats().controller(self.controller_count);
+        let present = worker.heartbeats_mut().controller(self.controller_count);
         match named.filter(|named| *named != present) {
             Some(named) => {
                 let delay = surroundings.context.random_millis(REDIRECTION_DELAY_MS);
-                worker.heartbeats().redirect(named, now + delay);
+                worker.heartbeats_mut().redirect(named, now + delay);
             }
-            None => worker.heartbeats().try_next_controller(now),
+            None => worker.heartbeats_mut().try_next_controller(now),
         }
     }
 
--- a/tests/simulated/fleet/mod.rs
+++ b/tests/simulated/fleet/mod.rs
@@ -161,7 +161,7 @@
 /// Faults.
 impl Fleet {
     /// Copies of heartbeats that arrive late.
-    pub fn heartbeat_copies(&mut self) -> &mut HeartbeatCopies {
+    pub fn heartbeat_copies_mut(&mut self) -> &mut HeartbeatCopies {
         &mut self.heartbeat_copies
     }
 
--- a/tests/simulated/job_template.rs
+++ b/tests/simulated/job_template.rs
@@ -88,9 +88,10 @@
     pub fn request_body(&self, job: JobId, defect: Option<Defect>) -> Vec<u8> {
         let shape = if self.is_service { "service" } else { "sweep" };
         let zone = self.zone.as_deref().map_or(Value::Null, Value::from);
-        let expected_seconds = match self.is_service {
-            true => 0.0,
-            false => seconds(self.run_time),
+        let expected_seconds = if self.is_service {
+            0.0
+        } else {
+            seconds(self.run_time)
         };
         let cpus = match defect {
             Some(Defect::TooLarge) => TOO_MANY_CPUS,
--- a/tests/simulated/mod.rs
+++ b/tests/simulated/mod.rs
@@ -5,7 +5,7 @@
 //!
 //! | modules | job |
 //! | --- | --- |
-//! | [`simulation`], [`routing`], [`commands`] | own the parts below, hand events to them, carry out the script |
+//! | [`simulation`] | owns the parts below, hands events to them, carries out the script, judges the run |
 //! | [`event_queue`], [`clock`], [`context`] | what happens next, and when; what all parts share |
 //! | [`controllers`], [`process`], [`transport`] | controller processes and the seam to the service |
 //! | [`network`], [`load_balancer`] | latency, partitions, calls in flight |
@@ -15,12 +15,11 @@
 //! | [`embedder`], [`quota_audit`] | a program beside the controllers that shares their limits |
 //! | [`leadership`], [`rolling_upgrade`] | who leads, who is upgraded |
 //! | [`script`], [`deployment`], [`runner`] | scenario files |
-//! | [`checker`], [`history`], [`verdict`], [`fingerprint`] | what a run has to show |
+//! | [`checker`], [`history`], [`fingerprint`] | what a run has to show |
 
 pub mod checker;
 pub mod clock;
 mod cloud;
-mod commands;
 mod context;
 mod controllers;
 mod deployment;
@@ -39,12 +38,10 @@
 mod quota_audit;
 mod rate_limiter;
 mod rolling_upgrade;
-mod routing;
 pub mod runner;
 mod script;
 mod simulation;
 mod store;
 pub mod transport;
 mod users;
-mod verdict;
 mod worker;
--- a/tests/simulated/script/command_parser.rs
+++ b/tests/simulated/script/command_parser.rs
@@ -219,9 +219,10 @@
         "keep-reports" => MachineCommand::RetainHeartbeats { duration },
         "end-replicas" => MachineCommand::EndReplicas {
             probability: line.number_at(1)?,
-            end: match line.has("error") {
-                true => ReplicaEnd::Failed,
-                false => ReplicaEnd::Completed,
+            end: if line.has("error") {
+                ReplicaEnd::Failed
+            } else {
+                ReplicaEnd::Completed
             },
         },
         _ => return Ok(None),
--- a/tests/simulated/commands.rs
+++ b/tests/simulated/simulation/commands.rs
@@ -2,20 +2,20 @@
 
 use std::time::Duration;
 
-use super::checker::RequestKind;
-use super::embedder::Embedder;
-use super::event_queue::Event;
-use super::faults::{FaultWindow, RandomFault};
-use super::history::Mark;
-use super::ids::NodeIndex;
-use super::network::{Partition, ZoneIsolation};
-use super::process::Version;
-use super::script::command::{
+use super::Simulation;
+use crate::simulated::checker::RequestKind;
+use crate::simulated::embedder::Embedder;
+use crate::simulated::event_queue::Event;
+use crate::simulated::faults::{FaultWindow, RandomFault};
+use crate::simulated::history::Mark;
+use crate::simulated::ids::NodeIndex;
+use crate::simulated::network::{Partition, ZoneIsolation};
+use crate::simulated::process::Version;
+use crate::simulated::script::command::{
     CloudFault, Command, ControllerCommand, MachineCommand, NetworkFault, NodeSelector, StoreFault,
     UpgradeOrder, UserCommand,
 };
-use super::simulation::Simulation;
-use super::users::PlannedRequest;
+use crate::simulated::users::PlannedRequest;
 
 /// How long a controller is down when its version is replaced.
 const UPGRADE_RESTART_TIME: Duration = Duration::from_secs(2);
@@ -305,11 +305,11 @@
                 duration,
             } => {
                 let fault = self.random_fault(*probability, *duration);
-                self.fleet.heartbeat_copies().start_late_copies(fault);
+                self.fleet.heartbeat_copies_mut().start_late_copies(fault);
             }
             MachineCommand::RetainHeartbeats { duration } => {
                 let window = self.window(*duration);
-                self.fleet.heartbeat_copies().start_retention(window);
+                self.fleet.heartbeat_copies_mut().start_retention(window);
             }
             MachineCommand::EndReplicas { probability, end } => {
                 let context = &mut self.context;
--- a/tests/simulated/simulation.rs
+++ b/tests/simulated/simulation/mod.rs
@@ -1,5 +1,9 @@
 //! A run of one scenario with one seed: the parts of the simulation, and the loop over its events.
 
+mod commands;
+mod routing;
+mod verdict;
+
 use std::time::Duration;
 
 use super::checker::{Checker, Invariant};
@@ -20,7 +24,7 @@
 use super::script::{Expectation, ScheduledCommand, Script};
 use super::store::KeyValueStore;
 use super::users::Users;
-use super::verdict::RunFailure;
+use verdict::RunFailure;
 
 /// How often time passes for machines, and for the store; how often the checker looks.
 const MACHINE_STEP: Duration = Duration::from_millis(50);
@@ -29,20 +33,20 @@
 
 /// A simulation. Each part keeps its own state; what one part does to another goes through here.
 pub struct Simulation {
-    pub(super) context: Context,
-    pub(super) deployment: Deployment,
-    pub(super) controllers: Controllers,
-    pub(super) network: Network,
-    pub(super) store: KeyValueStore,
-    pub(super) fleet: Fleet,
-    pub(super) users: Users,
-    pub(super) embedder: Option<Embedder>,
-    pub(super) leadership: Leadership,
-    pub(super) upgrade: RollingUpgrade,
+    context: Context,
+    deployment: Deployment,
+    controllers: Controllers,
+    network: Network,
+    store: KeyValueStore,
+    fleet: Fleet,
+    users: Users,
+    embedder: Option<Embedder>,
+    leadership: Leadership,
+    upgrade: RollingUpgrade,
     /// Commands that wait for a takeover.
-    pub(super) takeover_commands: Vec<ScheduledCommand>,
-    pub(super) expectations: Vec<Expectation>,
-    pub(super) end_at: SimTime,
+    takeover_commands: Vec<ScheduledCommand>,
+    expectations: Vec<Expectation>,
+    end_at: SimTime,
 }
 
 impl Simulation {
@@ -172,7 +176,7 @@
     }
 
     /// The machines, and what they deal with.
-    pub(super) fn fleet_and_surroundings(&mut self) -> (&mut Fleet, Surroundings<'_>) {
+    fn fleet_and_surroundings(&mut self) -> (&mut Fleet, Surroundings<'_>) {
         let surroundings = Surroundings {
             context: &mut self.context,
             network: &self.network,
@@ -183,7 +187,7 @@
     }
 
     /// The settings file with which a controller's next process starts.
-    pub(super) fn settings_file(&self, node: NodeIndex) -> String {
+    fn settings_file(&self, node: NodeIndex) -> String {
         let knows_next_limits = self.upgrade.knows_next_limits(node);
         self.deployment.settings_file(node, knows_next_limits)
     }
@@ -219,7 +223,7 @@
     }
 
     /// Takes in who leads, by the store's records.
-    pub(super) fn observe_leadership(&mut self) {
+    fn observe_leadership(&mut self) {
         let record = self.store.leader_record();
         let change = self.leadership.update(&record, &self.controllers);
         if change.replaced.is_some_and(|node| self.could_lead_on(node)) {
@@ -259,7 +263,7 @@
             self.execute(scheduled.command);
         }
         let controller_count = self.controllers.count();
-        let copies = self.fleet.heartbeat_copies();
+        let copies = self.fleet.heartbeat_copies_mut();
         copies.send_retained(&mut self.context, controller_count);
     }
 
--- a/tests/simulated/routing.rs
+++ b/tests/simulated/simulation/routing.rs
@@ -6,16 +6,16 @@
 use lichencrank::protocol::{decode, encode};
 use lichencrank::transport::{CallError, ConnId, ListenerKind, Request, Response, TransportEvent};
 
-use super::deployment::{CLOUD_ADDRESS, STORE_ADDRESS};
-use super::event_queue::Event;
-use super::ids::{CallHandle, NodeIndex, ProcessId, RequestId};
-use super::load_balancer;
-use super::network::{RemoteEnd, Requester};
-use super::simulation::Simulation;
-use super::store::{Delivery, StoreOutcome, StoreResponse, WatchResponse};
-use super::transport::{Outgoing, OutgoingCall};
-use super::users::{Membership, PlannedRequest};
-use super::worker::{HeartbeatId, MachineSpec};
+use super::Simulation;
+use crate::simulated::deployment::{CLOUD_ADDRESS, STORE_ADDRESS};
+use crate::simulated::event_queue::Event;
+use crate::simulated::ids::{CallHandle, NodeIndex, ProcessId, RequestId};
+use crate::simulated::load_balancer;
+use crate::simulated::network::{RemoteEnd, Requester};
+use crate::simulated::store::{Delivery, StoreOutcome, StoreResponse, WatchResponse};
+use crate::simulated::transport::{Outgoing, OutgoingCall};
+use crate::simulated::users::{Membership, PlannedRequest};
+use crate::simulated::worker::{HeartbeatId, MachineSpec};
 
 /// Time that a call to the cloud takes, in milliseconds, beside the latency of the network.
 const CLOUD_CALL_DELAY: Duration = Duration::from_millis(50);
--- a/tests/simulated/verdict.rs
+++ b/tests/simulated/simulation/verdict.rs
@@ -2,10 +2,10 @@
 
 use std::fmt;
 
-use super::checker::{Invariant, Violation};
-use super::clock::SimTime;
-use super::script::Expectation;
-use super::simulation::Simulation;
+use super::Simulation;
+use crate::simulated::checker::{Invariant, Violation};
+use crate::simulated::clock::SimTime;
+use crate::simulated::script::Expectation;
 
 /// How much of the history a failure shows.
 const SHOWN_HISTORY_LINES: usize = 150;
--- a/tests/simulated/store.rs
+++ b/tests/simulated/store.rs
@@ -241,9 +241,10 @@
         let node = handle.process.node;
         if self.faults.outage.is_active(now) || self.refuses(now, node) {
             // A watch stays open, and is never answered.
-            return match is_watch(&call) {
-                true => StoreOutcome::Unanswered,
-                false => StoreOutcome::Refused(StoreResponse::without_body(503)),
+            return if is_watch(&call) {
+                StoreOutcome::Unanswered
+            } else {
+                StoreOutcome::Refused(StoreResponse::without_body(503))
             };
         }
         if !self.request_limiter.try_take(now, 1.0) {
@@ -304,9 +305,10 @@
         for watch in std::mem::take(&mut self.watches) {
             let is_refused = self.refuses(now, watch.call.process.node);
             let is_due = now >= watch.held_until;
-            let answer = match is_refused {
-                true => None,
-                false => self.service.changes(&watch.target, is_due),
+            let answer = if is_refused {
+                None
+            } else {
+                self.service.changes(&watch.target, is_due)
             };
             match answer {
                 None => self.watches.push(watch),
@@ -332,8 +334,9 @@
     let error = text(answer, "error");
     context.note(format!("store: 400 to node {node}: {target}: {error}"));
     let is_late_claim = error == state_service::NO_SUCH_LEASE && delivery == Delivery::AnswerLost;
-    context.mark(match is_late_claim {
-        true => Mark::LateClaim,
-        false => Mark::StoreRejectedRequest,
+    context.mark(if is_late_claim {
+        Mark::LateClaim
+    } else {
+        Mark::StoreRejectedRequest
     });
 }
--- a/tests/simulated/users/answers.rs
+++ b/tests/simulated/users/answers.rs
@@ -144,9 +144,10 @@
         let id = planned.job;
         if planned.kind == RequestKind::Poll {
             let is_final = self.jobs.get(&id).is_some_and(|job| job.is_final);
-            let interval = match is_final {
-                true => POLL_INTERVAL_OF_FINAL_JOBS,
-                false => POLL_INTERVAL,
+            let interval = if is_final {
+                POLL_INTERVAL_OF_FINAL_JOBS
+            } else {
+                POLL_INTERVAL
             };
             let at = now + interval + context.random_millis(POLL_INTERVAL_SPREAD_MS);
             PlannedRequest::schedule(context, at, id, RequestKind::Poll);
--- a/tests/simulated/worker/mod.rs
+++ b/tests/simulated/worker/mod.rs
@@ -152,7 +152,7 @@
     }
 
     /// The heartbeats that go out.
-    pub fn heartbeats(&mut self) -> &mut HeartbeatSchedule {
+    pub fn heartbeats_mut(&mut self) -> &mut HeartbeatSchedule {
         &mut self.heartbeats
     }
 
