--- a/tests/simulated/controllers.rs
+++ b/tests/simulated/controllers.rs
@@ -220,7 +220,7 @@
     }
 }
 
-/// Lines in the log that tell which node speaks from there on, and the simulated time. They are printed if
+/// Lines in the log that tell which node logs from there on, and the simulated time. They are printed if
 /// `LOG_LEVEL` is set.
 struct LogHeadings {
     is_enabled: bool,
--- a/tests/simulated/script/command.rs
+++ b/tests/simulated/script/command.rs
@@ -254,7 +254,7 @@
 pub enum MachineCommand {
     /// Machines are at fault.
     Fault {
-        /// What ails them.
+        /// Which fault.
         fault: MachineFault,
         /// The probability for each machine.
         probability: f64,
