--- a/tests/simulated/event_queue.rs
+++ b/tests/simulated/event_queue.rs
@@ -83,7 +83,7 @@
     AdvanceMachines,
     /// Time passes for the key-value store.
     AdvanceStore,
-    /// The checker judges what time alone brings to light.
+    /// The checker judges what should have happened by now.
     CheckLiveness,
     /// A command of the script is carried out.
     ScriptCommand(Box<Command>),
