--- /dev/null
+++ b/tests/simulation_checker.rs
@@ -0,0 +1,414 @@
+//! The checker of the simulation reports each kind of violation, and none in a correct history.
+
+#[allow(dead_code, reason = "the cluster test uses the rest of the simulation")]
+mod simulated;
+
+use std::collections::BTreeMap;
+use std::time::Duration;
+
+use simulated::checker::{
+    AnsweredRequest, Bounds, Checker, HeldTask, Invariant, JobAnswer, JobSpec, Observation,
+    RequestKind,
+};
+use simulated::clock::SimTime;
+use simulated::ids::{JobId, TaskId};
+
+const JOB: JobId = JobId(1);
+const CANCELLATION_DEADLINE: Duration = Duration::from_secs(40);
+const FAULTS_END_MS: u64 = 50_000;
+
+/// A checker with one planned job, machines m1 and m2 in zone a, and m3 in zone b. Times are milliseconds.
+struct History {
+    checker: Checker,
+}
+
+fn job_spec() -> JobSpec {
+    JobSpec {
+        team: "t1".into(),
+        task_count: 2,
+        cpus_per_task: 2.0,
+        zone: None,
+        single_zone: false,
+        spread_over_zones: false,
+        allows_spot: true,
+        is_service: false,
+        replicas_keep_ending: false,
+        is_invalid: false,
+        is_urgent: false,
+    }
+}
+
+impl History {
+    /// The job has two tasks of 2 CPUs, which is all that its team may use.
+    fn new() -> History {
+        History::with_job(|_| ())
+    }
+
+    fn with_job(change: impl Fn(&mut JobSpec)) -> History {
+        let mut spec = job_spec();
+        change(&mut spec);
+        let bounds = Bounds {
+            cancellation_deadline: CANCELLATION_DEADLINE,
+            team_cpu_limits: BTreeMap::from([("t1".to_owned(), 4.0)]),
+        };
+        let mut history = History {
+            checker: Checker::new(bounds, SimTime::from_millis(FAULTS_END_MS)),
+        };
+        history.observe(0, Observation::JobPlanned { job: JOB, spec });
+        for (host, zone) in [("m1", "a"), ("m2", "a"), ("m3", "b")] {
+            let machine_up = Observation::MachineUp {
+                host: host.into(),
+                zone: zone.into(),
+                is_spot: host == "m2",
+                cpus: 8.0,
+            };
+            history.observe(0, machine_up);
+        }
+        history
+    }
+
+    fn observe(&mut self, at: u64, observation: Observation) {
+        let now = SimTime::from_millis(at);
+        self.checker.observe(now, observation);
+    }
+
+    fn request_about(&mut self, job: JobId, at: u64, kind: RequestKind, answer: JobAnswer) {
+        let request = AnsweredRequest {
+            job,
+            kind,
+            sent_at: SimTime::from_millis(at - 1),
+            answer,
+        };
+        self.observe(at, Observation::RequestAnswered(request));
+    }
+
+    fn request(&mut self, at: u64, kind: RequestKind, answer: JobAnswer) {
+        self.request_about(JOB, at, kind, answer);
+    }
+
+    fn accept(&mut self) {
+        self.request(10, RequestKind::Submit, JobAnswer::Open);
+    }
+
+    fn cancel(&mut self) {
+        self.observe(30, Observation::CancellationRequested(JOB));
+        self.request(40, RequestKind::Cancel, JobAnswer::Cancelled);
+    }
+
+    fn start_task(&mut self, at: u64, host: &str, index: u32) {
+        let (host, task) = (host.to_owned(), TaskId { job: JOB, index });
+        let accepted = Observation::TaskAccepted {
+            host: host.clone(),
+            task,
+        };
+        self.observe(at, accepted);
+        self.observe(at, Observation::TaskStarted { host, task });
+    }
+
+    fn end_task(&mut self, at: u64, host: &str, index: u32, is_complete: bool) {
+        let ended = Observation::TaskEnded {
+            host: host.into(),
+            task: TaskId { job: JOB, index },
+            is_complete,
+        };
+        self.observe(at, ended);
+    }
+
+    fn plan_urgent_job(&mut self, job: JobId) {
+        let spec = JobSpec {
+            is_urgent: true,
+            ..job_spec()
+        };
+        self.observe(0, Observation::JobPlanned { job, spec });
+    }
+
+    /// The leader gives up `released` of an isolated zone, of which `machines` hold a task of the job each.
+    fn release(&mut self, at: u64, released: &str, machines: &[&str]) {
+        let task = HeldTask {
+            task: TaskId { job: JOB, index: 0 },
+            has_ended: false,
+        };
+        let machines: BTreeMap<String, Vec<HeldTask>> = machines
+            .iter()
+            .map(|host| ((*host).to_owned(), vec![task]))
+            .collect();
+        let now = SimTime::from_millis(at);
+        let released = [released.to_owned()];
+        self.checker.observe_zone_release(now, &released, &machines);
+    }
+
+    /// Polls the job each second, checks liveness half a second later, and expects no violation.
+    #[track_caller]
+    fn poll_without_violation(&mut self, seconds: std::ops::Range<u64>) {
+        for second in seconds {
+            let at = second * 1000;
+            self.request(at + 11, RequestKind::Poll, JobAnswer::Open);
+            self.check_liveness(at + 500);
+        }
+        self.expect_no_violation();
+    }
+
+    fn check_liveness(&mut self, at: u64) {
+        self.checker.check_liveness(SimTime::from_millis(at));
+    }
+
+    fn check_end(&mut self, at: u64) {
+        self.checker.check_end(SimTime::from_millis(at));
+    }
+
+    #[track_caller]
+    fn expect_no_violation(&self) {
+        let violations = self.checker.violations();
+        assert!(violations.is_empty(), "{violations:?}");
+    }
+
+    #[track_caller]
+    fn expect_violation(&self, expected: Invariant) {
+        let violations = self.checker.violations();
+        let invariants: Vec<Invariant> = violations.iter().map(|v| v.invariant).collect();
+        assert_eq!(invariants, [expected], "{violations:?}");
+    }
+}
+
+#[test]
+fn a_correct_history_violates_nothing() {
+    let mut history = History::new();
+    history.accept();
+    history.start_task(20, "m1", 0);
+    history.start_task(20, "m3", 1);
+    history.end_task(3000, "m1", 0, false);
+    history.start_task(4000, "m2", 0);
+    history.end_task(9000, "m2", 0, true);
+    history.end_task(9000, "m3", 1, true);
+    history.request(9100, RequestKind::Poll, JobAnswer::Done);
+    history.check_liveness(200_000);
+    history.check_end(200_000);
+    history.expect_no_violation();
+}
+
+#[test]
+fn a_task_on_two_machines_is_reported() {
+    let mut history = History::new();
+    history.start_task(20, "m1", 0);
+    history.start_task(30, "m2", 0);
+    history.expect_violation(Invariant::TaskRunsOnce);
+}
+
+#[test]
+fn a_team_above_its_limit_is_reported() {
+    let mut history = History::with_job(|job| job.cpus_per_task = 3.0);
+    history.start_task(20, "m1", 0);
+    history.start_task(30, "m2", 1);
+    history.expect_violation(Invariant::TeamLimit);
+}
+
+#[test]
+fn a_task_outside_its_zone_is_reported() {
+    let mut history = History::with_job(|job| job.zone = Some("b".into()));
+    history.start_task(20, "m1", 0);
+    history.expect_violation(Invariant::Placement);
+}
+
+#[test]
+fn a_task_on_an_unwanted_spot_machine_is_reported() {
+    let mut history = History::with_job(|job| job.allows_spot = false);
+    history.start_task(20, "m2", 0);
+    history.expect_violation(Invariant::Placement);
+}
+
+#[test]
+fn a_single_zone_job_in_two_zones_is_reported() {
+    let mut history = History::with_job(|job| job.single_zone = true);
+    history.start_task(20, "m1", 0);
+    history.start_task(20, "m3", 1);
+    history.expect_violation(Invariant::Placement);
+}
+
+#[test]
+fn a_spread_job_in_one_zone_is_reported() {
+    let mut history = History::with_job(|job| job.spread_over_zones = true);
+    history.start_task(20, "m1", 0);
+    history.start_task(20, "m2", 1);
+    history.expect_violation(Invariant::Placement);
+}
+
+#[test]
+fn cancelled_work_that_outlives_its_deadline_is_reported() {
+    let mut history = History::new();
+    history.start_task(20, "m1", 0);
+    history.cancel();
+    history.check_liveness(40_000);
+    history.expect_no_violation();
+    history.check_liveness(40_041);
+    history.expect_violation(Invariant::CancelledWorkEnds);
+}
+
+#[test]
+fn cancelled_work_that_starts_after_its_deadline_is_reported() {
+    let mut history = History::new();
+    history.cancel();
+    history.start_task(40_041, "m1", 0);
+    history.expect_violation(Invariant::CancelledWorkEnds);
+}
+
+#[test]
+fn an_accepted_job_that_is_unknown_later_is_reported() {
+    let mut history = History::new();
+    history.accept();
+    history.request(20, RequestKind::Poll, JobAnswer::Unknown);
+    history.expect_violation(Invariant::AcceptedJobsStayKnown);
+}
+
+#[test]
+fn an_accepted_job_whose_repeated_submission_is_rejected_is_reported() {
+    let mut history = History::new();
+    history.accept();
+    history.request(20, RequestKind::Submit, JobAnswer::Rejected);
+    history.expect_violation(Invariant::AcceptedJobsStayKnown);
+}
+
+#[test]
+fn an_accepted_job_without_an_answer_for_long_is_reported() {
+    let mut history = History::new();
+    history.accept();
+    history.start_task(20, "m1", 0);
+    history.start_task(20, "m2", 1);
+    history.request(60_000, RequestKind::Poll, JobAnswer::Unanswered);
+    history.check_liveness(FAULTS_END_MS + 75_000);
+    history.expect_no_violation();
+    history.check_liveness(FAULTS_END_MS + 75_001);
+    history.expect_violation(Invariant::AcceptedJobsStayKnown);
+}
+
+#[test]
+fn an_answer_about_a_job_that_nobody_submitted_is_reported() {
+    let mut history = History::new();
+    history.request_about(JobId(7), 10, RequestKind::Poll, JobAnswer::Open);
+    history.expect_violation(Invariant::OnlySubmittedJobs);
+}
+
+#[test]
+fn done_before_all_tasks_are_complete_is_reported() {
+    let mut history = History::new();
+    history.accept();
+    history.start_task(20, "m1", 0);
+    history.end_task(30, "m1", 0, true);
+    history.request(40, RequestKind::Poll, JobAnswer::Done);
+    history.expect_violation(Invariant::DoneOnlyWhenComplete);
+}
+
+#[test]
+fn an_answer_older_than_the_last_is_reported() {
+    let mut history = History::new();
+    history.cancel();
+    history.request(50, RequestKind::Poll, JobAnswer::Open);
+    history.expect_violation(Invariant::AnswersNeverRegress);
+}
+
+#[test]
+fn a_cancellation_that_nobody_requested_is_reported() {
+    let mut history = History::new();
+    history.accept();
+    history.request(40, RequestKind::Poll, JobAnswer::Cancelled);
+    history.expect_violation(Invariant::AnswersNeverRegress);
+}
+
+#[test]
+fn an_invalid_job_that_is_accepted_is_reported() {
+    let mut history = History::with_job(|job| job.is_invalid = true);
+    history.accept();
+    history.expect_violation(Invariant::InvalidJobsAreRejected);
+}
+
+#[test]
+fn a_scenario_that_runs_nothing_is_reported() {
+    let mut history = History::new();
+    history.check_end(1000);
+    history.expect_violation(Invariant::SomeWorkRuns);
+}
+
+#[test]
+fn an_unfinished_job_is_reported() {
+    let mut history = History::new();
+    history.accept();
+    history.start_task(20, "m1", 0);
+    history.check_end(1000);
+    history.expect_violation(Invariant::JobsFinish);
+}
+
+#[test]
+fn a_task_that_waits_beside_a_free_machine_is_reported() {
+    let mut history = History::new();
+    history.accept();
+    history.poll_without_violation(0..141);
+    history.check_liveness(141_000);
+    history.expect_violation(Invariant::NoStarvation);
+}
+
+#[test]
+fn a_task_may_wait_for_room_in_its_zone() {
+    let mut history = History::with_job(|job| job.zone = Some("c".into()));
+    history.accept();
+    history.poll_without_violation(0..170);
+}
+
+#[test]
+fn a_service_that_is_done_is_reported() {
+    let mut history = History::with_job(|job| job.is_service = true);
+    history.accept();
+    for (index, host) in [(0, "m1"), (1, "m2")] {
+        history.start_task(20, host, index);
+        history.end_task(30, host, index, true);
+    }
+    history.request(40, RequestKind::Poll, JobAnswer::Done);
+    history.expect_violation(Invariant::DoneOnlyWhenComplete);
+}
+
+#[test]
+fn too_many_releases_in_an_isolated_zone_are_reported() {
+    let mut history = History::new();
+    history.checker.observe_isolation(1);
+    // A new leader's two bursts of two, six within a minute, and one in excess.
+    for second in 0..11 {
+        history.release(second * 1000, "m1", &["m1"]);
+    }
+    history.expect_no_violation();
+    history.release(11_000, "m1", &["m1"]);
+    history.expect_violation(Invariant::ZoneRelease);
+}
+
+#[test]
+fn releases_in_an_isolated_zone_may_go_on_after_a_minute() {
+    let mut history = History::new();
+    history.checker.observe_isolation(1);
+    for second in 0..11 {
+        history.release(second * 1000, "m1", &["m1"]);
+    }
+    history.release(60_000, "m1", &["m1"]);
+    history.expect_no_violation();
+}
+
+#[test]
+fn a_release_before_that_of_urgent_work_is_reported() {
+    let mut history = History::new();
+    let urgent_job = JobId(2);
+    history.plan_urgent_job(urgent_job);
+    let held = |job| {
+        vec![HeldTask {
+            task: TaskId { job, index: 0 },
+            has_ended: false,
+        }]
+    };
+    let machines = BTreeMap::from([
+        ("m1".to_owned(), held(JOB)),
+        ("m2".to_owned(), held(urgent_job)),
+    ]);
+    let now = SimTime::from_millis(1000);
+    let both = ["m1".to_owned(), "m2".to_owned()];
+    history.checker.observe_zone_release(now, &both, &machines);
+    history.expect_no_violation();
+    history
+        .checker
+        .observe_zone_release(now, &both[..1], &machines);
+    history.expect_violation(Invariant::ZoneRelease);
+}
