--- /dev/null
+++ b/crates/quota/src/blocking.rs
@@ -0,0 +1,91 @@
+//! Runs a quota client against a store, for programs that may block.
+
+use std::thread;
+use std::time::{Duration, Instant};
+
+use lichencrank_store::{ConditionalStore, Time};
+
+use crate::admission::AdmissionRequest;
+use crate::client::{ClientConfig, QuotaClient, QuotaEvent};
+use crate::ids::{AdmissionId, ClientName, TeamName};
+use crate::policy::QuotaPolicy;
+
+/// How long [`BlockingQuotaClient::step`] waits if there is nothing to do.
+const IDLE_WAIT: Duration = Duration::from_millis(2);
+
+/// A quota client with its store. Requests to the store are sent within [`Self::step`], one at a time.
+pub struct BlockingQuotaClient<S> {
+    client: QuotaClient,
+    store: S,
+    started_at: Instant,
+    last_step_at: Time,
+    /// If the time from one step to the next is longer, the process stood still.
+    max_step_interval: Duration,
+}
+
+impl<S: ConditionalStore> BlockingQuotaClient<S> {
+    /// A client of that store.
+    pub fn new(config: ClientConfig, store: S) -> BlockingQuotaClient<S> {
+        let max_step_interval = config.reconfirm_after;
+        BlockingQuotaClient {
+            client: QuotaClient::new(config),
+            store,
+            started_at: Instant::now(),
+            last_step_at: Time::default(),
+            max_step_interval,
+        }
+    }
+
+    /// Requests an admission; see [`QuotaClient::request`].
+    pub fn request(&mut self, request: AdmissionRequest) {
+        self.client.request(request);
+    }
+
+    /// Releases the charge of work that has ended; see [`QuotaClient::release`].
+    pub fn release(&mut self, id: AdmissionId) {
+        self.client.release(id);
+    }
+
+    /// Gives up another client; see [`QuotaClient::reclaim`].
+    pub fn reclaim(&mut self, team: TeamName, client: ClientName) {
+        self.client.reclaim(team, client);
+    }
+
+    /// Brings a policy into the store; see [`QuotaClient::set_policy`].
+    pub fn set_policy(&mut self, policy: QuotaPolicy) {
+        self.client.set_policy(policy);
+    }
+
+    /// Reads what earlier processes of this name have charged; see [`QuotaClient::recover_team`].
+    pub fn recover_team(&mut self, team: &TeamName) {
+        self.client.recover_team(team);
+    }
+
+    /// The client itself, to look at.
+    pub fn client(&self) -> &QuotaClient {
+        &self.client
+    }
+
+    /// Sends the next request to the store and waits for its outcome, or waits a moment if there is none.
+    /// Returns what happened.
+    pub fn step(&mut self) -> Vec<QuotaEvent> {
+        let now = self.now();
+        if now.since(self.last_step_at) > self.max_step_interval {
+            self.client.on_process_resumed();
+        }
+        match self.client.poll(now) {
+            Some(request) => {
+                let outcome = self.store.execute(&request);
+                let answered_at = self.now();
+                self.client.on_outcome(answered_at, outcome);
+            }
+            None => thread::sleep(IDLE_WAIT),
+        }
+        self.last_step_at = self.now();
+        self.client.take_events()
+    }
+
+    fn now(&self) -> Time {
+        Time(self.started_at.elapsed().as_millis() as u64)
+    }
+}
--- a/src/coordination/quota.rs
+++ b/src/coordination/quota.rs
@@ -2,8 +2,8 @@
 
 use std::collections::BTreeMap;
 
-use lichencrank_quota::revocation::{may_stop, TeamUse};
-use lichencrank_quota::{Demand, LeaderAccounts, TeamName, TeamPolicy, Usage};
+use lichencrank_quota::preemption::{PreemptionCase, TeamUsage};
+use lichencrank_quota::{LeaderAllowances, ResourceVector, TeamName, TeamPolicy, TeamWorkload};
 use lichencrank_store::{Item, Txn, Version};
 
 use crate::coordination::cluster::job::{Job, JobPhase};
@@ -15,23 +15,26 @@
 use crate::types::{TaskId, Term};
 
 /// What a task counts as.
-pub(crate) fn usage(need: &Resources) -> Usage {
-    Usage::needed(need.cpus, need.gpus)
+pub(crate) fn usage(need: &Resources) -> ResourceVector {
+    ResourceVector::rounded_up(need.cpus, need.gpus)
 }
 
-fn guarantee(team: &Team) -> Usage {
+fn guarantee(team: &Team) -> ResourceVector {
     let (cpus, gpus) = team.guaranteed();
-    Usage::guaranteed(cpus, gpus)
+    ResourceVector::rounded_down(cpus, gpus)
 }
 
-fn limit(team: &Team) -> Usage {
+fn limit(team: &Team) -> ResourceVector {
     let cpus = team.cpus_max.unwrap_or(0.0);
     let gpus = team.gpus_max.unwrap_or(0.0);
-    Usage::limit(cpus, gpus)
+    ResourceVector::from_limit_settings(cpus, gpus)
 }
 
 /// The policy that settings and features make; `None` where the feature is off.
-pub fn quota_policy(teams: &[Team], feature: &QuotaFeature) -> Option<lichencrank_quota::Policy> {
+pub fn quota_policy(
+    teams: &[Team],
+    feature: &QuotaFeature,
+) -> Option<lichencrank_quota::QuotaPolicy> {
     if !feature.enabled {
         return None;
     }
@@ -42,11 +45,11 @@
         };
         (TeamName::new(&team.name), policy)
     };
-    let capacity = Usage::limit(
+    let capacity = ResourceVector::from_limit_settings(
         feature.capacity_cpus.unwrap_or(0.0),
         feature.capacity_gpus.unwrap_or(0.0),
     );
-    Some(lichencrank_quota::Policy {
+    Some(lichencrank_quota::QuotaPolicy {
         capacity,
         teams: teams.iter().map(of_team).collect(),
     })
@@ -64,9 +67,9 @@
 /// What teams may use beside what their allocations take.
 pub(crate) struct TeamQuota {
     /// What hosts report of each team that is not allocated there.
-    unrecorded_usage: BTreeMap<String, Usage>,
+    unrecorded_usage: BTreeMap<String, ResourceVector>,
     /// The allowances that allocations are charged to, where that feature is on.
-    accounts: Option<LeaderAccounts>,
+    accounts: Option<LeaderAllowances>,
     /// An allocation failed, as its allowance has changed: the accounts have to be read again.
     pub(crate) outdated: bool,
 }
@@ -76,7 +79,7 @@
         let accounts = policy.quota.clone();
         TeamQuota {
             unrecorded_usage: BTreeMap::new(),
-            accounts: accounts.map(|accounts| LeaderAccounts::new(term.0, accounts)),
+            accounts: accounts.map(|accounts| LeaderAllowances::new(term.0, accounts)),
             outdated: false,
         }
     }
@@ -84,7 +87,7 @@
 
 impl View<'_> {
     /// What counts for a team: its allocations, and what machines reported that is not booked there.
-    fn counted(&self, team: &str) -> Usage {
+    fn counted(&self, team: &str) -> ResourceVector {
         let booked = self.cluster.team_usage(team);
         let unbooked = self
             .quota
@@ -107,8 +110,8 @@
                 .unwrap_or_default(),
             None => limit(team),
         };
-        let room = allowed.without(&self.counted(&job.team));
-        usage(&job.task_resources).times_in(&room)
+        let room = allowed.saturating_sub(&self.counted(&job.team));
+        usage(&job.task_resources).multiples_within(&room)
     }
 
     /// Whether a task of that priority may be stopped for the job, by the rules of preemption. Borrowed
@@ -116,16 +119,19 @@
     pub(crate) fn may_preempt(&self, victim: &Job, by: &Job) -> bool {
         let by_guarantee = self.quota.accounts.is_some()
             && victim.team != by.team
-            && self.team_use(&by.team).covers(&usage(&by.task_resources));
+            && self
+                .team_use(&by.team)
+                .guarantee_covers(&usage(&by.task_resources));
         let borrowed = self
             .team_use(&victim.team)
-            .stays_guaranteed_without(&usage(&victim.task_resources));
-        may_stop(
-            priority(victim.priority()),
-            priority(by.priority()),
-            borrowed,
-            by_guarantee,
-        )
+            .is_borrowed(&usage(&victim.task_resources));
+        let case = PreemptionCase {
+            victim_priority: priority(victim.priority()),
+            victim_is_borrowed: borrowed,
+            preemptor_priority: priority(by.priority()),
+            preemptor_is_guaranteed: by_guarantee,
+        };
+        case.is_allowed()
     }
 
     /// Whether stopping tasks of the other job serves the guarantee of this one's team.
@@ -133,20 +139,20 @@
         victim.priority() <= by.priority() && self.may_preempt(victim, by)
     }
 
-    fn team_use(&self, name: &str) -> TeamUse {
-        TeamUse {
+    fn team_use(&self, name: &str) -> TeamUsage {
+        TeamUsage {
             guarantee: self.policy.team(name).map(guarantee).unwrap_or_default(),
             used: self.counted(name),
         }
     }
 
-    fn demands(&self) -> BTreeMap<TeamName, Demand> {
-        let mut demands: BTreeMap<TeamName, Demand> = BTreeMap::new();
+    fn demands(&self) -> BTreeMap<TeamName, TeamWorkload> {
+        let mut demands: BTreeMap<TeamName, TeamWorkload> = BTreeMap::new();
         for team in &self.policy.teams {
             let used = self.counted(&team.name);
-            let demand = Demand {
-                used,
-                ..Demand::default()
+            let demand = TeamWorkload {
+                charged: used,
+                ..TeamWorkload::default()
             };
             demands.insert(TeamName::new(&team.name), demand);
         }
@@ -160,8 +166,8 @@
                 continue;
             };
             let one = usage(&job.task_resources);
-            demand.waiting += one.times(u64::from(job.waiting_count()));
-            demand.front = demand.front.at_least(&one);
+            demand.pending += one.saturating_mul(u64::from(job.waiting_count()));
+            demand.largest_pending_task = demand.largest_pending_task.component_max(&one);
         }
         demands
     }
@@ -216,7 +222,7 @@
     }
 
     /// The policy of the accounts, where the feature is on.
-    pub fn rules_quota(&self) -> Option<&lichencrank_quota::Policy> {
+    pub fn rules_quota(&self) -> Option<&lichencrank_quota::QuotaPolicy> {
         self.policy.quota.as_ref()
     }
 
@@ -225,7 +231,7 @@
         self.quota
             .accounts
             .as_ref()
-            .is_some_and(LeaderAccounts::is_writing)
+            .is_some_and(LeaderAllowances::is_writing)
     }
 
     /// Begins to read the accounts' records anew.
@@ -238,14 +244,14 @@
     /// Takes in a record of the accounts.
     pub fn on_quota_record(&mut self, item: &Item) {
         if let Some(accounts) = &mut self.quota.accounts {
-            accounts.take(item);
+            accounts.insert_item(item);
         }
     }
 
     /// All records of the accounts are read.
     pub fn on_quota_read(&mut self) {
         if let Some(accounts) = &mut self.quota.accounts {
-            accounts.all_read();
+            accounts.finish_reading();
         }
         self.quota_changed();
     }
@@ -257,13 +263,17 @@
             .quota
             .accounts
             .as_ref()
-            .is_some_and(LeaderAccounts::is_ready);
+            .is_some_and(LeaderAllowances::is_idle);
         if !ready {
             return None;
         }
         let demands = self.view().demands();
         let most = self.cluster.records().max_txn_changes();
-        let mut txn = self.quota.accounts.as_mut()?.plan(&demands, most)?;
+        let mut txn = self
+            .quota
+            .accounts
+            .as_mut()?
+            .next_transaction(&demands, most)?;
         let holder = crate::storage::records::LEADER_KEY.to_owned();
         txn.require(holder, self.cluster.records().leader_key_version());
         Some(txn)
@@ -272,7 +282,7 @@
     /// A change of the accounts was written.
     pub fn on_quota_written(&mut self, version: Version) {
         if let Some(accounts) = &mut self.quota.accounts {
-            accounts.committed(version);
+            accounts.on_committed(version);
         }
         self.quota_changed();
     }
@@ -280,7 +290,7 @@
     /// A change of the accounts was surely not written.
     pub fn on_quota_refused(&mut self) {
         if let Some(accounts) = &mut self.quota.accounts {
-            accounts.refused();
+            accounts.on_not_committed();
         }
     }
 
@@ -293,7 +303,7 @@
         let fences = teams
             .filter_map(|team| {
                 let fence = accounts.fence(&TeamName::new(&team.name))?;
-                Some((team.name.clone(), fence))
+                Some((team.name.clone(), (fence.key, fence.version)))
             })
             .collect();
         self.cluster.set_allowance_fences(fences);
