--- /dev/null
+++ b/tests/loopback/users.rs
@@ -0,0 +1,68 @@
+//! Requests of users.
+
+use std::net::SocketAddr;
+
+use ciborium::Value;
+use lichencrank::protocol::encode;
+use lichencrank_testkit::http::call;
+use lichencrank_testkit::values::{map, text};
+
+use super::eventually;
+
+/// The answer to a status query.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct JobStatus {
+    /// HTTP status.
+    pub http_status: u16,
+    /// State of the job; empty if there is none.
+    pub state: String,
+}
+
+impl JobStatus {
+    /// Whether the controller could answer.
+    pub fn is_answer(&self) -> bool {
+        self.http_status != 503
+    }
+}
+
+/// The body of a submission of team `vision`: so many tasks of one CPU, due at once if `deadline_s` is given.
+pub fn job_body(id: &str, tasks: u64, deadline_s: Option<f64>) -> Vec<u8> {
+    encode(&map(vec![
+        ("ref", id.into()),
+        ("jobclass", "train".into()),
+        ("crew", "vision".into()),
+        ("shape", "sweep".into()),
+        ("urgency", "normal".into()),
+        ("pieces", tasks.into()),
+        ("cpus", 1.0.into()),
+        ("cards", 0.0.into()),
+        ("ramGb", 1.0.into()),
+        ("bundle", "img".into()),
+        ("imageGb", 0.1.into()),
+        ("hosttypes", Value::Null),
+        ("samePlace", false.into()),
+        ("apart", false.into()),
+        ("loaners", true.into()),
+        ("guessS", 1.0.into()),
+        ("snapshotS", 0.0.into()),
+        ("stashS", 0.0.into()),
+        ("dueS", deadline_s.map_or(Value::Null, Value::from)),
+    ]))
+}
+
+/// Submits a job as users do: again until an answer comes. Returns its HTTP status.
+pub fn submit(to: SocketAddr, body: &[u8]) -> u16 {
+    eventually("a submission is answered", || {
+        let status = call(to, "POST", "/api/jobs", body)?.status;
+        (status != 503).then_some(status)
+    })
+}
+
+/// Asks for the status of a job once.
+pub fn poll(to: SocketAddr, id: &str) -> Option<JobStatus> {
+    let response = call(to, "GET", &format!("/api/jobs/{id}"), &[])?;
+    Some(JobStatus {
+        http_status: response.status,
+        state: text(&response.body, "status"),
+    })
+}
--- a/tests/quota_service.rs
+++ b/tests/quota_service.rs
@@ -1,48 +1,24 @@
-//! The real binary with team limits in allowances, three nodes on loopback, beside a program that embeds
-//! the library.
+//! The real binary with team limits in allowances: three controllers on loopback, beside a program that embeds the quota
+//! package.
 
-mod standin;
+mod loopback;
 
 use std::process::Command;
 use std::time::Duration;
 
-use ciborium::Value;
-use lichencrank::protocol::encode;
 use lichencrank_quota::{
     AdmissionId, AdmissionRequest, BlockingQuotaClient, ClientConfig, ClientName, Ledger, Priority,
     QuotaEvent, RequesterName, ResourceVector, TeamName,
 };
 use lichencrank_store::{BlockingClient, StoreLimits};
-use standin::{call, eventually, map, text, Setup, World};
+use lichencrank_testkit::http::call;
+use loopback::users::{job_body, poll};
+use loopback::{eventually, Cluster, ClusterConfig};
 
-const PATIENCE: Duration = Duration::from_secs(10);
+const STORE_TIMEOUT: Duration = Duration::from_secs(10);
 const LIMIT: u64 = 8;
 
-fn job(id: &str, tasks: u64) -> Vec<u8> {
-    encode(&map(vec![
-        ("ref", id.into()),
-        ("jobclass", "train".into()),
-        ("crew", "vision".into()),
-        ("shape", "sweep".into()),
-        ("urgency", "normal".into()),
-        ("pieces", tasks.into()),
-        ("cpus", 1.0.into()),
-        ("cards", 0.0.into()),
-        ("ramGb", 1.0.into()),
-        ("bundle", "img".into()),
-        ("imageGb", 0.1.into()),
-        ("hosttypes", Value::Null),
-        ("samePlace", false.into()),
-        ("apart", false.into()),
-        ("loaners", true.into()),
-        ("guessS", 1.0.into()),
-        ("snapshotS", 0.0.into()),
-        ("stashS", 0.0.into()),
-        ("dueS", Value::Null),
-    ]))
-}
-
-fn embedder(world: &World) -> BlockingQuotaClient<BlockingClient> {
+fn embedder(cluster: &Cluster) -> BlockingQuotaClient<BlockingClient> {
     let config = ClientConfig {
         name: ClientName::new("depot-tool"),
         store_limits: StoreLimits {
@@ -54,9 +30,9 @@
         expected_clients: 2,
         refresh_interval: Duration::from_millis(100),
         idle_return_after: Duration::from_millis(300),
-        reconfirm_after: PATIENCE,
+        reconfirm_after: STORE_TIMEOUT,
     };
-    BlockingQuotaClient::new(config, BlockingClient::new(world.state, PATIENCE))
+    BlockingQuotaClient::new(config, BlockingClient::new(cluster.store, STORE_TIMEOUT))
 }
 
 fn admission(sequence: u32) -> AdmissionRequest {
@@ -72,8 +48,8 @@
 }
 
 /// What is lent to all together, once a leader has brought the team's record in.
-fn lent(world: &World) -> Option<ResourceVector> {
-    let mut store = BlockingClient::new(world.state, PATIENCE);
+fn lent(cluster: &Cluster) -> Option<ResourceVector> {
+    let mut store = BlockingClient::new(cluster.store, STORE_TIMEOUT);
     let ledger = Ledger::read(&mut store).ok()?;
     let team = ledger.teams.get(&TeamName::new("vision"))?;
     assert!(
@@ -83,30 +59,30 @@
     Some(team.total_granted())
 }
 
-fn report(world: &World) -> String {
+fn report(cluster: &Cluster) -> String {
     let output = Command::new(env!("CARGO_BIN_EXE_lichencrank"))
         .args(["quota", "--config"])
-        .arg(&world.nodes[0].settings)
+        .arg(cluster.controllers[0].settings_file())
         .output()
         .expect("the program runs");
     assert!(output.status.success(), "{output:?}");
     String::from_utf8_lossy(&output.stdout).into_owned()
 }
 
-fn submit(world: &World, id: &str, tasks: u64) {
+fn submit(cluster: &Cluster, id: &str, tasks: u64) {
     eventually("a submission is answered", || {
-        let mut fronts = world.nodes.iter().map(|node| node.front);
-        let answer = fronts.find_map(|to| call(to, "POST", "/api/jobs", &job(id, tasks)));
+        let body = job_body(id, tasks, None);
+        let mut controllers = cluster.addresses().into_iter();
+        let answer = controllers.find_map(|to| call(to, "POST", "/api/jobs", &body));
         answer.filter(|answer| matches!(answer.status, 200 | 201))
     });
 }
 
-fn wait_for_done(world: &World, id: &str) {
+fn wait_for_done(cluster: &Cluster, id: &str) {
     eventually("the job is done", || {
-        lent(world);
-        let target = format!("/api/jobs/{id}");
-        let answer = call(world.nodes[1].front, "GET", &target, &[])?;
-        (text(&answer.body, "status") == "done").then_some(())
+        lent(cluster);
+        let status = poll(cluster.addresses()[1], id)?;
+        (status.state == "done").then_some(())
     });
 }
 
@@ -114,35 +90,34 @@
 /// between; the report shows both, and that all totals agree.
 #[test]
 fn the_daemon_and_an_embedding_program_share_a_limit() {
-    let setup = Setup {
-        limit: LIMIT as f64,
+    let config = ClusterConfig {
+        team_limit_cpus: LIMIT as f64,
         features: Some("quota: {enabled: true}"),
     };
-    let mut world = World::start_with("quota", setup);
-    submit(&world, "job-000001", 24);
-    eventually("a leader has brought the limit in", || lent(&world));
-    let mut quota = embedder(&world);
+    let mut cluster = Cluster::start_with("quota", config);
+    submit(&cluster, "job-000001", 24);
+    eventually("a leader has brought the limit in", || lent(&cluster));
+    let mut quota = embedder(&cluster);
     for sequence in 0..2 {
         quota.request(admission(sequence));
     }
     let mut admitted = Vec::new();
     while admitted.len() < 2 {
-        lent(&world);
+        lent(&cluster);
         for event in quota.step() {
             if let QuotaEvent::Admitted(id) = event {
                 admitted.push(id);
             }
         }
     }
-    let shown = report(&world);
+    let shown = report(&cluster);
     assert!(shown.contains("team vision: uses"), "{shown}");
     assert!(
         shown.contains("depot-tool: 4 CPUs charged of 4 CPUs"),
         "{shown}"
     );
-    world.nodes[0].kill();
-    world.nodes[0].start();
-    wait_for_done(&world, "job-000001");
+    cluster.controllers[0].restart();
+    wait_for_done(&cluster, "job-000001");
     for id in admitted {
         quota.release(id);
     }
@@ -154,8 +129,8 @@
             .filter(|d| matches!(d, QuotaEvent::Released(_)))
             .count();
     }
-    submit(&world, "job-000002", 12);
-    wait_for_done(&world, "job-000002");
-    let shown = report(&world);
+    submit(&cluster, "job-000002", 12);
+    wait_for_done(&cluster, "job-000002");
+    let shown = report(&cluster);
     assert!(shown.contains("audit: all totals agree"), "{shown}");
 }
--- a/tests/service.rs
+++ b/tests/service.rs
@@ -1,194 +1,181 @@
-//! The real binary, three nodes on loopback, against stand-ins for everything around it.
+//! The real binary: three controllers on loopback.
 
-mod standin;
+mod loopback;
 
-use ciborium::Value;
-use lichencrank::protocol::encode;
-use standin::{call, eventually, map, number, text, World};
 use std::collections::{BTreeMap, BTreeSet};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
-use std::sync::atomic::Ordering;
 use std::time::Duration;
 
+use lichencrank_testkit::http::call;
+use lichencrank_testkit::values::{number, text};
+use loopback::users::{job_body, poll, submit, JobStatus};
+use loopback::{eventually, Cluster};
+
+/// Deadline of the jobs in seconds.
+const DEADLINE_S: f64 = 3.0;
+
 fn job(id: &str, tasks: u64) -> Vec<u8> {
-    encode(&map(vec![
-        ("ref", id.into()),
-        ("jobclass", "train".into()),
-        ("crew", "vision".into()),
-        ("shape", "sweep".into()),
-        ("urgency", "normal".into()),
-        ("pieces", tasks.into()),
-        ("cpus", 1.0.into()),
-        ("cards", 0.0.into()),
-        ("ramGb", 1.0.into()),
-        ("bundle", "img".into()),
-        ("imageGb", 0.1.into()),
-        ("hosttypes", Value::Null),
-        ("samePlace", false.into()),
-        ("apart", false.into()),
-        ("loaners", true.into()),
-        ("guessS", 1.0.into()),
-        ("snapshotS", 0.0.into()),
-        ("stashS", 0.0.into()),
-        ("dueS", 3.0.into()),
-    ]))
+    job_body(id, tasks, Some(DEADLINE_S))
+}
+
+/// Submits a job that is new or known already.
+fn submit_accepted(to: SocketAddr, id: &str, tasks: u64) {
+    let status = submit(to, &job(id, tasks));
+    assert!(
+        matches!(status, 200 | 201),
+        "{id} is answered with {status}"
+    );
 }
 
-/// Submits as users do: again until an answer comes.
-fn submit(to: SocketAddr, id: &str, tasks: u64) -> u16 {
-    eventually("a submission is answered", || {
-        let status = call(to, "POST", "/api/jobs", &job(id, tasks))?.status;
-        (status != 503 && status != 429).then_some(status)
+fn poll_until_answered(to: SocketAddr, id: &str) -> JobStatus {
+    eventually("a poll is answered", || {
+        poll(to, id).filter(JobStatus::is_answer)
     })
 }
 
-fn poll(to: SocketAddr, id: &str) -> Option<(u16, String)> {
-    let response = call(to, "GET", &format!("/api/jobs/{id}"), &[])?;
-    Some((response.status, text(&response.body, "status")))
+fn assert_status(to: SocketAddr, id: &str, http_status: u16, state: &str) {
+    let expected = JobStatus {
+        http_status,
+        state: state.to_owned(),
+    };
+    assert_eq!(poll_until_answered(to, id), expected, "{id} at {to}");
 }
 
-fn finish(to: SocketAddr, id: &str) {
+fn wait_until_done(to: SocketAddr, id: &str) {
     eventually("the job is done", || {
-        let (status, state) = poll(to, id)?;
-        assert!(status != 404, "{id} is forgotten");
-        (state == "done").then_some(())
+        let status = poll(to, id)?;
+        assert_ne!(status.http_status, 404, "{id} is forgotten");
+        (status.state == "done").then_some(())
     });
 }
 
+/// Cancels a job, again until an answer comes. Returns the state that the user is told.
+fn cancel(to: SocketAddr, id: &str) -> String {
+    let target = format!("/api/jobs/{id}/withdraw");
+    eventually("the cancellation is answered", || {
+        let response = call(to, "POST", &target, &[])?;
+        (response.status == 200).then(|| text(&response.body, "status"))
+    })
+}
+
+/// No attempt at a task was started twice.
+fn assert_attempts_started_once(cluster: &Cluster) {
+    let starts = cluster.task_starts();
+    let attempts: BTreeSet<_> = starts.iter().map(|s| (&s.task, s.attempt)).collect();
+    assert_eq!(attempts.len(), starts.len(), "{starts:?}");
+}
+
 #[test]
 fn a_job_runs_and_every_node_tells_the_same() {
-    let world = World::start("runs");
-    let fronts: Vec<SocketAddr> = world.nodes.iter().map(|n| n.front).collect();
-    assert_eq!(submit(fronts[0], "job-000001", 6), 201);
-    // A repeat, through another node, is known, whatever its body says by now.
-    assert_eq!(submit(fronts[1], "job-000001", 6), 200);
-    assert_eq!(submit(fronts[2], "job-000001", 0), 200);
-    finish(fronts[2], "job-000001");
-    for front in &fronts {
-        let told = eventually("an answer", || {
-            poll(*front, "job-000001").filter(|(s, _)| *s == 200)
-        });
-        assert_eq!(told.1, "done");
-        let told = eventually("an answer", || {
-            poll(*front, "job-000002").filter(|(s, _)| *s != 503)
-        });
-        assert_eq!(told.0, 404);
+    let cluster = Cluster::start("runs");
+    let controllers = cluster.addresses();
+    assert_eq!(submit(controllers[0], &job("job-000001", 6)), 201);
+    // A repetition, through another controller, is known, whatever its body says by now.
+    assert_eq!(submit(controllers[1], &job("job-000001", 6)), 200);
+    assert_eq!(submit(controllers[2], &job("job-000001", 0)), 200);
+    wait_until_done(controllers[2], "job-000001");
+    for controller in &controllers {
+        assert_status(*controller, "job-000001", 200, "done");
+        let unknown = poll_until_answered(*controller, "job-000002");
+        assert_eq!(unknown.http_status, 404, "at {controller}");
     }
-    let withdrawn =
-        call(fronts[0], "POST", "/api/jobs/job-000001/withdraw", &[]).expect("an answer");
-    assert_eq!(withdrawn.status, 200);
-    assert_eq!(text(&withdrawn.body, "status"), "done");
-    // Each task ran once.
-    let starts = world.starts.lock().expect("the starts");
-    let tasks: BTreeMap<&str, usize> = starts.iter().fold(BTreeMap::new(), |mut seen, s| {
-        *seen.entry(s.0.as_str()).or_default() += 1;
-        seen
-    });
-    assert_eq!(tasks.len(), 6);
-    assert!(tasks.values().all(|n| *n == 1), "{tasks:?}");
+    let cancelled =
+        call(controllers[0], "POST", "/api/jobs/job-000001/withdraw", &[]).expect("an answer");
+    assert_eq!(cancelled.status, 200);
+    assert_eq!(text(&cancelled.body, "status"), "done");
+    let starts = cluster.task_starts();
+    let mut starts_by_task: BTreeMap<&str, usize> = BTreeMap::new();
+    for start in starts.iter() {
+        *starts_by_task.entry(&start.task).or_default() += 1;
+    }
+    assert_eq!(starts_by_task.len(), 6, "{starts_by_task:?}");
+    assert!(
+        starts_by_task.values().all(|count| *count == 1),
+        "{starts_by_task:?}"
+    );
 }
 
 #[test]
 fn killing_leaders_loses_no_job() {
-    let mut world = World::start("kills");
-    let last = world.nodes[2].front;
+    let mut cluster = Cluster::start("kills");
+    let last = cluster.addresses()[2];
     for round in 0..3 {
         let id = format!("job-00001{round}");
-        assert!(matches!(submit(last, &id, 8), 200 | 201));
+        submit_accepted(last, &id, 8);
         // Whoever leads, one of these two kills hits it sooner or later; all three at the end.
-        world.nodes[round % 2].kill();
+        cluster.controllers[round % 2].kill();
         if round == 2 {
-            world.nodes[1].kill();
-            world.nodes[2].kill();
-            world.nodes[2].start();
-            world.nodes[1].start();
+            cluster.controllers[1].kill();
+            cluster.controllers[2].kill();
+            cluster.controllers[2].start();
+            cluster.controllers[1].start();
         }
-        world.nodes[round % 2].start();
-        finish(last, &id);
+        cluster.controllers[round % 2].start();
+        wait_until_done(last, &id);
     }
-    // No attempt was started twice.
-    let starts = world.starts.lock().expect("the starts");
-    let mut attempts: Vec<_> = starts.iter().map(|s| (&s.0, s.1)).collect();
-    attempts.sort();
-    let before = attempts.len();
-    attempts.dedup();
-    assert_eq!(attempts.len(), before);
+    assert_attempts_started_once(&cluster);
 }
 
 #[test]
 fn a_cancelled_job_stays_cancelled() {
-    let mut world = World::start("cancels");
-    let fronts: Vec<SocketAddr> = world.nodes.iter().map(|n| n.front).collect();
-    submit(fronts[0], "job-000020", 5000);
-    let cancelled = eventually("the cancellation is answered", || {
-        let response = call(fronts[1], "POST", "/api/jobs/job-000020/withdraw", &[])?;
-        (response.status == 200).then(|| text(&response.body, "status"))
-    });
-    assert_eq!(cancelled, "cancelled");
-    world.nodes[0].kill();
-    world.nodes[0].start();
-    for front in &fronts {
-        let told = eventually("an answer", || {
-            poll(*front, "job-000020").filter(|(s, _)| *s != 503)
-        });
-        assert_eq!(told, (200, "cancelled".to_owned()));
-        assert_eq!(submit(*front, "job-000020", 5000), 200);
+    let mut cluster = Cluster::start("cancels");
+    let controllers = cluster.addresses();
+    submit_accepted(controllers[0], "job-000020", 5000);
+    assert_eq!(cancel(controllers[1], "job-000020"), "cancelled");
+    cluster.controllers[0].restart();
+    for controller in &controllers {
+        assert_status(*controller, "job-000020", 200, "cancelled");
+        assert_eq!(submit(*controller, &job("job-000020", 5000)), 200);
     }
 }
 
 #[test]
-fn an_outage_of_the_state_service_is_answered_at_once_and_survived() {
-    let world = World::start("outage");
-    let front = world.nodes[0].front;
-    assert!(matches!(submit(front, "job-000030", 4), 200 | 201));
-    world.state_away.store(true, Ordering::SeqCst);
+fn an_outage_of_the_store_is_answered_at_once_and_survived() {
+    let cluster = Cluster::start("outage");
+    let controller = cluster.addresses()[0];
+    submit_accepted(controller, "job-000030", 4);
+    cluster.set_store_unavailable(true);
     let refused = eventually("a refusal", || {
-        call(front, "POST", "/api/jobs", &job("job-000031", 1))
+        call(controller, "POST", "/api/jobs", &job("job-000031", 1))
     });
     assert_eq!(refused.status, 503);
-    // All nodes see the outage, so none may leave the balancer for it.
-    assert_eq!(
-        call(front, "GET", "/healthz", &[])
-            .expect("an answer")
-            .status,
-        200
-    );
-    world.state_away.store(false, Ordering::SeqCst);
-    finish(front, "job-000030");
-    assert!(matches!(submit(front, "job-000031", 1), 200 | 201));
-    finish(front, "job-000031");
+    // All controllers see the outage, so none may leave the load balancer for it.
+    let health = call(controller, "GET", "/healthz", &[]).expect("an answer");
+    assert_eq!(health.status, 200);
+    cluster.set_store_unavailable(false);
+    wait_until_done(controller, "job-000030");
+    submit_accepted(controller, "job-000031", 1);
+    wait_until_done(controller, "job-000031");
 }
 
-/// Nothing is forgotten: after an outage in which all nodes were killed and were back at once, every
-/// node answers for every accepted job, both to a poll and to a repeated submission.
+/// Nothing is forgotten: after an outage in which all controllers were killed and were back at once, every one
+/// of them answers for every accepted job, both to a poll and to a repeated submission.
 #[test]
 fn every_job_is_answered_for_after_an_outage() {
-    let mut world = World::start("forgets");
-    let fronts: Vec<SocketAddr> = world.nodes.iter().map(|n| n.front).collect();
+    let mut cluster = Cluster::start("forgets");
+    let controllers = cluster.addresses();
     let ids: Vec<String> = (0..40).map(|n| format!("job-0001{n:02}")).collect();
     for (at, id) in ids.iter().enumerate() {
         // Far more tasks than the machines hold: most of them wait all the while.
-        assert!(matches!(submit(fronts[at % 3], id, 200), 200 | 201));
+        submit_accepted(controllers[at % 3], id, 200);
     }
-    world.state_away.store(true, Ordering::SeqCst);
-    for node in &mut world.nodes {
-        node.kill();
-        node.start();
+    cluster.set_store_unavailable(true);
+    for controller in &mut cluster.controllers {
+        controller.restart();
     }
     let refused = eventually("a refusal", || {
-        call(fronts[0], "GET", "/api/jobs/job-000100", &[])
+        call(controllers[0], "GET", "/api/jobs/job-000100", &[])
     });
     assert_eq!(refused.status, 503);
-    world.state_away.store(false, Ordering::SeqCst);
+    cluster.set_store_unavailable(false);
     for id in &ids {
-        for front in &fronts {
-            let (status, state) = eventually("a poll is answered", || {
-                poll(*front, id).filter(|(s, _)| *s != 503 && *s != 429)
-            });
-            assert_eq!(status, 200, "{id}");
-            assert!(["queued", "running", "done"].contains(&state.as_str()));
-            assert_eq!(submit(*front, id, 200), 200, "{id} again");
+        for controller in &controllers {
+            let status = poll_until_answered(*controller, id);
+            assert_eq!(status.http_status, 200, "{id}");
+            let states = ["queued", "running", "done"];
+            assert!(states.contains(&status.state.as_str()), "{id}: {status:?}");
+            assert_eq!(submit(*controller, &job(id, 200)), 200, "{id} again");
         }
     }
 }
@@ -206,11 +193,11 @@
 }
 
 #[test]
-fn odd_clients_get_their_answers() {
-    let world = World::start("odd");
-    let front = world.nodes[0].front;
-    eventually("a healthy node", || {
-        call(front, "GET", "/healthz", &[]).filter(|response| response.status == 200)
+fn unusual_clients_get_their_answers() {
+    let cluster = Cluster::start("odd");
+    let controller = cluster.addresses()[0];
+    eventually("a healthy controller", || {
+        call(controller, "GET", "/healthz", &[]).filter(|response| response.status == 200)
     });
     for (method, path, status) in [
         ("GET", "/nothing", 404),
@@ -220,17 +207,14 @@
         ("GET", "/api/jobs/whatever", 404),
         ("POST", "/agent/beat", 400),
         ("POST", "/api/jobs", 400),
-        // What the nodes tell each other is no business of the front.
+        // Messages between controllers are not taken at the public address.
         ("POST", "/peer/hello", 404),
     ] {
-        assert_eq!(
-            call(front, method, path, b"?").expect("an answer").status,
-            status,
-            "{method} {path}"
-        );
+        let answer = call(controller, method, path, b"?").expect("an answer");
+        assert_eq!(answer.status, status, "{method} {path}");
     }
     let connect = || {
-        let stream = TcpStream::connect(front).expect("a connection");
+        let stream = TcpStream::connect(controller).expect("a connection");
         stream
             .set_read_timeout(Some(Duration::from_secs(30)))
             .expect("a limit");
@@ -258,10 +242,10 @@
     assert!(response(&mut large).starts_with("HTTP/1.1 400"));
     // More connections than there are sockets: idle ones give way, and service goes on.
     let _idle: Vec<TcpStream> = (0..400)
-        .filter_map(|_| TcpStream::connect(front).ok())
+        .filter_map(|_| TcpStream::connect(controller).ok())
         .collect();
     eventually("an answer in the crowd", || {
-        call(front, "GET", "/healthz", &[]).filter(|response| response.status == 200)
+        call(controller, "GET", "/healthz", &[]).filter(|response| response.status == 200)
     });
 }
 
@@ -285,71 +269,60 @@
     assert!(!ok && told.contains("/nonexistent/settings.json") && told.trim().lines().count() == 1);
 }
 
-/// Copies of messages come late, however long ago the first of them was carried out: every
-/// transaction so far is sent to the state service again, and users' requests are repeated. Nothing
-/// that is over comes back, what runs goes on to its end, and no attempt starts twice.
+/// Copies of messages arrive late, however long ago the first of them was carried out: every transaction so far is sent
+/// to the store again, and users' requests are repeated. Nothing that is over comes back, what runs goes on to its end,
+/// and no attempt starts twice.
 #[test]
 fn late_copies_change_nothing() {
-    let world = World::start("copies");
-    let fronts: Vec<SocketAddr> = world.nodes.iter().map(|n| n.front).collect();
-    submit(fronts[0], "job-000030", 6);
-    finish(fronts[0], "job-000030");
-    submit(fronts[1], "job-000031", 5000);
-    let withdraw = || {
-        eventually("the cancellation is answered", || {
-            let response = call(fronts[1], "POST", "/api/jobs/job-000031/withdraw", &[])?;
-            (response.status == 200).then(|| text(&response.body, "status"))
-        })
-    };
-    assert_eq!(withdraw(), "cancelled");
-    submit(fronts[2], "job-000032", 40);
+    let cluster = Cluster::start("copies");
+    let controllers = cluster.addresses();
+    submit_accepted(controllers[0], "job-000030", 6);
+    wait_until_done(controllers[0], "job-000030");
+    submit_accepted(controllers[1], "job-000031", 5000);
+    assert_eq!(cancel(controllers[1], "job-000031"), "cancelled");
+    submit_accepted(controllers[2], "job-000032", 40);
     for _ in 0..3 {
-        let replay = call(world.state, "POST", "/replay", &[]).expect("an answer");
+        let replay = call(cluster.store, "POST", "/replay", &[]).expect("an answer");
         assert_eq!(replay.status, 200);
         let total = number(&replay.body, "total");
         let applied = number(&replay.body, "applied");
-        // What is carried out again only removes what is gone, or keeps the machine types.
+        // What is committed again only removes what is gone, or keeps the machine types.
         assert!(total > 6 && applied < total, "{applied} of {total}");
         for (id, state) in [("job-000030", "done"), ("job-000031", "cancelled")] {
-            for front in &fronts {
-                let told = eventually("an answer", || {
-                    poll(*front, id).filter(|(s, _)| *s != 503 && *s != 429)
-                });
-                assert_eq!(told, (200, state.to_owned()), "{id}");
-                assert_eq!(submit(*front, id, 6), 200, "{id} again");
+            for controller in &controllers {
+                assert_status(*controller, id, 200, state);
+                assert_eq!(submit(*controller, &job(id, 6)), 200, "{id} again");
             }
         }
-        assert_eq!(withdraw(), "cancelled");
+        assert_eq!(cancel(controllers[1], "job-000031"), "cancelled");
     }
-    finish(fronts[2], "job-000032");
-    let starts = world.starts.lock().expect("the starts");
-    let attempts: BTreeSet<_> = starts.iter().map(|s| (&s.0, s.1)).collect();
-    assert_eq!(attempts.len(), starts.len());
+    wait_until_done(controllers[2], "job-000032");
+    assert_attempts_started_once(&cluster);
 }
 
-/// While leaders are killed and come back, bad input is told from good: malformed is 400 at once, a
-/// known job is known whatever its new body says, and what can't be taken now is not called wrong.
+/// While leaders are killed and come back, malformed submissions are told from good ones: malformed is 400 at once, a
+/// known job is known whatever its new body says, and what can't be taken now is not called malformed.
 #[test]
-fn bad_input_is_told_during_take_overs() {
-    let mut world = World::start("bad");
-    let front = world.nodes[2].front;
-    submit(front, "job-000040", 200);
+fn malformed_submissions_are_told_during_failovers() {
+    let mut cluster = Cluster::start("bad");
+    let controller = cluster.addresses()[2];
+    submit_accepted(controller, "job-000040", 200);
     for round in 0..12 {
         if round % 4 == 0 {
-            for node in &mut world.nodes[..2] {
-                node.kill();
-                node.start();
+            for controller in &mut cluster.controllers[..2] {
+                controller.restart();
             }
         }
-        let malformed = call(front, "POST", "/api/jobs", b"not a map").expect("an answer");
-        assert_eq!(malformed.status, 400);
-        let known = call(front, "POST", "/api/jobs", &job("job-000040", 0)).expect("an answer");
-        assert!(matches!(known.status, 200 | 429 | 503), "{known:?}");
-        let wrong = call(front, "POST", "/api/jobs", &job("job-000041", 0)).expect("an answer");
-        assert!(matches!(wrong.status, 400 | 429 | 503), "{wrong:?}");
+        let answer = |body: &[u8]| {
+            let response = call(controller, "POST", "/api/jobs", body);
+            response.expect("an answer").status
+        };
+        assert_eq!(answer(b"not a map"), 400);
+        let known = answer(&job("job-000040", 0));
+        assert!(matches!(known, 200 | 503), "{known}");
+        let invalid = answer(&job("job-000041", 0));
+        assert!(matches!(invalid, 400 | 503), "{invalid}");
     }
-    let told = eventually("an answer", || {
-        poll(front, "job-000041").filter(|(s, _)| *s != 503 && *s != 429)
-    });
-    assert_eq!(told.0, 404);
+    let unknown = poll_until_answered(controller, "job-000041");
+    assert_eq!(unknown.http_status, 404);
 }
