--- a/src/coordination/autoscaling/scale_in.rs
+++ b/src/coordination/autoscaling/scale_in.rs
@@ -6,7 +6,7 @@
 use crate::coordination::cluster::host::{CordonReason, Host, HostLifecycle};
 use crate::coordination::scheduling::scoring::capacity;
 use crate::coordination::{Leader, View};
-use crate::types::{seconds, HostName, Time};
+use crate::types::{duration_from_seconds, HostName, Time};
 
 /// The cloud charges at least a minute; a machine that goes back earlier saves nothing.
 const MIN_PAID: Duration = Duration::from_secs(55);
@@ -97,7 +97,7 @@
     /// idles; what the recent peak of demand does not need is therefore closed, the dearest first,
     /// runs empty, and goes back. When demand rises it is opened again before any is rented.
     pub(crate) fn cordon_surplus(&mut self, scarce: &[bool], now: Time) {
-        let window = seconds(self.policy.tuning.idle_return_s);
+        let window = duration_from_seconds(self.policy.tuning.idle_return_s);
         let ordinary = self.ordinary_kept(now);
         for group in [false, true] {
             let demand = self.view().demand(scarce, group);
--- a/src/coordination/autoscaling/services.rs
+++ b/src/coordination/autoscaling/services.rs
@@ -12,7 +12,7 @@
 use crate::coordination::scheduling::scoring::{self, capacity};
 use crate::coordination::{Leader, View};
 use crate::protocol::users::JobSpec;
-use crate::types::{seconds, HostName, JobId, TaskId, Time};
+use crate::types::{duration_from_seconds, HostName, JobId, TaskId, Time};
 
 /// A replica whose machine goes is moved at the latest so long before, room or not.
 const LAST_MOMENT: Duration = Duration::from_secs(2);
@@ -139,7 +139,7 @@
             .min(1.0);
             demand += spec.tasks as f64 * spec.cpus.0 * share;
         }
-        let window = seconds(self.policy.tuning.idle_return_s) * 2;
+        let window = duration_from_seconds(self.policy.tuning.idle_return_s) * 2;
         let peak = self.autoscaler.ordinary_peak.note(now, demand, window);
         // Headroom spreads replicas thinly, so some of it is split up among machines.
         peak * ORDINARY_SPARE + self.view().standby(now)
--- a/src/coordination/cluster/job/splitting.rs
+++ b/src/coordination/cluster/job/splitting.rs
@@ -84,16 +84,17 @@
         dirty
     }
 
-    /// Shortens the description to that many bytes; see [`JobRecord::shorten`].
+    /// Shortens the description to that many bytes; see [`JobRecord::remove_unavailable_machine_types`].
     pub(crate) fn shorten_description(&mut self, max_value_bytes: usize, offered: &[MachineType]) {
         if let Some(mut record) = self.description() {
-            record.shorten(max_value_bytes, offered);
+            record.remove_unavailable_machine_types(max_value_bytes, offered);
             self.spec = Some(Box::new(record.spec));
         }
     }
 
     pub(crate) fn description_size(&self) -> usize {
-        self.description().map_or(usize::MAX, |d| records::size(&d))
+        self.description()
+            .map_or(usize::MAX, |d| records::json_size(&d))
     }
 
     pub(crate) fn description(&self) -> Option<JobRecord> {
--- a/src/coordination/cluster/jobs.rs
+++ b/src/coordination/cluster/jobs.rs
@@ -34,7 +34,7 @@
         let id = record.spec.id;
         if let Some(job) = self.jobs.get_mut(&id).filter(|job| job.spec.is_some()) {
             if job.record_split.is_some() && record.tasks_per_record == job.tasks_per_record {
-                let written = self.records.on_split_in_force(job, version);
+                let written = self.records.on_split_committed(job, version);
                 let hosts_to_command = self.on_records_written(&written, now);
                 return JobRecordEffect::SplitCommitted { hosts_to_command };
             }
--- a/src/coordination/cluster/persistence.rs
+++ b/src/coordination/cluster/persistence.rs
@@ -38,7 +38,7 @@
         if !self.is_loaded {
             return None;
         }
-        for id in self.records.take_too_large() {
+        for id in self.records.take_jobs_to_split() {
             self.split_records(id);
         }
         self.records
@@ -61,7 +61,7 @@
                 CommitResult::Retry
             }
             _ => {
-                self.records.on_refused();
+                self.records.on_not_committed();
                 CommitResult::Retry
             }
         };
@@ -71,10 +71,10 @@
             },
             CommitResult::Conflict {
                 cancelled,
-                outdated_allowance,
+                is_allowance_outdated,
             } => BatchResult::Conflict {
                 cancelled,
-                outdated_allowance,
+                outdated_allowance: is_allowance_outdated,
             },
             CommitResult::LeadershipLost => BatchResult::LeadershipLost,
             CommitResult::Retry => BatchResult::Retry,
@@ -83,7 +83,7 @@
 
     /// Takes the run records whose versions have to be read before they can be written again.
     pub(crate) fn take_records_of_unknown_version(&mut self) -> BTreeSet<RunRecordId> {
-        self.records.take_version_unknown()
+        self.records.take_records_of_unknown_version()
     }
 
     /// The version of a run record was read; `None` if it could not be, and has to be read again.
@@ -161,7 +161,7 @@
         };
         // The last step writes the description too, which an earlier version may have left too large.
         job.shorten_description(self.records.max_value_bytes(), &self.machine_types);
-        if !self.records.split(job) {
+        if !self.records.begin_split(job) {
             return;
         }
         let (of_job, others): (BTreeMap<_, _>, BTreeMap<_, _>) =
--- a/src/coordination/cluster/reconciliation.rs
+++ b/src/coordination/cluster/reconciliation.rs
@@ -16,7 +16,9 @@
 use crate::coordination::Policy;
 use crate::protocol::workers::{AttemptState, AttemptStatus, EndReason, WorkerHeartbeat};
 use crate::storage::records::RunRecordId;
-use crate::types::{seconds, Attempt, Incarnation, SequenceNumber, TaskId, Term, Time};
+use crate::types::{
+    duration_from_seconds, Attempt, Incarnation, SequenceNumber, TaskId, Term, Time,
+};
 
 /// An attempt that was started by a direct command stays in its worker's memory for so many of its leases after it
 /// ended, as a copy of the command may still arrive.
@@ -137,7 +139,7 @@
         }
         self.reconcile_missing(host, heartbeat);
         if let Some(notice) = heartbeat.notice_s {
-            self.on_reclaim_notice(host, seconds(notice.0));
+            self.on_reclaim_notice(host, duration_from_seconds(notice.0));
         }
     }
 
--- a/src/coordination/cluster/record_writer/batch.rs
+++ b/src/coordination/cluster/record_writer/batch.rs
@@ -6,7 +6,7 @@
 use super::{Jobs, RecordWriter};
 use crate::coordination::cluster::job::{Job, JobPhase};
 use crate::coordination::cluster::record_writer::queue::QueuedRecord;
-use crate::storage::records::{self, ArchivableOutcome, RunRecordId};
+use crate::storage::records::{self, RunRecordId, UnarchivedOutcome};
 use crate::types::{JobId, Version};
 
 /// No more is added to a transaction that holds so many bytes. The store's limit leaves room for the last record and the
@@ -94,7 +94,7 @@
             self.finishing.remove(&id);
             let outcome = job.outcome();
             batch.txn.require(records::live_key(id), job.record_version);
-            let record = value(&ArchivableOutcome { outcome });
+            let record = value(&UnarchivedOutcome { outcome });
             let change = Change::put(records::live_key(id), record);
             batch.txn.changes.push(change);
             batch.bytes += OUTCOME_BYTES;
@@ -157,10 +157,10 @@
         if job.phase == JobPhase::Cancelled && chunk.record_version == Version::ABSENT {
             return Ok(());
         }
-        let size = if record.surely_fits(self.max_value_bytes) {
-            record.usual_size()
+        let size = if record.fits_by_upper_bound(self.max_value_bytes) {
+            record.estimated_size_bytes()
         } else {
-            records::size(&record)
+            records::json_size(&record)
         };
         if size > self.max_value_bytes {
             self.too_large.insert(job.id);
--- a/src/coordination/cluster/record_writer/mod.rs
+++ b/src/coordination/cluster/record_writer/mod.rs
@@ -39,7 +39,7 @@
         /// Jobs whose records are gone: they were cancelled.
         cancelled: Vec<JobId>,
         /// The allowance of a team has changed.
-        outdated_allowance: bool,
+        is_allowance_outdated: bool,
     },
     /// The leader's key has changed.
     LeadershipLost,
@@ -131,17 +131,17 @@
     }
 
     /// Takes the jobs of which a record has become too large.
-    pub(crate) fn take_too_large(&mut self) -> BTreeSet<JobId> {
+    pub(crate) fn take_jobs_to_split(&mut self) -> BTreeSet<JobId> {
         std::mem::take(&mut self.too_large)
     }
 
     /// Whether nothing more may be allocated of the job, as its records can't be written now.
-    pub(crate) fn is_held(&self, job: JobId) -> bool {
+    pub(crate) fn is_allocation_blocked(&self, job: JobId) -> bool {
         self.oversized.contains(&job) || self.splitting.contains(&job)
     }
 
     /// Takes the run records whose versions have to be read.
-    pub(crate) fn take_version_unknown(&mut self) -> BTreeSet<RunRecordId> {
+    pub(crate) fn take_records_of_unknown_version(&mut self) -> BTreeSet<RunRecordId> {
         std::mem::take(&mut self.version_unknown)
     }
 
@@ -165,24 +165,24 @@
     }
 
     /// Whether something waits for a record to be written.
-    pub(crate) fn has_urgent(&self) -> bool {
-        self.urgent_count() > 0
+    pub(crate) fn has_urgent_writes(&self) -> bool {
+        self.urgent_record_count() > 0
             || !self.splitting.is_empty()
             || matches!(self.in_flight, InFlight::Repeat(_))
     }
 
     /// How many records wait that something waits for.
-    pub(crate) fn urgent_count(&self) -> usize {
+    pub(crate) fn urgent_record_count(&self) -> usize {
         self.queue.urgent_len() + self.finishing.len()
     }
 
     /// How many other records wait to be written.
-    pub(crate) fn other_count(&self) -> usize {
+    pub(crate) fn normal_record_count(&self) -> usize {
         self.queue.normal_len()
     }
 
     /// Whether the run record waits to be written and something waits for that.
-    pub(crate) fn is_urgent(&self, id: RunRecordId) -> bool {
+    pub(crate) fn is_queued_as_urgent(&self, id: RunRecordId) -> bool {
         self.queue.is_urgent(id)
     }
 
--- a/src/coordination/cluster/record_writer/outcomes.rs
+++ b/src/coordination/cluster/record_writer/outcomes.rs
@@ -87,11 +87,11 @@
             let mut fences = self.allowance_fences.values();
             fences.any(|(fence, _)| fence == key)
         };
-        let outdated_allowance = failed.iter().any(is_allowance);
+        let is_allowance_outdated = failed.iter().any(is_allowance);
         self.requeue(batch);
         CommitResult::Conflict {
             cancelled,
-            outdated_allowance,
+            is_allowance_outdated,
         }
     }
 
@@ -105,7 +105,7 @@
     }
 
     /// The batch under way was surely not committed: its contents are gathered anew.
-    pub(crate) fn on_refused(&mut self) {
+    pub(crate) fn on_not_committed(&mut self) {
         if let Some(batch) = self.take_sent() {
             self.requeue(batch);
         }
@@ -119,7 +119,7 @@
         };
         let change_count = batch.txn.changes.len();
         let values = batch.txn.changes.iter().filter_map(|change| match change {
-            Change::Put { value, .. } => Some(records::size(value)),
+            Change::Put { value, .. } => Some(records::json_size(value)),
             Change::Delete { .. } => None,
         });
         let largest = values.max().unwrap_or(0);
--- a/src/coordination/cluster/record_writer/split.rs
+++ b/src/coordination/cluster/record_writer/split.rs
@@ -29,7 +29,7 @@
 impl RecordWriter {
     /// Begins to split the records of a job of which one is too large. Returns false if that can't be done in transactions
     /// of this size; then the record waits until enough of its tasks have ended.
-    pub(crate) fn split(&mut self, job: &mut Job) -> bool {
+    pub(crate) fn begin_split(&mut self, job: &mut Job) -> bool {
         let fitting = records::tasks_per_record(self.max_value_bytes as f64 / 1024.0);
         let tasks_per_record = if fitting < job.tasks_per_record {
             fitting
@@ -86,7 +86,7 @@
             return Vec::new();
         };
         if step.is_last {
-            return self.on_split_in_force(job, revision);
+            return self.on_split_committed(job, revision);
         }
         for (number, change_count) in &step.written {
             if let Some(chunk) = job.chunk_mut(*number) {
@@ -101,7 +101,7 @@
 
     /// The split of the job's records is in force: its last step was written at that version. Returns the records that
     /// count as written by it.
-    pub(crate) fn on_split_in_force(
+    pub(crate) fn on_split_committed(
         &mut self,
         job: &mut Job,
         record_version: Version,
@@ -158,7 +158,7 @@
     let mut bytes = 0;
     for number in numbers {
         let (chunk, record) = (job.chunk(number)?, job.run_record(number)?);
-        bytes += records::size(&record);
+        bytes += records::json_size(&record);
         if bytes > MAX_TXN_BYTES && !is_last {
             break;
         }
--- a/src/coordination/failure_detection/hosts.rs
+++ b/src/coordination/failure_detection/hosts.rs
@@ -10,7 +10,7 @@
 use crate::coordination::failure_detection::zones::LATE_FACTOR;
 use crate::coordination::{Action, Leader, View};
 use crate::protocol::cloud::MAX_RELEASE_COUNT;
-use crate::types::{seconds, HostName, Incarnation, Time};
+use crate::types::{duration_from_seconds, HostName, Incarnation, Time};
 
 /// A machine that is to be taken and was not heard after its time is gone this much later.
 const TAKEN_AFTER: Duration = Duration::from_millis(500);
@@ -172,8 +172,8 @@
             .type_index
             .and_then(|k| self.cluster.machine_types().get(k));
         let boot = kind.map_or(UNKNOWN_BOOT_S, |t| t.boot_s.0);
-        let overdue =
-            now.since(host.provisioned_at) > seconds(boot * self.policy.tuning.boot_patience);
+        let overdue = now.since(host.provisioned_at)
+            > duration_from_seconds(boot * self.policy.tuning.boot_patience);
         let limit = self.silence_limit(host);
         let said_running = host
             .listed_running_since
--- a/src/coordination/leader/records.rs
+++ b/src/coordination/leader/records.rs
@@ -92,14 +92,14 @@
     pub fn write_backlog(&self) -> WriteBacklog {
         let records = self.cluster.records();
         WriteBacklog {
-            urgent: records.urgent_count(),
-            other: records.other_count(),
+            urgent: records.urgent_record_count(),
+            other: records.normal_record_count(),
         }
     }
 
     /// Whether something waits for a record to be written.
     pub fn has_urgent_writes(&self) -> bool {
-        self.cluster.records().has_urgent()
+        self.cluster.records().has_urgent_writes()
     }
 
     /// Whether no batch is under way.
--- a/src/coordination/leader/status.rs
+++ b/src/coordination/leader/status.rs
@@ -108,10 +108,10 @@
             format!("it failed {} times", job.failures_in_a_row)
         } else if self.view().team_room(job) == 0 {
             format!("{} is at its limit", job.team)
-        } else if self.cluster.records().urgent_count() >= self.policy.records {
+        } else if self.cluster.records().urgent_record_count() >= self.policy.records {
             format!(
                 "{} records wait to be written",
-                self.cluster.records().urgent_count()
+                self.cluster.records().urgent_record_count()
             )
         } else {
             let suits = |h: &&Host| {
--- a/src/coordination/policy.rs
+++ b/src/coordination/policy.rs
@@ -5,7 +5,7 @@
 use crate::coordination::quota_policy;
 use crate::features::Features;
 use crate::settings::{Service, Team, Tuning};
-use crate::types::seconds;
+use crate::types::duration_from_seconds;
 
 /// The settings that decisions depend on.
 #[derive(Clone, Debug)]
@@ -50,7 +50,7 @@
             report: service.workers.report(),
             lease: service.workers.lease(),
             cancel: service.workers.cancel(),
-            list_lag: seconds(service.cloud.list_lag_s) * 2,
+            list_lag: duration_from_seconds(service.cloud.list_lag_s) * 2,
             tasks_per_record: crate::storage::records::tasks_per_record(service.state.value_kb),
             probes: (service.resources.sockets / 20).max(2),
             commands: (service.resources.sockets / 16).max(4),
--- a/src/coordination/scheduling/placement.rs
+++ b/src/coordination/scheduling/placement.rs
@@ -101,7 +101,7 @@
     ) -> Option<JobPlacement> {
         let job = self.cluster.job(rank.id)?;
         let spec = job.spec.clone()?;
-        if pass.now < job.retry_not_before || self.cluster.records().is_held(job.id) {
+        if pass.now < job.retry_not_before || self.cluster.records().is_allocation_blocked(job.id) {
             return None;
         }
         let usable_types = self.usable_types(&spec, scarce);
@@ -144,11 +144,11 @@
         };
         // An allocation that waits long for its record would only hold the host idle.
         let records = self.cluster.records();
-        let is_queued = records.is_urgent(RunRecordId {
+        let is_queued = records.is_queued_as_urgent(RunRecordId {
             job: job.id,
             number: job.chunk_of(index),
         });
-        if !is_queued && records.urgent_count() >= placement.max_waiting_records {
+        if !is_queued && records.urgent_record_count() >= placement.max_waiting_records {
             return NextStep::Finish;
         }
         let task = TaskId { job: job.id, index };
--- a/src/coordination/scheduling/preemption.rs
+++ b/src/coordination/scheduling/preemption.rs
@@ -10,7 +10,7 @@
 use crate::coordination::scheduling::scoring::capacity;
 use crate::coordination::{Leader, View};
 use crate::protocol::users::{JobSpec, Priority};
-use crate::types::{seconds, HostName, JobId, TaskId, Time};
+use crate::types::{duration_from_seconds, HostName, JobId, TaskId, Time};
 
 /// A task is preempted only if it loses no more than this.
 const PREEMPT_LOSS_S: f64 = 4.0;
@@ -91,7 +91,7 @@
         let lost = if saves { spec.save_s.0.min(ran) } else { ran };
         let may = self.may_preempt(job, for_job) && allocation.stop_reason.is_none();
         // The first tasks of a job that has waited too long are to have begun for good.
-        let starve_after = seconds(self.policy.tuning.starve_after_s);
+        let starve_after = duration_from_seconds(self.policy.tuning.starve_after_s);
         let waited = Duration::from_millis(self.clock.day_ms.saturating_sub(job.submitted_at_ms));
         let young = ran < BEGUN_S && job.done_count == 0 && job.allocated_count <= FEW;
         if waited >= starve_after && young {
--- a/src/coordination/scheduling/ranking.rs
+++ b/src/coordination/scheduling/ranking.rs
@@ -7,7 +7,7 @@
 use crate::coordination::cluster::job::{Job, JobPhase};
 use crate::coordination::View;
 use crate::protocol::users::{JobSpec, Priority};
-use crate::types::{seconds, JobId, Version};
+use crate::types::{duration_from_seconds, JobId, Version};
 
 /// Jobs that waited too long and go before all others at one time.
 const MAX_LIFTED: usize = 8;
@@ -71,7 +71,7 @@
     /// All jobs with waiting tasks, in the order in which they are served.
     pub(crate) fn ranked(&self) -> Vec<Rank> {
         let cpus = self.cpus_to_be();
-        let starve_after = seconds(self.policy.tuning.starve_after_s);
+        let starve_after = duration_from_seconds(self.policy.tuning.starve_after_s);
         let mut by_arrival: Vec<&Job> = self
             .cluster
             .jobs()
@@ -118,7 +118,7 @@
     /// How long ago the job was submitted.
     fn waited(&self, job: &Job) -> Duration {
         let waited_ms = self.clock.day_ms.saturating_sub(job.submitted_at_ms);
-        seconds(waited_ms as f64 / 1000.0)
+        duration_from_seconds(waited_ms as f64 / 1000.0)
     }
 
     /// Whether the job fits into its team's guarantee together with the team's earlier jobs.
--- a/src/node/api/outcomes.rs
+++ b/src/node/api/outcomes.rs
@@ -105,7 +105,7 @@
         item: &Item,
         view: &View,
     ) {
-        if let Some(over) = records::outcome_in_place(&item.value) {
+        if let Some(over) = records::unarchived_outcome(&item.value) {
             self.remember(job, over);
             self.finish(id, Self::final_answer(job, over));
             return;
--- a/src/node/api/requests.rs
+++ b/src/node/api/requests.rs
@@ -27,7 +27,7 @@
                             submitted_at_ms: at_ms,
                             tasks_per_record: self.tasks_per_record,
                         };
-                        record.shorten(self.max_value, types);
+                        record.remove_unavailable_machine_types(self.max_value, types);
                         Intent::Submit(Box::new(record))
                     }
                     Some(Err(why)) => Intent::Repeat {
--- a/src/node/api/status_queries.rs
+++ b/src/node/api/status_queries.rs
@@ -98,7 +98,7 @@
         };
         for item in &page.items {
             if let Some(job) = parse_live_key(&item.key) {
-                let over = records::outcome_in_place(&item.value);
+                let over = records::unarchived_outcome(&item.value);
                 listing.seen.insert(job, over);
                 if over.is_none() {
                     self.know(job, item.version);
--- a/src/node/heartbeats.rs
+++ b/src/node/heartbeats.rs
@@ -189,7 +189,7 @@
             return;
         }
         self.spent_at = now;
-        let spent = self.store.spent();
+        let spent = self.store.total_spent();
         let rate = |now: f64, before: f64| (now - before) / passed.as_secs_f64();
         self.spends = (rate(spent.0, self.spent.0), rate(spent.1, self.spent.1));
         self.spent = spent;
--- a/src/node/leader_duties/cloud.rs
+++ b/src/node/leader_duties/cloud.rs
@@ -78,7 +78,7 @@
         let types = MachineTypes {
             types: self.controller.machine_types().to_vec(),
         };
-        if records::size(&types) > self.controller.max_value_bytes() {
+        if records::json_size(&types) > self.controller.max_value_bytes() {
             // Nodes ask the cloud then.
             tracing::info!("the machine types are too large to be kept");
             self.types_written = true;
--- a/src/node/leader_duties/loading.rs
+++ b/src/node/leader_duties/loading.rs
@@ -85,7 +85,7 @@
         if let Some(seen) = &mut self.seen {
             seen.insert(id);
         }
-        if let Some(over) = records::outcome_in_place(&item.value) {
+        if let Some(over) = records::unarchived_outcome(&item.value) {
             self.controller.on_outcome_record(id, over, item.version);
         } else if let Some(record) = item.record() {
             self.controller.on_job(record, item.version);
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -28,7 +28,7 @@
 use crate::transport::{
     CallId, ConnId, ListenerKind, Network, Request, Response, Transport, TransportEvent,
 };
-use crate::types::{seconds, HostName, JobId, Term, Time, Version};
+use crate::types::{duration_from_seconds, HostName, JobId, Term, Time, Version};
 use api::{ApiAction, ApiRequestId, ApiServer, ApiStoreRequest, Client, View};
 use heartbeats::PeerLink;
 use leader_duties::{LeaderDuties, LeaderRequest};
@@ -148,7 +148,7 @@
     pub fn new(settings: Settings, tuning: Tuning, net: N, incarnation: u64) -> Node<N> {
         let service = &settings.settings;
         let store = new_store(&settings);
-        let ttl = seconds(tuning.leader_lease_s);
+        let ttl = duration_from_seconds(tuning.leader_lease_s);
         let leadership = Leadership::new(&settings.name, ttl, incarnation);
         let api = ApiServer::new(
             service.teams.clone(),
@@ -235,7 +235,7 @@
         let now = self.net.now();
         let gap = now.since(self.awake_at);
         self.awake_at = now;
-        if gap < seconds(self.tuning.leader_lease_s) {
+        if gap < duration_from_seconds(self.tuning.leader_lease_s) {
             return;
         }
         tracing::info!("stood still for {gap:?}");
@@ -255,7 +255,7 @@
 
     fn state_answers(&self, now: Time) -> bool {
         self.store
-            .last_answer_at
+            .last_response_at
             .is_some_and(|at| now.since(at) < STATE_LOST)
     }
 
@@ -308,7 +308,7 @@
             self.settings.outside.cloud,
             service.cloud.rps,
             service.state.txn_ops,
-            seconds(self.tuning.batch_interval_s),
+            duration_from_seconds(self.tuning.batch_interval_s),
             now,
         ));
         if let Some(duties) = &mut self.duties {
--- a/src/node/periodic.rs
+++ b/src/node/periodic.rs
@@ -87,7 +87,7 @@
             duties
                 .controller
                 .set_lease_valid_until(self.leadership.valid_until());
-            duties.turn(&mut self.net, &mut self.store.write_budget, now);
+            duties.turn(&mut self.net, &mut self.store.write_rate_limit, now);
             let term = duties.controller.term();
             for (class, ask, limit, what) in duties.take_pending() {
                 let id = self.store.enqueue(now, class, ask, limit);
@@ -104,10 +104,14 @@
             match next {
                 Ok(out) => {
                     let state = self.settings.outside.state;
-                    let call = self
-                        .net
-                        .call(state, out.method, &out.target, &out.body, out.limit);
-                    self.store.sent_as(out.id, call);
+                    let call = self.net.call(
+                        state,
+                        out.method,
+                        &out.target,
+                        &out.body,
+                        out.response_timeout,
+                    );
+                    self.store.on_sent(out.id, call);
                 }
                 Err(id) => {
                     self.on_outcome(
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 pub use crate::tuning::Tuning;
-use crate::types::seconds;
+use crate::types::duration_from_seconds;
 
 /// The platform's settings of one controller.
 #[derive(Clone, Debug, Deserialize)]
@@ -142,17 +142,17 @@
 impl Workers {
     /// Interval of reports.
     pub fn report(&self) -> Duration {
-        seconds(self.report_s)
+        duration_from_seconds(self.report_s)
     }
 
     /// Lease of a worker.
     pub fn lease(&self) -> Duration {
-        seconds(self.lease_s)
+        duration_from_seconds(self.lease_s)
     }
 
     /// Time for cancellations.
     pub fn cancel(&self) -> Duration {
-        seconds(self.cancel_s)
+        duration_from_seconds(self.cancel_s)
     }
 }
 
--- a/src/storage/records.rs
+++ b/src/storage/records.rs
@@ -87,8 +87,8 @@
 impl JobRecord {
     /// Leaves out the allowed machine types that the cloud does not offer, if the record is larger than
     /// that with them: nothing can run on those.
-    pub fn shorten(&mut self, max_value: usize, offered: &[MachineType]) {
-        if size(self) <= max_value {
+    pub fn remove_unavailable_machine_types(&mut self, max_value: usize, offered: &[MachineType]) {
+        if json_size(self) <= max_value {
             return;
         }
         if let Some(allowed) = &mut self.spec.machine_types {
@@ -109,14 +109,14 @@
 /// A job that got done, until its record is moved from `live/` to `over/`: that takes more changes,
 /// and can wait until the budget has some to spare.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
-pub struct ArchivableOutcome {
+pub struct UnarchivedOutcome {
     /// The final state.
     #[serde(rename = "over")]
     pub outcome: OutcomeRecord,
 }
 
 /// The final state, if this is the record of a job that is over.
-pub fn outcome_in_place(value: &Value) -> Option<OutcomeRecord> {
+pub fn unarchived_outcome(value: &Value) -> Option<OutcomeRecord> {
     let fields = value.as_map()?;
     let is_over = |(key, _): &&(Value, Value)| key.as_text() == Some("over");
     let (_, over) = fields.iter().find(is_over)?;
@@ -180,7 +180,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct FinishedRange {
     /// Offset of the first in the record's range.
-    pub first: u32,
+    pub first_offset: u32,
     /// How many there are.
     pub count: u32,
 }
@@ -234,7 +234,7 @@
     };
 }
 
-stored_as_list!(FinishedRange: first, count);
+stored_as_list!(FinishedRange: first_offset, count);
 stored_as_list!(AllocationEntry: offset, attempt, host, incarnation);
 stored_as_list!(AttemptedEntry: offset, last_attempt);
 stored_as_list!(TaskCounts: done, allocated);
@@ -270,12 +270,12 @@
     }
 
     /// About its size in bytes, with names of hosts, attempts and incarnations of usual length.
-    pub fn usual_size(&self) -> usize {
+    pub fn estimated_size_bytes(&self) -> usize {
         self.size_of_entries(&USUAL_BYTES)
     }
 
     /// Whether the record surely has no more bytes than that. Where this returns false, it has to be measured.
-    pub fn surely_fits(&self, max_bytes: usize) -> bool {
+    pub fn fits_by_upper_bound(&self, max_bytes: usize) -> bool {
         let hosts = self.allocations.iter();
         let host_names: usize = hosts.map(|entry| entry.host.as_str().len()).sum();
         // Each character of a team's name may need two.
@@ -291,7 +291,7 @@
     }
 }
 
-pub use lichencrank_store::json_size as size;
+pub use lichencrank_store::json_size;
 
 /// Bytes of a run record without entries, and of each task in it, with names of usual length, where some tasks are allocated
 /// and others done or attempted.
--- a/src/storage/store.rs
+++ b/src/storage/store.rs
@@ -35,7 +35,7 @@
 }
 
 /// A request ready to be sent.
-pub struct Outgoing {
+pub struct OutgoingRequest {
     /// The request.
     pub id: StoreRequestId,
     /// HTTP method.
@@ -45,7 +45,7 @@
     /// HTTP body.
     pub body: Vec<u8>,
     /// How long its answer is awaited.
-    pub limit: Duration,
+    pub response_timeout: Duration,
 }
 
 /// Queues requests to the state service and reads their answers.
@@ -53,15 +53,15 @@
     next: u64,
     requests_since_read: u32,
     queues: BTreeMap<RequestClass, VecDeque<QueuedRequest>>,
-    request_budget: RateLimit,
+    request_rate_limit: RateLimit,
     /// The budget of puts and deletes.
-    pub write_budget: RateLimit,
+    pub write_rate_limit: RateLimit,
     sent: HashMap<StoreRequestId, (RequestKind, Time)>,
     /// The longest that answers took lately, in milliseconds; it fades with each answer.
     slowest_response_ms: f64,
     calls: HashMap<CallId, StoreRequestId>,
     /// When the service last answered properly.
-    pub last_answer_at: Option<Time>,
+    pub last_response_at: Option<Time>,
 }
 
 /// One of so many requests is a read, if any waits.
@@ -81,32 +81,32 @@
             next: 0,
             requests_since_read: 0,
             queues: BTreeMap::new(),
-            request_budget: RateLimit::new(rps, rps),
-            write_budget: RateLimit::new(write_rps, write_rps),
+            request_rate_limit: RateLimit::new(rps, rps),
+            write_rate_limit: RateLimit::new(write_rps, write_rps),
             sent: HashMap::new(),
             slowest_response_ms: 0.0,
             calls: HashMap::new(),
-            last_answer_at: None,
+            last_response_at: None,
         }
     }
 
     /// What was spent so far: requests and changes.
-    pub fn spent(&self) -> (f64, f64) {
+    pub fn total_spent(&self) -> (f64, f64) {
         (
-            self.request_budget.total_spent(),
-            self.write_budget.total_spent(),
+            self.request_rate_limit.total_spent(),
+            self.write_rate_limit.total_spent(),
         )
     }
 
     /// Sets this controller's share of the rate limits.
     pub fn set_rates(&mut self, now: Time, rps: f64, write_rps: f64) {
-        self.request_budget.set_rate(now, rps);
-        self.write_budget.set_rate(now, write_rps);
+        self.request_rate_limit.set_rate(now, rps);
+        self.write_rate_limit.set_rate(now, write_rps);
     }
 
     /// Whether requests that can wait may go out beside the others.
     pub fn has_spare_budget(&mut self, now: Time) -> bool {
-        self.request_budget.available_fraction(now) > SPARE
+        self.request_rate_limit.available_fraction(now) > SPARE
             && self.queues.values().all(VecDeque::is_empty)
     }
 
@@ -141,7 +141,7 @@
         &mut self,
         now: Time,
         may_book: bool,
-    ) -> Option<Result<Outgoing, StoreRequestId>> {
+    ) -> Option<Result<OutgoingRequest, StoreRequestId>> {
         for (class, queue) in &mut self.queues {
             let void = |first: &QueuedRequest| {
                 let books =
@@ -168,19 +168,19 @@
             };
             // The lease may run the account into debt: without it all the rest is lost.
             if class != RequestClass::Lease {
-                if self.request_budget.available(now) < 1.0 {
+                if self.request_rate_limit.available(now) < 1.0 {
                     return None;
                 }
                 // Lower classes may read meanwhile, but not take the writes that this one waits for.
-                if writes > 0.0 && (writes_taken || self.write_budget.available(now) < 1.0) {
+                if writes > 0.0 && (writes_taken || self.write_rate_limit.available(now) < 1.0) {
                     writes_taken = true;
                     continue;
                 }
             }
             let first = self.queues.get_mut(&class)?.pop_front()?;
             self.requests_since_read = (self.requests_since_read + 1) % READ_EVERY;
-            self.request_budget.spend(now, 1.0);
-            self.write_budget.spend(now, writes);
+            self.request_rate_limit.spend(now, 1.0);
+            self.write_rate_limit.spend(now, writes);
             return Some(Ok(self.render(first, now)));
         }
         None
@@ -196,7 +196,7 @@
         )
     }
 
-    fn render(&mut self, waiting: QueuedRequest, now: Time) -> Outgoing {
+    fn render(&mut self, waiting: QueuedRequest, now: Time) -> OutgoingRequest {
         let held = match &waiting.ask {
             StoreRequest::Watch { hold, .. } => *hold,
             _ => Duration::ZERO,
@@ -208,17 +208,17 @@
             body,
         } = waiting.ask.render();
         self.sent.insert(waiting.id, (kind, now));
-        Outgoing {
+        OutgoingRequest {
             id: waiting.id,
             method,
             target,
             body,
-            limit: waiting.limit + held,
+            response_timeout: waiting.limit + held,
         }
     }
 
     /// Notes the call that carries a request.
-    pub fn sent_as(&mut self, id: StoreRequestId, call: CallId) {
+    pub fn on_sent(&mut self, id: StoreRequestId, call: CallId) {
         self.calls.insert(call, id);
     }
 
@@ -239,7 +239,7 @@
         self.note_response_time(now.since(sent), kind, result.is_ok());
         let outcome = self.interpret(now, kind, result);
         if outcome.is_answer() {
-            self.last_answer_at = Some(now);
+            self.last_response_at = Some(now);
         }
         Some((id, outcome))
     }
@@ -276,8 +276,8 @@
             Err(CallError::Lost) => Outcome::Unknown,
         };
         if let Outcome::RateLimited { retry_after } = &outcome {
-            self.request_budget.back_off(now, *retry_after);
-            self.write_budget.back_off(now, *retry_after);
+            self.request_rate_limit.back_off(now, *retry_after);
+            self.write_rate_limit.back_off(now, *retry_after);
         }
         outcome
     }
--- a/src/types.rs
+++ b/src/types.rs
@@ -33,7 +33,7 @@
 }
 
 /// A duration from a settings or protocol number; nonsense becomes zero, not a panic.
-pub fn seconds(s: f64) -> Duration {
+pub fn duration_from_seconds(s: f64) -> Duration {
     Duration::try_from_secs_f64(s.max(0.0)).unwrap_or(Duration::MAX / 4)
 }
 
--- a/tests/api.rs
+++ b/tests/api.rs
@@ -10,7 +10,7 @@
 use lichencrank::protocol::{decode, encode, Amount};
 use lichencrank::settings::Team;
 use lichencrank::storage::records::{
-    self, AllocationEntry, ArchivableOutcome, JobRecord, OutcomeRecord, RunRecord,
+    self, AllocationEntry, JobRecord, OutcomeRecord, RunRecord, UnarchivedOutcome,
 };
 use lichencrank::storage::store::{Outcome, StoreRequest};
 use lichencrank::transport::ConnId;
@@ -246,7 +246,7 @@
     let mut second: Vec<Item> = (20..29)
         .map(|job| item(job, Value::Map(Vec::new())))
         .collect();
-    second.push(item(29, value(&ArchivableOutcome { outcome: over })));
+    second.push(item(29, value(&UnarchivedOutcome { outcome: over })));
     desk.reply(page(second, false));
     assert!(matches!(&desk.asked[0].0, StoreRequest::Get(key) if key == "over/job-000030"));
     desk.reply(Outcome::Item(None));
@@ -278,7 +278,7 @@
     assert!(matches!(&desk.asked[0].0, StoreRequest::Get(key) if key == "live/job-000001"));
     desk.reply(Outcome::Item(Some(Item {
         key: "live/job-000001".into(),
-        value: value(&ArchivableOutcome { outcome: over }),
+        value: value(&UnarchivedOutcome { outcome: over }),
         version: Version(8),
     })));
     assert_eq!(desk.answers[&one], (200, "done".into()));
@@ -499,7 +499,7 @@
         panic!("{:?}", txn.changes);
     };
     let record: JobRecord = value.deserialized().expect("a description");
-    assert!(records::size(&record) <= 2048);
+    assert!(records::json_size(&record) <= 2048);
     assert_eq!(record.spec.machine_types, Some(vec!["small".to_owned()]));
     desk.reply(Outcome::Committed(Version(7)));
     assert_eq!(desk.answers[&client.conn.serial].0, 201);
--- a/tests/budget.rs
+++ b/tests/budget.rs
@@ -164,7 +164,7 @@
         let Some(Ok(out)) = store.next_outgoing(at, true) else {
             panic!("the budget allows it")
         };
-        store.sent_as(out.id, CallId(serial));
+        store.on_sent(out.id, CallId(serial));
         let answer = if lost {
             Err(CallError::Lost)
         } else {
--- a/tests/record_split.rs
+++ b/tests/record_split.rs
@@ -306,7 +306,7 @@
             "after {steps} steps"
         );
         for (key, data, _) in items(&mut state, "run/") {
-            assert!(records::size(&data) <= 2048, "{key}");
+            assert!(records::json_size(&data) <= 2048, "{key}");
         }
     }
 }
--- a/tests/size.rs
+++ b/tests/size.rs
@@ -203,7 +203,7 @@
                 version,
             };
             if records::parse_live_key(&item.key).is_some() {
-                assert!(records::outcome_in_place(&item.value).is_none());
+                assert!(records::unarchived_outcome(&item.value).is_none());
                 c.on_job(item.record().expect("a job"), version);
             }
         }
--- a/tests/store_contract.rs
+++ b/tests/store_contract.rs
@@ -45,7 +45,7 @@
             .enqueue(now, RequestClass::User, request.clone(), TIMEOUT);
         let next = self.queue.next_outgoing(now, true).expect("it is sent");
         let outgoing = next.expect("it did not wait");
-        self.queue.sent_as(outgoing.id, call_id);
+        self.queue.on_sent(outgoing.id, call_id);
         let response = call(
             self.address,
             outgoing.method,
--- a/tests/versions.rs
+++ b/tests/versions.rs
@@ -12,7 +12,7 @@
 use lichencrank::protocol::{decode, encode};
 use lichencrank::settings::{Settings, Tuning};
 use lichencrank::storage::records::{self, AllocationEntry, JobRecord, RunRecord, RunRecordId};
-use lichencrank::storage::records::{ArchivableOutcome, LeaderRecord, OutcomeRecord, TermRecord};
+use lichencrank::storage::records::{LeaderRecord, OutcomeRecord, TermRecord, UnarchivedOutcome};
 use lichencrank::transport::{
     CallId, ConnId, ListenerKind, Network, Request, Response, SocketUsage, TransportEvent,
 };
@@ -288,7 +288,7 @@
             "acknowledged" => drop(kept.message::<AcknowledgedJobs>()),
             "job-array" => assert!(!kept.record::<JobRecord>().spec.is_service()),
             "job-service" => assert!(kept.record::<JobRecord>().spec.is_service()),
-            "final" => drop(kept.record::<ArchivableOutcome>()),
+            "final" => drop(kept.record::<UnarchivedOutcome>()),
             "over-done" | "over-cancelled" => drop(kept.record::<OutcomeRecord>()),
             "holder" => drop(kept.record::<LeaderRecord>()),
             "term" => drop(kept.record::<TermRecord>()),
@@ -382,7 +382,7 @@
         changed[at] = random.u8(..);
         drop(decode::<JobRecord>(&changed));
         drop(decode::<RunRecord>(&changed));
-        drop(decode::<ArchivableOutcome>(&changed));
+        drop(decode::<UnarchivedOutcome>(&changed));
         drop(decode::<LeaderRecord>(&changed));
         drop(decode::<MachineTypes>(&changed));
     }
