--- a/src/coordination/cluster/job/run_records.rs
+++ b/src/coordination/cluster/job/run_records.rs
@@ -158,9 +158,9 @@
             incarnation: *incarnation,
         }),
         TaskState::Done => match record.finished.last_mut() {
-            Some(range) if range.first_offset + range.count == offset => range.count += 1,
+            Some(range) if range.first + range.count == offset => range.count += 1,
             _ => record.finished.push(FinishedRange {
-                first_offset: offset,
+                first: offset,
                 count: 1,
             }),
         },
@@ -180,11 +180,8 @@
         set(entry.offset, TaskState::Waiting { last });
     }
     for range in &record.finished {
-        let end = range
-            .first_offset
-            .saturating_add(range.count)
-            .min(task_count);
-        for offset in range.first_offset..end {
+        let end = range.first.saturating_add(range.count).min(task_count);
+        for offset in range.first..end {
             set(offset, TaskState::Done);
         }
     }
--- a/src/storage/records.rs
+++ b/src/storage/records.rs
@@ -180,7 +180,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct FinishedRange {
     /// Offset of the first in the record's range.
-    pub first_offset: u32,
+    pub first: u32,
     /// How many there are.
     pub count: u32,
 }
@@ -234,7 +234,7 @@
     };
 }
 
-stored_as_list!(FinishedRange: first_offset, count);
+stored_as_list!(FinishedRange: first, count);
 stored_as_list!(AllocationEntry: offset, attempt, host, incarnation);
 stored_as_list!(AttemptedEntry: offset, last_attempt);
 stored_as_list!(TaskCounts: done, allocated);
