--- a/src/coordination/autoscaling/forecast.rs
+++ b/src/coordination/autoscaling/forecast.rs
@@ -122,7 +122,7 @@
             works.push(Work {
                 spec,
                 run: self.run_times.expected_s(job),
-                due: job.due_in_s(self.clock.day_ms),
+                due: job.time_to_deadline_s(self.clock.day_ms),
                 tasks: u64::from(job.schedulable_count()).min(self.team_room(job)),
                 from: 0.0,
                 to_come: false,
--- a/src/coordination/autoscaling/provisioning.rs
+++ b/src/coordination/autoscaling/provisioning.rs
@@ -287,7 +287,7 @@
                 names,
                 type_index,
                 zone,
-                spot,
+                is_spot: spot,
                 requested_at: open.at,
             },
             now,
--- a/src/coordination/autoscaling/scale_in.rs
+++ b/src/coordination/autoscaling/scale_in.rs
@@ -29,21 +29,21 @@
             .hosts()
             .values()
             .filter(|h| h.lifecycle == HostLifecycle::Up)
-            .filter(|h| matches!(h.cordon, None | Some(CordonReason::Surplus)))
+            .filter(|h| matches!(h.cordon_reason, None | Some(CordonReason::Surplus)))
             .filter_map(|h| {
                 let kind = h.type_index.filter(|k| scarce.get(*k) == Some(&group))?;
                 let machine_type = self.cluster.machine_types().get(kind)?;
-                let price = if h.spot {
+                let price = if h.is_spot {
                     machine_type.spot_price.0
                 } else {
                     machine_type.on_demand_price.0
                 };
                 let cpus = machine_type.cpus.0.max(0.1);
                 // What is cordoned already stays so, other things being equal.
-                let cordoned = if h.cordon.is_some() { 1.0 } else { 0.0 };
+                let cordoned = if h.cordon_reason.is_some() { 1.0 } else { 0.0 };
                 Some(ScaleInCandidate {
                     price_per_cpu: price / cpus,
-                    idleness: cordoned - h.allocated.cpus / cpus,
+                    idleness: cordoned - h.allocated_resources.cpus / cpus,
                     name: h.name.clone(),
                     cpus,
                 })
@@ -67,8 +67,8 @@
                 continue;
             };
             let whole = capacity(t);
-            let share =
-                (host.allocated.cpus / whole.cpus).max(host.allocated.memory_gb / whole.memory_gb);
+            let share = (host.allocated_resources.cpus / whole.cpus)
+                .max(host.allocated_resources.memory_gb / whole.memory_gb);
             demand += if share.is_finite() {
                 share * whole.cpus
             } else {
@@ -112,7 +112,7 @@
                 if kept < wanted || ordinary.contains(&name) {
                     kept += cpus;
                     self.cluster.uncordon_surplus(&name);
-                } else if now >= host.keep_open_until {
+                } else if now >= host.keep_uncordoned_until {
                     self.cluster.cordon_surplus(&name, now);
                 }
             }
@@ -126,14 +126,14 @@
             // What has been paid for anyway may stay.
             let is_paid_for = now.since(host.provisioned_at) < MIN_PAID;
             let is_cordoned = host
-                .cordon
+                .cordon_reason
                 .is_some_and(|reason| reason != CordonReason::Reclaimed);
             is_empty && is_cordoned && !is_paid_for
         };
         let releasable = self.cluster.hosts().values().filter(is_releasable);
         let names: Vec<HostName> = releasable.map(|host| host.name.clone()).collect();
         for name in names {
-            self.cluster.release_empty(&name);
+            self.cluster.begin_release_of_empty(&name);
             self.autoscaler.release(name);
         }
     }
--- a/src/coordination/autoscaling/services.rs
+++ b/src/coordination/autoscaling/services.rs
@@ -62,9 +62,9 @@
                 .map_or(0.0, |t| t.cpus.0)
         };
         let here = self.cluster.hosts().values().filter(|h| {
-            !h.spot
+            !h.is_spot
                 && h.lifecycle != HostLifecycle::Releasing
-                && matches!(h.cordon, None | Some(CordonReason::Surplus))
+                && matches!(h.cordon_reason, None | Some(CordonReason::Surplus))
         });
         let room = here.map(|h| {
             let replicas = h.allocations.iter().filter(|(t, _)| self.is_service(**t));
@@ -82,8 +82,8 @@
     fn idle_replica(&self, now: Time) -> Option<(HostName, TaskId)> {
         let long = |at: Time| now.since(at) > IDLE_FOR;
         let host = self.cluster.hosts().values().find(|host| {
-            let idle =
-                host.cordon == Some(CordonReason::Surplus) && host.lifecycle == HostLifecycle::Up;
+            let idle = host.cordon_reason == Some(CordonReason::Surplus)
+                && host.lifecycle == HostLifecycle::Up;
             let idle = idle && host.surplus_since.is_some_and(long) && !host.allocations.is_empty();
             idle && host.allocations.iter().all(|(task, b)| {
                 b.stop_reason.is_none() && self.is_service(*task) && self.has_room(*task, host, now)
@@ -110,9 +110,10 @@
                 .and_then(|k| self.cluster.machine_types().get(k));
             host.name != but.name
                 && self.is_open(host, now)
-                && (spec.spot || !host.spot)
+                && (spec.spot || !host.is_spot)
                 && kind.is_some_and(|t| {
-                    scoring::type_suits(spec, t) && need.fits(&capacity(t).minus(&host.allocated))
+                    scoring::type_suits(spec, t)
+                        && need.fits(&capacity(t).minus(&host.allocated_resources))
                 })
         })
     }
@@ -154,7 +155,7 @@
             .cluster
             .hosts()
             .values()
-            .filter(|h| !h.spot && h.lifecycle == HostLifecycle::Up)
+            .filter(|h| !h.is_spot && h.lifecycle == HostLifecycle::Up)
         {
             if let Some(t) = host
                 .type_index
@@ -163,7 +164,7 @@
                 let cpus = t.cpus.0.max(0.1);
                 let price = t.on_demand_price.0 / cpus * self.view().urgency_factor(t.boot_s.0);
                 let idle = !self.view().holds_replicas(host);
-                order.push((idle, host.cordon.is_some(), price, cpus, &host.name));
+                order.push((idle, host.cordon_reason.is_some(), price, cpus, &host.name));
             }
         }
         order.sort_by(|a, b| {
@@ -235,14 +236,15 @@
             let whole = kind
                 .and_then(|k| self.cluster.machine_types().get(k))
                 .map(capacity);
-            host.cordon == Some(CordonReason::Surplus)
+            host.cordon_reason == Some(CordonReason::Surplus)
                 && host.lifecycle == HostLifecycle::Up
                 && now.since(host.last_heartbeat_at) <= self.policy.report * 2
                 && host.reachability == Reachability::Confirmed
-                && (spec.spot || !host.spot)
+                && (spec.spot || !host.is_spot)
                 && spec.zone.as_ref().is_none_or(|z| *z == host.zone)
-                && whole.is_some_and(|w| job.task_resources.fits(&w.minus(&host.allocated)))
-                && !host.remembers_task(task)
+                && whole
+                    .is_some_and(|w| job.task_resources.fits(&w.minus(&host.allocated_resources)))
+                && !host.may_have_earlier_attempt(task)
         };
         let found = self
             .cluster
@@ -251,7 +253,8 @@
             .find(suits)
             .map(|h| h.name.clone());
         let Some(name) = found else { return false };
-        self.cluster.keep_open_until(&name, now.after(REOPENED_FOR));
+        self.cluster
+            .keep_uncordoned_until(&name, now.after(REOPENED_FOR));
         self.cluster.uncordon_surplus(&name)
     }
 
--- a/src/coordination/autoscaling/timeline.rs
+++ b/src/coordination/autoscaling/timeline.rs
@@ -130,7 +130,11 @@
         let kind = host.type_index?;
         let machine_type = self.cluster.machine_types().get(kind)?;
         let at = match host.lifecycle {
-            HostLifecycle::Up if matches!(host.cordon, None | Some(CordonReason::Surplus)) => 0.0,
+            HostLifecycle::Up
+                if matches!(host.cordon_reason, None | Some(CordonReason::Surplus)) =>
+            {
+                0.0
+            }
             HostLifecycle::Expected => {
                 let boot = machine_type.boot_s.0;
                 let age = now.since(host.provisioned_at).as_secs_f64();
@@ -161,10 +165,10 @@
         Some(Timeline {
             kind,
             zone: host.zone.clone(),
-            spot: host.spot,
+            spot: host.is_spot,
             at,
             for_services,
-            free: capacity(machine_type).minus(&host.allocated),
+            free: capacity(machine_type).minus(&host.allocated_resources),
             ends,
         })
     }
--- a/src/coordination/cluster/allocation.rs
+++ b/src/coordination/cluster/allocation.rs
@@ -38,11 +38,11 @@
     /// How far it is.
     pub phase: AllocationPhase,
     /// The change of its run record that holds the allocation; 0 if it was read from the record.
-    pub record_change: u64,
+    pub record_change_count: u64,
     /// Whether a `run` of the attempt may have been sent, by this leader or an earlier one.
-    pub run_sent: bool,
+    pub was_run_possibly_sent: bool,
     /// Whether this leader sent a `run` by a direct command, of which copies may arrive late.
-    pub run_sent_directly: bool,
+    pub was_run_sent_directly: bool,
     /// The last heartbeat in whose response `run` was sent; 0 if there was none.
     pub run_sent_in_response_to: SequenceNumber,
     /// The last heartbeat in whose response `stop` was sent; 0 if there was none.
@@ -50,7 +50,7 @@
     /// Why it is to be stopped, if it is.
     pub stop_reason: Option<StopReason>,
     /// Whether the worker last said that the task saves its progress.
-    pub saving: bool,
+    pub is_saving: bool,
     /// When it was first seen to run, with its image on the host.
     pub started_at: Option<Time>,
 }
@@ -62,13 +62,13 @@
             incarnation,
             resources,
             phase: AllocationPhase::Persisting,
-            record_change: 0,
-            run_sent: false,
-            run_sent_directly: false,
+            record_change_count: 0,
+            was_run_possibly_sent: false,
+            was_run_sent_directly: false,
             run_sent_in_response_to: SequenceNumber(0),
             stop_sent_in_response_to: SequenceNumber(0),
             stop_reason: None,
-            saving: false,
+            is_saving: false,
             started_at: None,
         }
     }
@@ -81,7 +81,7 @@
         record_change: u64,
     ) -> Allocation {
         Allocation {
-            record_change,
+            record_change_count: record_change,
             ..Allocation::new(attempt, incarnation, resources)
         }
     }
@@ -95,7 +95,7 @@
     ) -> Allocation {
         Allocation {
             phase: AllocationPhase::Committed,
-            run_sent: true,
+            was_run_possibly_sent: true,
             stop_reason,
             ..Allocation::new(attempt, incarnation, resources)
         }
@@ -110,8 +110,8 @@
     ) -> Allocation {
         Allocation {
             phase: AllocationPhase::Observed,
-            record_change,
-            run_sent: true,
+            record_change_count: record_change,
+            was_run_possibly_sent: true,
             stop_reason: Some(StopReason::Drained),
             ..Allocation::new(attempt, incarnation, resources)
         }
@@ -120,7 +120,7 @@
     /// Takes in what the worker says of the attempt while it is alive.
     pub(super) fn observe(&mut self, status: &AttemptStatus, now: Time) {
         self.phase = AllocationPhase::Observed;
-        self.saving = status.state == AttemptState::Saving;
+        self.is_saving = status.state == AttemptState::Saving;
         if status.state != AttemptState::Fetching {
             self.started_at.get_or_insert(now);
         }
@@ -128,7 +128,7 @@
 
     /// Notes that `run` is sent, in the response to that heartbeat or else directly.
     pub(super) fn on_run_sent(&mut self, response_to: Option<SequenceNumber>) {
-        self.run_sent = true;
+        self.was_run_possibly_sent = true;
         if let Some(sequence) = response_to {
             self.run_sent_in_response_to = sequence;
         }
@@ -154,6 +154,6 @@
 
     /// Whether the attempt is to be stopped, but was last reported as running.
     pub(super) fn is_running_against_stop(&self) -> bool {
-        self.stop_reason.is_some() && self.phase == AllocationPhase::Observed && !self.saving
+        self.stop_reason.is_some() && self.phase == AllocationPhase::Observed && !self.is_saving
     }
 }
--- a/src/coordination/cluster/allocations.rs
+++ b/src/coordination/cluster/allocations.rs
@@ -10,9 +10,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum StopEffect {
     /// Nothing is allocated there, or it was freed at once, as no `run` had been sent.
-    Nothing,
+    NoCommandNeeded,
     /// Its worker has to be told.
-    TellWorker,
+    CommandNeeded,
 }
 
 impl ClusterState {
@@ -37,20 +37,20 @@
         let (team, resources) = (job.team.clone(), job.task_resources);
         host.allocate(
             task,
-            Allocation::uncommitted(attempt, incarnation, resources, change.count),
+            Allocation::uncommitted(attempt, incarnation, resources, change.change_count),
         );
         self.charge(&team, &resources);
         let record = RunRecordId {
             job: task.job,
-            number: change.record,
+            number: change.record_number,
         };
-        self.records.mark_dirty(record, true);
+        self.record_writer.mark_dirty(record, true);
         let uncommitted = self.uncommitted_allocations.entry(record).or_default();
         uncommitted.push((name.clone(), task));
     }
 
     /// Marks the task to be stopped. It is freed at once if its `run` was never sent.
-    pub(crate) fn stop(
+    pub(crate) fn request_stop(
         &mut self,
         name: &HostName,
         task: TaskId,
@@ -58,17 +58,17 @@
         now: Time,
     ) -> StopEffect {
         let Some(mut host) = self.hosts.remove(name) else {
-            return StopEffect::Nothing;
+            return StopEffect::NoCommandNeeded;
         };
         let effect = match host.allocations.get_mut(&task) {
-            None => StopEffect::Nothing,
+            None => StopEffect::NoCommandNeeded,
             Some(allocation) => {
                 allocation.stop_reason = Some(reason);
-                if allocation.run_sent {
-                    StopEffect::TellWorker
+                if allocation.was_run_possibly_sent {
+                    StopEffect::CommandNeeded
                 } else {
                     self.end_allocation(&mut host, task, false, now);
-                    StopEffect::Nothing
+                    StopEffect::NoCommandNeeded
                 }
             }
         };
@@ -95,7 +95,7 @@
         if job.is_service() && allocation.started_at.is_some() {
             let outage = ReplicaOutage {
                 since: now,
-                cause: replica_outage_cause(&allocation, host.cordon),
+                cause: replica_outage_cause(&allocation, host.cordon_reason),
             };
             job.replica_outages.entry(task.index).or_insert(outage);
         }
@@ -103,7 +103,7 @@
             TaskState::Done
         } else {
             TaskState::Waiting {
-                last: allocation.attempt,
+                last_attempt: allocation.attempt,
             }
         };
         let team = job.team.clone();
@@ -111,13 +111,13 @@
         if let Some(change) = change {
             let record = RunRecordId {
                 job: task.job,
-                number: change.record,
+                number: change.record_number,
             };
-            self.records.mark_dirty(record, false);
+            self.record_writer.mark_dirty(record, false);
         }
         self.discharge(&team, &allocation.resources);
         self.check_completion(task.job, now);
-        change.map_or(0, |change| change.count)
+        change.map_or(0, |change| change.change_count)
     }
 
     /// Moves the job on if its last task is done, or if it is cancelled and nothing is allocated any more.
@@ -133,11 +133,11 @@
             // A split under way changes the record that the outcome replaces.
             JobPhase::Active if job.done_count == job.task_count && job.record_split.is_none() => {
                 job.set_phase(JobPhase::Finishing, now);
-                self.records.queue_outcome(id);
+                self.record_writer.queue_outcome(id);
             }
             JobPhase::Cancelled if job.allocated_count == 0 => {
                 job.set_phase(JobPhase::GarbageCollecting, now);
-                self.records.queue_deletion(id);
+                self.record_writer.queue_deletion(id);
             }
             _ => {}
         }
--- a/src/coordination/cluster/commands.rs
+++ b/src/coordination/cluster/commands.rs
@@ -54,7 +54,7 @@
                 host.on_run_sent_directly(*task, *attempt);
             }
         }
-        host.command_in_flight = true;
+        host.has_command_in_flight = true;
         commands
     }
 
@@ -70,7 +70,7 @@
         let Some(host) = self.hosts.get_mut(name) else {
             return;
         };
-        host.command_in_flight = false;
+        host.has_command_in_flight = false;
         if host.incarnation != incarnation || !is_outcome_known {
             return;
         }
@@ -106,7 +106,7 @@
         for (&task, allocation) in &mut host.allocations {
             let attempt = allocation.attempt;
             match (allocation.stop_reason, allocation.phase) {
-                (Some(reason), AllocationPhase::Observed) if !allocation.saving => {
+                (Some(reason), AllocationPhase::Observed) if !allocation.is_saving => {
                     allocation.on_stop_sent(response_to);
                     commands.push(Command::Stop {
                         task,
@@ -138,7 +138,7 @@
             }
             let is_fenced =
                 host.fencing_token == context.term && !host.is_run_unacknowledged(task, attempt);
-            if is_fenced && self.is_outcome_written(task, ended.record_change) {
+            if is_fenced && self.is_outcome_written(task, ended.record_change_count) {
                 commands.push(Command::Clear { task, attempt });
             }
         }
@@ -155,8 +155,8 @@
             JobPhase::GarbageCollecting => true,
             JobPhase::Finishing => false,
             JobPhase::Active | JobPhase::Cancelled => {
-                let chunk = job.chunk(job.chunk_of(task.index));
-                chunk.is_none_or(|chunk| chunk.written_change >= record_change)
+                let chunk = job.chunk(job.record_number_of(task.index));
+                chunk.is_none_or(|chunk| chunk.written_change_count >= record_change)
             }
         }
     }
--- a/src/coordination/cluster/host.rs
+++ b/src/coordination/cluster/host.rs
@@ -64,7 +64,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct EndedAttempt {
     /// The change of its run record that holds the outcome; it is cleared once that is written.
-    pub record_change: u64,
+    pub record_change_count: u64,
     /// The worker has to remember it until then, so that a late copy of its `run` does not start it again.
     pub retain_until: Time,
 }
@@ -86,24 +86,24 @@
     /// Its zone; empty as long as it is not known.
     pub zone: String,
     /// Whether it is a spot host.
-    pub spot: bool,
+    pub is_spot: bool,
     /// Address for direct commands, once it is known.
     pub address: Option<SocketAddr>,
     /// Where it is in its life.
     pub lifecycle: HostLifecycle,
     /// Why nothing new is placed on it, if so.
-    pub cordon: Option<CordonReason>,
+    pub cordon_reason: Option<CordonReason>,
     /// Whether commands reach its worker.
     pub reachability: Reachability,
 
     /// Incarnation of its worker.
     pub incarnation: Incarnation,
     /// Sequence number of the newest message of that incarnation.
-    pub sequence: SequenceNumber,
+    pub newest_sequence: SequenceNumber,
     /// The highest fencing token that its worker has seen, by its own word.
     pub fencing_token: Term,
     /// The newest heartbeat that its worker made before it saw this leader's fencing token.
-    pub last_unfenced: HeartbeatId,
+    pub newest_unfenced_heartbeat: HeartbeatId,
 
     /// When this leader first knew of it.
     pub first_seen_at: Time,
@@ -118,20 +118,20 @@
     /// Whether the cloud's list has named it.
     pub was_listed: bool,
     /// Whether the cloud's list has named it and no longer does.
-    pub missing_from_list: bool,
+    pub is_missing_from_list: bool,
     /// When the cloud's list first showed it as running.
     pub listed_running_since: Option<Time>,
     /// Since when it has been cordoned as surplus.
     pub surplus_since: Option<Time>,
     /// It is not cordoned as surplus before, as it was uncordoned for a certain task.
-    pub keep_open_until: Time,
+    pub keep_uncordoned_until: Time,
     /// When its release was last forced, as a cancelled task was still on it.
     pub force_released_at: Option<Time>,
 
     /// The tasks that are allocated to it.
     pub allocations: BTreeMap<TaskId, Allocation>,
     /// What its allocations take.
-    pub allocated: Resources,
+    pub allocated_resources: Resources,
     /// Ended attempts that its worker still lists.
     pub ended_attempts: BTreeMap<(TaskId, Attempt), EndedAttempt>,
     /// Attempts in its last heartbeat that no record places there and nobody wants.
@@ -147,7 +147,7 @@
     pub consecutive_failures: u32,
 
     /// Whether a direct command or a probe is under way; the next one waits for its response.
-    pub command_in_flight: bool,
+    pub has_command_in_flight: bool,
     /// No probe is sent before.
     pub next_probe_at: Time,
     /// How many commands in a row had no effect.
@@ -161,35 +161,35 @@
             name,
             type_index: None,
             zone: String::new(),
-            spot: false,
+            is_spot: false,
             address: None,
             lifecycle: HostLifecycle::Expected,
-            cordon: None,
+            cordon_reason: None,
             reachability: Reachability::Confirmed,
             incarnation: Incarnation(0),
-            sequence: SequenceNumber(0),
+            newest_sequence: SequenceNumber(0),
             fencing_token: Term(0),
-            last_unfenced: HeartbeatId::default(),
+            newest_unfenced_heartbeat: HeartbeatId::default(),
             first_seen_at: now,
             provisioned_at: now,
             first_heartbeat_at: None,
             last_heartbeat_at: now,
             reclaim_at: None,
             was_listed: false,
-            missing_from_list: false,
+            is_missing_from_list: false,
             listed_running_since: None,
             surplus_since: None,
-            keep_open_until: Time::default(),
+            keep_uncordoned_until: Time::default(),
             force_released_at: None,
             allocations: BTreeMap::new(),
-            allocated: Resources::default(),
+            allocated_resources: Resources::default(),
             ended_attempts: BTreeMap::new(),
             unrecorded_attempts: BTreeSet::new(),
             unacknowledged_runs: BTreeMap::new(),
             cached_images: Vec::new(),
             failed_jobs: BTreeMap::new(),
             consecutive_failures: 0,
-            command_in_flight: false,
+            has_command_in_flight: false,
             next_probe_at: now,
             commands_without_effect: 0,
         }
@@ -206,8 +206,8 @@
     }
 
     /// Whether the heartbeat is newer than all that arrived before; older ones count for nothing.
-    pub fn is_newer(&self, heartbeat: &WorkerHeartbeat) -> bool {
-        (heartbeat.incarnation, heartbeat.sequence) > (self.incarnation, self.sequence)
+    pub fn is_newer_heartbeat(&self, heartbeat: &WorkerHeartbeat) -> bool {
+        (heartbeat.incarnation, heartbeat.sequence) > (self.incarnation, self.newest_sequence)
     }
 
     /// Whether the image is likely in its cache.
@@ -216,14 +216,14 @@
     }
 
     /// Whether the host still lists an earlier attempt at the task, or one may still arrive there.
-    pub fn remembers_task(&self, task: TaskId) -> bool {
+    pub fn may_have_earlier_attempt(&self, task: TaskId) -> bool {
         let attempts = (task, Attempt(0))..=(task, Attempt(u64::MAX));
         self.ended_attempts.range(attempts.clone()).next().is_some()
             || self.unacknowledged_runs.range(attempts).next().is_some()
     }
 
-    /// Whether the host remembers earlier attempts at any tasks; see [`Host::remembers_task`].
-    pub fn remembers_any_task(&self) -> bool {
+    /// Whether the host remembers earlier attempts at any tasks; see [`Host::may_have_earlier_attempt`].
+    pub fn may_have_any_earlier_attempt(&self) -> bool {
         !self.ended_attempts.is_empty() || !self.unacknowledged_runs.is_empty()
     }
 
@@ -283,18 +283,18 @@
 
     /// Closes it for new tasks. The first reason stands, but any other replaces `Surplus`.
     pub(super) fn cordon(&mut self, reason: CordonReason) {
-        if matches!(self.cordon, None | Some(CordonReason::Surplus)) {
+        if matches!(self.cordon_reason, None | Some(CordonReason::Surplus)) {
             tracing::debug!("{}: cordoned, {reason:?}", self.name);
-            self.cordon = Some(reason);
+            self.cordon_reason = Some(reason);
         }
     }
 
     /// Uncordons it if it was cordoned as surplus. Returns whether it was.
     pub(super) fn uncordon(&mut self) -> bool {
-        let was_surplus = self.cordon == Some(CordonReason::Surplus);
+        let was_surplus = self.cordon_reason == Some(CordonReason::Surplus);
         if was_surplus {
             tracing::debug!("{}: uncordoned", self.name);
-            self.cordon = None;
+            self.cordon_reason = None;
             self.surplus_since = None;
         }
         was_surplus
@@ -315,17 +315,17 @@
 
     /// Allocates a task to it.
     pub(super) fn allocate(&mut self, task: TaskId, allocation: Allocation) {
-        self.allocated.add(&allocation.resources);
+        self.allocated_resources.add(&allocation.resources);
         self.allocations.insert(task, allocation);
     }
 
     /// Frees the allocation of a task.
     pub(super) fn free(&mut self, task: TaskId) -> Option<Allocation> {
         let allocation = self.allocations.remove(&task)?;
-        self.allocated.remove(&allocation.resources);
+        self.allocated_resources.remove(&allocation.resources);
         if self.allocations.is_empty() {
             // Sums of decimals are not exact.
-            self.allocated = Resources::default();
+            self.allocated_resources = Resources::default();
         }
         Some(allocation)
     }
@@ -334,7 +334,7 @@
     pub(super) fn on_run_sent_directly(&mut self, task: TaskId, attempt: Attempt) {
         *self.unacknowledged_runs.entry((task, attempt)).or_default() += 1;
         if let Some(allocation) = self.allocations.get_mut(&task) {
-            allocation.run_sent_directly = true;
+            allocation.was_run_sent_directly = true;
         }
     }
 
--- a/src/coordination/cluster/hosts.rs
+++ b/src/coordination/cluster/hosts.rs
@@ -18,7 +18,7 @@
     /// Index of their machine type.
     pub(crate) type_index: usize,
     pub(crate) zone: String,
-    pub(crate) spot: bool,
+    pub(crate) is_spot: bool,
     /// When they were asked for.
     pub(crate) requested_at: Time,
 }
@@ -36,7 +36,7 @@
                 .or_insert_with(|| Host::new(name, now));
             host.type_index = Some(provisioned.type_index);
             host.zone.clone_from(&provisioned.zone);
-            host.spot = provisioned.spot;
+            host.is_spot = provisioned.is_spot;
             host.provisioned_at = provisioned.requested_at;
         }
     }
@@ -54,7 +54,7 @@
             // Once listed, a host stays listed until it is gone; only a list from before it was provisioned could
             // lack it, and that is ruled out by its age. This frees no allocation; the release's response does.
             let is_older_than_list = now.since(host.provisioned_at) > max_lag;
-            host.missing_from_list =
+            host.is_missing_from_list =
                 host.was_listed && is_older_than_list && !names.contains(&host.name);
         }
         let mut failed = Vec::new();
@@ -85,7 +85,7 @@
         host.type_index = host.type_index.or(type_index);
         if host.zone.is_empty() {
             host.zone.clone_from(&item.zone);
-            host.spot = item.spot;
+            host.is_spot = item.spot;
         }
         host.was_listed = true;
         if host.address.is_none() {
@@ -155,7 +155,7 @@
     }
 
     /// Marks an empty host that is cordoned already as being released.
-    pub(crate) fn release_empty(&mut self, name: &HostName) {
+    pub(crate) fn begin_release_of_empty(&mut self, name: &HostName) {
         if let Some(host) = self.hosts.get_mut(name) {
             host.set_lifecycle(HostLifecycle::Releasing);
         }
@@ -165,7 +165,7 @@
     pub(crate) fn cordon_surplus(&mut self, name: &HostName, now: Time) {
         if let Some(host) = self.hosts.get_mut(name) {
             host.cordon(CordonReason::Surplus);
-            if host.cordon == Some(CordonReason::Surplus) {
+            if host.cordon_reason == Some(CordonReason::Surplus) {
                 host.surplus_since.get_or_insert(now);
             }
         }
@@ -182,9 +182,9 @@
     }
 
     /// Keeps a host from being cordoned as surplus until then.
-    pub(crate) fn keep_open_until(&mut self, name: &HostName, until: Time) {
+    pub(crate) fn keep_uncordoned_until(&mut self, name: &HostName, until: Time) {
         if let Some(host) = self.hosts.get_mut(name) {
-            host.keep_open_until = until;
+            host.keep_uncordoned_until = until;
         }
     }
 
@@ -192,7 +192,7 @@
     pub(crate) fn on_probe_sent(&mut self, name: &HostName, next_probe_at: Time) {
         if let Some(host) = self.hosts.get_mut(name) {
             host.next_probe_at = next_probe_at;
-            host.command_in_flight = true;
+            host.has_command_in_flight = true;
         }
     }
 }
--- a/src/coordination/cluster/job/chunk.rs
+++ b/src/coordination/cluster/job/chunk.rs
@@ -8,7 +8,7 @@
     /// Not allocated; attempts up to `last` were used.
     Waiting {
         /// The last attempt that was used; 0 if none was.
-        last: Attempt,
+        last_attempt: Attempt,
     },
     /// Allocated to a host.
     Allocated {
@@ -25,7 +25,9 @@
 
 impl Default for TaskState {
     fn default() -> TaskState {
-        TaskState::Waiting { last: Attempt(0) }
+        TaskState::Waiting {
+            last_attempt: Attempt(0),
+        }
     }
 }
 
@@ -33,9 +35,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RecordChange {
     /// Number of the run record.
-    pub record: u32,
+    pub record_number: u32,
     /// Count of its changes.
-    pub count: u64,
+    pub change_count: u64,
 }
 
 /// The tasks that share a run record, and how far the record is written.
@@ -48,9 +50,9 @@
     /// How many changes there were since it was read or created.
     pub change_count: u64,
     /// The last change that is known to be written.
-    pub written_change: u64,
+    pub written_change_count: u64,
     /// A lost response left the record's version unknown; it has to be read before the next write.
-    pub version_unknown: bool,
+    pub is_version_unknown: bool,
 }
 
 impl Chunk {
@@ -62,19 +64,19 @@
             tasks,
             record_version,
             change_count,
-            written_change: 0,
-            version_unknown: false,
+            written_change_count: 0,
+            is_version_unknown: false,
         }
     }
 
     /// So many tasks that were never allocated.
-    pub(super) fn untouched(task_count: u32) -> Chunk {
+    pub(super) fn never_allocated(task_count: u32) -> Chunk {
         let tasks = vec![TaskState::default(); task_count as usize];
         Chunk::new(tasks, Version::ABSENT, 0)
     }
 
     /// Whether none of its tasks was ever allocated.
-    pub fn is_untouched(&self) -> bool {
+    pub fn was_never_allocated(&self) -> bool {
         self.tasks.iter().all(|task| *task == TaskState::default())
     }
 
@@ -90,7 +92,7 @@
 
     /// Whether there may be a record of it.
     pub(crate) fn may_have_record(&self) -> bool {
-        self.record_version != Version::ABSENT || self.version_unknown
+        self.record_version != Version::ABSENT || self.is_version_unknown
     }
 
     /// Changes the state of the task at that offset. Returns the state before; `None`, with nothing changed, if there
--- a/src/coordination/cluster/job/failures.rs
+++ b/src/coordination/cluster/job/failures.rs
@@ -25,10 +25,10 @@
 impl Job {
     /// A task failed on the host. A job that fails everywhere waits longer each time, but is never given up.
     pub(crate) fn on_task_failed(&mut self, host: &HostName, now: Time) {
-        self.failures_in_a_row += 1;
+        self.consecutive_failures += 1;
         self.failed_hosts.insert(host.clone());
         if self.fails_everywhere() {
-            let counted = self.failures_in_a_row.min(MAX_COUNTED_FAILURES);
+            let counted = self.consecutive_failures.min(MAX_COUNTED_FAILURES);
             let doublings = counted.saturating_sub(FAILURES_WITHOUT_DOUBLING);
             let pause = FIRST_TASK_PAUSE * 2u32.pow(doublings);
             self.retry_not_before = now.after(pause.min(LONGEST_PAUSE));
@@ -40,12 +40,12 @@
     /// pause.
     pub(crate) fn on_replica_ended(&mut self, ran_for: Duration, now: Time) {
         if ran_for >= REPLICA_STABLE_AFTER {
-            self.failures_in_a_row = 0;
+            self.consecutive_failures = 0;
             self.failed_hosts.clear();
             return;
         }
-        self.failures_in_a_row += 1;
-        let doublings = (self.failures_in_a_row - 1).min(MAX_REPLICA_DOUBLINGS);
+        self.consecutive_failures += 1;
+        let doublings = (self.consecutive_failures - 1).min(MAX_REPLICA_DOUBLINGS);
         let pause = FIRST_REPLICA_PAUSE * 2u32.pow(doublings);
         self.retry_not_before = now.after(pause.min(LONGEST_PAUSE));
     }
--- a/src/coordination/cluster/job/mod.rs
+++ b/src/coordination/cluster/job/mod.rs
@@ -73,14 +73,14 @@
     /// The tasks by run record; `None` while nothing of a record was ever allocated.
     pub chunks: Vec<Option<Box<Chunk>>>,
     /// Tasks from here on were never allocated.
-    first_untouched: u32,
+    first_never_allocated: u32,
     /// The other tasks that wait: they were allocated before.
     retry_queue: BTreeSet<u32>,
 
     /// Its tasks wait until then, after failures.
     pub retry_not_before: Time,
     /// Failures since a task last ran well.
-    pub failures_in_a_row: u32,
+    pub consecutive_failures: u32,
     /// Hosts on which a task failed.
     pub failed_hosts: BTreeSet<HostName>,
     /// Replicas of a service that ran and do not any more.
@@ -171,10 +171,10 @@
             allocated_count: 0,
             tasks_per_record,
             chunks: Vec::new(),
-            first_untouched: 0,
+            first_never_allocated: 0,
             retry_queue: BTreeSet::new(),
             retry_not_before: Time::default(),
-            failures_in_a_row: 0,
+            consecutive_failures: 0,
             failed_hosts: BTreeSet::new(),
             replica_outages: BTreeMap::new(),
             record_split: None,
@@ -238,7 +238,7 @@
     /// How many tasks wait to be allocated.
     pub fn waiting_count(&self) -> u32 {
         if self.phase == JobPhase::Active {
-            self.retry_queue.len() as u32 + (self.task_count - self.first_untouched)
+            self.retry_queue.len() as u32 + (self.task_count - self.first_never_allocated)
         } else {
             0
         }
@@ -257,12 +257,13 @@
 
     /// The waiting task that is allocated next.
     pub fn next_waiting_task(&self) -> Option<u32> {
-        let untouched = (self.first_untouched < self.task_count).then_some(self.first_untouched);
+        let untouched =
+            (self.first_never_allocated < self.task_count).then_some(self.first_never_allocated);
         self.retry_queue.first().copied().or(untouched)
     }
 
     /// Number of the run record that holds the task.
-    pub fn chunk_of(&self, index: u32) -> u32 {
+    pub fn record_number_of(&self, index: u32) -> u32 {
         index / self.tasks_per_record
     }
 
@@ -289,7 +290,7 @@
 
     /// State of a task; `None` if nothing of its run record was ever allocated.
     pub fn task_state(&self, index: u32) -> Option<&TaskState> {
-        let chunk = self.chunk(self.chunk_of(index))?;
+        let chunk = self.chunk(self.record_number_of(index))?;
         chunk.tasks().get(self.offset_in_chunk(index))
     }
 
@@ -300,14 +301,16 @@
     /// The one place where a task changes its state. Returns the change of its run record, which has to be written;
     /// `None`, with nothing changed, if there is no such task or it is done.
     pub(super) fn set_task(&mut self, index: u32, state: TaskState) -> Option<RecordChange> {
-        let record = self.chunk_of(index);
+        let record = self.record_number_of(index);
         let (length, offset) = (self.chunk_length(record), self.offset_in_chunk(index));
         let slot = self.chunks.get_mut(record as usize)?;
-        let chunk = slot.get_or_insert_with(|| Box::new(Chunk::untouched(length)));
+        let chunk = slot.get_or_insert_with(|| Box::new(Chunk::never_allocated(length)));
         let before = chunk.replace_task(offset, state.clone())?;
         let count = chunk.change_count;
         match before {
-            TaskState::Waiting { .. } if index == self.first_untouched => self.first_untouched += 1,
+            TaskState::Waiting { .. } if index == self.first_never_allocated => {
+                self.first_never_allocated += 1
+            }
             TaskState::Waiting { .. } => {
                 self.retry_queue.remove(&index);
             }
@@ -321,7 +324,10 @@
             TaskState::Allocated { .. } => self.allocated_count += 1,
             TaskState::Done => self.done_count += 1,
         }
-        Some(RecordChange { record, count })
+        Some(RecordChange {
+            record_number: record,
+            change_count: count,
+        })
     }
 
     /// The hosts that its tasks are allocated to, one for each task.
@@ -342,7 +348,7 @@
     /// The last attempt at a task; 0 if there was none.
     pub fn last_attempt(&self, index: u32) -> Attempt {
         match self.task_state(index) {
-            Some(TaskState::Waiting { last }) => *last,
+            Some(TaskState::Waiting { last_attempt: last }) => *last,
             Some(TaskState::Allocated { attempt, .. }) => *attempt,
             Some(TaskState::Done) | None => Attempt(0),
         }
@@ -356,15 +362,15 @@
     }
 
     /// When it should be complete, in milliseconds of the time of day. A service has no deadline.
-    pub fn due_ms(&self) -> Option<f64> {
+    pub fn deadline_ms(&self) -> Option<f64> {
         let spec = self.spec.as_ref().filter(|spec| !spec.is_service())?;
         spec.deadline_s
             .map(|d| self.submitted_at_ms as f64 + d.0 * 1000.0)
     }
 
     /// Seconds from that time of day until it is due; negative once it is overdue.
-    pub fn due_in_s(&self, day_ms: u64) -> Option<f64> {
-        self.due_ms().map(|due| (due - day_ms as f64) / 1000.0)
+    pub fn time_to_deadline_s(&self, day_ms: u64) -> Option<f64> {
+        self.deadline_ms().map(|due| (due - day_ms as f64) / 1000.0)
     }
 
     /// Whether it would miss its deadline even with all of these CPUs to itself from now on, if its tasks run for
@@ -373,6 +379,6 @@
         let work = f64::from(self.waiting_count()) * self.task_resources.cpus * run_s;
         let last_start = if cpus > 0.0 { work / cpus } else { 0.0 };
         let end = day_ms as f64 + (last_start + run_s) * 1000.0;
-        self.due_ms().is_some_and(|due| end > due)
+        self.deadline_ms().is_some_and(|due| end > due)
     }
 }
--- a/src/coordination/cluster/job/run_records.rs
+++ b/src/coordination/cluster/job/run_records.rs
@@ -13,7 +13,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RecordedAllocation {
     /// Number of the task in its job.
-    pub index: u32,
+    pub task_index: u32,
     /// Which attempt it is.
     pub attempt: Attempt,
     /// The host.
@@ -87,7 +87,7 @@
             } => {
                 self.allocated_count += 1;
                 Some(RecordedAllocation {
-                    index,
+                    task_index: index,
                     attempt: *attempt,
                     host: host.clone(),
                     incarnation: *incarnation,
@@ -112,7 +112,7 @@
                 self.retry_queue.extend(first..end);
             }
         }
-        self.first_untouched = (tail as u32 * self.tasks_per_record).min(self.task_count);
+        self.first_never_allocated = (tail as u32 * self.tasks_per_record).min(self.task_count);
     }
 
     /// A run record as it is to be written; `None` if nothing of it was ever allocated.
@@ -142,8 +142,10 @@
 
 fn add_task(record: &mut RunRecord, offset: u32, task: &TaskState) {
     match task {
-        TaskState::Waiting { last: Attempt(0) } => {}
-        TaskState::Waiting { last } => record.attempted.push(AttemptedEntry {
+        TaskState::Waiting {
+            last_attempt: Attempt(0),
+        } => {}
+        TaskState::Waiting { last_attempt: last } => record.attempted.push(AttemptedEntry {
             offset,
             last_attempt: *last,
         }),
@@ -177,7 +179,7 @@
     };
     for entry in &record.attempted {
         let last = entry.last_attempt;
-        set(entry.offset, TaskState::Waiting { last });
+        set(entry.offset, TaskState::Waiting { last_attempt: last });
     }
     for range in &record.finished {
         let end = range.first.saturating_add(range.count).min(task_count);
--- a/src/coordination/cluster/job/splitting.rs
+++ b/src/coordination/cluster/job/splitting.rs
@@ -22,7 +22,7 @@
     /// Begins to split its run records so that each holds `size` tasks at the most. Returns false if that can't be done
     /// now. Changes of its tasks from here on are kept in memory and written once the split is in force.
     pub(crate) fn begin_split(&mut self, size: u32) -> bool {
-        let unsure = self.chunks.iter().flatten().any(|c| c.version_unknown);
+        let unsure = self.chunks.iter().flatten().any(|c| c.is_version_unknown);
         if self.record_split.is_some()
             || unsure
             || size >= self.tasks_per_record
@@ -50,7 +50,7 @@
                 .or(self.abandoned_records.remove(&number))
                 .unwrap_or(Version::ABSENT);
             let chunk = Chunk::new(tasks, version, changes);
-            let needed = version != Version::ABSENT || !chunk.is_untouched();
+            let needed = version != Version::ABSENT || !chunk.was_never_allocated();
             self.chunks.push(needed.then(|| Box::new(chunk)));
         }
         self.record_split = Some(RecordSplit {
@@ -73,11 +73,12 @@
             let Some(chunk) = slot else { continue };
             if number < split.old_record_count {
                 chunk.record_version = live;
-                chunk.written_change = split.final_records.get(&number).copied().unwrap_or(0);
+                chunk.written_change_count = split.final_records.get(&number).copied().unwrap_or(0);
             } else {
-                chunk.written_change = split.prepared_records.get(&number).copied().unwrap_or(0);
+                chunk.written_change_count =
+                    split.prepared_records.get(&number).copied().unwrap_or(0);
             }
-            if chunk.written_change < chunk.change_count {
+            if chunk.written_change_count < chunk.change_count {
                 dirty.push(number);
             }
         }
@@ -92,7 +93,7 @@
         }
     }
 
-    pub(crate) fn description_size(&self) -> usize {
+    pub(crate) fn description_size_bytes(&self) -> usize {
         self.description().map_or(usize::MAX, |d| records::size(&d))
     }
 
--- a/src/coordination/cluster/jobs.rs
+++ b/src/coordination/cluster/jobs.rs
@@ -14,7 +14,7 @@
     /// The job is new.
     Added,
     /// The job was known already, and nothing changed.
-    Known,
+    AlreadyKnown,
     /// The record is the last step of a split, whose outcome was lost. These hosts have tasks that may be started
     /// now.
     SplitCommitted {
@@ -34,11 +34,11 @@
         let id = record.spec.id;
         if let Some(job) = self.jobs.get_mut(&id).filter(|job| job.spec.is_some()) {
             if job.record_split.is_some() && record.tasks_per_record == job.tasks_per_record {
-                let written = self.records.on_split_in_force(job, version);
+                let written = self.record_writer.on_split_in_force(job, version);
                 let hosts_to_command = self.on_records_written(&written, now);
                 return JobRecordEffect::SplitCommitted { hosts_to_command };
             }
-            return JobRecordEffect::Known;
+            return JobRecordEffect::AlreadyKnown;
         }
         log_new_job(&record.spec);
         self.jobs.insert(id, Job::new(record, version));
@@ -68,7 +68,7 @@
             job.unarchived_outcome = Some(outcome);
             job.set_phase(JobPhase::GarbageCollecting, now);
         }
-        self.records.queue_deletion(id);
+        self.record_writer.queue_deletion(id);
     }
 
     /// Cancels a job. Returns its allocated tasks, which have to be stopped; `None` if it is over already.
@@ -99,7 +99,7 @@
 
     /// Whether no other leader can command a task of the job: the workers that may hold one have seen the fencing
     /// token of `term`, so they obey no earlier leader. A later leader reads the records first.
-    pub(crate) fn is_sole_commander(&self, id: JobId, term: Term) -> bool {
+    pub(crate) fn has_fenced_all_hosts(&self, id: JobId, term: Term) -> bool {
         let Some(job) = self.jobs.get(&id).filter(|job| job.allocated_count > 0) else {
             return true;
         };
--- a/src/coordination/cluster/loading.rs
+++ b/src/coordination/cluster/loading.rs
@@ -35,7 +35,7 @@
             );
             let task = TaskId {
                 job: id.job,
-                index: recorded.index,
+                index: recorded.task_index,
             };
             host.allocate(task, allocation);
             self.charge(&team, &resources);
--- a/src/coordination/cluster/mod.rs
+++ b/src/coordination/cluster/mod.rs
@@ -46,7 +46,7 @@
     machine_types: Vec<MachineType>,
     hosts: BTreeMap<HostName, Host>,
     jobs: Jobs,
-    records: RecordWriter,
+    record_writer: RecordWriter,
     /// Allocations whose run record is not known to be written.
     uncommitted_allocations: BTreeMap<RunRecordId, Vec<AllocatedTask>>,
     /// What each team's allocations take, until they are proven to have ended.
@@ -71,7 +71,7 @@
             machine_types,
             hosts: BTreeMap::new(),
             jobs: BTreeMap::new(),
-            records: RecordWriter::new(leader_key, policy.max_value, policy.txn_ops),
+            record_writer: RecordWriter::new(leader_key, policy.max_value, policy.txn_ops),
             uncommitted_allocations: BTreeMap::new(),
             team_usage: BTreeMap::new(),
             released_hosts: BTreeMap::new(),
@@ -106,13 +106,13 @@
     }
 
     /// The type of a host, once it is known.
-    pub(crate) fn type_of(&self, host: &Host) -> Option<&MachineType> {
+    pub(crate) fn machine_type_of(&self, host: &Host) -> Option<&MachineType> {
         self.machine_types.get(host.type_index?)
     }
 
     /// The records that are to be written.
-    pub(crate) fn records(&self) -> &RecordWriter {
-        &self.records
+    pub(crate) fn record_writer(&self) -> &RecordWriter {
+        &self.record_writer
     }
 
     /// What the team's allocations take, until they are proven to have ended.
--- a/src/coordination/cluster/persistence.rs
+++ b/src/coordination/cluster/persistence.rs
@@ -23,7 +23,7 @@
         /// Jobs whose records are gone: they were cancelled.
         cancelled: Vec<JobId>,
         /// The allowance of a team has changed, so the accounts have to be read again.
-        outdated_allowance: bool,
+        is_allowance_outdated: bool,
     },
     /// This controller leads no more.
     LeadershipLost,
@@ -38,10 +38,10 @@
         if !self.is_loaded {
             return None;
         }
-        for id in self.records.take_too_large() {
+        for id in self.record_writer.take_too_large() {
             self.split_records(id);
         }
-        self.records
+        self.record_writer
             .next_batch(&mut self.jobs, max_changes, has_spare_budget)
     }
 
@@ -49,19 +49,20 @@
     pub(crate) fn on_batch_outcome(&mut self, outcome: Outcome, now: Time) -> BatchResult {
         let result = match outcome {
             Outcome::Committed(revision) => {
-                self.records.on_committed(&mut self.jobs, revision, now)
+                self.record_writer
+                    .on_committed(&mut self.jobs, revision, now)
             }
-            Outcome::Conflict(keys) => self.records.on_conflict(&mut self.jobs, &keys),
+            Outcome::Conflict(keys) => self.record_writer.on_conflict(&mut self.jobs, &keys),
             Outcome::Unknown => {
-                self.records.on_response_lost();
+                self.record_writer.on_response_lost();
                 CommitResult::Retry
             }
             Outcome::Invalid => {
-                self.records.on_invalid();
+                self.record_writer.on_invalid();
                 CommitResult::Retry
             }
             _ => {
-                self.records.on_refused();
+                self.record_writer.on_refused();
                 CommitResult::Retry
             }
         };
@@ -74,7 +75,7 @@
                 outdated_allowance,
             } => BatchResult::Conflict {
                 cancelled,
-                outdated_allowance,
+                is_allowance_outdated: outdated_allowance,
             },
             CommitResult::LeadershipLost => BatchResult::LeadershipLost,
             CommitResult::Retry => BatchResult::Retry,
@@ -83,17 +84,18 @@
 
     /// Takes the run records whose versions have to be read before they can be written again.
     pub(crate) fn take_records_of_unknown_version(&mut self) -> BTreeSet<RunRecordId> {
-        self.records.take_version_unknown()
+        self.record_writer.take_version_unknown()
     }
 
     /// The version of a run record was read; `None` if it could not be, and has to be read again.
     pub(crate) fn on_run_record_version(&mut self, id: RunRecordId, version: Option<Version>) {
-        self.records.on_version_read(&mut self.jobs, id, version);
+        self.record_writer
+            .on_version_read(&mut self.jobs, id, version);
     }
 
     /// Sets the keys and versions that allocations of each team depend on, beside their own.
     pub(crate) fn set_allowance_fences(&mut self, fences: BTreeMap<String, (String, Version)>) {
-        self.records.set_allowance_fences(fences);
+        self.record_writer.set_allowance_fences(fences);
         self.request_scheduling();
     }
 
@@ -118,7 +120,7 @@
             };
             let job = self.jobs.get(&id.job);
             let chunk = job.and_then(|job| job.chunk(id.number));
-            let written_change = chunk.map_or(0, |chunk| chunk.written_change);
+            let written_change = chunk.map_or(0, |chunk| chunk.written_change_count);
             let still_waiting =
                 self.commit_allocations(waiting, written_change, &mut hosts_to_command);
             if !still_waiting.is_empty() {
@@ -143,7 +145,7 @@
             else {
                 continue;
             };
-            if written_change >= allocation.record_change {
+            if written_change >= allocation.record_change_count {
                 allocation.phase = AllocationPhase::Committed;
                 hosts_to_command.insert(name);
             } else {
@@ -160,8 +162,8 @@
             return;
         };
         // The last step writes the description too, which an earlier version may have left too large.
-        job.shorten_description(self.records.max_value_bytes(), &self.machine_types);
-        if !self.records.split(job) {
+        job.shorten_description(self.record_writer.max_value_bytes(), &self.machine_types);
+        if !self.record_writer.split(job) {
             return;
         }
         let (of_job, others): (BTreeMap<_, _>, BTreeMap<_, _>) =
@@ -172,7 +174,7 @@
         for (host, task) in of_job.into_values().flatten() {
             let record = RunRecordId {
                 job: id,
-                number: job.chunk_of(task.index),
+                number: job.record_number_of(task.index),
             };
             let waiting = self.uncommitted_allocations.entry(record).or_default();
             waiting.push((host, task));
--- a/src/coordination/cluster/reconciliation.rs
+++ b/src/coordination/cluster/reconciliation.rs
@@ -59,7 +59,7 @@
             .hosts
             .remove(&name)
             .unwrap_or_else(|| Host::new(name.clone(), self.now));
-        let is_newer = host.is_newer(heartbeat);
+        let is_newer = host.is_newer_heartbeat(heartbeat);
         if is_newer {
             self.update(&mut host, heartbeat);
         } else {
@@ -85,15 +85,15 @@
             incarnation: heartbeat.incarnation,
             sequence: heartbeat.sequence,
         };
-        if id > host.last_unfenced {
+        if id > host.newest_unfenced_heartbeat {
             self.on_newer_unfenced(&mut host, id);
         }
         self.cluster.hosts.insert(heartbeat.host.clone(), host);
     }
 
     fn on_newer_unfenced(&self, host: &mut Host, id: HeartbeatId) {
-        let was_told_before = host.last_unfenced != HeartbeatId::default();
-        host.last_unfenced = id;
+        let was_told_before = host.newest_unfenced_heartbeat != HeartbeatId::default();
+        host.newest_unfenced_heartbeat = id;
         match self.source {
             HeartbeatSource::Worker if was_told_before => host.command_had_no_effect(self.now),
             HeartbeatSource::Worker => {}
@@ -108,7 +108,7 @@
             let mut types = self.cluster.machine_types.iter();
             host.type_index = types.position(|t| t.name == heartbeat.machine_type);
             host.zone.clone_from(&heartbeat.zone);
-            host.spot = heartbeat.spot;
+            host.is_spot = heartbeat.spot;
         }
         host.address = heartbeat.address.parse().ok();
     }
@@ -130,7 +130,7 @@
         if heartbeat.incarnation > host.incarnation {
             self.on_new_incarnation(host, heartbeat.incarnation);
         }
-        host.sequence = heartbeat.sequence;
+        host.newest_sequence = heartbeat.sequence;
         host.unrecorded_attempts.clear();
         for status in &heartbeat.tasks {
             self.reconcile_attempt(host, status);
@@ -165,8 +165,8 @@
 
     fn mark_up(&mut self, host: &mut Host) {
         host.set_lifecycle(HostLifecycle::Up);
-        if host.cordon == Some(CordonReason::Lost) && host.is_up() {
-            host.cordon = None;
+        if host.cordon_reason == Some(CordonReason::Lost) && host.is_up() {
+            host.cordon_reason = None;
         }
         self.cluster.request_scheduling();
     }
@@ -219,7 +219,7 @@
             (None, AttemptState::Ended) => {
                 // Its outcome is in the records already, or never mattered.
                 let ended = EndedAttempt {
-                    record_change: 0,
+                    record_change_count: 0,
                     retain_until: self.now,
                 };
                 host.ended_attempts.entry((task, attempt)).or_insert(ended);
@@ -306,7 +306,7 @@
                 tracing::info!(
                     "{}: fails wherever it is tried ({} times, {} hosts)",
                     task.job,
-                    job.failures_in_a_row,
+                    job.consecutive_failures,
                     job.failed_hosts.len()
                 );
             }
@@ -336,7 +336,7 @@
         is_done: bool,
     ) {
         let allocation = host.allocations.get(&task);
-        let may_have_copies = allocation.is_some_and(|allocation| allocation.run_sent_directly);
+        let may_have_copies = allocation.is_some_and(|allocation| allocation.was_run_sent_directly);
         let retained_for = if may_have_copies {
             self.policy.lease * RETAINED_LEASES
         } else {
@@ -344,7 +344,7 @@
         };
         let record_change = self.cluster.end_allocation(host, task, is_done, self.now);
         let ended = EndedAttempt {
-            record_change,
+            record_change_count: record_change,
             retain_until: self.now.after(retained_for),
         };
         host.ended_attempts.insert((task, attempt), ended);
@@ -378,7 +378,8 @@
             return;
         };
         let state = job.task_state(task.index);
-        let is_unallocated = matches!(state, Some(TaskState::Waiting { last }) if *last <= attempt);
+        let is_unallocated =
+            matches!(state, Some(TaskState::Waiting { last_attempt: last }) if *last <= attempt);
         let is_allocated_here = host.allocations.contains_key(&task);
         if job.phase != JobPhase::Active || !is_unallocated || is_allocated_here {
             return;
@@ -395,12 +396,12 @@
         let (team, resources) = (job.team.clone(), job.task_resources);
         let record = RunRecordId {
             job: task.job,
-            number: change.record,
+            number: change.record_number,
         };
-        self.cluster.records.mark_dirty(record, true);
+        self.cluster.record_writer.mark_dirty(record, true);
         self.cluster.charge(&team, &resources);
         let allocation =
-            Allocation::found_running(attempt, host.incarnation, resources, change.count);
+            Allocation::found_running(attempt, host.incarnation, resources, change.change_count);
         host.allocate(task, allocation);
     }
 
@@ -455,7 +456,7 @@
         allocation: &Allocation,
         heartbeat: &WorkerHeartbeat,
     ) -> bool {
-        if !allocation.run_sent {
+        if !allocation.was_run_possibly_sent {
             return true;
         }
         let sent_in_response_to = allocation.run_sent_in_response_to;
--- a/src/coordination/cluster/record_writer/batch.rs
+++ b/src/coordination/cluster/record_writer/batch.rs
@@ -211,7 +211,7 @@
 /// The numbers of the records that are written if that one has changed; `None` if it is not written now. The first record
 /// also counts what the others hold.
 fn records_to_write(job: &Job, number: u32) -> Option<Vec<u32>> {
-    let is_version_unknown = |number| job.chunk(number).map(|chunk| chunk.version_unknown);
+    let is_version_unknown = |number| job.chunk(number).map(|chunk| chunk.is_version_unknown);
     if is_deleted_as_a_whole(job) || is_version_unknown(number) == Some(true) {
         // One of unknown version is queued again once the version is read.
         return None;
--- a/src/coordination/cluster/record_writer/mod.rs
+++ b/src/coordination/cluster/record_writer/mod.rs
@@ -159,7 +159,7 @@
         let job = jobs.get_mut(&id.job);
         if let Some(chunk) = job.and_then(|job| job.chunk_mut(id.number)) {
             chunk.record_version = version;
-            chunk.version_unknown = false;
+            chunk.is_version_unknown = false;
             self.mark_dirty(id, true);
         }
     }
--- a/src/coordination/cluster/record_writer/outcomes.rs
+++ b/src/coordination/cluster/record_writer/outcomes.rs
@@ -32,7 +32,7 @@
             let job = jobs.get_mut(&record.id.job);
             if let Some(chunk) = job.and_then(|job| job.chunk_mut(record.id.number)) {
                 chunk.record_version = revision;
-                chunk.written_change = record.change_count;
+                chunk.written_change_count = record.change_count;
                 written.push(record.id);
             }
         }
@@ -99,7 +99,7 @@
     fn on_run_record_conflict(&mut self, jobs: &mut Jobs, id: RunRecordId) {
         let job = jobs.get_mut(&id.job);
         if let Some(chunk) = job.and_then(|job| job.chunk_mut(id.number)) {
-            chunk.version_unknown = true;
+            chunk.is_version_unknown = true;
             self.version_unknown.insert(id);
         }
     }
--- a/src/coordination/cluster/record_writer/split.rs
+++ b/src/coordination/cluster/record_writer/split.rs
@@ -38,7 +38,7 @@
         };
         // The last step replaces the description and all records with old numbers.
         let is_possible = job.chunks.len() < self.max_txn_changes
-            && job.description_size() <= self.max_value_bytes
+            && job.description_size_bytes() <= self.max_value_bytes
             && job.begin_split(tasks_per_record);
         if is_possible {
             tracing::info!(
@@ -138,7 +138,7 @@
     if is_last {
         numbers = final_records(job, split);
     }
-    let is_unknown = |number: &u32| job.chunk(*number).is_some_and(|c| c.version_unknown);
+    let is_unknown = |number: &u32| job.chunk(*number).is_some_and(|c| c.is_version_unknown);
     if numbers.iter().any(is_unknown) {
         // Their versions are being read.
         return None;
--- a/src/coordination/dispatch.rs
+++ b/src/coordination/dispatch.rs
@@ -84,6 +84,6 @@
     let max_silence = policy.report.mul_f64(MAX_SILENT_INTERVALS);
     host.is_up()
         && now.since(host.last_heartbeat_at) <= max_silence
-        && !host.command_in_flight
+        && !host.has_command_in_flight
         && host.reachability == Reachability::Confirmed
 }
--- a/src/coordination/failure_detection/hosts.rs
+++ b/src/coordination/failure_detection/hosts.rs
@@ -50,7 +50,9 @@
         Some(Probe {
             host: host.name.clone(),
             address: host.address?,
-            incarnation: host.incarnation.max(host.last_unfenced.incarnation),
+            incarnation: host
+                .incarnation
+                .max(host.newest_unfenced_heartbeat.incarnation),
         })
     }
 }
@@ -112,7 +114,7 @@
                 .is_some_and(|at| now.since(at) > max_silence),
             HostLifecycle::Releasing => false,
         };
-        is_wanted && now >= host.next_probe_at && !host.command_in_flight
+        is_wanted && now >= host.next_probe_at && !host.has_command_in_flight
     }
 
     fn host_is_lost(&self, host: &Host, now: Time) -> bool {
@@ -136,7 +138,7 @@
                 true
             }
             // No longer in the list, and silent for longer than reports take.
-            (HostLifecycle::Up | HostLifecycle::Unresponsive, _) if host.missing_from_list => {
+            (HostLifecycle::Up | HostLifecycle::Unresponsive, _) if host.is_missing_from_list => {
                 silent_for > self.policy.report.mul_f64(1.3)
             }
             _ if self.zone_explains_silence(host) => false,
@@ -233,7 +235,7 @@
             if self.view().host_is_lost(host, now) || self.view().holds_a_cancelled_task(host, now)
             {
                 give_up.push((host.name.clone(), CordonReason::Lost));
-            } else if host.cordon == Some(CordonReason::Faulty) {
+            } else if host.cordon_reason == Some(CordonReason::Faulty) {
                 give_up.push((host.name.clone(), CordonReason::Faulty));
             }
         }
--- a/src/coordination/failure_detection/zones.rs
+++ b/src/coordination/failure_detection/zones.rs
@@ -65,7 +65,7 @@
             let zone = observations.entry(host.zone.clone()).or_default();
             zone.add(MachineObservation {
                 silent,
-                spot: host.spot,
+                spot: host.is_spot,
             });
         }
         observations
@@ -144,7 +144,7 @@
         Some(Urgency {
             priority: job.priority() as u8,
             over_guarantee: self.is_beyond_guarantee(&job.team),
-            due_ms: job.due_ms().map_or(u64::MAX, |due| due as u64),
+            due_ms: job.deadline_ms().map_or(u64::MAX, |due| due as u64),
             work_lost_ms: self.work_lost_ms(task, allocation, now),
         })
     }
--- a/src/coordination/leader/dispatch.rs
+++ b/src/coordination/leader/dispatch.rs
@@ -17,7 +17,7 @@
         reason: StopReason,
         now: Time,
     ) {
-        if self.cluster.stop(name, task, reason, now) == StopEffect::TellWorker {
+        if self.cluster.request_stop(name, task, reason, now) == StopEffect::CommandNeeded {
             self.send_commands(name, now);
         }
     }
--- a/src/coordination/leader/jobs.rs
+++ b/src/coordination/leader/jobs.rs
@@ -51,7 +51,7 @@
         let age_ms = self.clock.day_ms.saturating_sub(record.submitted_at_ms);
         let submitted_at = Time(now.0.saturating_sub(age_ms));
         match self.cluster.on_job_record(record, version, now) {
-            JobRecordEffect::Known => {}
+            JobRecordEffect::AlreadyKnown => {}
             JobRecordEffect::SplitCommitted { hosts_to_command } => {
                 self.send_commands_to(&hosts_to_command, now);
             }
@@ -84,9 +84,9 @@
     }
 
     /// Whether no other leader can keep a task of the cancelled job running; see
-    /// [`ClusterState::is_sole_commander`](crate::coordination::cluster::ClusterState).
+    /// [`ClusterState::has_fenced_all_hosts`](crate::coordination::cluster::ClusterState).
     pub fn is_sole_commander(&self, id: JobId) -> bool {
-        self.cluster.is_sole_commander(id, self.term)
+        self.cluster.has_fenced_all_hosts(id, self.term)
     }
 
     /// Whether workers may not be answered any more, so that their leases expire. The records, and with them the
--- a/src/coordination/leader/records.rs
+++ b/src/coordination/leader/records.rs
@@ -63,7 +63,7 @@
             }
             BatchResult::Conflict {
                 cancelled,
-                outdated_allowance,
+                is_allowance_outdated: outdated_allowance,
             } => {
                 if outdated_allowance {
                     self.mark_quota_outdated();
@@ -90,7 +90,7 @@
 
     /// How many records wait to be written.
     pub fn write_backlog(&self) -> WriteBacklog {
-        let records = self.cluster.records();
+        let records = self.cluster.record_writer();
         WriteBacklog {
             urgent: records.urgent_count(),
             other: records.other_count(),
@@ -99,21 +99,21 @@
 
     /// Whether something waits for a record to be written.
     pub fn has_urgent_writes(&self) -> bool {
-        self.cluster.records().has_urgent()
+        self.cluster.record_writer().has_urgent()
     }
 
     /// Whether no batch is under way.
     pub fn is_write_idle(&self) -> bool {
-        self.cluster.records().is_idle()
+        self.cluster.record_writer().is_idle()
     }
 
     /// The most bytes that a stored value may have.
     pub fn max_value_bytes(&self) -> usize {
-        self.cluster.records().max_value_bytes()
+        self.cluster.record_writer().max_value_bytes()
     }
 
     /// The version of the leader's key, on which every write is conditional.
     pub fn leader_key_version(&self) -> Version {
-        self.cluster.records().leader_key_version()
+        self.cluster.record_writer().leader_key_version()
     }
 }
--- a/src/coordination/leader/status.rs
+++ b/src/coordination/leader/status.rs
@@ -49,10 +49,10 @@
                 .type_index
                 .and_then(|k| self.cluster.machine_types().get(k))
                 .map_or(0.0, |t| t.cpus.0);
-            usage.allocated += host.allocated.cpus;
+            usage.allocated += host.allocated_resources.cpus;
             usage.total += cpus;
-            if host.cordon.is_some() {
-                usage.cordoned += cpus - host.allocated.cpus;
+            if host.cordon_reason.is_some() {
+                usage.cordoned += cpus - host.allocated_resources.cpus;
             }
         }
         usage
@@ -105,20 +105,20 @@
         ) {
             "a new leader is making its picture".to_owned()
         } else if job.fails_everywhere() || now < job.retry_not_before {
-            format!("it failed {} times", job.failures_in_a_row)
+            format!("it failed {} times", job.consecutive_failures)
         } else if self.view().team_room(job) == 0 {
             format!("{} is at its limit", job.team)
-        } else if self.cluster.records().urgent_count() >= self.policy.records {
+        } else if self.cluster.record_writer().urgent_count() >= self.policy.records {
             format!(
                 "{} records wait to be written",
-                self.cluster.records().urgent_count()
+                self.cluster.record_writer().urgent_count()
             )
         } else {
             let suits = |h: &&Host| {
                 let kind = h
                     .type_index
                     .and_then(|k| self.cluster.machine_types().get(k));
-                kind.is_some_and(|t| scoring::type_suits(spec, t)) && (spec.spot || !h.spot)
+                kind.is_some_and(|t| scoring::type_suits(spec, t)) && (spec.spot || !h.is_spot)
             };
             let count = |life| {
                 let hosts = self.cluster.hosts().values().filter(suits);
--- a/src/coordination/quota.rs
+++ b/src/coordination/quota.rs
@@ -268,14 +268,14 @@
             return None;
         }
         let demands = self.view().demands();
-        let most = self.cluster.records().max_txn_changes();
+        let most = self.cluster.record_writer().max_txn_changes();
         let mut txn = self
             .quota
             .accounts
             .as_mut()?
             .next_transaction(&demands, most)?;
         let holder = crate::storage::records::LEADER_KEY.to_owned();
-        txn.require(holder, self.cluster.records().leader_key_version());
+        txn.require(holder, self.cluster.record_writer().leader_key_version());
         Some(txn)
     }
 
--- a/src/coordination/scheduling/candidates.rs
+++ b/src/coordination/scheduling/candidates.rs
@@ -26,7 +26,7 @@
 impl CandidateHost {
     /// The host as a candidate of that type; `None` if it has no room.
     pub(super) fn new(host: &Host, type_index: usize, capacity: Resources) -> Option<Self> {
-        let free = capacity.minus(&host.allocated);
+        let free = capacity.minus(&host.allocated_resources);
         if free.cpus <= 0.0 || free.memory_gb <= 0.0 {
             return None;
         }
@@ -34,11 +34,11 @@
             name: host.name.clone(),
             type_index,
             zone: host.zone.clone(),
-            spot: host.spot,
+            spot: host.is_spot,
             capacity,
-            allocated: host.allocated,
+            allocated: host.allocated_resources,
             has_failed_jobs: !host.failed_jobs.is_empty(),
-            remembers_tasks: host.remembers_any_task(),
+            remembers_tasks: host.may_have_any_earlier_attempt(),
             is_reserved: false,
         })
     }
--- a/src/coordination/scheduling/placement.rs
+++ b/src/coordination/scheduling/placement.rs
@@ -83,7 +83,7 @@
     fn candidates(&self, now: Time) -> Vec<CandidateHost> {
         let hosts = self.cluster.hosts().values();
         let candidates = hosts.filter_map(|host| {
-            let machine_type = self.cluster.type_of(host)?;
+            let machine_type = self.cluster.machine_type_of(host)?;
             if !self.is_open(host, now) {
                 return None;
             }
@@ -101,11 +101,11 @@
     ) -> Option<JobPlacement> {
         let job = self.cluster.job(rank.id)?;
         let spec = job.spec.clone()?;
-        if pass.now < job.retry_not_before || self.cluster.records().is_held(job.id) {
+        if pass.now < job.retry_not_before || self.cluster.record_writer().is_held(job.id) {
             return None;
         }
         let usable_types = self.usable_types(&spec, scarce);
-        let due_in_s = job.due_in_s(self.clock.day_ms);
+        let due_in_s = job.time_to_deadline_s(self.clock.day_ms);
         let run_s = self.run_times.expected_s(job);
         let overflow_types = self.overflow_types(&spec, &usable_types, run_s, due_in_s);
         let profile = TaskProfile {
@@ -143,10 +143,10 @@
             return NextStep::Finish;
         };
         // An allocation that waits long for its record would only hold the host idle.
-        let records = self.cluster.records();
+        let records = self.cluster.record_writer();
         let is_queued = records.is_urgent(RunRecordId {
             job: job.id,
-            number: job.chunk_of(index),
+            number: job.record_number_of(index),
         });
         if !is_queued && records.urgent_count() >= placement.max_waiting_records {
             return NextStep::Finish;
@@ -208,7 +208,7 @@
         let Some(host) = host.filter(|host| !host.has_cached_image(&spec.image)) else {
             return 0;
         };
-        let machine_type = self.cluster.type_of(host);
+        let machine_type = self.cluster.machine_type_of(host);
         let gb_per_s = machine_type.map_or(MIN_FETCH_GB_PER_S, |machine_type| {
             machine_type.fetch_gb_per_s.0.max(MIN_FETCH_GB_PER_S)
         });
@@ -252,7 +252,7 @@
     /// Whether an earlier attempt at the task is still listed by the host, or may still arrive there.
     fn remembers_task(&self, name: &HostName, task: TaskId) -> bool {
         let host = self.cluster.host(name);
-        host.is_some_and(|host| host.remembers_task(task))
+        host.is_some_and(|host| host.may_have_earlier_attempt(task))
     }
 
     /// How many of the job's tasks each zone holds, with those on unresponsive hosts; empty where that does not matter.
@@ -274,7 +274,7 @@
     pub(crate) fn is_open(&self, host: &Host, now: Time) -> bool {
         let is_fresh = now.since(host.last_heartbeat_at) <= self.policy.report * 2;
         host.is_up()
-            && host.cordon.is_none()
+            && host.cordon_reason.is_none()
             && is_fresh
             && host.reachability == Reachability::Confirmed
     }
--- a/src/coordination/scheduling/preemption.rs
+++ b/src/coordination/scheduling/preemption.rs
@@ -49,7 +49,7 @@
             })
             .collect();
         victims.sort_by(|a, b| a.0.total_cmp(&b.0));
-        let mut free = capacity(kind).minus(&host.allocated);
+        let mut free = capacity(kind).minus(&host.allocated_resources);
         let mut lost = 0.0;
         let mut stopped = Vec::new();
         for (loss, task, need) in victims {
@@ -144,7 +144,7 @@
             let suits = host
                 .type_index
                 .is_some_and(|k| usable.get(k) == Some(&true));
-            let open = suits && self.view().is_open(host, now) && (spec.spot || !host.spot);
+            let open = suits && self.view().is_open(host, now) && (spec.spot || !host.is_spot);
             if open && is_zone_allowed(spec, &host.zone, &BTreeMap::new()) {
                 ways.extend(self.view().way_to_room(host, job, spec, now));
             }
--- a/src/coordination/scheduling/ranking.rs
+++ b/src/coordination/scheduling/ranking.rs
@@ -100,7 +100,7 @@
                         cpus,
                         self.clock.day_ms,
                     ),
-                due: job.due_ms().map_or(u64::MAX, |due| due as u64),
+                due: job.deadline_ms().map_or(u64::MAX, |due| due as u64),
                 work: self.work_class(job, spec),
                 arrival: job.record_version,
                 id: job.id,
--- a/tests/quota_leader.rs
+++ b/tests/quota_leader.rs
@@ -196,7 +196,7 @@
     // Work that may not begin yet seems to need no machine, which stays all the same.
     assert_eq!(leader.controller.take_actions(), []);
     let machine = leader.controller.cluster().hosts().values().next();
-    assert!(machine.is_some_and(|host| host.cordon.is_none()));
+    assert!(machine.is_some_and(|host| host.cordon_reason.is_none()));
     let claims = leader.claim();
     for txn in &claims {
         let mut conditions = txn.conditions.iter();
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -168,7 +168,7 @@
             submitted_at_ms: 1000,
             tasks_per_record: 16,
         };
-        assert_eq!(Job::new(record, Version(1)).due_ms(), due, "{shape}");
+        assert_eq!(Job::new(record, Version(1)).deadline_ms(), due, "{shape}");
     }
 }
 
