--- a/src/coordination/actions.rs
+++ b/src/coordination/actions.rs
@@ -14,7 +14,7 @@
         /// Its machine.
         host: HostName,
         /// Where to send them.
-        to: SocketAddr,
+        address: SocketAddr,
         /// Incarnation that they are meant for.
         incarnation: Incarnation,
         /// The commands.
@@ -35,7 +35,7 @@
     /// The worker answered with its report, whether or not it executed anything.
     Heartbeat(Box<WorkerHeartbeat>),
     /// Surely not executed.
-    NotSent,
+    NotExecuted,
     /// Never left this process, so it says nothing of the machine either.
     NotAttempted,
     /// May have been executed, or may yet be.
--- a/src/coordination/autoscaling/forecast.rs
+++ b/src/coordination/autoscaling/forecast.rs
@@ -70,7 +70,7 @@
             let Some(timeline) = self.timelines.iter_mut().find(|t| suits(t)) else {
                 break;
             };
-            timeline.for_services.remove(need);
+            timeline.for_services.subtract(need);
             started += 1;
         }
         started
@@ -122,8 +122,8 @@
             works.push(Work {
                 spec,
                 run: self.run_times.expected_s(job),
-                due: job.due_in_s(self.clock.day_ms),
-                tasks: u64::from(job.schedulable_count()).min(self.team_room(job)),
+                due: job.due_in_s(self.clock.wall_clock_ms),
+                tasks: u64::from(job.schedulable_count()).min(self.tasks_within_team_quota(job)),
                 from: 0.0,
                 to_come: false,
             });
--- a/src/coordination/autoscaling/provisioning.rs
+++ b/src/coordination/autoscaling/provisioning.rs
@@ -296,7 +296,7 @@
 
     /// Takes in the cloud's list of hosts, whole. It lags: what it lacks proves nothing.
     pub fn on_host_list(&mut self, listed: &[ListedHost], now: Time) {
-        let max_lag = self.policy.list_lag * 2;
+        let max_lag = self.policy.max_host_list_lag * 2;
         for failed in self.cluster.on_host_list(listed, max_lag, now) {
             self.autoscaler.release(failed);
         }
--- a/src/coordination/autoscaling/scale_in.rs
+++ b/src/coordination/autoscaling/scale_in.rs
@@ -84,7 +84,8 @@
                 .iter()
                 .all(|k| scarce.get(*k) == Some(&true));
             if needs_scarce == group {
-                let count = u64::from(job.schedulable_count()).min(self.team_room(job));
+                let count =
+                    u64::from(job.schedulable_count()).min(self.tasks_within_team_quota(job));
                 demand += count as f64 * job.task_resources.cpus;
             }
         }
--- a/src/coordination/autoscaling/services.rs
+++ b/src/coordination/autoscaling/services.rs
@@ -45,7 +45,7 @@
         let hurried = |(class, within): &(String, f64)| *within < soonest && unseen(class);
         // The first jobs of the day are about to tell which classes there are.
         let settled = now.since(self.started_at) > STANDBY_AFTER;
-        let unknown = settled && self.policy.hurried.iter().any(hurried);
+        let unknown = settled && self.policy.wait_objectives_s.iter().any(hurried);
         if unknown || self.cluster.jobs().values().any(Job::is_service) {
             self.policy.tuning.standby_cpus
         } else {
@@ -112,7 +112,8 @@
                 && self.is_open(host, now)
                 && (spec.spot || !host.spot)
                 && kind.is_some_and(|t| {
-                    scoring::type_suits(spec, t) && need.fits(&capacity(t).minus(&host.allocated))
+                    scoring::type_suits(spec, t)
+                        && need.fits(&capacity(t).saturating_sub(&host.allocated))
                 })
         })
     }
@@ -237,11 +238,12 @@
                 .map(capacity);
             host.cordon == Some(CordonReason::Surplus)
                 && host.lifecycle == HostLifecycle::Up
-                && now.since(host.last_heartbeat_at) <= self.policy.report * 2
+                && now.since(host.last_heartbeat_at) <= self.policy.heartbeat_interval * 2
                 && host.reachability == Reachability::Confirmed
                 && (spec.spot || !host.spot)
                 && spec.zone.as_ref().is_none_or(|z| *z == host.zone)
-                && whole.is_some_and(|w| job.task_resources.fits(&w.minus(&host.allocated)))
+                && whole
+                    .is_some_and(|w| job.task_resources.fits(&w.saturating_sub(&host.allocated)))
                 && !host.remembers_task(task)
         };
         let found = self
--- a/src/coordination/autoscaling/timeline.rs
+++ b/src/coordination/autoscaling/timeline.rs
@@ -53,7 +53,7 @@
             self.free.add(freed);
             self.ends.remove(0);
         }
-        self.free.remove(need);
+        self.free.subtract(need);
         let end = start + run;
         let at = self.ends.partition_point(|(e, _)| *e <= end);
         self.ends.insert(at, (end, *need));
@@ -154,7 +154,7 @@
             });
             ends.push((rest, allocation.resources));
             if self.is_service(*task) {
-                for_services.remove(&allocation.resources);
+                for_services.subtract(&allocation.resources);
             }
         }
         ends.sort_by(|a, b| a.0.total_cmp(&b.0));
@@ -164,7 +164,7 @@
             spot: host.spot,
             at,
             for_services,
-            free: capacity(machine_type).minus(&host.allocated),
+            free: capacity(machine_type).saturating_sub(&host.allocated),
             ends,
         })
     }
--- a/src/coordination/cluster/host.rs
+++ b/src/coordination/cluster/host.rs
@@ -322,7 +322,7 @@
     /// Frees the allocation of a task.
     pub(super) fn free(&mut self, task: TaskId) -> Option<Allocation> {
         let allocation = self.allocations.remove(&task)?;
-        self.allocated.remove(&allocation.resources);
+        self.allocated.subtract(&allocation.resources);
         if self.allocations.is_empty() {
             // Sums of decimals are not exact.
             self.allocated = Resources::default();
--- a/src/coordination/cluster/mod.rs
+++ b/src/coordination/cluster/mod.rs
@@ -71,7 +71,7 @@
             machine_types,
             hosts: BTreeMap::new(),
             jobs: BTreeMap::new(),
-            records: RecordWriter::new(leader_key, policy.max_value, policy.txn_ops),
+            records: RecordWriter::new(leader_key, policy.max_value_bytes, policy.max_txn_changes),
             uncommitted_allocations: BTreeMap::new(),
             team_usage: BTreeMap::new(),
             released_hosts: BTreeMap::new(),
--- a/src/coordination/cluster/reconciliation.rs
+++ b/src/coordination/cluster/reconciliation.rs
@@ -338,7 +338,7 @@
         let allocation = host.allocations.get(&task);
         let may_have_copies = allocation.is_some_and(|allocation| allocation.run_sent_directly);
         let retained_for = if may_have_copies {
-            self.policy.lease * RETAINED_LEASES
+            self.policy.worker_lease * RETAINED_LEASES
         } else {
             Duration::ZERO
         };
--- a/src/coordination/dispatch.rs
+++ b/src/coordination/dispatch.rs
@@ -26,8 +26,8 @@
     /// A dispatcher with nothing under way, within the policy's limits.
     pub(crate) fn new(policy: &Policy) -> CommandDispatcher {
         CommandDispatcher {
-            max_commands_in_flight: policy.commands,
-            max_probes_in_flight: policy.probes,
+            max_commands_in_flight: policy.max_commands_in_flight,
+            max_probes_in_flight: policy.max_probes_in_flight,
             commands_in_flight: 0,
             probes_in_flight: 0,
             waiting_hosts: VecDeque::new(),
@@ -35,7 +35,7 @@
     }
 
     /// Whether commands may be sent now. If not, the host waits for its turn.
-    pub(crate) fn may_send_to(&mut self, host: &HostName) -> bool {
+    pub(crate) fn may_send_or_queue(&mut self, host: &HostName) -> bool {
         let may_send = self.commands_in_flight < self.max_commands_in_flight;
         if !may_send {
             self.waiting_hosts.push_back(host.clone());
@@ -44,7 +44,7 @@
     }
 
     /// The host that has waited the longest, if commands may be sent to it now.
-    pub(crate) fn next_waiting(&mut self) -> Option<HostName> {
+    pub(crate) fn next_waiting_host(&mut self) -> Option<HostName> {
         if self.commands_in_flight < self.max_commands_in_flight {
             self.waiting_hosts.pop_front()
         } else {
@@ -53,7 +53,7 @@
     }
 
     /// How many more probes may be sent now.
-    pub(crate) fn probes_left(&self) -> usize {
+    pub(crate) fn free_probe_slots(&self) -> usize {
         self.max_probes_in_flight
             .saturating_sub(self.probes_in_flight)
     }
@@ -69,7 +69,7 @@
     }
 
     /// Commands, or a probe if there are none, have their outcome.
-    pub(crate) fn on_done(&mut self, commands: &[Command]) {
+    pub(crate) fn on_result(&mut self, commands: &[Command]) {
         let in_flight = if commands.is_empty() {
             &mut self.probes_in_flight
         } else {
@@ -81,7 +81,7 @@
 
 /// Whether direct commands are likely to reach the host's worker now.
 pub(crate) fn accepts_commands(host: &Host, policy: &Policy, now: Time) -> bool {
-    let max_silence = policy.report.mul_f64(MAX_SILENT_INTERVALS);
+    let max_silence = policy.heartbeat_interval.mul_f64(MAX_SILENT_INTERVALS);
     host.is_up()
         && now.since(host.last_heartbeat_at) <= max_silence
         && !host.command_in_flight
--- a/src/coordination/election.rs
+++ b/src/coordination/election.rs
@@ -14,7 +14,7 @@
     /// Someone else leads, or nobody does yet.
     Following,
     /// The key is free; a lease to hang it on is being asked for.
-    Granting {
+    AwaitingLease {
         /// The term to be won.
         term: Term,
         /// Version of the highest term's key.
@@ -34,46 +34,46 @@
         /// Its term, the fencing token.
         term: Term,
         /// Version of the leader's key.
-        version: Version,
+        leader_key_version: Version,
     },
 }
 
 /// Which request of the election an outcome belongs to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Step {
+pub enum ElectionStep {
     /// Reads who leads.
-    Read,
+    ReadRecords,
     /// Asks for a lease.
-    Grant,
+    GrantLease,
     /// Takes the leader's key and raises the term, in one transaction.
     Claim,
     /// Of this lease: an answer may come when the leadership was lost and won again.
     Renew(LeaseId),
     /// Ends a lease.
-    End,
+    EndLease,
 }
 
 /// What the election needs done.
 #[derive(Clone, Debug, PartialEq)]
-pub enum LeadershipAction {
+pub enum ElectionAction {
     /// Read the keys below `lead/`.
-    Read,
+    ReadRecords,
     /// Ask for a lease of that length.
-    Grant(Duration),
+    GrantLease(Duration),
     /// Send this claim.
     Claim(Txn),
     /// Renew the lease.
     Renew(LeaseId),
     /// End the lease of a process that is surely dead, or our own that is not needed.
-    End(LeaseId),
+    EndLease(LeaseId),
     /// Transfer the leadership in favour of a node that is better placed: end the lease, step down.
     Resign(LeaseId),
     /// Begin to lead.
-    Lead {
+    BeginLeading {
         /// Term that was won.
         term: Term,
         /// Version of the leader's key.
-        version: Version,
+        leader_key_version: Version,
     },
     /// Stop leading.
     StepDown,
@@ -81,7 +81,7 @@
 
 /// What a read of the keys below `lead/` showed.
 #[derive(Clone, Debug, Default)]
-pub struct Seen {
+pub struct ElectionRecords {
     /// The leader's key and its version, if it exists.
     pub holder: Option<(LeaderRecord, Version)>,
     /// The highest term and its version.
@@ -100,17 +100,17 @@
 const RENEW_AGAIN: Duration = Duration::from_millis(200);
 
 /// The election, as one controller takes part in it.
-pub struct Leadership {
+pub struct LeaderElection {
     node: String,
     incarnation: u64,
     ttl: Duration,
     /// Where this controller is.
     pub role: Role,
     /// The highest term seen anywhere, and who leads it, if known.
-    pub term: Term,
+    pub highest_term: Term,
     /// Who leads, by the last word heard.
-    pub leader: Option<String>,
-    valid_until: Time,
+    pub known_leader: Option<String>,
+    lease_valid_until: Time,
     /// When the lease is to be renewed next.
     renew_at: Time,
     renewing: bool,
@@ -125,18 +125,18 @@
     random: fastrand::Rng,
 }
 
-impl Leadership {
+impl LeaderElection {
     /// A controller that knows nothing yet. `seed` tells this process from others of its name.
-    pub fn new(node: &str, ttl: Duration, seed: u64) -> Leadership {
+    pub fn new(node: &str, ttl: Duration, seed: u64) -> LeaderElection {
         let mut random = fastrand::Rng::with_seed(seed);
-        Leadership {
+        LeaderElection {
             node: node.to_owned(),
             incarnation: random.u64(..),
             ttl,
             role: Role::Following,
-            term: Term(0),
-            leader: None,
-            valid_until: Time::default(),
+            highest_term: Term(0),
+            known_leader: None,
+            lease_valid_until: Time::default(),
             renew_at: Time::default(),
             renewing: false,
             next_read: Time::default(),
@@ -164,23 +164,23 @@
 
     /// Whether the own lease surely still stands. Without it the leader goes on answering workers,
     /// but begins nothing: an outage is not deposition.
-    pub fn is_certain(&self, now: Time) -> bool {
-        now < self.valid_until()
+    pub fn is_lease_valid(&self, now: Time) -> bool {
+        now < self.lease_valid_until()
     }
 
     /// Until when the own lease surely stands, as far as is known now.
-    pub fn valid_until(&self) -> Time {
+    pub fn lease_valid_until(&self) -> Time {
         if self.is_leading() {
-            self.valid_until
+            self.lease_valid_until
         } else {
             Time::default()
         }
     }
 
-    /// When [`Leadership::tick`] will have something to do, if nothing happens before. While a request
+    /// When [`LeaderElection::tick`] will have something to do, if nothing happens before. While a request
     /// is under way only its end does, which wakes the node by itself: waiting for a moment that has
     /// passed would be no waiting at all.
-    pub fn next_wake(&self) -> Time {
+    pub fn next_wakeup(&self) -> Time {
         match self.role {
             Role::Leading { .. } if self.renewing => Time(u64::MAX),
             Role::Leading { .. } => self.renew_at,
@@ -190,12 +190,12 @@
                     .map_or(Time::default(), |at| at.after(READ_LIMIT));
                 self.next_read.max(pending)
             }
-            Role::Granting { .. } | Role::Claiming { .. } => Time(u64::MAX),
+            Role::AwaitingLease { .. } | Role::Claiming { .. } => Time(u64::MAX),
         }
     }
 
     /// What is due by time alone.
-    pub fn tick(&mut self, now: Time) -> Option<LeadershipAction> {
+    pub fn tick(&mut self, now: Time) -> Option<ElectionAction> {
         match self.role {
             Role::Leading { lease, .. } => {
                 if self.renewing || now < self.renew_at {
@@ -203,7 +203,7 @@
                 }
                 self.renewing = true;
                 self.renew_at = now.after(self.ttl / 3);
-                Some(LeadershipAction::Renew(lease))
+                Some(ElectionAction::Renew(lease))
             }
             Role::Following => {
                 let pending = self.reading.is_some_and(|at| now < at.after(READ_LIMIT));
@@ -212,9 +212,9 @@
                 }
                 self.reading = Some(now);
                 self.schedule_read(now);
-                Some(LeadershipAction::Read)
+                Some(ElectionAction::ReadRecords)
             }
-            Role::Granting { .. } | Role::Claiming { .. } => None,
+            Role::AwaitingLease { .. } | Role::Claiming { .. } => None,
         }
     }
 
@@ -225,17 +225,17 @@
     }
 
     /// Someone speaks of a term: a worker's report, a peer, the state service.
-    pub fn heard_of(&mut self, term: Term, leader: Option<&str>) -> Option<LeadershipAction> {
-        if term < self.term {
+    pub fn observe_term(&mut self, term: Term, leader: Option<&str>) -> Option<ElectionAction> {
+        if term < self.highest_term {
             return None;
         }
-        if term > self.term {
-            self.term = term;
-            self.leader = None;
+        if term > self.highest_term {
+            self.highest_term = term;
+            self.known_leader = None;
             self.confirmed_at = None;
         }
         if let Some(leader) = leader.filter(|l| *l != self.node) {
-            self.leader = Some(leader.to_owned());
+            self.known_leader = Some(leader.to_owned());
         }
         match self.role {
             Role::Leading { term: ours, .. } if term > ours => Some(self.step_down()),
@@ -244,154 +244,161 @@
     }
 
     /// Transfers the leadership, unless that was done a short while ago.
-    pub fn resign(&mut self, now: Time) -> Option<LeadershipAction> {
+    pub fn resign(&mut self, now: Time) -> Option<ElectionAction> {
         let Role::Leading { lease, .. } = self.role else {
             return None;
         };
-        if self.transferred_leadership(now) {
+        if self.has_recently_resigned(now) {
             return None;
         }
         self.resigned_at = Some(now);
         self.step_down();
-        Some(LeadershipAction::Resign(lease))
+        Some(ElectionAction::Resign(lease))
     }
 
     /// Whether this node transferred the leadership a short while ago.
-    pub fn transferred_leadership(&self, now: Time) -> bool {
+    pub fn has_recently_resigned(&self, now: Time) -> bool {
         self.resigned_at.is_some_and(|at| now.since(at) < REST * 10)
     }
 
     /// Proof came that another leads.
-    pub fn step_down(&mut self) -> LeadershipAction {
+    pub fn step_down(&mut self) -> ElectionAction {
         self.enter(Role::Following);
         // A read under way may still show our key; what the lease was good for ended here.
-        self.valid_until = Time::default();
-        if self.leader.as_deref() == Some(&self.node) {
-            self.leader = None;
+        self.lease_valid_until = Time::default();
+        if self.known_leader.as_deref() == Some(&self.node) {
+            self.known_leader = None;
         }
         self.renewing = false;
         self.next_read = Time::default();
-        LeadershipAction::StepDown
+        ElectionAction::StepDown
     }
 
     /// `sent` is when the read was sent: an answer that lay here for long, as this process stood
     /// still, tells how things were and not how they are.
-    pub fn on_read(
+    pub fn on_records_read(
         &mut self,
-        seen: Option<Seen>,
+        seen: Option<ElectionRecords>,
         sent: Time,
         now: Time,
-    ) -> Option<LeadershipAction> {
+    ) -> Option<ElectionAction> {
         self.reading = None;
         let seen = seen.filter(|_| now.since(sent) < READ_LIMIT)?;
         if self.role != Role::Following {
             return None;
         }
         let (term, term_version) = seen.term.unwrap_or((Term(0), Version(0)));
-        let Some((holder, version)) = seen.holder else {
+        let Some((holder, leader_key_version)) = seen.holder else {
             self.confirmed_at = None;
-            if term >= self.term {
-                self.term = term;
-                self.leader = None;
+            if term >= self.highest_term {
+                self.highest_term = term;
+                self.known_leader = None;
             }
             let since = *self.free_since.get_or_insert(now);
             let resting = self.resigned_at.is_some_and(|at| now.since(at) < REST);
             if now.since(since) < self.campaign_delay || resting {
                 return None;
             }
-            self.enter(Role::Granting {
+            self.enter(Role::AwaitingLease {
                 term: Term(term.0 + 1),
                 term_version,
             });
-            return Some(LeadershipAction::Grant(self.ttl));
+            return Some(ElectionAction::GrantLease(self.ttl));
         };
         self.free_since = None;
         if holder.node == self.node {
             if holder.incarnation == self.incarnation {
                 // A claim thought lost was carried out.
-                return Some(self.lead(holder.lease, holder.term, version, now));
+                return Some(self.lead(holder.lease, holder.term, leader_key_version, now));
             }
             // This node's earlier process: it is dead, or this one would not run.
-            return Some(LeadershipAction::End(holder.lease));
+            return Some(ElectionAction::EndLease(holder.lease));
         }
-        let action = self.heard_of(holder.term, Some(&holder.node));
-        if holder.term == self.term {
+        let action = self.observe_term(holder.term, Some(&holder.node));
+        if holder.term == self.highest_term {
             self.confirmed_at = Some(now);
         }
         action
     }
 
     /// The term and the leader that the state service confirmed a moment ago.
-    pub fn confirmed(&self, now: Time) -> Option<(Term, &str)> {
+    pub fn confirmed_leader(&self, now: Time) -> Option<(Term, &str)> {
         let fresh = self.confirmed_at.is_some_and(|at| now.since(at) < FRESH);
         let leader = self
-            .leader
+            .known_leader
             .as_deref()
             .filter(|_| fresh && self.role == Role::Following);
-        leader.map(|leader| (self.term, leader))
+        leader.map(|leader| (self.highest_term, leader))
     }
 
     fn lead(
         &mut self,
         lease: LeaseId,
         term: Term,
-        version: Version,
+        leader_key_version: Version,
         now: Time,
-    ) -> LeadershipAction {
-        self.term = term;
-        self.leader = Some(self.node.clone());
+    ) -> ElectionAction {
+        self.highest_term = term;
+        self.known_leader = Some(self.node.clone());
         self.enter(Role::Leading {
             lease,
             term,
-            version,
+            leader_key_version,
         });
         // A renewal at once: the time of the grant is not known for sure any more.
         self.renewing = false;
         self.renew_at = Time::default();
-        self.valid_until = self.valid_until.max(now);
-        LeadershipAction::Lead { term, version }
+        self.lease_valid_until = self.lease_valid_until.max(now);
+        ElectionAction::BeginLeading {
+            term,
+            leader_key_version,
+        }
     }
 
     /// Takes in the outcome of one of the election's requests.
     pub fn on_outcome(
         &mut self,
-        step: Step,
+        step: ElectionStep,
         outcome: Outcome,
         sent: Time,
         now: Time,
-    ) -> Option<LeadershipAction> {
+    ) -> Option<ElectionAction> {
         match (step, &self.role, outcome) {
-            (Step::Grant, Role::Granting { term, term_version }, Outcome::Granted(lease)) => {
+            (
+                ElectionStep::GrantLease,
+                Role::AwaitingLease { term, term_version },
+                Outcome::Granted(lease),
+            ) => {
                 let (term, term_version) = (*term, *term_version);
-                self.valid_until = sent.after(self.ttl.mul_f64(DRIFT));
+                self.lease_valid_until = sent.after(self.ttl.mul_f64(DRIFT));
                 self.enter(Role::Claiming { lease, term });
-                Some(LeadershipAction::Claim(self.claim(
-                    lease,
-                    term,
-                    term_version,
-                )))
+                Some(ElectionAction::Claim(self.claim(lease, term, term_version)))
             }
-            (Step::Claim, Role::Claiming { lease, term }, Outcome::Committed(version)) => {
+            (ElectionStep::Claim, Role::Claiming { lease, term }, Outcome::Committed(version)) => {
                 let (lease, term) = (*lease, *term);
                 Some(self.lead(lease, term, version, now))
             }
-            (Step::Claim, Role::Claiming { lease, .. }, Outcome::Conflict(_)) => {
+            (ElectionStep::Claim, Role::Claiming { lease, .. }, Outcome::Conflict(_)) => {
                 let lease = *lease;
                 self.enter(Role::Following);
                 self.schedule_read(now);
-                Some(LeadershipAction::End(lease))
+                Some(ElectionAction::EndLease(lease))
             }
-            (Step::Grant | Step::Claim, Role::Granting { .. } | Role::Claiming { .. }, _) => {
+            (
+                ElectionStep::GrantLease | ElectionStep::Claim,
+                Role::AwaitingLease { .. } | Role::Claiming { .. },
+                _,
+            ) => {
                 // Whatever became of it, the next read shows.
                 self.enter(Role::Following);
                 self.schedule_read(now);
                 None
             }
-            (Step::Renew(of), Role::Leading { lease, .. }, outcome) if of == *lease => {
+            (ElectionStep::Renew(of), Role::Leading { lease, .. }, outcome) if of == *lease => {
                 self.renewing = false;
                 match outcome {
                     Outcome::Extended => {
-                        self.valid_until = sent.after(self.ttl.mul_f64(DRIFT));
+                        self.lease_valid_until = sent.after(self.ttl.mul_f64(DRIFT));
                         None
                     }
                     Outcome::LeaseGone => Some(self.step_down()),
--- a/src/coordination/failure_detection/hosts.rs
+++ b/src/coordination/failure_detection/hosts.rs
@@ -60,7 +60,7 @@
     /// past the limit while the others are merely late: all that missed a report count, or each would be
     /// given up alone, one after the other.
     fn silence_by_zone(&self, now: Time) -> BTreeMap<String, (usize, usize)> {
-        let late = self.policy.report.mul_f64(LATE_FACTOR);
+        let late = self.policy.heartbeat_interval.mul_f64(LATE_FACTOR);
         let mut by_zone: BTreeMap<String, (usize, usize)> = BTreeMap::new();
         let mut everywhere = (0, 0);
         for host in self.cluster.hosts().values() {
@@ -86,7 +86,7 @@
     /// Whether most machines of the zone are silent, or were until so short a while ago that the others
     /// have had no time to report.
     fn is_cut_off(&self, zone: &str, now: Time) -> bool {
-        let settling_time = longest_report_delay(self.policy.report);
+        let settling_time = longest_report_delay(self.policy.heartbeat_interval);
         let seen_at = self.failure_detector.partitioned_zones.get(zone);
         seen_at.is_some_and(|at| now.since(*at) < settling_time)
     }
@@ -94,16 +94,19 @@
     /// How long a machine may be silent before it is given up. Replicas are missed at every moment:
     /// one that holds some is given up as soon as a healthy worker would have been heard.
     fn silence_limit(&self, host: &Host) -> Duration {
-        let usual = self.policy.silent_limit();
+        let usual = self.policy.heartbeat_timeout();
         if self.holds_replicas(host) {
-            usual.min(longest_report_delay(self.policy.report))
+            usual.min(longest_report_delay(self.policy.heartbeat_interval))
         } else {
             usual
         }
     }
 
     fn needs_probe(&self, host: &Host, now: Time) -> bool {
-        let max_silence = self.policy.report.mul_f64(PROBED_AFTER_INTERVALS);
+        let max_silence = self
+            .policy
+            .heartbeat_interval
+            .mul_f64(PROBED_AFTER_INTERVALS);
         let is_wanted = match host.lifecycle {
             HostLifecycle::Up => host.reachability != Reachability::Confirmed,
             HostLifecycle::Unresponsive => now.since(host.last_heartbeat_at) > max_silence,
@@ -137,22 +140,27 @@
             }
             // No longer in the list, and silent for longer than reports take.
             (HostLifecycle::Up | HostLifecycle::Unresponsive, _) if host.missing_from_list => {
-                silent_for > self.policy.report.mul_f64(1.3)
+                silent_for > self.policy.heartbeat_interval.mul_f64(1.3)
             }
             _ if self.zone_explains_silence(host) => false,
             (HostLifecycle::Unresponsive, _) => {
-                silent_for > if cut { self.policy.lease * 3 } else { limit }
+                silent_for
+                    > if cut {
+                        self.policy.worker_lease * 3
+                    } else {
+                        limit
+                    }
             }
             // Its tasks end with its lease, unless it hears again before.
             (HostLifecycle::Up, Reachability::HalfOpen { since }) => {
                 let patience = if cut { 3 } else { 1 };
-                now.since(since) > self.policy.lease * patience + limit
+                now.since(since) > self.policy.worker_lease * patience + limit
             }
             (HostLifecycle::Expected, _) => {
                 // A new leader finds machines that are long up: they get their time to report. In a
                 // cut zone none of them can, nor can one that came up meanwhile.
                 let patience = if machines_cut {
-                    self.policy.lease * 3
+                    self.policy.worker_lease * 3
                 } else {
                     limit
                 };
@@ -183,7 +191,7 @@
 
     /// A cancelled job's task sits on a machine that doesn't answer, and the time runs out.
     fn holds_a_cancelled_task(&self, host: &Host, now: Time) -> bool {
-        let heard = now.since(host.last_heartbeat_at) <= self.policy.report * 2
+        let heard = now.since(host.last_heartbeat_at) <= self.policy.heartbeat_interval * 2
             && host.reachability == Reachability::Confirmed;
         host.allocations.iter().any(|(task, allocation)| {
             let cancelled_at = self
@@ -193,7 +201,9 @@
                 .and_then(|j| j.cancelled_at);
             let share = if heard { 0.55 } else { 0.25 };
             allocation.stop_reason == Some(StopReason::Cancelled)
-                && cancelled_at.is_some_and(|at| now.since(at) > self.policy.cancel.mul_f64(share))
+                && cancelled_at.is_some_and(|at| {
+                    now.since(at) > self.policy.cancellation_timeout.mul_f64(share)
+                })
         })
     }
 }
@@ -264,7 +274,7 @@
     /// Cancelled work whose time is nearly up goes with its machine, whether or not this leader has
     /// its lease: in an outage nobody else could do it.
     fn remove_overdue(&mut self, now: Time) {
-        let limit = self.policy.cancel.mul_f64(OVERDUE_PART);
+        let limit = self.policy.cancellation_timeout.mul_f64(OVERDUE_PART);
         let overdue = |host: &&Host| {
             let asked = host
                 .force_released_at
@@ -295,17 +305,17 @@
     /// latter may still report to an earlier leader that is cut off with them; the command carries
     /// our token, and from then on they drop the answers of the other, who learns of it from them.
     fn send_probes(&mut self, now: Time) {
-        let max_new = self.dispatcher.probes_left();
+        let max_new = self.dispatcher.free_probe_slots();
         let hosts = self.cluster.hosts().values();
         let due = hosts.filter(|host| self.view().needs_probe(host, now));
         let probes: Vec<Probe> = due.filter_map(Probe::to).take(max_new).collect();
         for probe in probes {
-            let next_probe_at = now.after(self.policy.report * 2);
+            let next_probe_at = now.after(self.policy.heartbeat_interval * 2);
             self.cluster.on_probe_sent(&probe.host, next_probe_at);
             self.dispatcher.on_probe_sent();
             self.actions.push(Action::SendCommands {
                 host: probe.host,
-                to: probe.address,
+                address: probe.address,
                 incarnation: probe.incarnation,
                 commands: Vec::new(),
             });
--- a/src/coordination/failure_detection/zones.rs
+++ b/src/coordination/failure_detection/zones.rs
@@ -50,7 +50,7 @@
         for (zone, reach) in &self.failure_detector.zone_controllers {
             observations.entry(zone.clone()).or_default().controllers = *reach;
         }
-        let late = self.policy.report.mul_f64(LATE_FACTOR);
+        let late = self.policy.heartbeat_interval.mul_f64(LATE_FACTOR);
         for host in self
             .cluster
             .hosts()
@@ -103,12 +103,14 @@
                 tracker.time_in_state(&host.zone, now),
             )
         });
-        let settling = longest_report_delay(self.policy.report);
+        let settling = longest_report_delay(self.policy.heartbeat_interval);
         match state {
             // The zone has been back for long enough for every worker to report.
-            Some((ZoneState::Returning, lasted)) if lasted > settling => self.policy.silent_limit(),
-            _ if self.holds_urgent_work(host) => self.policy.lease.mul_f64(URGENT_LEASES),
-            _ => self.policy.lease.mul_f64(USUAL_LEASES),
+            Some((ZoneState::Returning, lasted)) if lasted > settling => {
+                self.policy.heartbeat_timeout()
+            }
+            _ if self.holds_urgent_work(host) => self.policy.worker_lease.mul_f64(URGENT_LEASES),
+            _ => self.policy.worker_lease.mul_f64(USUAL_LEASES),
         }
     }
 
@@ -193,7 +195,7 @@
 
     /// The record of the earlier leader, or that there is none that can be read.
     pub fn on_zones_record(&mut self, record: Option<&ZonesRecord>, now: Time) {
-        let day_ms = self.clock.day_ms;
+        let day_ms = self.clock.wall_clock_ms;
         let Some(zones) = &mut self.failure_detector.zones else {
             return;
         };
@@ -205,7 +207,7 @@
 
     /// The record to be written next, if it is time for one.
     pub fn next_zones_record(&mut self, now: Time) -> Option<ZonesRecord> {
-        let day_ms = self.clock.day_ms;
+        let day_ms = self.clock.wall_clock_ms;
         let zones = self.failure_detector.zones.as_mut()?;
         if zones.writing.is_some() || now < zones.write_at {
             return None;
@@ -218,7 +220,7 @@
     /// Whether the record that was being written is in the state service now. Where that is not known
     /// it is written again, which does no harm.
     pub fn on_zones_recorded(&mut self, written: bool, now: Time) {
-        let day_ms = self.clock.day_ms;
+        let day_ms = self.clock.wall_clock_ms;
         let Some(zones) = &mut self.failure_detector.zones else {
             return;
         };
--- a/src/coordination/leader/dispatch.rs
+++ b/src/coordination/leader/dispatch.rs
@@ -38,7 +38,7 @@
         let (Some(address), incarnation) = (host.address, host.incarnation) else {
             return;
         };
-        if !self.dispatcher.may_send_to(name) {
+        if !self.dispatcher.may_send_or_queue(name) {
             return;
         }
         let context = self.command_context(now);
@@ -49,7 +49,7 @@
         self.dispatcher.on_commands_sent();
         self.actions.push(Action::SendCommands {
             host: name.clone(),
-            to: address,
+            address,
             incarnation,
             commands,
         });
@@ -57,7 +57,7 @@
 
     /// Sends the commands that waited for others to end, in their order.
     pub(super) fn send_waiting_commands(&mut self, now: Time) {
-        while let Some(name) = self.dispatcher.next_waiting() {
+        while let Some(name) = self.dispatcher.next_waiting_host() {
             self.send_commands(&name, now);
         }
     }
--- a/src/coordination/leader/heartbeats.rs
+++ b/src/coordination/leader/heartbeats.rs
@@ -83,7 +83,7 @@
         result: CommandResult,
         now: Time,
     ) -> Result<(), LeadershipLost> {
-        self.dispatcher.on_done(commands);
+        self.dispatcher.on_result(commands);
         let applied = self.apply_command_result(name, incarnation, commands, result, now);
         self.send_waiting_commands(now);
         applied
@@ -107,7 +107,7 @@
             CommandResult::Heartbeat(heartbeat) => {
                 self.reconcile(&heartbeat, HeartbeatSource::CommandResponse, now)?;
             }
-            CommandResult::NotSent | CommandResult::NoResponse => {
+            CommandResult::NotExecuted | CommandResult::NoResponse => {
                 self.cluster.on_commands_unanswered(name, now);
             }
             CommandResult::NotAttempted => {}
--- a/src/coordination/leader/jobs.rs
+++ b/src/coordination/leader/jobs.rs
@@ -48,7 +48,10 @@
     pub fn on_job(&mut self, record: JobRecord, version: Version) {
         let now = self.clock.now;
         let id = record.spec.id;
-        let age_ms = self.clock.day_ms.saturating_sub(record.submitted_at_ms);
+        let age_ms = self
+            .clock
+            .wall_clock_ms
+            .saturating_sub(record.submitted_at_ms);
         let submitted_at = Time(now.0.saturating_sub(age_ms));
         match self.cluster.on_job_record(record, version, now) {
             JobRecordEffect::Known => {}
@@ -93,7 +96,10 @@
     /// cancellations from before this term, have been out of reach for long: each response would keep cancelled work
     /// alive that nobody else knows of. Without one it ends with its worker's lease, just in time.
     pub fn must_let_leases_expire(&self, now: Time) -> bool {
-        let spare = self.policy.cancel.saturating_sub(self.policy.lease);
+        let spare = self
+            .policy
+            .cancellation_timeout
+            .saturating_sub(self.policy.worker_lease);
         self.phase == LeaderPhase::LoadingRecords
             && now.since(self.started_at) > spare.mul_f64(LOADING_LEASE_PART)
     }
--- a/src/coordination/leader/mod.rs
+++ b/src/coordination/leader/mod.rs
@@ -74,7 +74,7 @@
     /// The steady clock.
     pub(crate) now: Time,
     /// The time of day in milliseconds, by which deadlines are judged.
-    pub(crate) day_ms: u64,
+    pub(crate) wall_clock_ms: u64,
 }
 
 /// The round of heartbeats is over after this if no host is known.
@@ -95,7 +95,10 @@
             term,
             phase: LeaderPhase::LoadingRecords,
             lease_valid_until: Time::default(),
-            clock: Clock { now, day_ms: 0 },
+            clock: Clock {
+                now,
+                wall_clock_ms: 0,
+            },
             started_at: now,
             cluster: ClusterState::new(types, leader_key, &policy),
             scheduler: Scheduler::new(now),
@@ -186,7 +189,7 @@
     }
 
     /// The process was paused for longer than its lease, while the world went on.
-    pub fn resumed_after_pause(&mut self) {
+    pub fn on_process_resumed(&mut self) {
         self.cluster.mark_all_unresponsive();
     }
 
@@ -197,9 +200,9 @@
         self.cluster.request_scheduling();
     }
 
-    /// Does what is due. `day_ms` is the time of day in milliseconds.
-    pub fn tick(&mut self, now: Time, day_ms: u64) {
-        self.clock = Clock { now, day_ms };
+    /// Does what is due. `wall_clock_ms` is the time of day in milliseconds.
+    pub fn tick(&mut self, now: Time, wall_clock_ms: u64) {
+        self.clock = Clock { now, wall_clock_ms };
         match self.phase {
             LeaderPhase::LoadingRecords => return,
             LeaderPhase::AwaitingHeartbeats { until } if !self.is_round_over(until, now) => {
@@ -235,14 +238,15 @@
         let hosts = self.cluster.hosts();
         let all_up = hosts.values().all(|host| host.is_up());
         now >= until
-            || all_up && elapsed >= self.policy.report
+            || all_up && elapsed >= self.policy.heartbeat_interval
             || hosts.is_empty() && elapsed >= EMPTY_ROUND
     }
 
     /// Uses the hosts that have been heard before the round is over. The records hold what is allocated to the others, and
     /// none of these takes anything before it has been heard.
     fn schedule_early(&mut self, now: Time) {
-        let is_early = now.since(self.started_at) < self.policy.report / EARLY_ROUND_PART;
+        let is_early =
+            now.since(self.started_at) < self.policy.heartbeat_interval / EARLY_ROUND_PART;
         if is_early || !self.may_act(now) {
             return;
         }
--- a/src/coordination/leader/records.rs
+++ b/src/coordination/leader/records.rs
@@ -37,7 +37,11 @@
 
     /// All records are read: from now on heartbeats complete the view of the cluster.
     pub fn on_loaded(&mut self, now: Time) {
-        let round = self.policy.report.mul_f64(HEARTBEAT_ROUND_INTERVALS) + HEARTBEAT_ROUND_MARGIN;
+        let round = self
+            .policy
+            .heartbeat_interval
+            .mul_f64(HEARTBEAT_ROUND_INTERVALS)
+            + HEARTBEAT_ROUND_MARGIN;
         self.started_at = now;
         self.set_phase(LeaderPhase::AwaitingHeartbeats {
             until: now.after(round),
@@ -66,7 +70,7 @@
                 outdated_allowance,
             } => {
                 if outdated_allowance {
-                    self.mark_quota_outdated();
+                    self.request_quota_reload();
                 }
                 for id in cancelled {
                     self.on_job_deleted(id, now);
--- a/src/coordination/leader/status.rs
+++ b/src/coordination/leader/status.rs
@@ -13,9 +13,9 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct WorkerReach {
     /// Machines that reported lately.
-    pub reachable: usize,
+    pub reachable_hosts: usize,
     /// Machines that are up or silent.
-    pub known: usize,
+    pub known_hosts: usize,
     /// The zone that holds the most machines.
     pub home_zone: Option<String>,
 }
@@ -23,7 +23,7 @@
 impl WorkerReach {
     /// More than half of the machines are out of earshot.
     pub fn is_partitioned(&self) -> bool {
-        self.known >= 3 && self.reachable * 2 < self.known
+        self.known_hosts >= 3 && self.reachable_hosts * 2 < self.known_hosts
     }
 }
 
@@ -62,7 +62,7 @@
 impl Leader {
     /// How many of the machines that were up this leader still hears, and where most of them are.
     pub fn worker_reach(&self, now: Time) -> WorkerReach {
-        let late = self.policy.report.mul_f64(zones::LATE_FACTOR);
+        let late = self.policy.heartbeat_interval.mul_f64(zones::LATE_FACTOR);
         let mut reach = WorkerReach::default();
         let mut zones: BTreeMap<&str, usize> = BTreeMap::new();
         for host in self.cluster.hosts().values() {
@@ -74,8 +74,8 @@
             {
                 continue;
             }
-            reach.known += 1;
-            reach.reachable += usize::from(now.since(host.last_heartbeat_at) <= late);
+            reach.known_hosts += 1;
+            reach.reachable_hosts += usize::from(now.since(host.last_heartbeat_at) <= late);
             *zones.entry(&host.zone).or_default() += 1;
         }
         reach.home_zone = zones
@@ -96,7 +96,7 @@
             .filter(unbegun)
             .min_by_key(|j| j.submitted_at_ms)?;
         let spec = job.spec.as_ref()?;
-        let waited = self.clock.day_ms.saturating_sub(job.submitted_at_ms) / 1000;
+        let waited = self.clock.wall_clock_ms.saturating_sub(job.submitted_at_ms) / 1000;
         let why = if !self.may_act(now) {
             "the state service does not answer here".to_owned()
         } else if matches!(
@@ -106,9 +106,11 @@
             "a new leader is making its picture".to_owned()
         } else if job.fails_everywhere() || now < job.retry_not_before {
             format!("it failed {} times", job.failures_in_a_row)
-        } else if self.view().team_room(job) == 0 {
+        } else if self.view().tasks_within_team_quota(job) == 0 {
             format!("{} is at its limit", job.team)
-        } else if self.cluster.records().urgent_count() >= self.policy.records {
+        } else if self.cluster.records().urgent_count()
+            >= self.policy.max_queued_records_per_priority
+        {
             format!(
                 "{} records wait to be written",
                 self.cluster.records().urgent_count()
--- a/src/coordination/quota.rs
+++ b/src/coordination/quota.rs
@@ -99,7 +99,7 @@
     }
 
     /// How many more tasks of this size the team may have booked.
-    pub(crate) fn team_room(&self, job: &Job) -> u64 {
+    pub(crate) fn tasks_within_team_quota(&self, job: &Job) -> u64 {
         let Some(team) = self.policy.team(&job.team) else {
             return 0;
         };
@@ -186,7 +186,7 @@
 
     /// Sums up what machines report and nobody booked there. It is rare, so looking is cheap where there
     /// is none.
-    pub(crate) fn count_unbooked(&mut self) {
+    pub(crate) fn update_unrecorded_usage(&mut self) {
         self.quota.unrecorded_usage.clear();
         if self.quota.accounts.is_none() {
             return;
@@ -212,17 +212,17 @@
     // ---- the accounts
 
     /// Whether the accounts have to be read again, which is then taken for done.
-    pub fn take_quota_outdated(&mut self) -> bool {
+    pub fn take_quota_reload_request(&mut self) -> bool {
         std::mem::take(&mut self.quota.outdated)
     }
 
     /// The accounts have to be read again.
-    pub fn mark_quota_outdated(&mut self) {
+    pub fn request_quota_reload(&mut self) {
         self.quota.outdated = true;
     }
 
     /// The policy of the accounts, where the feature is on.
-    pub fn rules_quota(&self) -> Option<&lichencrank_quota::QuotaPolicy> {
+    pub fn quota_policy(&self) -> Option<&lichencrank_quota::QuotaPolicy> {
         self.policy.quota.as_ref()
     }
 
@@ -235,21 +235,21 @@
     }
 
     /// Begins to read the accounts' records anew.
-    pub fn begin_reading_quota(&mut self) {
+    pub fn begin_loading_quota(&mut self) {
         if let Some(accounts) = &mut self.quota.accounts {
             accounts.begin_reading();
         }
     }
 
     /// Takes in a record of the accounts.
-    pub fn on_quota_record(&mut self, item: &Item) {
+    pub fn on_quota_item(&mut self, item: &Item) {
         if let Some(accounts) = &mut self.quota.accounts {
             accounts.insert_item(item);
         }
     }
 
     /// All records of the accounts are read.
-    pub fn on_quota_read(&mut self) {
+    pub fn on_quota_loaded(&mut self) {
         if let Some(accounts) = &mut self.quota.accounts {
             accounts.finish_reading();
         }
@@ -258,7 +258,7 @@
 
     /// The next change of the accounts, on condition that this controller still leads.
     pub fn next_quota_txn(&mut self) -> Option<Txn> {
-        self.count_unbooked();
+        self.update_unrecorded_usage();
         let ready = self
             .quota
             .accounts
@@ -280,7 +280,7 @@
     }
 
     /// A change of the accounts was written.
-    pub fn on_quota_written(&mut self, version: Version) {
+    pub fn on_quota_committed(&mut self, version: Version) {
         if let Some(accounts) = &mut self.quota.accounts {
             accounts.on_committed(version);
         }
@@ -288,7 +288,7 @@
     }
 
     /// A change of the accounts was surely not written.
-    pub fn on_quota_refused(&mut self) {
+    pub fn on_quota_not_committed(&mut self) {
         if let Some(accounts) = &mut self.quota.accounts {
             accounts.on_not_committed();
         }
--- a/src/coordination/resources.rs
+++ b/src/coordination/resources.rs
@@ -30,21 +30,21 @@
     }
 
     /// Takes from it; nothing goes below zero.
-    pub fn remove(&mut self, other: &Resources) {
+    pub fn subtract(&mut self, other: &Resources) {
         self.cpus = (self.cpus - other.cpus).max(0.0);
         self.gpus = (self.gpus - other.gpus).max(0.0);
         self.memory_gb = (self.memory_gb - other.memory_gb).max(0.0);
     }
 
     /// What is left of it without the other.
-    pub fn minus(&self, other: &Resources) -> Resources {
+    pub fn saturating_sub(&self, other: &Resources) -> Resources {
         let mut rest = *self;
-        rest.remove(other);
+        rest.subtract(other);
         rest
     }
 
     /// How many of `self` fit into `room`.
-    pub fn times_in(&self, room: &Resources) -> u64 {
+    pub fn multiples_within(&self, room: &Resources) -> u64 {
         let times = |need: f64, have: f64| {
             if need > 0.0 {
                 (have + SLACK) / need
--- a/src/coordination/scheduling/candidates.rs
+++ b/src/coordination/scheduling/candidates.rs
@@ -26,7 +26,7 @@
 impl CandidateHost {
     /// The host as a candidate of that type; `None` if it has no room.
     pub(super) fn new(host: &Host, type_index: usize, capacity: Resources) -> Option<Self> {
-        let free = capacity.minus(&host.allocated);
+        let free = capacity.saturating_sub(&host.allocated);
         if free.cpus <= 0.0 || free.memory_gb <= 0.0 {
             return None;
         }
@@ -45,7 +45,7 @@
 
     /// What is free on it.
     pub(super) fn free(&self) -> Resources {
-        self.capacity.minus(&self.allocated)
+        self.capacity.saturating_sub(&self.allocated)
     }
 
     /// Its place among the candidates for a task.
--- a/src/coordination/scheduling/placement.rs
+++ b/src/coordination/scheduling/placement.rs
@@ -105,7 +105,7 @@
             return None;
         }
         let usable_types = self.usable_types(&spec, scarce);
-        let due_in_s = job.due_in_s(self.clock.day_ms);
+        let due_in_s = job.due_in_s(self.clock.wall_clock_ms);
         let run_s = self.run_times.expected_s(job);
         let overflow_types = self.overflow_types(&spec, &usable_types, run_s, due_in_s);
         let profile = TaskProfile {
@@ -118,7 +118,7 @@
             return None;
         }
         let schedulable = u64::from(job.schedulable_count());
-        let allowed = self.team_room(job).min(pass.allocations_left);
+        let allowed = self.tasks_within_team_quota(job).min(pass.allocations_left);
         Some(JobPlacement {
             id: job.id,
             resources: job.task_resources,
@@ -171,7 +171,8 @@
         } else {
             Priority::Critical
         };
-        self.policy.records * (1 + Priority::BestEffort as usize - priority as usize)
+        self.policy.max_queued_records_per_priority
+            * (1 + Priority::BestEffort as usize - priority as usize)
     }
 
     /// The candidates that may take a task of the job, the best on top.
@@ -272,7 +273,7 @@
 
     /// Whether new tasks may be placed on the host.
     pub(crate) fn is_open(&self, host: &Host, now: Time) -> bool {
-        let is_fresh = now.since(host.last_heartbeat_at) <= self.policy.report * 2;
+        let is_fresh = now.since(host.last_heartbeat_at) <= self.policy.heartbeat_interval * 2;
         host.is_up()
             && host.cordon.is_none()
             && is_fresh
@@ -283,7 +284,7 @@
 impl Leader {
     /// One pass over the waiting tasks.
     pub(crate) fn place(&mut self, now: Time) {
-        self.count_unbooked();
+        self.update_unrecorded_usage();
         let ranks = self.view().ranked();
         if ranks.is_empty() {
             return;
--- a/src/coordination/scheduling/preemption.rs
+++ b/src/coordination/scheduling/preemption.rs
@@ -49,7 +49,7 @@
             })
             .collect();
         victims.sort_by(|a, b| a.0.total_cmp(&b.0));
-        let mut free = capacity(kind).minus(&host.allocated);
+        let mut free = capacity(kind).saturating_sub(&host.allocated);
         let mut lost = 0.0;
         let mut stopped = Vec::new();
         for (loss, task, need) in victims {
@@ -92,7 +92,8 @@
         let may = self.may_preempt(job, for_job) && allocation.stop_reason.is_none();
         // The first tasks of a job that has waited too long are to have begun for good.
         let starve_after = seconds(self.policy.tuning.starve_after_s);
-        let waited = Duration::from_millis(self.clock.day_ms.saturating_sub(job.submitted_at_ms));
+        let waited =
+            Duration::from_millis(self.clock.wall_clock_ms.saturating_sub(job.submitted_at_ms));
         let young = ran < BEGUN_S && job.done_count == 0 && job.allocated_count <= FEW;
         if waited >= starve_after && young {
             return None;
@@ -136,7 +137,7 @@
         };
         let room = self
             .view()
-            .team_room(job)
+            .tasks_within_team_quota(job)
             .min(u64::from(job.schedulable_count()));
         let most = (room as usize).min(MAX_PREEMPTED);
         let mut ways: Vec<Way> = Vec::new();
--- a/src/coordination/scheduling/ranking.rs
+++ b/src/coordination/scheduling/ranking.rs
@@ -98,7 +98,7 @@
                     && job.will_miss_deadline(
                         self.run_times.expected_s(job),
                         cpus,
-                        self.clock.day_ms,
+                        self.clock.wall_clock_ms,
                     ),
                 due: job.due_ms().map_or(u64::MAX, |due| due as u64),
                 work: self.work_class(job, spec),
@@ -117,7 +117,7 @@
 
     /// How long ago the job was submitted.
     fn waited(&self, job: &Job) -> Duration {
-        let waited_ms = self.clock.day_ms.saturating_sub(job.submitted_at_ms);
+        let waited_ms = self.clock.wall_clock_ms.saturating_sub(job.submitted_at_ms);
         seconds(waited_ms as f64 / 1000.0)
     }
 
--- a/src/coordination/scheduling/scoring.rs
+++ b/src/coordination/scheduling/scoring.rs
@@ -28,7 +28,7 @@
 
 /// The design's weighted headroom score of a machine for a task.
 pub fn score(whole: &Resources, used: &Resources, needs_gpu: bool) -> f64 {
-    let free = whole.minus(used);
+    let free = whole.saturating_sub(used);
     let gpu = if needs_gpu {
         GPU_WEIGHT * percent(free.gpus, whole.gpus)
     } else {
--- a/src/coordination/scheduling/type_eligibility.rs
+++ b/src/coordination/scheduling/type_eligibility.rs
@@ -90,8 +90,8 @@
                 .values()
                 .filter(|j| j.waiting_count() > 0);
             others.all(|j| {
-                let starves =
-                    self.clock.day_ms.saturating_sub(j.submitted_at_ms) as f64 >= starve_after_ms;
+                let starves = self.clock.wall_clock_ms.saturating_sub(j.submitted_at_ms) as f64
+                    >= starve_after_ms;
                 let other = j.spec.as_ref();
                 other.is_none_or(|o| {
                     o.priority > spec.priority && !starves || self.suited(o) != [kind]
--- a/src/node/cancellations.rs
+++ b/src/node/cancellations.rs
@@ -73,7 +73,7 @@
             let middle = jobs.iter().nth(MAX_SECURED).copied();
             self.to_acknowledge = middle.map(|m| jobs.split_off(&m)).unwrap_or_default();
         }
-        let leader = self.leadership.leader.as_deref();
+        let leader = self.leadership.known_leader.as_deref();
         let jobs: Vec<JobId> = jobs.into_iter().collect();
         let peer = self
             .settings
@@ -135,7 +135,7 @@
     /// is all that is said to their workers. They are stopped in any case.
     fn acknowledges(&mut self, job: JobId) -> bool {
         let now = self.net.now();
-        let certain = self.leadership.is_certain(now);
+        let certain = self.leadership.is_lease_valid(now);
         let Some(duties) = &mut self.duties else {
             return false;
         };
--- a/src/node/heartbeats.rs
+++ b/src/node/heartbeats.rs
@@ -91,12 +91,12 @@
         let now = self.net.now();
         PeerHeartbeat {
             from: self.settings.name.clone(),
-            term: self.leadership.term.0,
-            leader: self.leadership.leader.clone(),
+            term: self.leadership.highest_term.0,
+            leader: self.leadership.known_leader.clone(),
             store_reachable: self.state_answers(now),
             home_zone: self.locality.home.clone(),
             reporting_workers: self.workers.len() as u32,
-            transferred_leadership: self.leadership.transferred_leadership(now),
+            transferred_leadership: self.leadership.has_recently_resigned(now),
             store_usage: StoreUsage {
                 requests_per_s: self.spends.0.ceil() as u32,
                 changes_per_s: self.spends.1.ceil() as u32,
@@ -160,7 +160,9 @@
             self.on_cancelled(JobId(cancelled.job), remaining.min(longest));
         }
         let term = Term(heartbeat.term);
-        let action = self.leadership.heard_of(term, heartbeat.leader.as_deref());
+        let action = self
+            .leadership
+            .observe_term(term, heartbeat.leader.as_deref());
         self.grant(action);
     }
 
--- a/src/node/leader_duties/mod.rs
+++ b/src/node/leader_duties/mod.rs
@@ -267,7 +267,7 @@
         match action {
             Action::SendCommands {
                 host,
-                to,
+                address,
                 incarnation,
                 commands,
             } => {
@@ -290,7 +290,7 @@
                     incarnation,
                     commands: &commands,
                 });
-                let call = net.call(to, "POST", "/commands", &body, COMMAND_LIMIT);
+                let call = net.call(address, "POST", "/commands", &body, COMMAND_LIMIT);
                 self.calls.insert(
                     call,
                     LeaderCall::SendCommands {
@@ -381,9 +381,9 @@
             Ok(report) => CommandResult::Heartbeat(Box::new(report)),
             Err(_) => CommandResult::NoResponse,
         },
-        Ok(r) if r.status == 400 => CommandResult::NotSent,
+        Ok(r) if r.status == 400 => CommandResult::NotExecuted,
         Ok(_) | Err(CallError::Lost) => CommandResult::NoResponse,
-        Err(CallError::NotSent) => CommandResult::NotSent,
+        Err(CallError::NotSent) => CommandResult::NotExecuted,
         Err(CallError::NoSocket) => CommandResult::NotAttempted,
     }
 }
--- a/src/node/leader_duties/quota.rs
+++ b/src/node/leader_duties/quota.rs
@@ -15,14 +15,14 @@
     /// Reads the accounts every so often, and writes what has to change. Bookings depend on the versions,
     /// so nothing is written while a batch is under way.
     pub(super) fn keep_accounts(&mut self, writes: &mut RateLimit, now: Time) {
-        if self.controller.rules_quota().is_none() {
+        if self.controller.quota_policy().is_none() {
             return;
         }
-        if self.controller.take_quota_outdated() {
+        if self.controller.take_quota_reload_request() {
             self.quota.due = now;
         }
         if self.quota.starts(now) {
-            self.controller.begin_reading_quota();
+            self.controller.begin_loading_quota();
             self.read_quota(0, String::new());
             return;
         }
@@ -74,7 +74,7 @@
             return self.read_quota(prefix, after);
         };
         for item in &page.items {
-            self.controller.on_quota_record(item);
+            self.controller.on_quota_item(item);
         }
         if let Some(last) = page.items.last().filter(|_| page.more) {
             return self.read_quota(prefix, last.key.clone());
@@ -84,22 +84,22 @@
         }
         self.quota.busy = false;
         self.quota.due = now.after(QUOTA_EVERY);
-        self.controller.on_quota_read();
+        self.controller.on_quota_loaded();
     }
 
     pub(super) fn on_quota_txn(&mut self, outcome: Outcome) -> Result<(), LeadershipLost> {
         self.quota.busy = false;
         match outcome {
-            Outcome::Committed(version) => self.controller.on_quota_written(version),
+            Outcome::Committed(version) => self.controller.on_quota_committed(version),
             Outcome::Conflict(failed) if failed.iter().any(|key| key == records::LEADER_KEY) => {
                 return Err(LeadershipLost(self.controller.term()));
             }
             // It may have been carried out, or may yet be: versions tell, and let it be so only once.
             Outcome::Conflict(_) | Outcome::Unknown => {
-                self.controller.on_quota_refused();
-                self.controller.mark_quota_outdated();
+                self.controller.on_quota_not_committed();
+                self.controller.request_quota_reload();
             }
-            _ => self.controller.on_quota_refused(),
+            _ => self.controller.on_quota_not_committed(),
         }
         Ok(())
     }
--- a/src/node/leader_locality.rs
+++ b/src/node/leader_locality.rs
@@ -126,7 +126,7 @@
             && !self.transferred_in_vain()
             && !self.locality.home_flaps.home_is_absent_in_cuts(now);
         let cut_off = reach.is_partitioned() && (away || hears_more);
-        if (calm || cut_off) && self.leadership.is_certain(now) {
+        if (calm || cut_off) && self.leadership.is_lease_valid(now) {
             self.transfer_leadership(&reach, now);
         }
     }
@@ -145,7 +145,7 @@
     /// How long this node lets a free key lie before it takes it.
     fn campaign_delay(&self) -> Duration {
         let several = self.settings.settings.zones.len() > 1;
-        let nothing_known = self.types.is_empty() && self.leadership.term == Term(0);
+        let nothing_known = self.types.is_empty() && self.leadership.highest_term == Term(0);
         if several && nothing_known {
             CAMPAIGN_DELAY * 2
         } else if !self.is_at_home() {
@@ -182,7 +182,7 @@
             let hears_more = peer.recent_heartbeat(now).is_some_and(|h| {
                 h.store_reachable
                     && !h.transferred_leadership
-                    && h.reporting_workers as usize > reach.reachable
+                    && h.reporting_workers as usize > reach.reachable_hosts
             });
             settled && hears_more
         })
@@ -204,8 +204,8 @@
         let action = self.leadership.resign(now);
         if action.is_some() {
             let WorkerReach {
-                reachable: heard,
-                known,
+                reachable_hosts: heard,
+                known_hosts: known,
                 ..
             } = reach;
             tracing::info!("{heard} of {known} machines are heard here: leadership is transferred");
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -15,7 +15,9 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::time::{Duration, Instant};
 
-use crate::coordination::election::{Leadership, LeadershipAction, Seen, Step};
+use crate::coordination::election::{
+    ElectionAction, ElectionRecords, ElectionStep, LeaderElection,
+};
 use crate::coordination::{Leader, LeadershipLost, Policy};
 use crate::features::Features;
 use crate::protocol::cloud::{MachineType, MachineTypes};
@@ -37,7 +39,7 @@
 
 /// Whose request to the state service it was.
 enum Purpose {
-    Lead(Step, Time),
+    Lead(ElectionStep, Time),
     LeaderDuties(Term, LeaderRequest),
     ApiServer(ApiStoreRequest),
     Types,
@@ -72,7 +74,7 @@
     features: Features,
     net: N,
     store: StoreClient,
-    leadership: Leadership,
+    leadership: LeaderElection,
     duties: Option<LeaderDuties>,
     api: ApiServer,
     purposes: HashMap<StoreRequestId, Purpose>,
@@ -149,7 +151,7 @@
         let service = &settings.settings;
         let store = new_store(&settings);
         let ttl = seconds(tuning.leader_lease_s);
-        let leadership = Leadership::new(&settings.name, ttl, incarnation);
+        let leadership = LeaderElection::new(&settings.name, ttl, incarnation);
         let api = ApiServer::new(
             service.teams.clone(),
             service.state.value_kb,
@@ -206,7 +208,7 @@
     pub fn next_wake(&self) -> Time {
         let now = self.net.now();
         now.after(LOOP_INTERVAL)
-            .min(self.leadership.next_wake().max(now))
+            .min(self.leadership.next_wakeup().max(now))
     }
 
     /// Takes in what the outside did.
@@ -240,13 +242,13 @@
         }
         tracing::info!("stood still for {gap:?}");
         if let Some(duties) = &mut self.duties {
-            duties.controller.resumed_after_pause();
+            duties.controller.on_process_resumed();
         }
     }
 
     fn deposed(&mut self, term: Term) {
         tracing::info!("deposed: term {term} leads");
-        let mut action = self.leadership.heard_of(term, None);
+        let mut action = self.leadership.observe_term(term, None);
         if action.is_none() && self.leadership.is_leading() {
             action = Some(self.leadership.step_down());
         }
@@ -261,14 +263,14 @@
 
     // ---- leadership
 
-    fn grant(&mut self, action: Option<LeadershipAction>) {
+    fn grant(&mut self, action: Option<ElectionAction>) {
         let now = self.net.now();
         let Some(action) = action else { return };
         let (step, ask) = match action {
-            LeadershipAction::Read => {
+            ElectionAction::ReadRecords => {
                 let prefix = records::LEADERSHIP_PREFIX.to_owned();
                 (
-                    Step::Read,
+                    ElectionStep::ReadRecords,
                     StoreRequest::List {
                         prefix,
                         after: String::new(),
@@ -276,18 +278,21 @@
                     },
                 )
             }
-            LeadershipAction::Grant(ttl) => (Step::Grant, StoreRequest::Grant(ttl)),
-            LeadershipAction::Claim(txn) => (Step::Claim, StoreRequest::Txn(txn)),
-            LeadershipAction::Renew(lease) => (Step::Renew(lease), StoreRequest::Extend(lease)),
-            LeadershipAction::End(lease) => (Step::End, StoreRequest::End(lease)),
-            LeadershipAction::Resign(lease) => {
-                self.duties = None;
-                (Step::End, StoreRequest::End(lease))
+            ElectionAction::GrantLease(ttl) => (ElectionStep::GrantLease, StoreRequest::Grant(ttl)),
+            ElectionAction::Claim(txn) => (ElectionStep::Claim, StoreRequest::Txn(txn)),
+            ElectionAction::Renew(lease) => {
+                (ElectionStep::Renew(lease), StoreRequest::Extend(lease))
             }
-            LeadershipAction::Lead { term, version } => {
-                return self.begin_leading(term, version, now)
+            ElectionAction::EndLease(lease) => (ElectionStep::EndLease, StoreRequest::End(lease)),
+            ElectionAction::Resign(lease) => {
+                self.duties = None;
+                (ElectionStep::EndLease, StoreRequest::End(lease))
             }
-            LeadershipAction::StepDown => {
+            ElectionAction::BeginLeading {
+                term,
+                leader_key_version,
+            } => return self.begin_leading(term, leader_key_version, now),
+            ElectionAction::StepDown => {
                 self.duties = None;
                 return;
             }
@@ -346,8 +351,8 @@
         .flatten()
 }
 
-fn read_lead(page: &Page) -> Seen {
-    let mut seen = Seen::default();
+fn read_lead(page: &Page) -> ElectionRecords {
+    let mut seen = ElectionRecords::default();
     for item in &page.items {
         if item.key == records::LEADER_KEY {
             seen.holder = item.record::<LeaderRecord>().map(|h| (h, item.version));
--- a/src/node/periodic.rs
+++ b/src/node/periodic.rs
@@ -86,7 +86,7 @@
         if let Some(duties) = &mut self.duties {
             duties
                 .controller
-                .set_lease_valid_until(self.leadership.valid_until());
+                .set_lease_valid_until(self.leadership.lease_valid_until());
             duties.turn(&mut self.net, &mut self.store.write_budget, now);
             let term = duties.controller.term();
             for (class, ask, limit, what) in duties.take_pending() {
@@ -97,7 +97,7 @@
         self.flush_front(now);
         loop {
             let now = self.net.now();
-            let may_book = self.leadership.is_certain(now);
+            let may_book = self.leadership.is_lease_valid(now);
             let Some(next) = self.store.next_outgoing(now, may_book) else {
                 return;
             };
--- a/src/node/replies.rs
+++ b/src/node/replies.rs
@@ -48,12 +48,12 @@
         let now = self.net.now();
         match self.purposes.remove(&id) {
             None => {}
-            Some(Purpose::Lead(Step::Read, sent)) => {
+            Some(Purpose::Lead(ElectionStep::ReadRecords, sent)) => {
                 let seen = match outcome {
                     Outcome::Page(page) => Some(read_lead(&page)),
                     _ => None,
                 };
-                let action = self.leadership.on_read(seen, sent, now);
+                let action = self.leadership.on_records_read(seen, sent, now);
                 self.grant(action);
             }
             Some(Purpose::Lead(step, sent)) => {
@@ -70,7 +70,7 @@
             }
             Some(Purpose::ApiServer(ask)) => {
                 // Without a lease that stands, what this node knows of tasks may be long past.
-                let certain = self.leadership.is_certain(now);
+                let certain = self.leadership.is_lease_valid(now);
                 let duties = self.duties.as_ref().filter(|_| certain);
                 let counts = |job| duties.and_then(|o| o.counts(job));
                 let view = View {
--- a/src/node/requests.rs
+++ b/src/node/requests.rs
@@ -134,7 +134,7 @@
                 Err(LeadershipLost(term)) => self.deposed(term),
             }
         } else {
-            let action = self.leadership.heard_of(report.fencing_token, None);
+            let action = self.leadership.observe_term(report.fencing_token, None);
             self.grant(action);
         }
         let proxied = self
@@ -150,7 +150,7 @@
                 }),
             );
         }
-        let leader = self.leadership.leader.as_deref();
+        let leader = self.leadership.known_leader.as_deref();
         let leader = leader.filter(|l| *l != self.settings.name);
         Response::new(421, encode(&LeaderRedirect { leader }))
     }
@@ -159,7 +159,7 @@
     /// that it leads, but it can't be heard from here, so the worker could not reach it either and
     /// would lose its tasks with its lease. Nothing is started, only cancelled work is stopped.
     pub(super) fn proxies_heartbeat(&self, seen: Term, now: Time) -> Option<Term> {
-        let (term, leader) = self.leadership.confirmed(now)?;
+        let (term, leader) = self.leadership.confirmed_leader(now)?;
         let at = self.settings.peers.iter().position(|p| p.name == leader)?;
         let unheard = !self.peers[at].is_reachable(now);
         (unheard && seen <= term).then_some(term)
--- a/src/node/zone_isolation.rs
+++ b/src/node/zone_isolation.rs
@@ -53,15 +53,16 @@
         let workers = &self.settings.settings.workers;
         let spare = workers.cancel().saturating_sub(workers.lease());
         let in_time = now.since(since) <= spare.mul_f64(ANSWERED_PART);
-        let fenced = report.fencing_token > Term(0) && report.fencing_token <= self.leadership.term;
+        let fenced =
+            report.fencing_token > Term(0) && report.fencing_token <= self.leadership.highest_term;
         let ours = report.zone == self.settings.zone && !self.leadership.is_leading();
         (in_time && fenced && ours && !self.leader_answers_here(now))
-            .then_some(self.leadership.term)
+            .then_some(self.leadership.highest_term)
     }
 
     /// Whether a leader is reachable, so that the worker can go there itself.
     fn leader_answers_here(&self, now: Time) -> bool {
-        let leader = self.leadership.leader.as_deref();
+        let leader = self.leadership.known_leader.as_deref();
         let mut peers = self.settings.peers.iter().zip(&self.peers);
         peers.any(|(named, peer)| leader == Some(&named.name) && peer.is_reachable(now))
     }
--- a/tests/leadership.rs
+++ b/tests/leadership.rs
@@ -2,7 +2,9 @@
 
 use std::time::Duration;
 
-use lichencrank::coordination::election::{Leadership, LeadershipAction, Role, Seen, Step};
+use lichencrank::coordination::election::{
+    ElectionAction, ElectionRecords, ElectionStep, LeaderElection, Role,
+};
 use lichencrank::storage::records::LeaderRecord;
 use lichencrank::storage::store::Outcome;
 use lichencrank::types::{LeaseId, Term, Time, Version};
@@ -10,49 +12,54 @@
 
 const TTL: Duration = Duration::from_secs(3);
 
-fn node(name: &str, seed: u64) -> Leadership {
-    Leadership::new(name, TTL, seed)
+fn node(name: &str, seed: u64) -> LeaderElection {
+    LeaderElection::new(name, TTL, seed)
 }
 
-fn held_by(node: &str, incarnation: u64, term: u64) -> Option<Seen> {
+fn held_by(node: &str, incarnation: u64, term: u64) -> Option<ElectionRecords> {
     let holder = LeaderRecord {
         node: node.into(),
         incarnation,
         lease: LeaseId(7),
         term: Term(term),
     };
-    Some(Seen {
+    Some(ElectionRecords {
         holder: Some((holder, Version(40))),
         term: Some((Term(term), Version(40))),
     })
 }
 
-fn free(term: u64) -> Option<Seen> {
-    Some(Seen {
+fn free(term: u64) -> Option<ElectionRecords> {
+    Some(ElectionRecords {
         holder: None,
         term: Some((Term(term), Version(40))),
     })
 }
 
 /// Brings a node into duties for term 4 at time 0.
-fn leader() -> Leadership {
+fn leader() -> LeaderElection {
     let mut l = node("n0", 1);
     let now = Time(0);
     assert_eq!(
-        l.on_read(free(3), now, now),
-        Some(LeadershipAction::Grant(TTL))
+        l.on_records_read(free(3), now, now),
+        Some(ElectionAction::GrantLease(TTL))
     );
     let granted = Outcome::Granted(LeaseId(9));
     assert!(matches!(
-        l.on_outcome(Step::Grant, granted, now, now),
-        Some(LeadershipAction::Claim(_))
+        l.on_outcome(ElectionStep::GrantLease, granted, now, now),
+        Some(ElectionAction::Claim(_))
     ));
-    let won = l.on_outcome(Step::Claim, Outcome::Committed(Version(50)), now, now);
+    let won = l.on_outcome(
+        ElectionStep::Claim,
+        Outcome::Committed(Version(50)),
+        now,
+        now,
+    );
     assert_eq!(
         won,
-        Some(LeadershipAction::Lead {
+        Some(ElectionAction::BeginLeading {
             term: Term(4),
-            version: Version(50)
+            leader_key_version: Version(50)
         })
     );
     l
@@ -62,9 +69,14 @@
 #[test]
 fn the_claim_is_conditional_on_the_free_key_and_the_term() {
     let mut l = node("n0", 1);
-    l.on_read(free(3), Time(0), Time(0));
-    let action = l.on_outcome(Step::Grant, Outcome::Granted(LeaseId(9)), Time(0), Time(0));
-    let Some(LeadershipAction::Claim(txn)) = action else {
+    l.on_records_read(free(3), Time(0), Time(0));
+    let action = l.on_outcome(
+        ElectionStep::GrantLease,
+        Outcome::Granted(LeaseId(9)),
+        Time(0),
+        Time(0),
+    );
+    let Some(ElectionAction::Claim(txn)) = action else {
         panic!("{action:?}")
     };
     let conditions: Vec<(&str, u64)> = txn
@@ -80,18 +92,15 @@
 #[test]
 fn validity_counts_from_the_sending_of_the_renewal() {
     let mut l = leader();
-    assert_eq!(
-        l.tick(Time(1000)),
-        Some(LeadershipAction::Renew(LeaseId(9)))
-    );
+    assert_eq!(l.tick(Time(1000)), Some(ElectionAction::Renew(LeaseId(9))));
     l.on_outcome(
-        Step::Renew(LeaseId(9)),
+        ElectionStep::Renew(LeaseId(9)),
         Outcome::Extended,
         Time(1000),
         Time(2500),
     );
-    assert!(l.is_certain(Time(3900)));
-    assert!(!l.is_certain(Time(4000)));
+    assert!(l.is_lease_valid(Time(3900)));
+    assert!(!l.is_lease_valid(Time(4000)));
     assert!(l.is_leading());
 }
 
@@ -102,15 +111,15 @@
     for second in 1..60 {
         let now = Time(second * 1000);
         l.tick(now);
-        l.on_outcome(Step::Renew(LeaseId(9)), Outcome::Refused, now, now);
+        l.on_outcome(ElectionStep::Renew(LeaseId(9)), Outcome::Refused, now, now);
     }
-    assert!(l.is_leading() && !l.is_certain(Time(60_000)));
-    assert_eq!(l.heard_of(Term(4), None), None);
+    assert!(l.is_leading() && !l.is_lease_valid(Time(60_000)));
+    assert_eq!(l.observe_term(Term(4), None), None);
     assert_eq!(
-        l.heard_of(Term(5), Some("n1")),
-        Some(LeadershipAction::StepDown)
+        l.observe_term(Term(5), Some("n1")),
+        Some(ElectionAction::StepDown)
     );
-    assert_eq!(l.leader.as_deref(), Some("n1"));
+    assert_eq!(l.known_leader.as_deref(), Some("n1"));
 }
 
 #[test]
@@ -118,12 +127,12 @@
     let mut l = leader();
     l.tick(Time(1000));
     let action = l.on_outcome(
-        Step::Renew(LeaseId(9)),
+        ElectionStep::Renew(LeaseId(9)),
         Outcome::LeaseGone,
         Time(1000),
         Time(1010),
     );
-    assert_eq!(action, Some(LeadershipAction::StepDown));
+    assert_eq!(action, Some(ElectionAction::StepDown));
 }
 
 /// A restarted process must not take its dead predecessor's record for its own duties, but may
@@ -132,8 +141,8 @@
 fn a_restarted_process_ends_its_predecessors_lease() {
     let mut l = node("n0", 2);
     assert_eq!(
-        l.on_read(held_by("n0", 12345, 3), Time(0), Time(0)),
-        Some(LeadershipAction::End(LeaseId(7)))
+        l.on_records_read(held_by("n0", 12345, 3), Time(0), Time(0)),
+        Some(ElectionAction::EndLease(LeaseId(7)))
     );
     assert_eq!(l.role, Role::Following);
 }
@@ -145,19 +154,19 @@
 fn a_late_claim_of_the_process_before_is_undone() {
     let mut l = node("n0", 2);
     assert_eq!(
-        l.on_read(free(3), Time(0), Time(0)),
-        Some(LeadershipAction::Grant(TTL))
+        l.on_records_read(free(3), Time(0), Time(0)),
+        Some(ElectionAction::GrantLease(TTL))
     );
     let granted = Outcome::Granted(LeaseId(9));
-    l.on_outcome(Step::Grant, granted, Time(0), Time(5));
+    l.on_outcome(ElectionStep::GrantLease, granted, Time(0), Time(5));
     let lost = Outcome::Conflict(vec!["lead/holder".into()]);
-    let action = l.on_outcome(Step::Claim, lost, Time(5), Time(10));
-    assert_eq!(action, Some(LeadershipAction::End(LeaseId(9))));
-    let action = l.on_read(held_by("n0", 12345, 4), Time(500), Time(500));
-    assert_eq!(action, Some(LeadershipAction::End(LeaseId(7))));
+    let action = l.on_outcome(ElectionStep::Claim, lost, Time(5), Time(10));
+    assert_eq!(action, Some(ElectionAction::EndLease(LeaseId(9))));
+    let action = l.on_records_read(held_by("n0", 12345, 4), Time(500), Time(500));
+    assert_eq!(action, Some(ElectionAction::EndLease(LeaseId(7))));
     assert!(!l.is_leading());
-    l.on_read(free(4), Time(900), Time(900));
-    let next = Role::Granting {
+    l.on_records_read(free(4), Time(900), Time(900));
+    let next = Role::AwaitingLease {
         term: Term(5),
         term_version: Version(40),
     };
@@ -168,35 +177,37 @@
 #[test]
 fn a_lost_claim_that_was_carried_out_is_recognised() {
     let mut l = node("n0", 3);
-    l.on_read(free(3), Time(0), Time(0));
-    let action = l.on_outcome(Step::Grant, Outcome::Granted(LeaseId(7)), Time(0), Time(0));
-    let Some(LeadershipAction::Claim(txn)) = action else {
+    l.on_records_read(free(3), Time(0), Time(0));
+    let action = l.on_outcome(
+        ElectionStep::GrantLease,
+        Outcome::Granted(LeaseId(7)),
+        Time(0),
+        Time(0),
+    );
+    let Some(ElectionAction::Claim(txn)) = action else {
         panic!("{action:?}")
     };
-    l.on_outcome(Step::Claim, Outcome::Unknown, Time(0), Time(900));
+    l.on_outcome(ElectionStep::Claim, Outcome::Unknown, Time(0), Time(900));
     assert_eq!(l.role, Role::Following);
     let lichencrank_store::Change::Put { value, .. } = &txn.changes[0] else {
         panic!("the holder's record comes first")
     };
     let holder: LeaderRecord = value.deserialized().expect("a holder's record");
-    let seen = Seen {
+    let seen = ElectionRecords {
         holder: Some((holder, Version(44))),
         term: Some((Term(4), Version(44))),
     };
-    let action = l.on_read(Some(seen), Time(1000), Time(1000));
+    let action = l.on_records_read(Some(seen), Time(1000), Time(1000));
     assert_eq!(
         action,
-        Some(LeadershipAction::Lead {
+        Some(ElectionAction::BeginLeading {
             term: Term(4),
-            version: Version(44)
+            leader_key_version: Version(44)
         })
     );
     // Nobody knows any more when the lease was granted, so it has to be renewed before it counts.
-    assert!(!l.is_certain(Time(3500)));
-    assert_eq!(
-        l.tick(Time(1000)),
-        Some(LeadershipAction::Renew(LeaseId(7)))
-    );
+    assert!(!l.is_lease_valid(Time(3500)));
+    assert_eq!(l.tick(Time(1000)), Some(ElectionAction::Renew(LeaseId(7))));
 }
 
 /// A leader that made room must not take the key straight back.
@@ -205,12 +216,12 @@
     let mut l = leader();
     assert_eq!(
         l.resign(Time(1000)),
-        Some(LeadershipAction::Resign(LeaseId(9)))
+        Some(ElectionAction::Resign(LeaseId(9)))
     );
-    assert_eq!(l.on_read(free(4), Time(1100), Time(1100)), None);
+    assert_eq!(l.on_records_read(free(4), Time(1100), Time(1100)), None);
     assert_eq!(
-        l.on_read(free(4), Time(4100), Time(4100)),
-        Some(LeadershipAction::Grant(TTL))
+        l.on_records_read(free(4), Time(4100), Time(4100)),
+        Some(ElectionAction::GrantLease(TTL))
     );
 }
 
@@ -219,11 +230,11 @@
 fn a_handicap_delays_the_claim() {
     let mut l = node("n0", 1);
     l.campaign_delay = Duration::from_millis(900);
-    assert_eq!(l.on_read(free(3), Time(5000), Time(5000)), None);
-    assert_eq!(l.on_read(free(3), Time(5400), Time(5400)), None);
+    assert_eq!(l.on_records_read(free(3), Time(5000), Time(5000)), None);
+    assert_eq!(l.on_records_read(free(3), Time(5400), Time(5400)), None);
     assert_eq!(
-        l.on_read(free(3), Time(5900), Time(5900)),
-        Some(LeadershipAction::Grant(TTL))
+        l.on_records_read(free(3), Time(5900), Time(5900)),
+        Some(ElectionAction::GrantLease(TTL))
     );
 }
 
@@ -232,16 +243,16 @@
 #[test]
 fn the_leader_is_confirmed_for_a_moment_only() {
     let mut l = node("n0", 1);
-    assert_eq!(l.confirmed(Time(1000)), None);
-    l.on_read(held_by("n1", 5, 3), Time(1000), Time(1000));
-    assert_eq!(l.confirmed(Time(2000)), Some((Term(3), "n1")));
-    assert_eq!(l.confirmed(Time(2600)), None);
-    l.on_read(held_by("n1", 5, 3), Time(3000), Time(3000));
-    l.heard_of(Term(4), None);
-    assert_eq!(l.confirmed(Time(3100)), None);
-    l.on_read(held_by("n1", 5, 4), Time(3200), Time(3200));
-    l.on_read(free(4), Time(3300), Time(3300));
-    assert_eq!(l.confirmed(Time(3400)), None);
+    assert_eq!(l.confirmed_leader(Time(1000)), None);
+    l.on_records_read(held_by("n1", 5, 3), Time(1000), Time(1000));
+    assert_eq!(l.confirmed_leader(Time(2000)), Some((Term(3), "n1")));
+    assert_eq!(l.confirmed_leader(Time(2600)), None);
+    l.on_records_read(held_by("n1", 5, 3), Time(3000), Time(3000));
+    l.observe_term(Term(4), None);
+    assert_eq!(l.confirmed_leader(Time(3100)), None);
+    l.on_records_read(held_by("n1", 5, 4), Time(3200), Time(3200));
+    l.on_records_read(free(4), Time(3300), Time(3300));
+    assert_eq!(l.confirmed_leader(Time(3400)), None);
 }
 
 /// While the state service does not answer, the node waits for that or for its time limit. It once
@@ -250,27 +261,32 @@
 #[test]
 fn a_request_under_way_is_waited_for() {
     let mut l = node("n0", 1);
-    assert_eq!(l.tick(Time(1000)), Some(LeadershipAction::Read));
-    let wake = l.next_wake();
+    assert_eq!(l.tick(Time(1000)), Some(ElectionAction::ReadRecords));
+    let wake = l.next_wakeup();
     assert!(wake > Time(2000), "{wake:?}");
     assert_eq!(l.tick(Time(1900)), None);
-    assert_eq!(l.tick(wake), Some(LeadershipAction::Read));
+    assert_eq!(l.tick(wake), Some(ElectionAction::ReadRecords));
     // Nothing is due in the midst of an election either, nor for a leader whose renewal is unanswered.
-    l.on_read(free(3), wake, wake);
-    assert!(l.next_wake() > wake);
-    l.on_outcome(Step::Grant, Outcome::Granted(LeaseId(9)), wake, wake);
-    assert!(l.next_wake() > wake);
+    l.on_records_read(free(3), wake, wake);
+    assert!(l.next_wakeup() > wake);
+    l.on_outcome(
+        ElectionStep::GrantLease,
+        Outcome::Granted(LeaseId(9)),
+        wake,
+        wake,
+    );
+    assert!(l.next_wakeup() > wake);
     let mut l = leader();
-    let now = l.next_wake();
-    assert!(matches!(l.tick(now), Some(LeadershipAction::Renew(_))));
-    assert!(l.next_wake() > now);
+    let now = l.next_wakeup();
+    assert!(matches!(l.tick(now), Some(ElectionAction::Renew(_))));
+    assert!(l.next_wakeup() > now);
     l.on_outcome(
-        Step::Renew(LeaseId(9)),
+        ElectionStep::Renew(LeaseId(9)),
         Outcome::Unknown,
         now,
         Time(now.0 + 1200),
     );
-    assert!(l.next_wake() <= Time(now.0 + 1200));
+    assert!(l.next_wakeup() <= Time(now.0 + 1200));
 }
 
 /// In a storm of questions three renewals in a row were refused, and with them went the duties. One
@@ -278,11 +294,8 @@
 #[test]
 fn a_refused_renewal_is_asked_again_soon() {
     let mut l = leader();
-    assert_eq!(
-        l.tick(Time(1000)),
-        Some(LeadershipAction::Renew(LeaseId(9)))
-    );
-    let renewal = Step::Renew(LeaseId(9));
+    assert_eq!(l.tick(Time(1000)), Some(ElectionAction::Renew(LeaseId(9))));
+    let renewal = ElectionStep::Renew(LeaseId(9));
     l.on_outcome(
         renewal,
         Outcome::RateLimited {
@@ -292,12 +305,9 @@
         Time(1010),
     );
     assert_eq!(l.tick(Time(1100)), None);
-    assert_eq!(
-        l.tick(Time(1210)),
-        Some(LeadershipAction::Renew(LeaseId(9)))
-    );
+    assert_eq!(l.tick(Time(1210)), Some(ElectionAction::Renew(LeaseId(9))));
     l.on_outcome(renewal, Outcome::Extended, Time(1210), Time(1220));
-    assert!(l.is_certain(Time(4000)));
+    assert!(l.is_lease_valid(Time(4000)));
 }
 
 /// The duties was given up, and a read that was under way still shows our key: the lease that was
@@ -306,13 +316,13 @@
 fn what_an_ended_lease_was_good_for_ends_with_it() {
     let mut l = leader();
     l.tick(Time(1000));
-    let renewal = Step::Renew(LeaseId(9));
+    let renewal = ElectionStep::Renew(LeaseId(9));
     l.on_outcome(renewal, Outcome::Extended, Time(1000), Time(1010));
     assert!(l.resign(Time(1100)).is_some());
-    assert!(!l.is_certain(Time(1100)));
+    assert!(!l.is_lease_valid(Time(1100)));
     let mut other = leader();
     other.tick(Time(1000));
-    let stale = Step::Renew(LeaseId(3));
+    let stale = ElectionStep::Renew(LeaseId(3));
     assert_eq!(
         other.on_outcome(stale, Outcome::LeaseGone, Time(900), Time(1010)),
         None
--- a/tests/placement.rs
+++ b/tests/placement.rs
@@ -48,19 +48,19 @@
 
 fn rules() -> Policy {
     Policy {
-        report: Duration::from_secs(3),
-        lease: Duration::from_secs(16),
-        cancel: Duration::from_secs(40),
-        list_lag: Duration::from_secs(10),
+        heartbeat_interval: Duration::from_secs(3),
+        worker_lease: Duration::from_secs(16),
+        cancellation_timeout: Duration::from_secs(40),
+        max_host_list_lag: Duration::from_secs(10),
         tasks_per_record: 16,
-        probes: 4,
-        commands: 1000,
-        records: 10_000,
-        max_value: 16 * 1024,
-        txn_ops: 16,
+        max_probes_in_flight: 4,
+        max_commands_in_flight: 1000,
+        max_queued_records_per_priority: 10_000,
+        max_value_bytes: 16 * 1024,
+        max_txn_changes: 16,
         quota: None,
         zones: None,
-        hurried: Vec::new(),
+        wait_objectives_s: Vec::new(),
         teams: vec![Team {
             name: "open".into(),
             cpus: None,
@@ -115,7 +115,7 @@
     for (name, m) in machines {
         let whole = capacity(&types[m.kind]);
         let in_zone = spec.zone.as_ref().is_none_or(|z| z == m.zone);
-        if !need.fits(&whole.minus(&m.used)) || !in_zone || (m.spot && !spec.spot) {
+        if !need.fits(&whole.saturating_sub(&m.used)) || !in_zone || (m.spot && !spec.spot) {
             continue;
         }
         let alone = !siblings.contains(name);
--- a/tests/quota_leader.rs
+++ b/tests/quota_leader.rs
@@ -149,11 +149,11 @@
 
     /// Reads empty accounts and writes them until nothing changes. Returns the transactions.
     fn claim(&mut self) -> Vec<Txn> {
-        self.controller.on_quota_read();
+        self.controller.on_quota_loaded();
         let mut written = Vec::new();
         while let Some(txn) = self.controller.next_quota_txn() {
             self.revision += 1;
-            self.controller.on_quota_written(Version(self.revision));
+            self.controller.on_quota_committed(Version(self.revision));
             written.push(txn);
             assert!(written.len() < 10, "{written:?}");
         }
--- a/tests/traces.rs
+++ b/tests/traces.rs
@@ -58,19 +58,19 @@
 
 fn rules() -> Policy {
     Policy {
-        report: Duration::from_secs(3),
-        lease: Duration::from_secs(16),
-        cancel: Duration::from_secs(40),
-        list_lag: Duration::from_secs(10),
+        heartbeat_interval: Duration::from_secs(3),
+        worker_lease: Duration::from_secs(16),
+        cancellation_timeout: Duration::from_secs(40),
+        max_host_list_lag: Duration::from_secs(10),
         tasks_per_record: 4,
-        probes: 4,
-        commands: 8,
-        records: 100,
-        max_value: 16 * 1024,
-        txn_ops: 16,
+        max_probes_in_flight: 4,
+        max_commands_in_flight: 8,
+        max_queued_records_per_priority: 100,
+        max_value_bytes: 16 * 1024,
+        max_txn_changes: 16,
         quota: None,
         zones: None,
-        hurried: Vec::new(),
+        wait_objectives_s: Vec::new(),
         teams: vec![team("open", 0.0, 0.0), team("tight", 4.0, 8.0)],
         tuning: Tuning::default(),
     }
@@ -387,7 +387,7 @@
             "record" => self.run_record(&words[1..]),
             "records" => {
                 let mut rules = rules();
-                rules.records = words[1].parse().expect("a number");
+                rules.max_queued_records_per_priority = words[1].parse().expect("a number");
                 let types = self.controller.machine_types().to_vec();
                 self.controller = Leader::new(TERM, Version(1), rules, types, Time(0));
                 self.controller.set_lease_valid_until(FOREVER);
@@ -416,7 +416,7 @@
                 };
                 let result = match words[0] {
                     "executed" => CommandResult::Heartbeat(Box::new(self.report(rest))),
-                    "unsent" => CommandResult::NotSent,
+                    "unsent" => CommandResult::NotExecuted,
                     "held" => CommandResult::NotAttempted,
                     _ => CommandResult::NoResponse,
                 };
@@ -440,7 +440,7 @@
                     until => Time((until.parse::<f64>().expect("seconds") * 1000.0) as u64),
                 });
             }
-            "thaw" => self.controller.resumed_after_pause(),
+            "thaw" => self.controller.on_process_resumed(),
             "tick" => self.controller.tick(now, now.0),
             "rented" => {
                 let result = match &words[2..] {
