--- a/src/coordination/autoscaling/services.rs
+++ b/src/coordination/autoscaling/services.rs
@@ -45,7 +45,7 @@
         let hurried = |(class, within): &(String, f64)| *within < soonest && unseen(class);
         // The first jobs of the day are about to tell which classes there are.
         let settled = now.since(self.started_at) > STANDBY_AFTER;
-        let unknown = settled && self.policy.hurried.iter().any(hurried);
+        let unknown = settled && self.policy.wait_objectives_s.iter().any(hurried);
         if unknown || self.cluster.jobs().values().any(Job::is_service) {
             self.policy.tuning.standby_cpus
         } else {
@@ -113,7 +113,7 @@
                 && (spec.spot || !host.is_spot)
                 && kind.is_some_and(|t| {
                     scoring::type_suits(spec, t)
-                        && need.fits(&capacity(t).minus(&host.allocated_resources))
+                        && need.fits(&capacity(t).saturating_sub(&host.allocated_resources))
                 })
         })
     }
@@ -238,12 +238,14 @@
                 .map(capacity);
             host.cordon_reason == Some(CordonReason::Surplus)
                 && host.lifecycle == HostLifecycle::Up
-                && now.since(host.last_heartbeat_at) <= self.policy.report * 2
+                && now.since(host.last_heartbeat_at) <= self.policy.heartbeat_interval * 2
                 && host.reachability == Reachability::Confirmed
                 && (spec.spot || !host.is_spot)
                 && spec.zone.as_ref().is_none_or(|z| *z == host.zone)
-                && whole
-                    .is_some_and(|w| job.task_resources.fits(&w.minus(&host.allocated_resources)))
+                && whole.is_some_and(|w| {
+                    job.task_resources
+                        .fits(&w.saturating_sub(&host.allocated_resources))
+                })
                 && !host.may_have_earlier_attempt(task)
         };
         let found = self
