--- a/examples/scale.rs
+++ b/examples/scale.rs
@@ -139,7 +139,7 @@
     let mut now = Time(0);
     let mut c = Leader::new(TERM, Version(1), rules, vec![kind()], now);
     c.set_lease_valid_until(Time(u64::MAX));
-    c.on_zones_record(None, now);
+    c.on_zones_record_read(None, now);
     c.on_loaded(now);
     let mut measured = CutMeasured {
         before: Duration::ZERO,
--- a/src/coordination/autoscaling/forecast.rs
+++ b/src/coordination/autoscaling/forecast.rs
@@ -111,8 +111,8 @@
     /// The tasks that wait, in the order in which they are served.
     fn waiting_work(&self, now: Time) -> Vec<Work<'_>> {
         let mut works = Vec::new();
-        for rank in self.ranked() {
-            let Some(job) = self.cluster.jobs().get(&rank.id) else {
+        for rank in self.ranked_jobs() {
+            let Some(job) = self.cluster.jobs().get(&rank.job) else {
                 continue;
             };
             let Some(spec) = &job.spec else { continue };
@@ -170,7 +170,7 @@
             overflow_ready = self.least_ready(work.spec, &only);
         }
         let mut options = Options {
-            need: scoring::need(work.spec),
+            need: scoring::task_resources(work.spec),
             starts: Starts::of(&forecast.timelines, work.spec, &usable),
             least_ready: self.least_ready(work.spec, &usable),
             usable,
--- a/src/coordination/autoscaling/pools.rs
+++ b/src/coordination/autoscaling/pools.rs
@@ -131,7 +131,9 @@
         spot: bool,
     ) -> f64 {
         let machine_type = &self.cluster.machine_types()[type_index];
-        let fits = scoring::need(spec).times_in(&capacity(machine_type)).max(1);
+        let fits = scoring::task_resources(spec)
+            .times_in(&capacity(machine_type))
+            .max(1);
         let ready = self.ready_after(spec, type_index);
         let span = ready + outlook.run;
         let price = if spot {
--- a/src/coordination/autoscaling/provisioning.rs
+++ b/src/coordination/autoscaling/provisioning.rs
@@ -176,7 +176,7 @@
 impl View<'_> {
     pub(crate) fn is_closed(&self, pool: &CapacityPool, now: Time) -> bool {
         let closed = self.autoscaler.closed.get(pool);
-        closed.is_some_and(|until| now < *until) || !self.may_rent_in(&pool.zone)
+        closed.is_some_and(|until| now < *until) || !self.may_provision_in_zone(&pool.zone)
     }
 }
 
@@ -304,7 +304,7 @@
 
     /// Asks the cloud for machines, in requests of what one may hold.
     pub(crate) fn order(&mut self, pool: CapacityPool, count: u64, now: Time) {
-        let mut count = self.within_rental_budget(count, now);
+        let mut count = self.take_from_provisioning_budget(count, now);
         while count > 0 {
             let part = count.min(MAX_PROVISION_COUNT);
             count -= part;
--- a/src/coordination/autoscaling/scale_in.rs
+++ b/src/coordination/autoscaling/scale_in.rs
@@ -80,7 +80,7 @@
                 continue;
             };
             let needs_scarce = self
-                .suited(spec)
+                .suitable_types(spec)
                 .iter()
                 .all(|k| scarce.get(*k) == Some(&true));
             if needs_scarce == group {
--- a/src/coordination/autoscaling/services.rs
+++ b/src/coordination/autoscaling/services.rs
@@ -103,16 +103,17 @@
         else {
             return false;
         };
-        let need = scoring::need(spec);
+        let need = scoring::task_resources(spec);
         self.cluster.hosts().values().any(|host| {
             let kind = host
                 .type_index
                 .and_then(|k| self.cluster.machine_types().get(k));
             host.name != but.name
-                && self.is_open(host, now)
+                && self.accepts_tasks(host, now)
                 && (spec.spot || !host.spot)
                 && kind.is_some_and(|t| {
-                    scoring::type_suits(spec, t) && need.fits(&capacity(t).minus(&host.allocated))
+                    scoring::is_type_suitable(spec, t)
+                        && need.fits(&capacity(t).minus(&host.allocated))
                 })
         })
     }
@@ -281,10 +282,10 @@
                 }
             }
         }
-        if moves.is_empty() && self.scheduler.may_move_idle_replica(now) {
+        if moves.is_empty() && self.scheduler.may_move_lone_replica(now) {
             moves.extend(self.view().idle_replica(now));
             if !moves.is_empty() {
-                self.scheduler.on_idle_replica_moved(now);
+                self.scheduler.on_lone_replica_moved(now);
             }
         }
         for (host, task) in moves {
--- a/src/coordination/autoscaling/timeline.rs
+++ b/src/coordination/autoscaling/timeline.rs
@@ -67,7 +67,7 @@
 
 impl Starts {
     pub(crate) fn of(timelines: &[Timeline], spec: &JobSpec, usable: &[bool]) -> Starts {
-        let need = scoring::need(spec);
+        let need = scoring::task_resources(spec);
         let suits = |timeline: &Timeline| {
             usable[timeline.kind]
                 && (spec.spot || !timeline.spot)
--- a/src/coordination/failure_detection/hosts.rs
+++ b/src/coordination/failure_detection/hosts.rs
@@ -7,7 +7,7 @@
 use crate::coordination::cluster::host::{
     CordonReason, Host, HostLifecycle, Reachability, StopReason,
 };
-use crate::coordination::failure_detection::zones::LATE_FACTOR;
+use crate::coordination::failure_detection::zones::LATE_AFTER_INTERVALS;
 use crate::coordination::{Action, Leader, View};
 use crate::protocol::cloud::MAX_RELEASE_COUNT;
 use crate::types::{seconds, HostName, Incarnation, Time};
@@ -30,7 +30,7 @@
 const LATEST_REPORT: f64 = 1.25;
 
 /// A healthy worker that can reach some controller has been heard by the leader after so long.
-pub fn longest_report_delay(report: Duration) -> Duration {
+pub fn max_heartbeat_delay(report: Duration) -> Duration {
     report.mul_f64(LATEST_REPORT) + LONGEST_RETRY
 }
 
@@ -60,7 +60,7 @@
     /// past the limit while the others are merely late: all that missed a report count, or each would be
     /// given up alone, one after the other.
     fn silence_by_zone(&self, now: Time) -> BTreeMap<String, (usize, usize)> {
-        let late = self.policy.report.mul_f64(LATE_FACTOR);
+        let late = self.policy.report.mul_f64(LATE_AFTER_INTERVALS);
         let mut by_zone: BTreeMap<String, (usize, usize)> = BTreeMap::new();
         let mut everywhere = (0, 0);
         for host in self.cluster.hosts().values() {
@@ -86,7 +86,7 @@
     /// Whether most machines of the zone are silent, or were until so short a while ago that the others
     /// have had no time to report.
     fn is_cut_off(&self, zone: &str, now: Time) -> bool {
-        let settling_time = longest_report_delay(self.policy.report);
+        let settling_time = max_heartbeat_delay(self.policy.report);
         let seen_at = self.failure_detector.partitioned_zones.get(zone);
         seen_at.is_some_and(|at| now.since(*at) < settling_time)
     }
@@ -96,7 +96,7 @@
     fn silence_limit(&self, host: &Host) -> Duration {
         let usual = self.policy.silent_limit();
         if self.holds_replicas(host) {
-            usual.min(longest_report_delay(self.policy.report))
+            usual.min(max_heartbeat_delay(self.policy.report))
         } else {
             usual
         }
@@ -156,7 +156,7 @@
                 } else {
                     limit
                 };
-                now.since(host.first_seen_at) > patience && self.is_up_or_overdue(host, now)
+                now.since(host.first_seen_at) > patience && self.should_have_reported(host, now)
             }
             (HostLifecycle::Up | HostLifecycle::Releasing, _) => false,
         }
@@ -164,7 +164,7 @@
 
     /// Whether the machine ought to have reported: it has before, the cloud has said for long that it
     /// runs, or its boot takes far too long.
-    pub(crate) fn is_up_or_overdue(&self, host: &Host, now: Time) -> bool {
+    pub(crate) fn should_have_reported(&self, host: &Host, now: Time) -> bool {
         if host.lifecycle != HostLifecycle::Expected {
             return true;
         }
@@ -221,7 +221,7 @@
     }
 
     fn hosts_to_give_up(&mut self, now: Time) -> Vec<(HostName, CordonReason)> {
-        let displaced = self.displaced_hosts(now);
+        let displaced = self.hosts_to_displace(now);
         let mut give_up: Vec<(HostName, CordonReason)> = displaced
             .into_iter()
             .map(|name| (name, CordonReason::Lost))
--- a/src/coordination/failure_detection/mod.rs
+++ b/src/coordination/failure_detection/mod.rs
@@ -3,7 +3,7 @@
 mod hosts;
 pub(crate) mod zones;
 
-pub use hosts::longest_report_delay;
+pub use hosts::max_heartbeat_delay;
 
 use std::collections::BTreeMap;
 
@@ -25,7 +25,7 @@
     /// Zones of which most hosts missed heartbeats, and when that was last so.
     pub(crate) partitioned_zones: BTreeMap<String, Time>,
     /// Whether the controllers of each zone answer this node.
-    pub zone_controllers: BTreeMap<String, ControllerReach>,
+    pub controller_reach_by_zone: BTreeMap<String, ControllerReach>,
     /// The states of zones, where they are tracked.
     pub(crate) zones: Option<Zones>,
     next_check_at: Time,
@@ -37,14 +37,14 @@
         FailureDetector {
             zones_without_reachable_peer: Vec::new(),
             partitioned_zones: BTreeMap::new(),
-            zone_controllers: BTreeMap::new(),
+            controller_reach_by_zone: BTreeMap::new(),
             zones: settings.map(|settings| Zones::new(settings, now)),
             next_check_at: now,
         }
     }
 
     /// Whether the hosts are to be checked now; the next check follows after the interval.
-    pub(crate) fn starts_check(&mut self, now: Time) -> bool {
+    pub(crate) fn begin_check(&mut self, now: Time) -> bool {
         let is_due = now >= self.next_check_at;
         if is_due {
             self.next_check_at = now.after(CHECK_INTERVAL);
--- a/src/coordination/failure_detection/zones.rs
+++ b/src/coordination/failure_detection/zones.rs
@@ -8,12 +8,12 @@
 };
 
 use crate::coordination::cluster::host::{Allocation, Host, HostLifecycle, Reachability};
-use crate::coordination::{longest_report_delay, Leader, View};
+use crate::coordination::{max_heartbeat_delay, Leader, View};
 use crate::protocol::users::Priority;
 use crate::types::{HostName, TaskId, Time};
 
 /// A machine that missed its report by this factor is late.
-pub(crate) const LATE_FACTOR: f64 = 1.8;
+pub(crate) const LATE_AFTER_INTERVALS: f64 = 1.8;
 /// Urgent work in a lost zone is given up after so many leases of silence, other work after more. Until
 /// then it may be running: a controller in the zone answers its worker.
 const URGENT_LEASES: f64 = 2.5;
@@ -47,10 +47,10 @@
 impl View<'_> {
     fn zone_observations(&self, now: Time) -> BTreeMap<String, ZoneObservation> {
         let mut observations: BTreeMap<String, ZoneObservation> = BTreeMap::new();
-        for (zone, reach) in &self.failure_detector.zone_controllers {
+        for (zone, reach) in &self.failure_detector.controller_reach_by_zone {
             observations.entry(zone.clone()).or_default().controllers = *reach;
         }
-        let late = self.policy.report.mul_f64(LATE_FACTOR);
+        let late = self.policy.report.mul_f64(LATE_AFTER_INTERVALS);
         for host in self
             .cluster
             .hosts()
@@ -71,7 +71,7 @@
         observations
     }
 
-    /// Whether the machine's silence is that of its zone, so that only [`Leader::displaced_hosts`]
+    /// Whether the machine's silence is that of its zone, so that only [`Leader::hosts_to_displace`]
     /// gives it up for being silent.
     pub(crate) fn zone_explains_silence(&self, host: &Host) -> bool {
         let zones = self
@@ -92,7 +92,7 @@
             }
             (HostLifecycle::Up | HostLifecycle::Releasing, _) => return false,
         };
-        silent_for > self.patience(host, now) && self.is_up_or_overdue(host, now)
+        silent_for > self.patience(host, now) && self.should_have_reported(host, now)
     }
 
     fn patience(&self, host: &Host, now: Time) -> Duration {
@@ -103,7 +103,7 @@
                 tracker.time_in_state(&host.zone, now),
             )
         });
-        let settling = longest_report_delay(self.policy.report);
+        let settling = max_heartbeat_delay(self.policy.report);
         match state {
             // The zone has been back for long enough for every worker to report.
             Some((ZoneState::Returning, lasted)) if lasted > settling => self.policy.silent_limit(),
@@ -179,7 +179,7 @@
     }
 
     /// Whether machines may be rented in the zone.
-    pub(crate) fn may_rent_in(&self, zone: &str) -> bool {
+    pub(crate) fn may_provision_in_zone(&self, zone: &str) -> bool {
         let zones = self.failure_detector.zones.as_ref();
         zones.is_none_or(|zones| zones.tracker.may_provision_in(zone))
     }
@@ -192,7 +192,7 @@
     }
 
     /// The record of the earlier leader, or that there is none that can be read.
-    pub fn on_zones_record(&mut self, record: Option<&ZonesRecord>, now: Time) {
+    pub fn on_zones_record_read(&mut self, record: Option<&ZonesRecord>, now: Time) {
         let day_ms = self.clock.day_ms;
         let Some(zones) = &mut self.failure_detector.zones else {
             return;
@@ -217,7 +217,7 @@
 
     /// Whether the record that was being written is in the state service now. Where that is not known
     /// it is written again, which does no harm.
-    pub fn on_zones_recorded(&mut self, written: bool, now: Time) {
+    pub fn on_zones_record_written(&mut self, written: bool, now: Time) {
         let day_ms = self.clock.day_ms;
         let Some(zones) = &mut self.failure_detector.zones else {
             return;
@@ -258,7 +258,7 @@
 
     /// The silent machines of lost and returning zones that are given up now, the most urgent first,
     /// within the budgets of their zones.
-    pub(crate) fn displaced_hosts(&mut self, now: Time) -> Vec<HostName> {
+    pub(crate) fn hosts_to_displace(&mut self, now: Time) -> Vec<HostName> {
         if self.failure_detector.zones.is_none() {
             return Vec::new();
         }
@@ -280,7 +280,7 @@
     }
 
     /// How many of the wanted machines the budget of rentals allows now.
-    pub(crate) fn within_rental_budget(&mut self, wanted: u64, now: Time) -> u64 {
+    pub(crate) fn take_from_provisioning_budget(&mut self, wanted: u64, now: Time) -> u64 {
         let Some(zones) = &mut self.failure_detector.zones else {
             return wanted;
         };
@@ -293,7 +293,7 @@
     }
 
     /// Zones that take only so many new tasks now.
-    pub(crate) fn limited_zones(&mut self, now: Time) -> BTreeMap<String, usize> {
+    pub(crate) fn zone_admission_limits(&mut self, now: Time) -> BTreeMap<String, usize> {
         match &mut self.failure_detector.zones {
             Some(zones) => zones.tracker.admission_limits(now),
             None => BTreeMap::new(),
@@ -301,7 +301,7 @@
     }
 
     /// A new task was placed in the zone.
-    pub(crate) fn on_placed_in(&mut self, zone: &str) {
+    pub(crate) fn on_task_placed_in_zone(&mut self, zone: &str) {
         if let Some(zones) = &mut self.failure_detector.zones {
             zones.tracker.on_placed(zone, 1);
         }
--- a/src/coordination/leader/mod.rs
+++ b/src/coordination/leader/mod.rs
@@ -158,7 +158,7 @@
         by_zone: BTreeMap<String, ControllerReach>,
     ) {
         self.failure_detector.zones_without_reachable_peer = without_peer;
-        self.failure_detector.zone_controllers = by_zone;
+        self.failure_detector.controller_reach_by_zone = by_zone;
     }
 
     /// What decisions read.
@@ -209,7 +209,7 @@
             LeaderPhase::Scheduling => {}
         }
         let may_act = self.may_act(now);
-        if self.failure_detector.starts_check(now) {
+        if self.failure_detector.begin_check(now) {
             self.check_hosts(now, may_act);
             if may_act {
                 self.move_replicas(now);
@@ -220,7 +220,7 @@
             let is_requested = self.cluster.take_scheduling_request();
             if is_requested || self.scheduler.is_pass_due(now) {
                 self.scheduler.begin_pass(now);
-                self.place(now);
+                self.place_waiting_tasks(now);
             }
             if self.has_claimed_allowances() {
                 self.run_autoscaler(now);
@@ -247,7 +247,7 @@
             return;
         }
         if self.cluster.take_scheduling_request() {
-            self.place(now);
+            self.place_waiting_tasks(now);
         }
         self.rent_standby(now);
     }
--- a/src/coordination/leader/status.rs
+++ b/src/coordination/leader/status.rs
@@ -62,7 +62,7 @@
 impl Leader {
     /// How many of the machines that were up this leader still hears, and where most of them are.
     pub fn worker_reach(&self, now: Time) -> WorkerReach {
-        let late = self.policy.report.mul_f64(zones::LATE_FACTOR);
+        let late = self.policy.report.mul_f64(zones::LATE_AFTER_INTERVALS);
         let mut reach = WorkerReach::default();
         let mut zones: BTreeMap<&str, usize> = BTreeMap::new();
         for host in self.cluster.hosts().values() {
@@ -118,7 +118,7 @@
                 let kind = h
                     .type_index
                     .and_then(|k| self.cluster.machine_types().get(k));
-                kind.is_some_and(|t| scoring::type_suits(spec, t)) && (spec.spot || !h.spot)
+                kind.is_some_and(|t| scoring::is_type_suitable(spec, t)) && (spec.spot || !h.spot)
             };
             let count = |life| {
                 let hosts = self.cluster.hosts().values().filter(suits);
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -26,7 +26,7 @@
 mod view;
 
 pub use actions::{Action, CommandResult, LeadershipLost};
-pub use failure_detection::longest_report_delay;
+pub use failure_detection::max_heartbeat_delay;
 pub use leader::{Leader, LeaderPhase, WorkerReach};
 pub use policy::Policy;
 pub use quota::quota_policy;
--- a/src/coordination/scheduling/candidates.rs
+++ b/src/coordination/scheduling/candidates.rs
@@ -4,7 +4,7 @@
 
 use crate::coordination::cluster::host::Host;
 use crate::coordination::resources::Resources;
-use crate::coordination::scheduling::scoring::score;
+use crate::coordination::scheduling::scoring::headroom_score;
 use crate::types::HostName;
 
 /// A host with room. What the pass allocates on it counts at once.
@@ -59,7 +59,7 @@
         ScoredHost {
             has_sibling,
             fetch_steps,
-            score: score(&self.capacity, &self.allocated, needs_gpu),
+            score: headroom_score(&self.capacity, &self.allocated, needs_gpu),
             index,
         }
     }
--- a/src/coordination/scheduling/mod.rs
+++ b/src/coordination/scheduling/mod.rs
@@ -42,17 +42,17 @@
     }
 
     /// Whether a replica may be moved off an otherwise empty host.
-    pub(crate) fn may_move_idle_replica(&self, now: Time) -> bool {
+    pub(crate) fn may_move_lone_replica(&self, now: Time) -> bool {
         now >= self.next_idle_move_at
     }
 
     /// A replica is moved off an otherwise empty host.
-    pub(crate) fn on_idle_replica_moved(&mut self, now: Time) {
+    pub(crate) fn on_lone_replica_moved(&mut self, now: Time) {
         self.next_idle_move_at = now.after(IDLE_MOVE_INTERVAL);
     }
 
     /// Whether room may be made by preemption now; the next time follows after the interval.
-    pub(crate) fn starts_preemption(&mut self, now: Time) -> bool {
+    pub(crate) fn begin_preemption(&mut self, now: Time) -> bool {
         let is_due = now >= self.next_preemption_at;
         if is_due {
             self.next_preemption_at = now.after(PREEMPTION_INTERVAL);
--- a/src/coordination/scheduling/placement.rs
+++ b/src/coordination/scheduling/placement.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use super::candidates::{CandidateHost, ScoredHost};
-use super::ranking::Rank;
+use super::ranking::JobRank;
 use super::scoring::capacity;
 use crate::coordination::cluster::host::{Host, Reachability};
 use crate::coordination::cluster::job::Job;
@@ -84,7 +84,7 @@
         let hosts = self.cluster.hosts().values();
         let candidates = hosts.filter_map(|host| {
             let machine_type = self.cluster.type_of(host)?;
-            if !self.is_open(host, now) {
+            if !self.accepts_tasks(host, now) {
                 return None;
             }
             CandidateHost::new(host, host.type_index?, capacity(machine_type))
@@ -95,11 +95,11 @@
     /// Prepares the placement of a job; `None` if none of its tasks can be placed in this pass.
     fn begin_placement(
         &self,
-        rank: &Rank,
+        rank: &JobRank,
         scarce: &[bool],
         pass: &PlacementPass,
     ) -> Option<JobPlacement> {
-        let job = self.cluster.job(rank.id)?;
+        let job = self.cluster.job(rank.job)?;
         let spec = job.spec.clone()?;
         if pass.now < job.retry_not_before || self.cluster.records().is_held(job.id) {
             return None;
@@ -124,7 +124,7 @@
             resources: job.task_resources,
             profile,
             is_unconstrained,
-            is_starving: !rank.patient,
+            is_starving: !rank.is_not_starving,
             overflow_types,
             siblings_by_zone: self.siblings_by_zone(job, &spec),
             eligible: self.eligible_hosts(job, &spec, &usable_types, pass),
@@ -165,8 +165,8 @@
     }
 
     /// How many urgent records may wait to be written before nothing more of the job is allocated.
-    fn max_waiting_records(&self, rank: &Rank, spec: &JobSpec) -> usize {
-        let priority = if rank.patient {
+    fn max_waiting_records(&self, rank: &JobRank, spec: &JobSpec) -> usize {
+        let priority = if rank.is_not_starving {
             spec.priority
         } else {
             Priority::Critical
@@ -271,7 +271,7 @@
     }
 
     /// Whether new tasks may be placed on the host.
-    pub(crate) fn is_open(&self, host: &Host, now: Time) -> bool {
+    pub(crate) fn accepts_tasks(&self, host: &Host, now: Time) -> bool {
         let is_fresh = now.since(host.last_heartbeat_at) <= self.policy.report * 2;
         host.is_up()
             && host.cordon.is_none()
@@ -282,9 +282,9 @@
 
 impl Leader {
     /// One pass over the waiting tasks.
-    pub(crate) fn place(&mut self, now: Time) {
+    pub(crate) fn place_waiting_tasks(&mut self, now: Time) {
         self.count_unbooked();
-        let ranks = self.view().ranked();
+        let ranks = self.view().ranked_jobs();
         if ranks.is_empty() {
             return;
         }
@@ -293,7 +293,7 @@
             candidates: self.view().candidates(now),
             unplaceable: Vec::new(),
             allocations_left: MAX_ALLOCATIONS,
-            zone_allowances: self.limited_zones(now),
+            zone_allowances: self.zone_admission_limits(now),
             now,
         };
         for rank in ranks {
@@ -307,8 +307,8 @@
     }
 
     /// Places the waiting tasks of one job.
-    fn place_job(&mut self, rank: &Rank, scarce: &[bool], pass: &mut PlacementPass) {
-        let _job = tracing::debug_span!("job", id = %rank.id).entered();
+    fn place_job(&mut self, rank: &JobRank, scarce: &[bool], pass: &mut PlacementPass) {
+        let _job = tracing::debug_span!("job", id = %rank.job).entered();
         let Some(mut placement) = self.view().begin_placement(rank, scarce, pass) else {
             return;
         };
@@ -346,7 +346,7 @@
         pass.allocations_left -= 1;
         if let Some(left) = pass.zone_allowances.get_mut(&candidate.zone) {
             *left = left.saturating_sub(1);
-            self.on_placed_in(&candidate.zone);
+            self.on_task_placed_in_zone(&candidate.zone);
         }
     }
 
--- a/src/coordination/scheduling/preemption.rs
+++ b/src/coordination/scheduling/preemption.rs
@@ -125,7 +125,7 @@
             allocations.any(|b| b.stop_reason == Some(StopReason::Preempted))
         };
         let lowest = spec.priority == Priority::BestEffort;
-        if spec.same_zone || spec.spread || lowest || !self.scheduler.starts_preemption(now) {
+        if spec.same_zone || spec.spread || lowest || !self.scheduler.begin_preemption(now) {
             return;
         }
         if self.cluster.hosts().values().any(under_way) {
@@ -144,7 +144,7 @@
             let suits = host
                 .type_index
                 .is_some_and(|k| usable.get(k) == Some(&true));
-            let open = suits && self.view().is_open(host, now) && (spec.spot || !host.spot);
+            let open = suits && self.view().accepts_tasks(host, now) && (spec.spot || !host.spot);
             if open && is_zone_allowed(spec, &host.zone, &BTreeMap::new()) {
                 ways.extend(self.view().way_to_room(host, job, spec, now));
             }
--- a/src/coordination/scheduling/ranking.rs
+++ b/src/coordination/scheduling/ranking.rs
@@ -17,36 +17,36 @@
 /// work that others run on borrowed machines; then priority; then those that can still be in time,
 /// or have been late for long; then the earlier deadline; then arrival.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Rank {
+pub struct JobRank {
     /// Nothing of it has begun for longer than any job should wait; `true` sorts last.
-    pub patient: bool,
+    pub is_not_starving: bool,
     /// Its team has used up its guarantee.
-    pub borrowing: bool,
+    pub is_over_guarantee: bool,
     /// Its priority.
     pub priority: Priority,
     /// It can't meet its deadline any more, so it lets those go first that can, for a while.
-    pub late: bool,
+    pub will_miss_deadline: bool,
     /// When it is due, in milliseconds of the day; those without a deadline come last.
-    pub due: u64,
+    pub due_ms: u64,
     /// For work of the lowest priority that is due at no time: about how much is left to do, in
     /// powers of two, so that what is done soon does not wait for what takes for ever.
-    pub work: u32,
+    pub remaining_cpu_s_log2: u32,
     /// Orders jobs by their arrival.
-    pub arrival: Version,
+    pub arrival_version: Version,
     /// The job.
-    pub id: JobId,
+    pub job: JobId,
 }
 
-impl Rank {
+impl JobRank {
     /// Among those that have waited too long only their arrival counts.
-    fn starving(self) -> Rank {
-        Rank {
-            patient: false,
-            borrowing: false,
+    fn starving(self) -> JobRank {
+        JobRank {
+            is_not_starving: false,
+            is_over_guarantee: false,
             priority: Priority::Critical,
-            late: false,
-            due: 0,
-            work: 0,
+            will_miss_deadline: false,
+            due_ms: 0,
+            remaining_cpu_s_log2: 0,
             ..self
         }
     }
@@ -69,8 +69,8 @@
 
 impl View<'_> {
     /// All jobs with waiting tasks, in the order in which they are served.
-    pub(crate) fn ranked(&self) -> Vec<Rank> {
-        let cpus = self.cpus_to_be();
+    pub(crate) fn ranked_jobs(&self) -> Vec<JobRank> {
+        let cpus = self.provisioned_cpus();
         let starve_after = seconds(self.policy.tuning.starve_after_s);
         let mut by_arrival: Vec<&Job> = self
             .cluster
@@ -89,21 +89,21 @@
             if job.waiting_count() == 0 {
                 continue;
             }
-            let waited = self.waited(job);
-            let rank = Rank {
-                patient: true,
-                borrowing: !self.is_within_guarantee(job, demand),
+            let waited = self.time_since_submission(job);
+            let rank = JobRank {
+                is_not_starving: true,
+                is_over_guarantee: !self.is_within_guarantee(job, demand),
                 priority: spec.priority,
-                late: waited < starve_after * 2
+                will_miss_deadline: waited < starve_after * 2
                     && job.will_miss_deadline(
                         self.run_times.expected_s(job),
                         cpus,
                         self.clock.day_ms,
                     ),
-                due: job.due_ms().map_or(u64::MAX, |due| due as u64),
-                work: self.work_class(job, spec),
-                arrival: job.record_version,
-                id: job.id,
+                due_ms: job.due_ms().map_or(u64::MAX, |due| due as u64),
+                remaining_cpu_s_log2: self.work_class(job, spec),
+                arrival_version: job.record_version,
+                job: job.id,
             };
             // A few at a time, the oldest first: in bulk they would pass all urgent work.
             let has_begun = job.allocated_count > 0 || job.done_count > 0;
@@ -116,7 +116,7 @@
     }
 
     /// How long ago the job was submitted.
-    fn waited(&self, job: &Job) -> Duration {
+    fn time_since_submission(&self, job: &Job) -> Duration {
         let waited_ms = self.clock.day_ms.saturating_sub(job.submitted_at_ms);
         seconds(waited_ms as f64 / 1000.0)
     }
@@ -138,7 +138,7 @@
     }
 
     /// CPUs of all machines that are here or coming.
-    fn cpus_to_be(&self) -> f64 {
+    fn provisioned_cpus(&self) -> f64 {
         let here = self
             .cluster
             .hosts()
--- a/src/coordination/scheduling/scoring.rs
+++ b/src/coordination/scheduling/scoring.rs
@@ -27,7 +27,7 @@
 }
 
 /// The design's weighted headroom score of a machine for a task.
-pub fn score(whole: &Resources, used: &Resources, needs_gpu: bool) -> f64 {
+pub fn headroom_score(whole: &Resources, used: &Resources, needs_gpu: bool) -> f64 {
     let free = whole.minus(used);
     let gpu = if needs_gpu {
         GPU_WEIGHT * percent(free.gpus, whole.gpus)
@@ -41,17 +41,17 @@
 }
 
 /// Whether the job may use machines of this type at all, and one task fits an empty one.
-pub fn type_suits(spec: &JobSpec, kind: &MachineType) -> bool {
+pub fn is_type_suitable(spec: &JobSpec, kind: &MachineType) -> bool {
     let allowed = spec
         .machine_types
         .as_ref()
         .is_none_or(|t| t.contains(&kind.name));
     let zone = spec.zone.as_ref().is_none_or(|z| kind.zones.contains(z));
-    allowed && zone && need(spec).fits(&capacity(kind))
+    allowed && zone && task_resources(spec).fits(&capacity(kind))
 }
 
 /// What a task of the job takes.
-pub fn need(spec: &JobSpec) -> Resources {
+pub fn task_resources(spec: &JobSpec) -> Resources {
     Resources {
         cpus: spec.cpus.0,
         gpus: spec.gpus.0,
--- a/src/coordination/scheduling/type_eligibility.rs
+++ b/src/coordination/scheduling/type_eligibility.rs
@@ -1,7 +1,7 @@
 //! Which machine types the tasks of a job may use, with regard to work that has no other type.
 
 use crate::coordination::cluster::job::JobPhase;
-use crate::coordination::scheduling::scoring::type_suits;
+use crate::coordination::scheduling::scoring::is_type_suitable;
 use crate::coordination::View;
 use crate::protocol::users::JobSpec;
 
@@ -16,7 +16,7 @@
             .filter(|j| j.phase == JobPhase::Active)
         {
             let Some(spec) = &job.spec else { continue };
-            let suited: Vec<usize> = self.suited(spec);
+            let suited: Vec<usize> = self.suitable_types(spec);
             if let [only] = suited[..] {
                 scarce[only] = true;
             }
@@ -29,9 +29,9 @@
         scarce
     }
 
-    pub(crate) fn suited(&self, spec: &JobSpec) -> Vec<usize> {
+    pub(crate) fn suitable_types(&self, spec: &JobSpec) -> Vec<usize> {
         let all = self.cluster.machine_types().iter().enumerate();
-        all.filter(|(_, t)| type_suits(spec, t))
+        all.filter(|(_, t)| is_type_suitable(spec, t))
             .map(|(i, _)| i)
             .collect()
     }
@@ -39,15 +39,15 @@
     /// For each machine type, whether the job's tasks may go there.
     pub(crate) fn usable_types(&self, spec: &JobSpec, scarce: &[bool]) -> Vec<bool> {
         let suits = |kind: usize| {
-            type_suits(spec, &self.cluster.machine_types()[kind])
-                && !self.kept_for_others(spec, Some(kind), scarce)
+            is_type_suitable(spec, &self.cluster.machine_types()[kind])
+                && !self.must_avoid_scarce_type(spec, Some(kind), scarce)
         };
         (0..self.cluster.machine_types().len()).map(suits).collect()
     }
 
     /// The exception to eligibility: work that fits another type stays off a type that other work
     /// can't do without, as headroom would otherwise fill the large machines with small tasks.
-    pub(crate) fn kept_for_others(
+    pub(crate) fn must_avoid_scarce_type(
         &self,
         spec: &JobSpec,
         kind: Option<usize>,
@@ -60,7 +60,7 @@
         if spec.is_service() {
             return false;
         }
-        self.suited(spec)
+        self.suitable_types(spec)
             .iter()
             .any(|k| *k != kind && scarce.get(*k) == Some(&false))
     }
@@ -94,12 +94,13 @@
                     self.clock.day_ms.saturating_sub(j.submitted_at_ms) as f64 >= starve_after_ms;
                 let other = j.spec.as_ref();
                 other.is_none_or(|o| {
-                    o.priority > spec.priority && !starves || self.suited(o) != [kind]
+                    o.priority > spec.priority && !starves || self.suitable_types(o) != [kind]
                 })
             })
         };
         let more = |kind: usize| {
-            usable[kind] || type_suits(spec, &self.cluster.machine_types()[kind]) && outranks(kind)
+            usable[kind]
+                || is_type_suitable(spec, &self.cluster.machine_types()[kind]) && outranks(kind)
         };
         let more: Vec<bool> = (0..self.cluster.machine_types().len()).map(more).collect();
         (more != usable).then_some(more)
--- a/src/node/api/requests.rs
+++ b/src/node/api/requests.rs
@@ -64,7 +64,7 @@
         if types.is_empty() {
             return None;
         }
-        if types.iter().any(|t| scoring::type_suits(spec, t)) {
+        if types.iter().any(|t| scoring::is_type_suitable(spec, t)) {
             Some(Ok(()))
         } else {
             Some(Err("a task fits no allowed machine type"))
--- a/src/node/leader_duties/zones.rs
+++ b/src/node/leader_duties/zones.rs
@@ -26,7 +26,7 @@
                 let version = item.as_ref().map_or(Version(0), |item| item.version);
                 self.zones_version = Some(version);
                 let record = item.and_then(|item| item.record::<ZonesRecord>());
-                self.controller.on_zones_record(record.as_ref(), now);
+                self.controller.on_zones_record_read(record.as_ref(), now);
             }
             _ => self.read_zones_record(),
         }
@@ -62,7 +62,7 @@
         now: Time,
     ) -> Result<(), LeadershipLost> {
         let written = matches!(outcome, Outcome::Committed(_));
-        self.controller.on_zones_recorded(written, now);
+        self.controller.on_zones_record_written(written, now);
         match outcome {
             Outcome::Committed(version) => self.zones_version = Some(version),
             Outcome::Conflict(failed) if failed.iter().any(|key| key == records::LEADER_KEY) => {
--- a/src/node/zone_isolation.rs
+++ b/src/node/zone_isolation.rs
@@ -69,6 +69,6 @@
     /// For how long a peer has to answer before the workers that it counts say where a leader hears the
     /// most: by then every healthy worker has tried this leader once.
     pub(super) fn settling_time(&self) -> Duration {
-        crate::coordination::longest_report_delay(self.settings.settings.workers.report())
+        crate::coordination::max_heartbeat_delay(self.settings.settings.workers.report())
     }
 }
--- a/tests/placement.rs
+++ b/tests/placement.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use lichencrank::coordination::resources::Resources;
-use lichencrank::coordination::scheduling::scoring::{capacity, score};
+use lichencrank::coordination::scheduling::scoring::{capacity, headroom_score};
 use lichencrank::coordination::{Leader, Policy};
 use lichencrank::protocol::cloud::MachineType;
 use lichencrank::protocol::users::{JobKind, JobSpec, Priority};
@@ -119,7 +119,7 @@
             continue;
         }
         let alone = !siblings.contains(name);
-        let score = score(&whole, &m.used, false);
+        let score = headroom_score(&whole, &m.used, false);
         if best.is_none_or(|(a, s, _)| (alone, score) > (a, s)) {
             best = Some((alone, score, name));
         }
--- a/tests/zones_leader.rs
+++ b/tests/zones_leader.rs
@@ -101,7 +101,7 @@
         let rules = Policy::new(&settings.settings, &tuning, &features);
         let mut controller = Leader::new(TERM, Version(1), rules, vec![kind()], Time(0));
         controller.set_lease_valid_until(Time(u64::MAX));
-        controller.on_zones_record(None, Time(0));
+        controller.on_zones_record_read(None, Time(0));
         controller.on_loaded(Time(0));
         let mut leader = SimulatedLeader {
             controller,
@@ -329,15 +329,16 @@
     let lost = |zone: &&lichencrank_zones::record::ZoneRecord| zone.state == ZoneState::Lost;
     assert_eq!(record.zones.iter().filter(lost).count(), 1);
     // A write without an answer is made again, a confirmed one is not.
-    leader.controller.on_zones_recorded(false, leader.now);
+    leader.controller.on_zones_record_written(false, leader.now);
     leader.pass(2);
     assert!(leader.controller.next_zones_record(leader.now).is_some());
-    leader.controller.on_zones_recorded(true, leader.now);
+    leader.controller.on_zones_record_written(true, leader.now);
     leader.pass(2);
     assert!(leader.controller.next_zones_record(leader.now).is_none());
     let mut next = SimulatedLeader::new(ON);
     next.cut.push("b");
-    next.controller.on_zones_record(Some(&record), next.now);
+    next.controller
+        .on_zones_record_read(Some(&record), next.now);
     assert!(next.controller.tracks_zones());
 }
 
