--- a/src/coordination/autoscaling/pools.rs
+++ b/src/coordination/autoscaling/pools.rs
@@ -131,7 +131,7 @@
         spot: bool,
     ) -> f64 {
         let machine_type = &self.cluster.machine_types()[type_index];
-        let fits = scoring::need(spec)
+        let fits = scoring::task_resources(spec)
             .multiples_within(&capacity(machine_type))
             .max(1);
         let ready = self.ready_after(spec, type_index);
