--- a/src/coordination/autoscaling/forecast.rs
+++ b/src/coordination/autoscaling/forecast.rs
@@ -100,7 +100,7 @@
     usable: Vec<bool>,
     starts: Starts,
     /// How soon a machine rented now could start a task.
-    least_ready: f64,
+    min_startup_delay_s: f64,
     /// The scarce types too, if only they may keep the deadline; and the same of those alone.
     overflow: Option<Vec<bool>>,
     overflow_starts: Starts,
@@ -167,12 +167,12 @@
             let both = overflow.iter().zip(&usable);
             let only: Vec<bool> = both.map(|(more, usual)| *more && !*usual).collect();
             overflow_starts = Starts::of(&forecast.timelines, work.spec, &only);
-            overflow_ready = self.least_ready(work.spec, &only);
+            overflow_ready = self.min_startup_delay_s(work.spec, &only);
         }
         let mut options = Options {
             need: scoring::need(work.spec),
             starts: Starts::of(&forecast.timelines, work.spec, &usable),
-            least_ready: self.least_ready(work.spec, &usable),
+            min_startup_delay_s: self.min_startup_delay_s(work.spec, &usable),
             usable,
             overflow,
             overflow_starts,
@@ -231,7 +231,7 @@
         let hurried = options.overflow.as_ref();
         let hurried =
             hurried.filter(|_| !work.in_time(start) && work.in_time(options.overflow_ready));
-        if start <= options.least_ready && hurried.is_none() {
+        if start <= options.min_startup_delay_s && hurried.is_none() {
             return None;
         }
         let outlook = Outlook {
@@ -273,7 +273,7 @@
         scarce: &[bool],
     ) -> Option<Work<'a>> {
         let window = ARRIVALS_FOR.as_secs_f64();
-        let horizon = self.least_ready(spec, &self.usable_types(spec, scarce));
+        let horizon = self.min_startup_delay_s(spec, &self.usable_types(spec, scarce));
         let share = (horizon / window).min(1.0);
         let from = (window - age) * share;
         let run = self.run_times.expected_of_spec_s(spec);
--- a/src/coordination/autoscaling/pools.rs
+++ b/src/coordination/autoscaling/pools.rs
@@ -59,7 +59,7 @@
     }
 
     /// How soon a task of the job could start on any machine rented now.
-    pub(crate) fn least_ready(&self, spec: &JobSpec, usable: &[bool]) -> f64 {
+    pub(crate) fn min_startup_delay_s(&self, spec: &JobSpec, usable: &[bool]) -> f64 {
         let kinds = (0..self.cluster.machine_types().len()).filter(|k| usable[*k]);
         kinds
             .map(|kind| self.ready_after(spec, kind))
--- a/src/coordination/autoscaling/provisioning.rs
+++ b/src/coordination/autoscaling/provisioning.rs
@@ -154,14 +154,14 @@
     }
 
     /// Queues a machine to be returned.
-    pub fn release(&mut self, name: HostName) {
+    pub fn queue_release(&mut self, name: HostName) {
         if !self.releasing.contains(&name) && !self.to_release.contains(&name) {
             self.to_release.push_back(name);
         }
     }
 
     /// Types that some work of this term could not do without, even if none is here just now.
-    pub fn remembered_scarce(&self) -> impl Iterator<Item = &usize> {
+    pub fn known_scarce_types(&self) -> impl Iterator<Item = &usize> {
         self.scarce.iter()
     }
 }
@@ -197,7 +197,7 @@
         self.cordon_surplus(&scarce, now);
         self.return_empty(now);
         self.rent(&scarce, now);
-        self.rent_standby(now);
+        self.provision_standby(now);
     }
 
     fn send_releases(&mut self, now: Time) {
@@ -298,7 +298,7 @@
     pub fn on_host_list(&mut self, listed: &[ListedHost], now: Time) {
         let max_lag = self.policy.list_lag * 2;
         for failed in self.cluster.on_host_list(listed, max_lag, now) {
-            self.autoscaler.release(failed);
+            self.autoscaler.queue_release(failed);
         }
     }
 
--- a/src/coordination/autoscaling/scale_in.rs
+++ b/src/coordination/autoscaling/scale_in.rs
@@ -134,7 +134,7 @@
         let names: Vec<HostName> = releasable.map(|host| host.name.clone()).collect();
         for name in names {
             self.cluster.release_empty(&name);
-            self.autoscaler.release(name);
+            self.autoscaler.queue_release(name);
         }
     }
 }
--- a/src/coordination/autoscaling/services.rs
+++ b/src/coordination/autoscaling/services.rs
@@ -24,7 +24,7 @@
 const ORDINARY_SPARE: f64 = 1.25;
 
 impl View<'_> {
-    pub(crate) fn is_service(&self, task: TaskId) -> bool {
+    pub(crate) fn is_replica(&self, task: TaskId) -> bool {
         self.cluster
             .jobs()
             .get(&task.job)
@@ -32,7 +32,7 @@
     }
 
     pub(crate) fn holds_replicas(&self, host: &Host) -> bool {
-        host.allocations.keys().any(|task| self.is_service(*task))
+        host.allocations.keys().any(|task| self.is_replica(*task))
     }
 
     /// CPUs on ordinary machines that services should find free, or taken by what they preempt, at any
@@ -67,7 +67,7 @@
                 && matches!(h.cordon, None | Some(CordonReason::Surplus))
         });
         let room = here.map(|h| {
-            let replicas = h.allocations.iter().filter(|(t, _)| self.is_service(**t));
+            let replicas = h.allocations.iter().filter(|(t, _)| self.is_replica(**t));
             let taken: f64 = replicas.map(|(_, b)| b.resources.cpus).sum();
             (h.type_index.map_or(0.0, cpus) - taken).max(0.0)
         });
@@ -86,7 +86,7 @@
                 host.cordon == Some(CordonReason::Surplus) && host.lifecycle == HostLifecycle::Up;
             let idle = idle && host.surplus_since.is_some_and(long) && !host.allocations.is_empty();
             idle && host.allocations.iter().all(|(task, b)| {
-                b.stop_reason.is_none() && self.is_service(*task) && self.has_room(*task, host, now)
+                b.stop_reason.is_none() && self.is_replica(*task) && self.has_room(*task, host, now)
             })
         })?;
         let task = *host.allocations.keys().next()?;
@@ -133,7 +133,7 @@
         for spec in self.autoscaler.lately(now).filter(|s| !s.spot) {
             let ready = self
                 .view()
-                .least_ready(spec, &self.view().usable_types(spec, &[]));
+                .min_startup_delay_s(spec, &self.view().usable_types(spec, &[]));
             let share = (ready
                 / crate::coordination::autoscaling::provisioning::ARRIVALS_FOR.as_secs_f64())
             .min(1.0);
@@ -182,7 +182,7 @@
     }
 
     /// Rents what the standby lacks: ordinary machines that are cheap and come soon.
-    pub(crate) fn rent_standby(&mut self, now: Time) {
+    pub(crate) fn provision_standby(&mut self, now: Time) {
         let wanted = self.view().standby(now);
         if wanted <= 0.0 {
             return;
@@ -216,7 +216,7 @@
 
     /// Opens a machine that was closed as not needed and could take a replica that found no other: those
     /// left open may remember an earlier attempt at it, and it is not to wait for that.
-    pub(crate) fn reopen_for(
+    pub(crate) fn uncordon_host_for_replica(
         &mut self,
         id: JobId,
         spec: &JobSpec,
@@ -273,7 +273,7 @@
                     .iter()
                     .filter(|(_, b)| b.stop_reason.is_none());
                 for (task, _) in there {
-                    if self.view().is_service(*task)
+                    if self.view().is_replica(*task)
                         && (last || self.view().has_room(*task, host, now))
                     {
                         moves.push((host.name.clone(), *task));
--- a/src/coordination/autoscaling/timeline.rs
+++ b/src/coordination/autoscaling/timeline.rs
@@ -153,7 +153,7 @@
                     .expected_remaining_s(j, allocation.started_at, now)
             });
             ends.push((rest, allocation.resources));
-            if self.is_service(*task) {
+            if self.is_replica(*task) {
                 for_services.remove(&allocation.resources);
             }
         }
--- a/src/coordination/failure_detection/hosts.rs
+++ b/src/coordination/failure_detection/hosts.rs
@@ -215,7 +215,7 @@
             let (lifecycle, allocated) = (host.lifecycle, host.allocations.len());
             if self.cluster.begin_release(&name, why) {
                 tracing::info!("{name}: declared lost, {lifecycle:?}, {allocated} allocated");
-                self.autoscaler.release(name);
+                self.autoscaler.queue_release(name);
             }
         }
     }
--- a/src/coordination/leader/mod.rs
+++ b/src/coordination/leader/mod.rs
@@ -249,7 +249,7 @@
         if self.cluster.take_scheduling_request() {
             self.place(now);
         }
-        self.rent_standby(now);
+        self.provision_standby(now);
     }
 
     /// The cloud confirmed that these hosts and all on them are gone.
--- a/src/coordination/scheduling/placement.rs
+++ b/src/coordination/scheduling/placement.rs
@@ -358,7 +358,7 @@
             usable_types,
             ..
         } = placement;
-        if spec.is_service() && self.reopen_for(*id, spec, usable_types, pass.now) {
+        if spec.is_service() && self.uncordon_host_for_replica(*id, spec, usable_types, pass.now) {
             self.cluster.request_scheduling();
             return;
         }
--- a/src/coordination/scheduling/type_eligibility.rs
+++ b/src/coordination/scheduling/type_eligibility.rs
@@ -21,7 +21,7 @@
                 scarce[only] = true;
             }
         }
-        for only in self.autoscaler.remembered_scarce() {
+        for only in self.autoscaler.known_scarce_types() {
             if let Some(s) = scarce.get_mut(*only) {
                 *s = true;
             }
@@ -77,7 +77,7 @@
         due_in: Option<f64>,
     ) -> Option<Vec<bool>> {
         let due_in = due_in?;
-        let hurried = run <= due_in && self.least_ready(spec, usable) + run > due_in;
+        let hurried = run <= due_in && self.min_startup_delay_s(spec, usable) + run > due_in;
         if !hurried {
             return None;
         }
