--- a/src/coordination/autoscaling/scale_in.rs
+++ b/src/coordination/autoscaling/scale_in.rs
@@ -135,7 +135,7 @@
         let names: Vec<HostName> = releasable.map(|host| host.name.clone()).collect();
         for name in names {
             self.cluster.begin_release_of_empty(&name);
-            self.autoscaler.release(name);
+            self.autoscaler.queue_release(name);
         }
     }
 }
--- a/src/coordination/leader/mod.rs
+++ b/src/coordination/leader/mod.rs
@@ -253,7 +253,7 @@
         if self.cluster.take_scheduling_request() {
             self.place_waiting_tasks(now);
         }
-        self.rent_standby(now);
+        self.provision_standby(now);
     }
 
     /// The cloud confirmed that these hosts and all on them are gone.
