--- a/src/coordination/cluster/persistence.rs
+++ b/src/coordination/cluster/persistence.rs
@@ -49,7 +49,8 @@
     pub(crate) fn on_batch_outcome(&mut self, outcome: Outcome, now: Time) -> BatchResult {
         let result = match outcome {
             Outcome::Committed(revision) => {
-                self.record_writer.on_committed(&mut self.jobs, revision, now)
+                self.record_writer
+                    .on_committed(&mut self.jobs, revision, now)
             }
             Outcome::Conflict(keys) => self.record_writer.on_conflict(&mut self.jobs, &keys),
             Outcome::Unknown => {
@@ -74,8 +75,7 @@
                 is_allowance_outdated,
             } => BatchResult::Conflict {
                 cancelled,
-                is_allowance_outdated:
-                outdated_allowance: is_allowance_outdated,
+                is_allowance_outdated,
             },
             CommitResult::LeadershipLost => BatchResult::LeadershipLost,
             CommitResult::Retry => BatchResult::Retry,
@@ -89,7 +89,8 @@
 
     /// The version of a run record was read; `None` if it could not be, and has to be read again.
     pub(crate) fn on_run_record_version(&mut self, id: RunRecordId, version: Option<Version>) {
-        self.record_writer.on_version_read(&mut self.jobs, id, version);
+        self.record_writer
+            .on_version_read(&mut self.jobs, id, version);
     }
 
     /// Sets the keys and versions that allocations of each team depend on, beside their own.
--- a/src/coordination/scheduling/preemption.rs
+++ b/src/coordination/scheduling/preemption.rs
@@ -142,11 +142,10 @@
         let most = (room as usize).min(MAX_PREEMPTED);
         let mut ways: Vec<Way> = Vec::new();
         for host in self.cluster.hosts().values() {
-            let suits = host
+            let fits = host
                 .type_index
                 .is_some_and(|k| usable.get(k) == Some(&true));
-            let open =
-                suits && self.view().accepts_tasks(host, now) && (spec.spot || !host.is_spot);
+            let open = fits && self.view().accepts_tasks(host, now) && (spec.spot || !host.is_spot);
             if open && is_zone_allowed(spec, &host.zone, &BTreeMap::new()) {
                 ways.extend(self.view().way_to_room(host, job, spec, now));
             }
