--- a/src/coordination/cluster/allocation.rs
+++ b/src/coordination/cluster/allocation.rs
@@ -1,17 +1,18 @@
-//! One attempt at a task on a host: from before its start until it is proven to have ended.
+//! The allocation of one attempt at a task to a host, from before the start of the attempt until it is proven to have
+//! ended.
 
 use crate::coordination::resources::Resources;
 use crate::protocol::workers::{AttemptState, AttemptStatus};
 use crate::types::{Attempt, Incarnation, SequenceNumber, Time};
 
-/// How far an allocation is.
+/// Progress of an allocation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AllocationPhase {
-    /// Its record is not known to be written; no `run` may be sent.
+    /// Its run record is not known to be written, so no `run` may be sent.
     Persisting,
-    /// Its record is written; `run` may be sent, and may have been.
+    /// Its run record is written. A `run` may be sent, and may have been sent.
     Committed,
-    /// The worker has reported the attempt alive.
+    /// The worker has reported that the attempt exists.
     Observed,
 }
 
@@ -20,38 +21,38 @@
 pub enum StopReason {
     /// Its job was cancelled.
     Cancelled,
-    /// Its host is about to go.
+    /// The task has to leave its host, for example before the host is reclaimed.
     Drained,
-    /// Work of a higher priority needs the room.
+    /// A job of higher priority needs the resources.
     Preempted,
 }
 
 /// The allocation of a task to a host.
 #[derive(Clone, Debug)]
 pub struct Allocation {
-    /// Which attempt at the task it is.
+    /// Number of the attempt at the task.
     pub attempt: Attempt,
-    /// Incarnation of the worker that the attempt is meant for.
+    /// Incarnation of the worker that the attempt is allocated to.
     pub incarnation: Incarnation,
-    /// What the task takes of the host.
+    /// The resources of the host that the task uses.
     pub resources: Resources,
-    /// How far it is.
+    /// Its progress.
     pub phase: AllocationPhase,
-    /// The change of its run record that holds the allocation; 0 if it was read from the record.
+    /// Change count of its run record from which on the record holds the allocation; 0 if it was read from the record.
     pub record_change_count: u64,
     /// Whether a `run` of the attempt may have been sent, by this leader or an earlier one.
     pub was_run_possibly_sent: bool,
-    /// Whether this leader sent a `run` by a direct command, of which copies may arrive late.
+    /// Whether this leader sent a `run` as a direct command, of which delayed copies may still arrive.
     pub was_run_sent_directly: bool,
-    /// The last heartbeat in whose response `run` was sent; 0 if there was none.
+    /// Sequence number of the last heartbeat in whose response a `run` was sent; 0 if there was none.
     pub run_sent_in_response_to: SequenceNumber,
-    /// The last heartbeat in whose response `stop` was sent; 0 if there was none.
+    /// Sequence number of the last heartbeat in whose response a `stop` was sent; 0 if there was none.
     pub stop_sent_in_response_to: SequenceNumber,
-    /// Why it is to be stopped, if it is.
+    /// Why the task is to be stopped, if it is.
     pub stop_reason: Option<StopReason>,
-    /// Whether the worker last said that the task saves its progress.
+    /// Whether the task was saving its progress at the worker's last report.
     pub is_saving: bool,
-    /// When it was first seen to run, with its image on the host.
+    /// When the task was first reported as running, with its image on the host.
     pub started_at: Option<Time>,
 }
 
@@ -73,20 +74,20 @@
         }
     }
 
-    /// A new allocation, whose record holds it from `record_change` on.
+    /// A new allocation, which its run record holds from `record_change_count` on.
     pub(super) fn uncommitted(
         attempt: Attempt,
         incarnation: Incarnation,
         resources: Resources,
-        record_change: u64,
+        record_change_count: u64,
     ) -> Allocation {
         Allocation {
-            record_change_count: record_change,
+            record_change_count,
             ..Allocation::new(attempt, incarnation, resources)
         }
     }
 
-    /// An allocation that an earlier leader recorded. It may have been started.
+    /// An allocation that an earlier leader recorded. Its attempt may have been started.
     pub(super) fn from_record(
         attempt: Attempt,
         incarnation: Incarnation,
@@ -101,23 +102,24 @@
         }
     }
 
-    /// An attempt that was found on a host although no record places it there. It is stopped.
+    /// An allocation for an attempt that was reported by a host although no run record places it there. It is to be
+    /// stopped.
     pub(super) fn found_running(
         attempt: Attempt,
         incarnation: Incarnation,
         resources: Resources,
-        record_change: u64,
+        record_change_count: u64,
     ) -> Allocation {
         Allocation {
             phase: AllocationPhase::Observed,
-            record_change_count: record_change,
+            record_change_count,
             was_run_possibly_sent: true,
             stop_reason: Some(StopReason::Drained),
             ..Allocation::new(attempt, incarnation, resources)
         }
     }
 
-    /// Takes in what the worker says of the attempt while it is alive.
+    /// Applies the worker's report of the attempt, which has not ended.
     pub(super) fn observe(&mut self, status: &AttemptStatus, now: Time) {
         self.phase = AllocationPhase::Observed;
         self.is_saving = status.state == AttemptState::Saving;
@@ -126,34 +128,34 @@
         }
     }
 
-    /// Notes that `run` is sent, in the response to that heartbeat or else directly.
-    pub(super) fn on_run_sent(&mut self, response_to: Option<SequenceNumber>) {
+    /// Notes that a `run` is sent, in the response to a heartbeat or, with `None`, directly.
+    pub(super) fn on_run_sent(&mut self, heartbeat_sequence: Option<SequenceNumber>) {
         self.was_run_possibly_sent = true;
-        if let Some(sequence) = response_to {
+        if let Some(sequence) = heartbeat_sequence {
             self.run_sent_in_response_to = sequence;
         }
     }
 
-    /// Notes that `stop` is sent, in the response to that heartbeat or else directly.
-    pub(super) fn on_stop_sent(&mut self, response_to: Option<SequenceNumber>) {
-        if let Some(sequence) = response_to {
+    /// Notes that a `stop` is sent, in the response to a heartbeat or, with `None`, directly.
+    pub(super) fn on_stop_sent(&mut self, heartbeat_sequence: Option<SequenceNumber>) {
+        if let Some(sequence) = heartbeat_sequence {
             self.stop_sent_in_response_to = sequence;
         }
     }
 
-    /// Whether the attempt is wanted and was not reported yet.
+    /// Whether the attempt is to run and has not been reported by the worker yet.
     pub(super) fn is_to_be_started(&self) -> bool {
         self.stop_reason.is_none() && self.phase != AllocationPhase::Observed
     }
 
-    /// Whether a `run` was sent in a response and the attempt was not reported yet.
+    /// Whether a `run` was sent in a heartbeat response and the attempt has not been reported by the worker yet.
     pub(super) fn awaits_effect_of_run(&self) -> bool {
         self.phase == AllocationPhase::Committed
             && self.run_sent_in_response_to != SequenceNumber(0)
     }
 
-    /// Whether the attempt is to be stopped, but was last reported as running.
-    pub(super) fn is_running_against_stop(&self) -> bool {
+    /// Whether the attempt is to be stopped, but was last reported as neither saving its progress nor ended.
+    pub(super) fn is_running_despite_stop(&self) -> bool {
         self.stop_reason.is_some() && self.phase == AllocationPhase::Observed && !self.is_saving
     }
 }
--- a/src/coordination/cluster/allocations.rs
+++ b/src/coordination/cluster/allocations.rs
@@ -1,4 +1,4 @@
-//! Allocating tasks to hosts, stopping them, and freeing them once they are proven to have ended.
+//! Allocates tasks to hosts, requests their stop, and frees their allocations once they are proven to have ended.
 
 use super::host::{Allocation, CordonReason, Host, StopReason};
 use super::job::{JobPhase, ReplicaOutage, TaskState};
@@ -6,17 +6,17 @@
 use crate::storage::records::RunRecordId;
 use crate::types::{HostName, JobId, TaskId, Time};
 
-/// What follows from the request to stop a task.
+/// Whether the request to stop a task needs a command to its worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum StopEffect {
-    /// Nothing is allocated there, or it was freed at once, as no `run` had been sent.
+    /// The task is not allocated to the host, or its allocation was freed at once, as no `run` had been sent.
     NoCommandNeeded,
-    /// Its worker has to be told.
+    /// The worker has to be sent a `stop`.
     CommandNeeded,
 }
 
 impl ClusterState {
-    /// Allocates the job's task to the host. Its record has to be written before the task is started.
+    /// Allocates a task to a host, under a new attempt. Its run record has to be written before the task is started.
     pub(crate) fn allocate(&mut self, task: TaskId, name: &HostName) {
         let (Some(job), Some(host)) = (self.jobs.get_mut(&task.job), self.hosts.get_mut(name))
         else {
@@ -35,11 +35,11 @@
         };
         tracing::debug!(%task, %attempt, host = %name, "allocated");
         let (team, resources) = (job.team.clone(), job.task_resources);
-        host.allocate(
+        host.add_allocation(
             task,
             Allocation::uncommitted(attempt, incarnation, resources, change.change_count),
         );
-        self.charge(&team, &resources);
+        self.add_team_usage(&team, &resources);
         let record = RunRecordId {
             job: task.job,
             number: change.record_number,
@@ -49,7 +49,7 @@
         uncommitted.push((name.clone(), task));
     }
 
-    /// Marks the task to be stopped. It is freed at once if its `run` was never sent.
+    /// Marks an allocated task to be stopped. Its allocation is freed at once if no `run` can have been sent.
     pub(crate) fn request_stop(
         &mut self,
         name: &HostName,
@@ -76,8 +76,8 @@
         effect
     }
 
-    /// Frees an allocation whose attempt is proven to have ended. Returns the change of its run record that holds
-    /// the outcome; 0 if there is none to write.
+    /// Frees an allocation whose attempt is proven to have ended. Returns the change count of its run record from which
+    /// on the record holds the outcome; 0 if there is nothing to write.
     pub(super) fn end_allocation(
         &mut self,
         host: &mut Host,
@@ -85,7 +85,7 @@
         is_done: bool,
         now: Time,
     ) -> u64 {
-        let Some(allocation) = host.free(task) else {
+        let Some(allocation) = host.remove_allocation(task) else {
             return 0;
         };
         self.request_scheduling();
@@ -115,22 +115,23 @@
             };
             self.record_writer.mark_dirty(record, false);
         }
-        self.discharge(&team, &allocation.resources);
+        self.subtract_team_usage(&team, &allocation.resources);
         self.check_completion(task.job, now);
         change.map_or(0, |change| change.change_count)
     }
 
-    /// Moves the job on if its last task is done, or if it is cancelled and nothing is allocated any more.
+    /// Changes the job's phase if all its tasks are done, or if it is cancelled and none of its tasks is allocated any
+    /// more.
     pub(super) fn check_completion(&mut self, id: JobId, now: Time) {
         if !self.is_loaded {
-            // What is allocated is not known before all records are read.
+            // Until all records are read, allocations may be missing.
             return;
         }
         let Some(job) = self.jobs.get_mut(&id) else {
             return;
         };
         match job.phase {
-            // A split under way changes the record that the outcome replaces.
+            // The outcome replaces the job record, which a split in progress also changes.
             JobPhase::Active if job.done_count == job.task_count && job.record_split.is_none() => {
                 job.set_phase(JobPhase::Finishing, now);
                 self.record_writer.queue_outcome(id);
@@ -145,12 +146,15 @@
 }
 
 /// Why a replica stopped running, for the log.
-fn replica_outage_cause(allocation: &Allocation, cordon: Option<CordonReason>) -> &'static str {
-    match (allocation.stop_reason, cordon) {
+fn replica_outage_cause(
+    allocation: &Allocation,
+    cordon_reason: Option<CordonReason>,
+) -> &'static str {
+    match (allocation.stop_reason, cordon_reason) {
         (Some(StopReason::Preempted), _) => "preempted",
         (_, Some(CordonReason::Reclaimed)) => "host reclaimed",
-        (Some(_), _) => "moved",
+        (Some(_), _) => "moved to another host",
         (None, Some(CordonReason::Lost | CordonReason::Faulty)) => "host declared lost",
-        (None, _) => "ended or lost",
+        (None, _) => "task ended or its host was lost",
     }
 }
--- a/src/coordination/cluster/commands.rs
+++ b/src/coordination/cluster/commands.rs
@@ -1,4 +1,4 @@
-//! Which commands a worker needs for its tasks to become what the state says.
+//! Derives the commands that a worker needs so that its tasks match the state.
 
 use super::host::{AllocationPhase, Host, StopReason};
 use super::job::JobPhase;
@@ -6,28 +6,32 @@
 use crate::protocol::workers::Command;
 use crate::types::{HostName, Incarnation, SequenceNumber, TaskId, Term, Time};
 
-/// Above this many ended attempts on a host, they are cleared at once, as heartbeats have to stay small.
+/// Above this many ended attempts on a host, they are cleared without waiting for their retention to end, to keep
+/// heartbeats small.
 const MAX_RETAINED_ATTEMPTS: usize = 200;
-/// Above this many ended attempts on a host, tasks are started in heartbeat responses only: no copy of those
-/// arrives late, so that what ended can be cleared at once.
+/// Above this many ended attempts on a host, tasks are started in heartbeat responses only. No copy of a response
+/// arrives late, so that their attempts can be cleared as soon as they ended.
 const MAX_ATTEMPTS_FOR_DIRECT_RUN: usize = 60;
 
-/// A task may take longer to save than its description says, by this factor and margin in seconds.
+/// The grace for saving progress exceeds the save time in the job's description by this factor and by
+/// `SAVE_TIME_MARGIN_S`.
 const SAVE_TIME_FACTOR: f64 = 1.2;
+/// Seconds added to the grace for saving progress.
 const SAVE_TIME_MARGIN_S: f64 = 1.0;
 
-/// On what conditions commands are sent.
+/// The leader's term and lease, on which its commands depend.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct CommandContext {
-    /// The term, which is the fencing token.
+    /// The leader's term, which is also the fencing token.
     pub(crate) term: Term,
-    /// Whether the lease of this leader stands, so that tasks may be started.
+    /// Whether this leader's lease is valid, so that tasks may be started.
     pub(crate) may_start_tasks: bool,
     pub(crate) now: Time,
 }
 
 impl ClusterState {
-    /// The commands for the response to a heartbeat, noted as sent. A `run` in it can't be executed late.
+    /// Returns the commands for the response to a heartbeat, and notes them as sent. A `run` in a response can't be
+    /// executed late.
     pub(crate) fn commands_in_response(
         &mut self,
         name: &HostName,
@@ -37,8 +41,8 @@
         self.take_commands(name, Some(sequence), context)
     }
 
-    /// The commands for a request to the worker's address, noted as sent. It leaves out the clearing of ended
-    /// attempts, which can wait for the next heartbeat.
+    /// Returns the commands for a request to the worker's address, and notes them as sent. It leaves out `clear`, which
+    /// can wait for the next heartbeat.
     pub(crate) fn direct_commands(
         &mut self,
         name: &HostName,
@@ -58,8 +62,8 @@
         commands
     }
 
-    /// The direct commands to a host have their outcome. If it is known (not lost), its `run` commands can't be
-    /// executed later any more.
+    /// Notes that a request with direct commands has ended. If its outcome is known, its `run` commands can't be
+    /// executed any more; without a response they still can.
     pub(crate) fn on_direct_commands_done(
         &mut self,
         name: &HostName,
@@ -81,33 +85,32 @@
         }
     }
 
-    /// Direct commands or a probe got no response. A host that is not up is silent to them too, which proves
-    /// nothing new.
+    /// Notes that direct commands or a probe got no response. That says nothing new of a host that is not up.
     pub(crate) fn on_commands_unanswered(&mut self, name: &HostName, now: Time) {
         let host = self.hosts.get_mut(name);
         if let Some(host) = host.filter(|host| host.is_up()) {
-            host.command_had_no_effect(now);
+            host.on_command_without_effect(now);
         }
     }
 
     fn take_commands(
         &mut self,
         name: &HostName,
-        response_to: Option<SequenceNumber>,
+        heartbeat_sequence: Option<SequenceNumber>,
         context: CommandContext,
     ) -> Vec<Command> {
         let Some(mut host) = self.hosts.remove(name) else {
             return Vec::new();
         };
         let mut commands = self.clear_commands(&host, context);
-        commands.extend(stop_unrecorded(&host));
+        commands.extend(stop_commands_for_unrecorded(&host));
         let may_run_directly = host.ended_attempts.len() <= MAX_ATTEMPTS_FOR_DIRECT_RUN;
-        let may_run = context.may_start_tasks && (response_to.is_some() || may_run_directly);
+        let may_run = context.may_start_tasks && (heartbeat_sequence.is_some() || may_run_directly);
         for (&task, allocation) in &mut host.allocations {
             let attempt = allocation.attempt;
             match (allocation.stop_reason, allocation.phase) {
                 (Some(reason), AllocationPhase::Observed) if !allocation.is_saving => {
-                    allocation.on_stop_sent(response_to);
+                    allocation.on_stop_sent(heartbeat_sequence);
                     commands.push(Command::Stop {
                         task,
                         attempt,
@@ -117,7 +120,7 @@
                 (None, AllocationPhase::Committed)
                     if allocation.incarnation == host.incarnation && may_run =>
                 {
-                    allocation.on_run_sent(response_to);
+                    allocation.on_run_sent(heartbeat_sequence);
                     commands.push(Command::Run { task, attempt });
                 }
                 _ => {}
@@ -127,27 +130,27 @@
         commands
     }
 
-    /// Clears the ended attempts whose outcome is written and whose `run` can't arrive late. Cleared too soon, a late
-    /// copy of the `run` would start the attempt again.
+    /// Returns `clear` commands for the ended attempts whose outcome is written and whose `run` can't arrive late. If
+    /// an attempt were cleared earlier, a delayed copy of its `run` would start it again.
     fn clear_commands(&self, host: &Host, context: CommandContext) -> Vec<Command> {
-        let is_crowded = host.ended_attempts.len() > MAX_RETAINED_ATTEMPTS;
+        let has_too_many_ended_attempts = host.ended_attempts.len() > MAX_RETAINED_ATTEMPTS;
         let mut commands = Vec::new();
         for (&(task, attempt), ended) in &host.ended_attempts {
-            if context.now < ended.retain_until && !is_crowded {
+            if context.now < ended.retain_until && !has_too_many_ended_attempts {
                 continue;
             }
-            let is_fenced =
+            let is_run_excluded =
                 host.fencing_token == context.term && !host.is_run_unacknowledged(task, attempt);
-            if is_fenced && self.is_outcome_written(task, ended.record_change_count) {
+            if is_run_excluded && self.is_outcome_written(task, ended.record_change_count) {
                 commands.push(Command::Clear { task, attempt });
             }
         }
         commands
     }
 
-    /// Whether that change of the task's run record is written. Of a job that is over in the records nothing more is
-    /// written.
-    fn is_outcome_written(&self, task: TaskId, record_change: u64) -> bool {
+    /// Whether the first `record_change_count` changes of the task's run record are written. Once the job is over in
+    /// the store, no run record of it is written any more.
+    fn is_outcome_written(&self, task: TaskId, record_change_count: u64) -> bool {
         let Some(job) = self.jobs.get(&task.job) else {
             return true;
         };
@@ -156,12 +159,12 @@
             JobPhase::Finishing => false,
             JobPhase::Active | JobPhase::Cancelled => {
                 let chunk = job.chunk(job.record_number_of(task.index));
-                chunk.is_none_or(|chunk| chunk.written_change_count >= record_change)
+                chunk.is_none_or(|chunk| chunk.written_change_count >= record_change_count)
             }
         }
     }
 
-    /// How long a task that is stopped may take to save its progress, in seconds.
+    /// Time in seconds that a task may take to save its progress when it is stopped. A cancelled task saves nothing.
     fn grace_s(&self, task: TaskId, reason: StopReason) -> f64 {
         let spec = self.jobs.get(&task.job).and_then(|job| job.spec.as_ref());
         let may_save = reason != StopReason::Cancelled;
@@ -172,8 +175,8 @@
     }
 }
 
-/// Stops for the attempts that no record places on this host.
-fn stop_unrecorded(host: &Host) -> impl Iterator<Item = Command> + '_ {
+/// `stop` commands for the attempts that no run record places on this host.
+fn stop_commands_for_unrecorded(host: &Host) -> impl Iterator<Item = Command> + '_ {
     let unrecorded = host.unrecorded_attempts.iter();
     unrecorded.map(|&(task, attempt)| Command::Stop {
         task,
--- a/src/coordination/cluster/host.rs
+++ b/src/coordination/cluster/host.rs
@@ -1,4 +1,4 @@
-//! A host as the leader knows it: its lifecycle, its reachability and what is allocated on it.
+//! A host as the leader sees it: its lifecycle, its reachability and the tasks allocated to it.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -8,50 +8,51 @@
 use crate::protocol::workers::WorkerHeartbeat;
 use crate::types::{Attempt, HostName, Incarnation, JobId, SequenceNumber, TaskId, Term, Time};
 
-/// So many commands in a row without an effect make a host half-open: a lost message or two prove nothing.
-const HALF_OPEN_AFTER: u32 = 3;
+/// A host is half-open after this many consecutive commands without an effect; one or two may be lost messages.
+const HALF_OPEN_AFTER_COMMANDS: u32 = 3;
 
-/// Where a host is in its life.
+/// Lifecycle of a host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HostLifecycle {
-    /// Provisioned or listed; its worker has not sent a heartbeat to this leader.
+    /// Provisioned or in the cloud's host list; its worker has not sent a heartbeat to this leader yet.
     Expected,
-    /// Heartbeats arrive.
+    /// Its heartbeats arrive.
     Up,
-    /// It missed heartbeats for too long.
+    /// It has sent no heartbeat for too long.
     Unresponsive,
-    /// It is being released. This is final.
+    /// It is being released to the cloud. This is final.
     Releasing,
 }
 
-/// Why nothing new is placed on a host.
+/// Why a host is cordoned, so that no new tasks are placed on it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CordonReason {
-    /// The present demand does not need it. It is uncordoned if demand rises.
+    /// Current demand does not need it. It is uncordoned if demand rises.
     Surplus,
-    /// The cloud has given notice that it reclaims the host.
+    /// The cloud has announced that it will reclaim the host.
     Reclaimed,
-    /// It fails tasks that succeed elsewhere.
+    /// Tasks fail on it that succeed elsewhere.
     Faulty,
-    /// It is declared lost: it missed heartbeats for too long, or never came up.
+    /// It was declared lost: it sent no heartbeat for too long, or never came up.
     Lost,
 }
 
-/// Whether commands reach the worker. That its heartbeats arrive does not prove it.
+/// Whether commands reach the host's worker. Arriving heartbeats alone do not prove that.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reachability {
-    /// Nothing speaks against it.
+    /// Nothing indicates that commands do not reach it.
     Confirmed,
-    /// A command had no effect, or the host was silent: nothing new is placed there until the next sign.
+    /// A command had no effect, or heartbeats were missing: no new tasks are placed on the host until its next
+    /// heartbeat or response.
     Unconfirmed,
     /// Its heartbeats arrive, but neither responses nor commands reach it.
     HalfOpen {
-        /// When that was found.
+        /// When this was detected.
         since: Time,
     },
 }
 
-/// Orders the messages of one worker: by incarnation, then by sequence number.
+/// Position of a heartbeat among all messages of its worker: ordered by incarnation, then by sequence number.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct HeartbeatId {
     /// Incarnation of the worker.
@@ -63,9 +64,10 @@
 /// An attempt that ended and is still listed in the worker's heartbeats.
 #[derive(Clone, Copy, Debug)]
 pub struct EndedAttempt {
-    /// The change of its run record that holds the outcome; it is cleared once that is written.
+    /// Change count of its run record from which on the record holds the outcome. The worker may forget the attempt
+    /// once that change is written; 0 if there is nothing to write.
     pub record_change_count: u64,
-    /// The worker has to remember it until then, so that a late copy of its `run` does not start it again.
+    /// Until when the worker has to remember the attempt, so that a delayed copy of its `run` does not start it again.
     pub retain_until: Time,
 }
 
@@ -76,86 +78,86 @@
     size_gb: f64,
 }
 
-/// A host as the leader knows it. Only [`super::ClusterState`] hands out hosts, and only to read.
+/// A host as the leader sees it. Only [`super::ClusterState`] hands out hosts, and only as shared references.
 #[derive(Debug)]
 pub struct Host {
-    /// Its name.
+    /// Name of the host.
     pub name: HostName,
-    /// Index of its machine type, once that is known.
+    /// Index of its machine type in [`super::ClusterState::machine_types`], once it is known.
     pub type_index: Option<usize>,
-    /// Its zone; empty as long as it is not known.
+    /// Its zone; empty while it is unknown.
     pub zone: String,
-    /// Whether it is a spot host.
+    /// Whether it is a spot instance.
     pub is_spot: bool,
-    /// Address for direct commands, once it is known.
+    /// Address of its worker for direct commands, once it is known.
     pub address: Option<SocketAddr>,
-    /// Where it is in its life.
+    /// Its lifecycle.
     pub lifecycle: HostLifecycle,
-    /// Why nothing new is placed on it, if so.
+    /// Why it is cordoned, if it is.
     pub cordon_reason: Option<CordonReason>,
     /// Whether commands reach its worker.
     pub reachability: Reachability,
 
     /// Incarnation of its worker.
     pub incarnation: Incarnation,
-    /// Sequence number of the newest message of that incarnation.
+    /// Sequence number of the newest message from that incarnation.
     pub newest_sequence: SequenceNumber,
-    /// The highest fencing token that its worker has seen, by its own word.
+    /// The highest fencing token that its worker has reported as seen.
     pub fencing_token: Term,
-    /// The newest heartbeat that its worker made before it saw this leader's fencing token.
+    /// The newest heartbeat that its worker composed before it saw this leader's fencing token.
     pub newest_unfenced_heartbeat: HeartbeatId,
 
-    /// When this leader first knew of it.
+    /// When this leader first learned of it.
     pub first_seen_at: Time,
-    /// When it was provisioned, or first seen.
+    /// When it was provisioned or, if that is unknown, first seen.
     pub provisioned_at: Time,
-    /// When its first heartbeat of this term arrived.
+    /// When its first heartbeat in this term arrived.
     pub first_heartbeat_at: Option<Time>,
     /// When its last heartbeat arrived.
     pub last_heartbeat_at: Time,
-    /// When the cloud reclaims it, if it has given notice.
+    /// When the cloud will reclaim it, if it has announced that.
     pub reclaim_at: Option<Time>,
-    /// Whether the cloud's list has named it.
+    /// Whether it has appeared in the cloud's host list.
     pub was_listed: bool,
-    /// Whether the cloud's list has named it and no longer does.
+    /// Whether it has appeared in the cloud's host list and no longer does.
     pub is_missing_from_list: bool,
-    /// When the cloud's list first showed it as running.
+    /// When the cloud's host list first showed it as running.
     pub listed_running_since: Option<Time>,
-    /// Since when it has been cordoned as surplus.
+    /// When it was cordoned as surplus, if it was.
     pub surplus_since: Option<Time>,
-    /// It is not cordoned as surplus before, as it was uncordoned for a certain task.
+    /// It is not cordoned as surplus before this time, because it was uncordoned for a particular task.
     pub keep_uncordoned_until: Time,
-    /// When its release was last forced, as a cancelled task was still on it.
+    /// When its release was last forced because a cancelled task was still on it.
     pub force_released_at: Option<Time>,
 
-    /// The tasks that are allocated to it.
+    /// The allocations of tasks to it.
     pub allocations: BTreeMap<TaskId, Allocation>,
-    /// What its allocations take.
+    /// The sum of the resources of its allocations.
     pub allocated_resources: Resources,
-    /// Ended attempts that its worker still lists.
+    /// Ended attempts that its worker still reports.
     pub ended_attempts: BTreeMap<(TaskId, Attempt), EndedAttempt>,
-    /// Attempts in its last heartbeat that no record places there and nobody wants.
+    /// Attempts in its last heartbeat that no run record places on this host and that were not adopted as allocations.
     pub unrecorded_attempts: BTreeSet<(TaskId, Attempt)>,
-    /// How many `run` commands of each attempt were sent directly without a response. Each may still be executed,
-    /// even minutes from now.
+    /// How many direct `run` commands of each attempt have had no response. Each may still be executed, even minutes
+    /// from now.
     unacknowledged_runs: BTreeMap<(TaskId, Attempt), u32>,
-    /// The most recently used image is the last.
+    /// Images that are likely in its cache, the most recently used last.
     cached_images: Vec<CachedImage>,
-    /// Jobs whose tasks failed on it, and when.
+    /// Jobs of which a task failed on it, and when the last one did.
     pub failed_jobs: BTreeMap<JobId, Time>,
-    /// Failures since a task last succeeded on it.
+    /// Failed tasks since one last succeeded on it.
     pub consecutive_failures: u32,
 
-    /// Whether a direct command or a probe is under way; the next one waits for its response.
+    /// Whether a direct command request or a probe is in flight; the next one waits for its result.
     pub has_command_in_flight: bool,
-    /// No probe is sent before.
+    /// The earliest time for the next probe.
     pub next_probe_at: Time,
-    /// How many commands in a row had no effect.
-    commands_without_effect: u32,
+    /// How many consecutive commands had no effect.
+    consecutive_commands_without_effect: u32,
 }
 
 impl Host {
-    /// A host of which only the name is known.
+    /// A host of which nothing but the name is known.
     pub(super) fn new(name: HostName, now: Time) -> Host {
         Host {
             name,
@@ -191,7 +193,7 @@
             consecutive_failures: 0,
             has_command_in_flight: false,
             next_probe_at: now,
-            commands_without_effect: 0,
+            consecutive_commands_without_effect: 0,
         }
     }
 
@@ -200,12 +202,12 @@
         self.lifecycle == HostLifecycle::Up
     }
 
-    /// Whether its heartbeats arrive, but neither responses nor commands reach it.
+    /// Whether its heartbeats arrive while neither responses nor commands reach it.
     pub fn is_half_open(&self) -> bool {
         matches!(self.reachability, Reachability::HalfOpen { .. })
     }
 
-    /// Whether the heartbeat is newer than all that arrived before; older ones count for nothing.
+    /// Whether the heartbeat is newer than every earlier one. Older ones are ignored.
     pub fn is_newer_heartbeat(&self, heartbeat: &WorkerHeartbeat) -> bool {
         (heartbeat.incarnation, heartbeat.sequence) > (self.incarnation, self.newest_sequence)
     }
@@ -215,32 +217,36 @@
         self.cached_images.iter().any(|cached| cached.name == image)
     }
 
-    /// Whether the host still lists an earlier attempt at the task, or one may still arrive there.
+    /// Whether the worker still reports an ended attempt at the task, or an unacknowledged `run` may still start one.
     pub fn may_have_earlier_attempt(&self, task: TaskId) -> bool {
         let attempts = (task, Attempt(0))..=(task, Attempt(u64::MAX));
         self.ended_attempts.range(attempts.clone()).next().is_some()
             || self.unacknowledged_runs.range(attempts).next().is_some()
     }
 
-    /// Whether the host remembers earlier attempts at any tasks; see [`Host::may_have_earlier_attempt`].
+    /// Whether [`Host::may_have_earlier_attempt`] holds for any task.
     pub fn may_have_any_earlier_attempt(&self) -> bool {
         !self.ended_attempts.is_empty() || !self.unacknowledged_runs.is_empty()
     }
 
-    /// Whether a direct `run` of the attempt got no response, so that it may still be executed.
+    /// Whether a direct `run` of the attempt has had no response, so that it may still be executed.
     pub fn is_run_unacknowledged(&self, task: TaskId, attempt: Attempt) -> bool {
         self.unacknowledged_runs.contains_key(&(task, attempt))
     }
 
-    /// The one place where the lifecycle changes.
+    /// Changes the lifecycle. Nothing else does, and a release is final.
     pub(super) fn set_lifecycle(&mut self, lifecycle: HostLifecycle) {
         if self.lifecycle != lifecycle && self.lifecycle != HostLifecycle::Releasing {
-            tracing::debug!("{}: {:?} -> {lifecycle:?}", self.name, self.lifecycle);
+            tracing::debug!(
+                "{}: lifecycle {:?} -> {lifecycle:?}",
+                self.name,
+                self.lifecycle
+            );
             self.lifecycle = lifecycle;
         }
     }
 
-    /// Cordons it and marks it as being released. Returns false if it was already.
+    /// Cordons the host and marks it as being released. Returns false if it was being released already.
     pub(super) fn begin_release(&mut self, reason: CordonReason) -> bool {
         if self.lifecycle == HostLifecycle::Releasing {
             return false;
@@ -250,29 +256,33 @@
         true
     }
 
-    /// The one place where the reachability changes.
+    /// Changes the reachability. Nothing else does.
     pub(super) fn set_reachability(&mut self, reachability: Reachability) {
         if self.reachability != reachability {
-            tracing::debug!("{}: {:?} -> {reachability:?}", self.name, self.reachability);
+            tracing::debug!(
+                "{}: reachability {:?} -> {reachability:?}",
+                self.name,
+                self.reachability
+            );
             self.reachability = reachability;
         }
     }
 
-    /// A command took effect, so commands reach the worker.
-    pub(super) fn command_took_effect(&mut self) {
-        self.commands_without_effect = 0;
+    /// Notes that a command took effect, so commands reach the worker.
+    pub(super) fn on_command_took_effect(&mut self) {
+        self.consecutive_commands_without_effect = 0;
         self.set_reachability(Reachability::Confirmed);
     }
 
-    /// A command should have taken effect by now and has not.
-    pub(super) fn command_had_no_effect(&mut self, now: Time) {
-        self.commands_without_effect += 1;
+    /// Notes that a command has not taken effect although it should have by now.
+    pub(super) fn on_command_without_effect(&mut self, now: Time) {
+        self.consecutive_commands_without_effect += 1;
         if self.is_half_open() {
             return;
         }
-        if self.commands_without_effect >= HALF_OPEN_AFTER {
+        if self.consecutive_commands_without_effect >= HALF_OPEN_AFTER_COMMANDS {
             tracing::info!(
-                "{}: half-open, its heartbeats arrive but commands do not",
+                "{}: half-open: its heartbeats arrive, but commands do not reach it",
                 self.name
             );
             self.set_reachability(Reachability::HalfOpen { since: now });
@@ -281,16 +291,17 @@
         }
     }
 
-    /// Closes it for new tasks. The first reason stands, but any other replaces `Surplus`.
+    /// Cordons the host: no new tasks are placed on it. An earlier reason is kept, except that any other replaces
+    /// `Surplus`.
     pub(super) fn cordon(&mut self, reason: CordonReason) {
         if matches!(self.cordon_reason, None | Some(CordonReason::Surplus)) {
-            tracing::debug!("{}: cordoned, {reason:?}", self.name);
+            tracing::debug!("{}: cordoned as {reason:?}", self.name);
             self.cordon_reason = Some(reason);
         }
     }
 
-    /// Uncordons it if it was cordoned as surplus. Returns whether it was.
-    pub(super) fn uncordon(&mut self) -> bool {
+    /// Uncordons the host if it is cordoned as surplus. Returns whether it was.
+    pub(super) fn uncordon_if_surplus(&mut self) -> bool {
         let was_surplus = self.cordon_reason == Some(CordonReason::Surplus);
         if was_surplus {
             tracing::debug!("{}: uncordoned", self.name);
@@ -300,7 +311,8 @@
         was_surplus
     }
 
-    /// A task has its image there. The most recently used images are kept, as far as the cache goes.
+    /// Notes that the host has fetched an image. The least recently used images are dropped beyond the size of the
+    /// cache.
     pub(super) fn cache_image(&mut self, image: &str, size_gb: f64, cache_gb: f64) {
         self.cached_images.retain(|cached| cached.name != image);
         self.cached_images.push(CachedImage {
@@ -313,24 +325,24 @@
         }
     }
 
-    /// Allocates a task to it.
-    pub(super) fn allocate(&mut self, task: TaskId, allocation: Allocation) {
+    /// Adds the allocation of a task.
+    pub(super) fn add_allocation(&mut self, task: TaskId, allocation: Allocation) {
         self.allocated_resources.add(&allocation.resources);
         self.allocations.insert(task, allocation);
     }
 
-    /// Frees the allocation of a task.
-    pub(super) fn free(&mut self, task: TaskId) -> Option<Allocation> {
+    /// Removes the allocation of a task.
+    pub(super) fn remove_allocation(&mut self, task: TaskId) -> Option<Allocation> {
         let allocation = self.allocations.remove(&task)?;
         self.allocated_resources.remove(&allocation.resources);
         if self.allocations.is_empty() {
-            // Sums of decimals are not exact.
+            // Floating-point sums are inexact; an empty host has exactly nothing allocated.
             self.allocated_resources = Resources::default();
         }
         Some(allocation)
     }
 
-    /// A `run` is sent by a direct command.
+    /// Notes that a `run` of the attempt is sent as a direct command.
     pub(super) fn on_run_sent_directly(&mut self, task: TaskId, attempt: Attempt) {
         *self.unacknowledged_runs.entry((task, attempt)).or_default() += 1;
         if let Some(allocation) = self.allocations.get_mut(&task) {
@@ -338,7 +350,7 @@
         }
     }
 
-    /// A direct `run` got its response, or surely was not executed.
+    /// Notes that a direct `run` has had its response, or was certainly not executed.
     pub(super) fn on_run_acknowledged(&mut self, task: TaskId, attempt: Attempt) {
         if let Some(count) = self.unacknowledged_runs.get_mut(&(task, attempt)) {
             *count -= 1;
@@ -348,7 +360,8 @@
         }
     }
 
-    /// The worker began a new incarnation, so it has forgotten all attempts and executes no older command.
+    /// Begins a new incarnation of the worker, which has forgotten all attempts and executes no command for an earlier
+    /// one.
     pub(super) fn begin_incarnation(&mut self, incarnation: Incarnation) {
         self.incarnation = incarnation;
         self.ended_attempts.clear();
--- a/src/coordination/cluster/hosts.rs
+++ b/src/coordination/cluster/hosts.rs
@@ -1,4 +1,4 @@
-//! Hosts as they are provisioned, listed, cordoned and released.
+//! Lifecycle of hosts: provisioning, the cloud's host list, cordoning and release.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -8,10 +8,10 @@
 use crate::protocol::cloud::{ListedHost, ListedHostState};
 use crate::types::{HostName, TaskId, Time};
 
-/// How long the names of released hosts are kept: a list or a late heartbeat may still name them.
-const RELEASED_HOSTS_KEPT_FOR: Duration = Duration::from_secs(600);
+/// How long the names of released hosts are kept: the lagging host list or a delayed heartbeat may still name them.
+const RELEASED_HOST_RETENTION: Duration = Duration::from_secs(600);
 
-/// Hosts that the cloud has provisioned.
+/// Hosts that the cloud has provisioned for one request.
 #[derive(Debug)]
 pub(crate) struct ProvisionedHosts {
     pub(crate) names: Vec<HostName>,
@@ -19,12 +19,12 @@
     pub(crate) type_index: usize,
     pub(crate) zone: String,
     pub(crate) is_spot: bool,
-    /// When they were asked for.
+    /// When they were requested.
     pub(crate) requested_at: Time,
 }
 
 impl ClusterState {
-    /// Adds hosts that were provisioned, or fills in what is known of them.
+    /// Adds provisioned hosts. Of those already known from the host list or a heartbeat, it sets the attributes.
     pub(crate) fn add_provisioned(&mut self, provisioned: ProvisionedHosts, now: Time) {
         for name in provisioned.names {
             if self.was_released(&name) {
@@ -41,64 +41,71 @@
         }
     }
 
-    /// Takes in the cloud's list, whole. It lags by up to `max_lag`: what it lacks proves nothing. Returns the hosts
-    /// that have failed, which are to be released.
+    /// Applies the complete host list of the cloud. The list lags by up to `max_lag`, so a host that is
+    /// missing from it need not be gone. Returns the hosts that have failed, which are to be released.
     pub(crate) fn on_host_list(
         &mut self,
         listed: &[ListedHost],
         max_lag: Duration,
         now: Time,
     ) -> Vec<HostName> {
-        let names: BTreeSet<&HostName> = listed.iter().map(|item| &item.name).collect();
+        let names: BTreeSet<&HostName> =
+            listed.iter().map(|listed_host| &listed_host.name).collect();
         for host in self.hosts.values_mut() {
-            // Once listed, a host stays listed until it is gone; only a list from before it was provisioned could
-            // lack it, and that is ruled out by its age. This frees no allocation; the release's response does.
+            // Once listed, a host stays listed until it is gone. Only a list from before it was provisioned could lack
+            // it, and its age rules that out. This frees no allocation; the response to the release does.
             let is_older_than_list = now.since(host.provisioned_at) > max_lag;
             host.is_missing_from_list =
                 host.was_listed && is_older_than_list && !names.contains(&host.name);
         }
         let mut failed = Vec::new();
-        for item in listed {
-            if self.was_released(&item.name) {
+        for listed_host in listed {
+            if self.was_released(&listed_host.name) {
                 continue;
             }
-            if self.on_listed_host(item, now) {
-                failed.push(item.name.clone());
+            if self.on_listed_host(listed_host, now) {
+                failed.push(listed_host.name.clone());
             }
         }
         failed
     }
 
-    /// Takes in one host of the list. Returns whether it is to be released, as it has failed.
-    fn on_listed_host(&mut self, item: &ListedHost, now: Time) -> bool {
+    /// Applies one entry of the host list. Returns whether the host has failed and is to be released.
+    fn on_listed_host(&mut self, listed_host: &ListedHost, now: Time) -> bool {
         let type_index = self
             .machine_types
             .iter()
-            .position(|machine_type| machine_type.name == item.machine_type);
-        let host = self.hosts.entry(item.name.clone()).or_insert_with(|| {
-            tracing::info!("{}: found in the list", item.name);
-            let age_ms = (item.age_s.0.max(0.0) * 1000.0) as u64;
-            let mut host = Host::new(item.name.clone(), now);
-            host.provisioned_at = Time(now.0.saturating_sub(age_ms));
-            host
-        });
+            .position(|machine_type| machine_type.name == listed_host.machine_type);
+        let host = self
+            .hosts
+            .entry(listed_host.name.clone())
+            .or_insert_with(|| {
+                tracing::info!("{}: added from the cloud's host list", listed_host.name);
+                let age_ms = (listed_host.age_s.0.max(0.0) * 1000.0) as u64;
+                let mut host = Host::new(listed_host.name.clone(), now);
+                host.provisioned_at = Time(now.0.saturating_sub(age_ms));
+                host
+            });
         host.type_index = host.type_index.or(type_index);
         if host.zone.is_empty() {
-            host.zone.clone_from(&item.zone);
-            host.is_spot = item.spot;
+            host.zone.clone_from(&listed_host.zone);
+            host.is_spot = listed_host.spot;
         }
         host.was_listed = true;
         if host.address.is_none() {
-            host.address = item.address.parse().ok();
+            host.address = listed_host.address.parse().ok();
         }
-        match item.state {
+        match listed_host.state {
             ListedHostState::Running => {
                 host.listed_running_since.get_or_insert(now);
                 false
             }
             ListedHostState::Failed => {
                 if host.lifecycle != HostLifecycle::Releasing {
-                    tracing::info!("{}: failed, says the cloud", item.name);
+                    tracing::info!(
+                        "{}: reported as failed by the cloud; releasing it",
+                        listed_host.name
+                    );
                 }
                 host.begin_release(CordonReason::Lost)
             }
@@ -106,7 +113,7 @@
         }
     }
 
-    /// The cloud confirmed that these hosts and all on them are gone, which ends their allocations.
+    /// Removes hosts whose release the cloud has confirmed. All tasks on them are gone, so their allocations end.
     pub(crate) fn remove_hosts(&mut self, names: &[HostName], now: Time) {
         for name in names {
             if let Some(mut host) = self.hosts.remove(name) {
@@ -118,12 +125,13 @@
             self.released_hosts.insert(name.clone(), now);
         }
         self.released_hosts
-            .retain(|_, released_at| now.since(*released_at) <= RELEASED_HOSTS_KEPT_FOR);
+            .retain(|_, released_at| now.since(*released_at) <= RELEASED_HOST_RETENTION);
         self.request_scheduling();
     }
 
-    /// The process was paused for longer than its lease. Everything heard before is outdated, and so is what arrives
-    /// now, as it waited here. A host is used again once it has been heard twice or has answered a probe.
+    /// Marks all hosts as unresponsive after this process was paused for longer than its lease. All heartbeats from
+    /// before are outdated, and so are those that arrive next, as they were queued meanwhile. A host is used again
+    /// after two heartbeats or the response to a probe.
     pub(crate) fn mark_all_unresponsive(&mut self) {
         for host in self.hosts.values_mut() {
             if host.is_up() {
@@ -132,20 +140,20 @@
         }
     }
 
-    /// The host missed heartbeats for too long.
+    /// Marks a host as unresponsive, as it has sent no heartbeat for too long.
     pub(crate) fn mark_unresponsive(&mut self, name: &HostName) {
         if let Some(host) = self.hosts.get_mut(name) {
             host.set_lifecycle(HostLifecycle::Unresponsive);
         }
     }
 
-    /// Cordons the host for good and marks it as being released. Returns false if it was already.
+    /// Cordons a host permanently and marks it as being released. Returns false if it was being released already.
     pub(crate) fn begin_release(&mut self, name: &HostName, reason: CordonReason) -> bool {
         let host = self.hosts.get_mut(name);
         host.is_some_and(|host| host.begin_release(reason))
     }
 
-    /// Marks the host as being released by force, whatever its state is.
+    /// Marks a host as being forcibly released, whatever its lifecycle and allocations.
     pub(crate) fn begin_forced_release(&mut self, name: &HostName, now: Time) {
         if let Some(host) = self.hosts.get_mut(name) {
             host.cordon(CordonReason::Lost);
@@ -154,14 +162,14 @@
         }
     }
 
-    /// Marks an empty host that is cordoned already as being released.
+    /// Marks a host that is cordoned and has no allocations as being released.
     pub(crate) fn begin_release_of_empty(&mut self, name: &HostName) {
         if let Some(host) = self.hosts.get_mut(name) {
             host.set_lifecycle(HostLifecycle::Releasing);
         }
     }
 
-    /// Cordons a host that the present demand does not need.
+    /// Cordons a host that current demand does not need.
     pub(crate) fn cordon_surplus(&mut self, name: &HostName, now: Time) {
         if let Some(host) = self.hosts.get_mut(name) {
             host.cordon(CordonReason::Surplus);
@@ -171,24 +179,24 @@
         }
     }
 
-    /// Uncordons a host that was cordoned as surplus, and asks for a scheduling pass if it was.
+    /// Uncordons a host if it is cordoned as surplus, and then requests a scheduling pass. Returns whether it was.
     pub(crate) fn uncordon_surplus(&mut self, name: &HostName) -> bool {
         let host = self.hosts.get_mut(name);
-        let was_cordoned = host.is_some_and(Host::uncordon);
+        let was_cordoned = host.is_some_and(Host::uncordon_if_surplus);
         if was_cordoned {
             self.request_scheduling();
         }
         was_cordoned
     }
 
-    /// Keeps a host from being cordoned as surplus until then.
+    /// Keeps a host from being cordoned as surplus before `until`.
     pub(crate) fn keep_uncordoned_until(&mut self, name: &HostName, until: Time) {
         if let Some(host) = self.hosts.get_mut(name) {
             host.keep_uncordoned_until = until;
         }
     }
 
-    /// A probe was sent to the host; the next one may follow at `next_probe_at`.
+    /// Notes that a probe was sent to the host. The next one may follow from `next_probe_at` on.
     pub(crate) fn on_probe_sent(&mut self, name: &HostName, next_probe_at: Time) {
         if let Some(host) = self.hosts.get_mut(name) {
             host.next_probe_at = next_probe_at;
--- a/src/coordination/cluster/job/chunk.rs
+++ b/src/coordination/cluster/job/chunk.rs
@@ -5,21 +5,21 @@
 /// State of one task.
 #[derive(Clone, Debug, PartialEq)]
 pub enum TaskState {
-    /// Not allocated; attempts up to `last` were used.
+    /// Not allocated. Attempt numbers up to `last_attempt` were used.
     Waiting {
-        /// The last attempt that was used; 0 if none was.
+        /// Number of the last attempt; 0 if there was none.
         last_attempt: Attempt,
     },
     /// Allocated to a host.
     Allocated {
-        /// The host.
+        /// The host that it is allocated to.
         host: HostName,
-        /// Which attempt it is.
+        /// Number of the attempt.
         attempt: Attempt,
-        /// Incarnation of the worker that the attempt is meant for.
+        /// Incarnation of the worker that the attempt is allocated to.
         incarnation: Incarnation,
     },
-    /// Completed. This is final.
+    /// Completed successfully. This is final.
     Done,
 }
 
@@ -31,32 +31,33 @@
     }
 }
 
-/// A change of a run record: the record's number, and the count of its changes with this one.
+/// A change of a run record in memory, which is identified by how many changes the record has had with it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RecordChange {
     /// Number of the run record.
     pub record_number: u32,
-    /// Count of its changes.
+    /// Count of the changes of the run record, including this one.
     pub change_count: u64,
 }
 
-/// The tasks that share a run record, and how far the record is written.
+/// The tasks that share a run record, and which of their changes are written to the record.
 #[derive(Debug)]
 pub struct Chunk {
     tasks: Vec<TaskState>,
     allocated_count: u32,
-    /// The version of its record; 0 while there is none.
+    /// Version of its run record in the store; [`Version::ABSENT`] while there is none.
     pub record_version: Version,
-    /// How many changes there were since it was read or created.
+    /// Number of changes since the record was read or the chunk was created.
     pub change_count: u64,
-    /// The last change that is known to be written.
+    /// Number of these changes that are known to be written.
     pub written_change_count: u64,
-    /// A lost response left the record's version unknown; it has to be read before the next write.
+    /// Whether the record's version is unknown after a lost response. It has to be read before the next write.
     pub is_version_unknown: bool,
 }
 
 impl Chunk {
-    /// Tasks whose record has that version, after so many changes of which none is known to be written.
+    /// A chunk with these tasks and version of its run record, after `change_count` changes of which none is known to
+    /// be written.
     pub(super) fn new(tasks: Vec<TaskState>, record_version: Version, change_count: u64) -> Chunk {
         let is_allocated = |task: &&TaskState| matches!(task, TaskState::Allocated { .. });
         Chunk {
@@ -69,7 +70,7 @@
         }
     }
 
-    /// So many tasks that were never allocated.
+    /// A chunk of `task_count` tasks that were never allocated.
     pub(super) fn never_allocated(task_count: u32) -> Chunk {
         let tasks = vec![TaskState::default(); task_count as usize];
         Chunk::new(tasks, Version::ABSENT, 0)
@@ -80,7 +81,7 @@
         self.tasks.iter().all(|task| *task == TaskState::default())
     }
 
-    /// States of its tasks.
+    /// States of its tasks, in the order of their indexes.
     pub fn tasks(&self) -> &[TaskState] {
         &self.tasks
     }
@@ -90,13 +91,13 @@
         self.allocated_count > 0
     }
 
-    /// Whether there may be a record of it.
+    /// Whether there may be a run record of it in the store.
     pub(crate) fn may_have_record(&self) -> bool {
         self.record_version != Version::ABSENT || self.is_version_unknown
     }
 
-    /// Changes the state of the task at that offset. Returns the state before; `None`, with nothing changed, if there
-    /// is no such task or it is done.
+    /// Changes the state of the task at this offset. Returns its old state; `None`, with nothing changed, if there is
+    /// no such task or it is done.
     pub(super) fn replace_task(&mut self, offset: usize, state: TaskState) -> Option<TaskState> {
         let task = self.tasks.get_mut(offset)?;
         if *task == TaskState::Done {
--- a/src/coordination/cluster/job/mod.rs
+++ b/src/coordination/cluster/job/mod.rs
@@ -1,4 +1,4 @@
-//! A job as the leader knows it: which of its tasks wait, which are allocated where and which are done.
+//! A job as the leader sees it: which of its tasks are waiting, allocated to which host, or done.
 
 mod chunk;
 mod failures;
@@ -17,85 +17,85 @@
 use crate::storage::records::{JobRecord, OutcomeRecord, RunRecord};
 use crate::types::{Attempt, HostName, JobId, Time, Version};
 
-/// The owner's estimate of a task's run time where only run records of the job are left, in seconds.
+/// Estimate of a task's run time, in seconds, where only run records of its job are left.
 const UNKNOWN_ESTIMATE_S: f64 = 30.0;
 
-/// Where a job is in its life.
+/// Phase of a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum JobPhase {
-    /// Accepted; its tasks are placed as they can be.
+    /// Accepted; its tasks are placed when there is capacity.
     Active,
-    /// All tasks are done; its outcome is to be written.
+    /// All its tasks are done; its outcome is to be written.
     Finishing,
-    /// Cancelled, or otherwise over in the records. Its allocations remain until they are proven to have ended.
+    /// Cancelled, or only run records of it are left. Its allocations remain until they are proven to have ended.
     Cancelled,
-    /// Over with nothing allocated; its run records are being deleted.
+    /// Over, and none of its tasks is allocated; its run records are being deleted.
     GarbageCollecting,
 }
 
-/// A replica of a service that does not run.
+/// The outage of a replica of a service, which ran before.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReplicaOutage {
-    /// Since when it does not run.
+    /// When it stopped running.
     pub since: Time,
-    /// Why, for the log.
+    /// Why it stopped running, for the log.
     pub cause: &'static str,
 }
 
-/// A job as the leader knows it. Only [`super::ClusterState`] hands out jobs, and only to read.
+/// A job as the leader sees it. Only [`super::ClusterState`] hands out jobs, and only as shared references.
 #[derive(Debug)]
 pub struct Job {
-    /// Its id.
+    /// Id of the job.
     pub id: JobId,
-    /// Its description; `None` once it is over and only run records are left.
+    /// Its description; `None` if it is over and only run records or its outcome are left.
     pub spec: Option<Box<JobSpec>>,
-    /// Version of its record, which orders jobs by their arrival.
+    /// Version of its job record. Versions order jobs by their arrival.
     pub record_version: Version,
-    /// Time of day of its submission, in milliseconds.
+    /// Unix time of its submission, in milliseconds.
     pub submitted_at_ms: u64,
-    /// Team whose quota applies.
+    /// Team whose quota it uses.
     pub team: String,
-    /// What each of its tasks takes.
+    /// Resources that each of its tasks uses.
     pub task_resources: Resources,
-    /// Where it is in its life.
+    /// Its phase.
     pub phase: JobPhase,
     /// When its cancellation became known to this leader.
     pub cancelled_at: Option<Time>,
-    /// How many tasks it has.
+    /// Number of its tasks.
     pub task_count: u32,
-    /// How many of its tasks are done.
+    /// Number of its tasks that are done.
     pub done_count: u32,
-    /// How many of its tasks are allocated.
+    /// Number of its tasks that are allocated.
     pub allocated_count: u32,
 
-    /// How many tasks share a run record.
+    /// Number of tasks in each of its run records.
     pub tasks_per_record: u32,
-    /// The tasks by run record; `None` while nothing of a record was ever allocated.
+    /// Its tasks by the number of their run record; `None` while no task of that record was ever allocated.
     pub chunks: Vec<Option<Box<Chunk>>>,
-    /// Tasks from here on were never allocated.
+    /// No task from this index on was ever allocated.
     first_never_allocated: u32,
-    /// The other tasks that wait: they were allocated before.
+    /// Indexes of the waiting tasks before that one, most of which were allocated before.
     retry_queue: BTreeSet<u32>,
 
-    /// Its tasks wait until then, after failures.
+    /// None of its tasks is placed before this time, as an earlier one failed or was refused.
     pub retry_not_before: Time,
-    /// Failures since a task last ran well.
-    pub consecutive_failures: u32,
-    /// Hosts on which a task failed.
+    /// How many of its tasks failed; of a service, how many replicas since one last ran for long.
+    pub failure_count: u32,
+    /// Hosts on which a task of it failed.
     pub failed_hosts: BTreeSet<HostName>,
-    /// Replicas of a service that ran and do not any more.
+    /// Outages of the replicas of a service, by the index of their task.
     pub replica_outages: BTreeMap<u32, ReplicaOutage>,
 
-    /// The split of its run records into smaller ones, while one is under way.
+    /// The split of its run records into smaller ones, while one is in progress.
     pub record_split: Option<RecordSplit>,
-    /// Run records of a split that never came into force, and their versions.
+    /// Numbers and versions of run records that were written for a split that was not completed.
     pub abandoned_records: BTreeMap<u32, Version>,
-    /// Its outcome, while that stands in the place of its description and is yet to be moved to the archive.
+    /// Its outcome, while that is stored in place of its description and is not yet moved to the archive.
     pub unarchived_outcome: Option<OutcomeRecord>,
 }
 
 impl Job {
-    /// A job of which nothing is allocated.
+    /// A job with this job record, none of whose tasks was ever allocated.
     pub fn new(record: JobRecord, record_version: Version) -> Job {
         let JobRecord {
             spec,
@@ -123,7 +123,7 @@
         }
     }
 
-    /// A job of which only run records are left: it was cancelled under an earlier leader.
+    /// A job that was cancelled under an earlier leader, so that only run records of it are left.
     pub(super) fn from_run_record(id: JobId, record: &RunRecord, now: Time) -> Job {
         let resources = Resources {
             cpus: record.cpus,
@@ -137,8 +137,8 @@
         }
     }
 
-    /// A job that an earlier leader finished, whose records are not deleted yet.
-    pub(super) fn finished_earlier(
+    /// A job that an earlier leader finished and whose records are not all deleted yet.
+    pub(super) fn finished_by_earlier_leader(
         id: JobId,
         outcome: OutcomeRecord,
         record_version: Version,
@@ -174,7 +174,7 @@
             first_never_allocated: 0,
             retry_queue: BTreeSet::new(),
             retry_not_before: Time::default(),
-            consecutive_failures: 0,
+            failure_count: 0,
             failed_hosts: BTreeSet::new(),
             replica_outages: BTreeMap::new(),
             record_split: None,
@@ -183,7 +183,7 @@
         }
     }
 
-    /// The outcome that is recorded once all its tasks are done.
+    /// The outcome to be written once all its tasks are done.
     pub(super) fn outcome(&self) -> OutcomeRecord {
         OutcomeRecord {
             state: JobState::Done,
@@ -191,13 +191,13 @@
         }
     }
 
-    /// Its outcome is written in the place of its description, at that version.
+    /// Notes that its outcome was written in place of its description, at this version.
     pub(super) fn on_outcome_written(&mut self, record_version: Version) {
         self.record_version = record_version;
         self.unarchived_outcome = Some(self.outcome());
     }
 
-    /// A run record of it is deleted.
+    /// Notes that one of its run records was deleted.
     pub(super) fn on_run_record_deleted(&mut self, number: u32) {
         self.abandoned_records.remove(&number);
         if let Some(chunk) = self.chunks.get_mut(number as usize) {
@@ -205,7 +205,7 @@
         }
     }
 
-    /// Whether it is over and nothing is left of it in the records but its archived outcome.
+    /// Whether it is over and nothing but its archived outcome is left in the store.
     pub(super) fn is_deleted(&self) -> bool {
         let mut chunks = self.chunks.iter().flatten();
         self.phase == JobPhase::GarbageCollecting
@@ -214,16 +214,16 @@
             && chunks.all(|chunk| !chunk.may_have_record())
     }
 
-    /// The one place where the phase changes.
+    /// Changes the phase. Nothing else does once the job is created.
     pub(super) fn set_phase(&mut self, phase: JobPhase, now: Time) {
-        tracing::debug!("{}: {:?} -> {phase:?}", self.id, self.phase);
+        tracing::debug!("{}: phase {:?} -> {phase:?}", self.id, self.phase);
         self.phase = phase;
         if phase == JobPhase::Cancelled {
             self.cancelled_at.get_or_insert(now);
         }
     }
 
-    /// Its priority; normal where only run records are left.
+    /// Its priority; normal if its description is unknown.
     pub fn priority(&self) -> Priority {
         self.spec
             .as_ref()
@@ -235,7 +235,7 @@
         self.spec.as_ref().is_some_and(|spec| spec.is_service())
     }
 
-    /// How many tasks wait to be allocated.
+    /// Number of tasks that wait to be allocated.
     pub fn waiting_count(&self) -> u32 {
         if self.phase == JobPhase::Active {
             self.retry_queue.len() as u32 + (self.task_count - self.first_never_allocated)
@@ -244,9 +244,9 @@
         }
     }
 
-    /// How many tasks may be allocated now. A job that fails everywhere is tried one task at a time: all of them would
-    /// take hosts, and fetch images, only to fail again. Where others of its tasks run on, it may have met faulty hosts
-    /// only.
+    /// Number of tasks that may be allocated now. A job that fails everywhere is tried with one task at a time, as all
+    /// its tasks would occupy hosts and fetch images only to fail again. If others of its tasks are still running, the
+    /// failures may be due to faulty hosts, and all may be allocated.
     pub fn schedulable_count(&self) -> u32 {
         if self.fails_everywhere() && self.allocated_count == 0 {
             self.waiting_count().min(1)
@@ -255,19 +255,19 @@
         }
     }
 
-    /// The waiting task that is allocated next.
+    /// Index of the waiting task that is allocated next.
     pub fn next_waiting_task(&self) -> Option<u32> {
-        let untouched =
+        let never_allocated =
             (self.first_never_allocated < self.task_count).then_some(self.first_never_allocated);
-        self.retry_queue.first().copied().or(untouched)
+        self.retry_queue.first().copied().or(never_allocated)
     }
 
-    /// Number of the run record that holds the task.
+    /// Number of the run record that holds the task with this index.
     pub fn record_number_of(&self, index: u32) -> u32 {
         index / self.tasks_per_record
     }
 
-    /// The tasks of a run record; `None` if none of them was ever allocated.
+    /// The tasks of the run record with this number; `None` if none of them was ever allocated.
     pub fn chunk(&self, number: u32) -> Option<&Chunk> {
         self.chunks.get(number as usize)?.as_deref()
     }
@@ -288,7 +288,7 @@
             .min(self.task_count.saturating_sub(first))
     }
 
-    /// State of a task; `None` if nothing of its run record was ever allocated.
+    /// State of a task; `None` if no task of its run record was ever allocated.
     pub fn task_state(&self, index: u32) -> Option<&TaskState> {
         let chunk = self.chunk(self.record_number_of(index))?;
         chunk.tasks().get(self.offset_in_chunk(index))
@@ -298,16 +298,19 @@
         (index % self.tasks_per_record) as usize
     }
 
-    /// The one place where a task changes its state. Returns the change of its run record, which has to be written;
-    /// `None`, with nothing changed, if there is no such task or it is done.
+    /// Changes the state of a task. Nothing else does once the records are read. Returns the change of its run record,
+    /// which has to be written; `None`, with nothing changed, if there is no such task or it is done already.
     pub(super) fn set_task(&mut self, index: u32, state: TaskState) -> Option<RecordChange> {
-        let record = self.record_number_of(index);
-        let (length, offset) = (self.chunk_length(record), self.offset_in_chunk(index));
-        let slot = self.chunks.get_mut(record as usize)?;
+        let record_number = self.record_number_of(index);
+        let (length, offset) = (
+            self.chunk_length(record_number),
+            self.offset_in_chunk(index),
+        );
+        let slot = self.chunks.get_mut(record_number as usize)?;
         let chunk = slot.get_or_insert_with(|| Box::new(Chunk::never_allocated(length)));
-        let before = chunk.replace_task(offset, state.clone())?;
-        let count = chunk.change_count;
-        match before {
+        let old_state = chunk.replace_task(offset, state.clone())?;
+        let change_count = chunk.change_count;
+        match old_state {
             TaskState::Waiting { .. } if index == self.first_never_allocated => {
                 self.first_never_allocated += 1
             }
@@ -325,27 +328,30 @@
             TaskState::Done => self.done_count += 1,
         }
         Some(RecordChange {
-            record_number: record,
-            change_count: count,
+            record_number,
+            change_count,
         })
     }
 
-    /// The hosts that its tasks are allocated to, one for each task.
+    /// The host of each of its allocated tasks. A host with several of them is repeated.
     pub fn allocated_hosts(&self) -> impl Iterator<Item = &HostName> {
-        let some = if self.allocated_count > 0 {
+        let chunks = if self.allocated_count > 0 {
             &self.chunks[..]
         } else {
             &[]
         };
-        let holding = some.iter().flatten().filter(|c| c.has_allocations());
-        let tasks = holding.flat_map(|c| c.tasks());
-        tasks.filter_map(|t| match t {
+        let with_allocations = chunks
+            .iter()
+            .flatten()
+            .filter(|chunk| chunk.has_allocations());
+        let tasks = with_allocations.flat_map(|chunk| chunk.tasks());
+        tasks.filter_map(|task| match task {
             TaskState::Allocated { host, .. } => Some(host),
             TaskState::Waiting { .. } | TaskState::Done => None,
         })
     }
 
-    /// The last attempt at a task; 0 if there was none.
+    /// Number of the last attempt at a task; 0 if there was none, or the task is done.
     pub fn last_attempt(&self, index: u32) -> Attempt {
         match self.task_state(index) {
             Some(TaskState::Waiting { last_attempt: last }) => *last,
@@ -361,24 +367,26 @@
             .map_or(UNKNOWN_ESTIMATE_S, |spec| spec.estimate_s.0.max(1.0))
     }
 
-    /// When it should be complete, in milliseconds of the time of day. A service has no deadline.
+    /// Its deadline as Unix time in milliseconds. A service has none.
     pub fn deadline_ms(&self) -> Option<f64> {
         let spec = self.spec.as_ref().filter(|spec| !spec.is_service())?;
         spec.deadline_s
-            .map(|d| self.submitted_at_ms as f64 + d.0 * 1000.0)
+            .map(|deadline_s| self.submitted_at_ms as f64 + deadline_s.0 * 1000.0)
     }
 
-    /// Seconds from that time of day until it is due; negative once it is overdue.
-    pub fn time_to_deadline_s(&self, day_ms: u64) -> Option<f64> {
-        self.deadline_ms().map(|due| (due - day_ms as f64) / 1000.0)
+    /// Seconds from the given Unix time until its deadline; negative once the deadline has passed.
+    pub fn time_to_deadline_s(&self, unix_time_ms: u64) -> Option<f64> {
+        self.deadline_ms()
+            .map(|deadline_ms| (deadline_ms - unix_time_ms as f64) / 1000.0)
     }
 
-    /// Whether it would miss its deadline even with all of these CPUs to itself from now on, if its tasks run for
-    /// `run_s` seconds each.
-    pub fn will_miss_deadline(&self, run_s: f64, cpus: f64, day_ms: u64) -> bool {
-        let work = f64::from(self.waiting_count()) * self.task_resources.cpus * run_s;
-        let last_start = if cpus > 0.0 { work / cpus } else { 0.0 };
-        let end = day_ms as f64 + (last_start + run_s) * 1000.0;
-        self.deadline_ms().is_some_and(|due| end > due)
+    /// Whether it would miss its deadline even with `cpus` CPUs to itself from the given Unix time on, if each of its
+    /// tasks runs for `run_time_s`.
+    pub fn will_miss_deadline(&self, run_time_s: f64, cpus: f64, unix_time_ms: u64) -> bool {
+        let cpu_seconds = f64::from(self.waiting_count()) * self.task_resources.cpus * run_time_s;
+        let last_start_s = if cpus > 0.0 { cpu_seconds / cpus } else { 0.0 };
+        let end_ms = unix_time_ms as f64 + (last_start_s + run_time_s) * 1000.0;
+        self.deadline_ms()
+            .is_some_and(|deadline_ms| end_ms > deadline_ms)
     }
 }
--- a/src/coordination/cluster/job/run_records.rs
+++ b/src/coordination/cluster/job/run_records.rs
@@ -1,4 +1,4 @@
-//! A job's run records: what is read from them after an election, and what is written of the job.
+//! Converts between a job's tasks and its run records, which are read after an election and written as tasks change.
 
 use super::{Chunk, Job, JobPhase, TaskState};
 use crate::storage::records::{
@@ -6,32 +6,35 @@
 };
 use crate::types::{Attempt, HostName, Incarnation, Version};
 
-/// Numbers of run records beyond this are no job's.
-const MAX_RECORD_NUMBER: usize = 100_000;
+/// Maximum number of run records of a job. Records with higher numbers are ignored.
+const MAX_RECORD_COUNT: usize = 100_000;
 
 /// An allocation as a run record holds it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RecordedAllocation {
-    /// Number of the task in its job.
+    /// Index of the task within its job.
     pub task_index: u32,
-    /// Which attempt it is.
+    /// Number of the attempt.
     pub attempt: Attempt,
-    /// The host.
+    /// The host that the task is allocated to.
     pub host: HostName,
-    /// Incarnation of the worker that the attempt is meant for.
+    /// Incarnation of the worker that the attempt is allocated to.
     pub incarnation: Incarnation,
 }
 
 impl Job {
-    /// Takes in a run record. Returns the allocations that it holds.
+    /// Applies a run record that was read. Returns the allocations in it.
     pub(crate) fn load_run_record(
         &mut self,
         number: u32,
         record: &RunRecord,
         version: Version,
     ) -> Vec<RecordedAllocation> {
-        if !self.is_in_force(number, record) {
-            tracing::info!("{}: run record {number} is not in force", self.id);
+        if !self.is_current(number, record) {
+            tracing::info!(
+                "{}: ignoring run record {number} of a split that was not completed",
+                self.id
+            );
             self.abandoned_records.insert(number, version);
             return Vec::new();
         }
@@ -40,36 +43,40 @@
             self.grow_chunks(number as usize);
         }
         if number as usize >= self.chunks.len() {
-            tracing::error!("{}: run record {number} lies beyond the job", self.id);
+            tracing::error!(
+                "{}: ignoring run record {number}, whose number is out of range",
+                self.id
+            );
             return Vec::new();
         }
         let tasks = task_states(record, self.chunk_length(number));
-        let first = number * self.tasks_per_record;
+        let first_task = number * self.tasks_per_record;
         let mut allocations = Vec::new();
-        for (index, task) in (first..).zip(&tasks) {
+        for (index, task) in (first_task..).zip(&tasks) {
             allocations.extend(self.load_task(index, task));
         }
         self.chunks[number as usize] = Some(Box::new(Chunk::new(tasks, version, 0)));
         allocations
     }
 
-    /// Whether the record is in force, and no part of a split that was broken off: what such a part holds stands in the
-    /// larger records too.
-    fn is_in_force(&self, number: u32, record: &RunRecord) -> bool {
+    /// Whether the record is one of the job's current records and not part of a split that was not completed. The
+    /// larger records from before such a split hold all that its records hold.
+    fn is_current(&self, number: u32, record: &RunRecord) -> bool {
         if self.spec.is_some() {
             return (number as usize) < self.chunks.len();
         }
-        let is_first = self.chunks.iter().flatten().next().is_none();
-        is_first || record.tasks_per_record == self.tasks_per_record
+        let is_first_record = self.chunks.iter().flatten().next().is_none();
+        is_first_record || record.tasks_per_record == self.tasks_per_record
     }
 
-    /// Of a job without a description it is not known how many records there are.
+    /// Makes room for the chunk with this number. How many records a job has is unknown if it has no description.
     fn grow_chunks(&mut self, number: usize) {
-        if number >= self.chunks.len() && number < MAX_RECORD_NUMBER {
+        if number >= self.chunks.len() && number < MAX_RECORD_COUNT {
             self.chunks.resize_with(number + 1, || None);
         }
     }
 
+    /// Counts a task that was read with its state. Returns its allocation, if it has one.
     fn load_task(&mut self, index: u32, task: &TaskState) -> Option<RecordedAllocation> {
         match task {
             TaskState::Waiting { .. } => {
@@ -96,26 +103,27 @@
         }
     }
 
-    /// All run records are read: the tasks of missing ones were never allocated.
+    /// Completes the loading once all run records are read. The tasks of missing records were never allocated.
     pub(crate) fn finish_loading(&mut self) {
         if self.phase != JobPhase::Active {
             self.retry_queue.clear();
             return;
         }
-        // The untouched ones at the end stay a range; missing records before them are rare.
+        // Tasks after the last record are kept as a range. Missing records before it are rare.
         let last_record = self.chunks.iter().rposition(Option::is_some);
-        let tail = last_record.map_or(0, |number| number + 1);
-        for number in 0..tail as u32 {
+        let record_count = last_record.map_or(0, |number| number + 1);
+        for number in 0..record_count as u32 {
             if self.chunk(number).is_none() {
-                let first = number * self.tasks_per_record;
-                let end = first + self.chunk_length(number);
-                self.retry_queue.extend(first..end);
+                let first_task = number * self.tasks_per_record;
+                let end = first_task + self.chunk_length(number);
+                self.retry_queue.extend(first_task..end);
             }
         }
-        self.first_never_allocated = (tail as u32 * self.tasks_per_record).min(self.task_count);
+        self.first_never_allocated =
+            (record_count as u32 * self.tasks_per_record).min(self.task_count);
     }
 
-    /// A run record as it is to be written; `None` if nothing of it was ever allocated.
+    /// The run record to be written for a chunk; `None` if none of its tasks was ever allocated.
     pub(crate) fn run_record(&self, number: u32) -> Option<RunRecord> {
         let chunk = self.chunk(number)?;
         let mut record = RunRecord {
@@ -140,14 +148,15 @@
     }
 }
 
+/// Adds a task at its offset to a run record. A waiting task without attempts has no entry.
 fn add_task(record: &mut RunRecord, offset: u32, task: &TaskState) {
     match task {
         TaskState::Waiting {
             last_attempt: Attempt(0),
         } => {}
-        TaskState::Waiting { last_attempt: last } => record.attempted.push(AttemptedEntry {
+        TaskState::Waiting { last_attempt } => record.attempted.push(AttemptedEntry {
             offset,
-            last_attempt: *last,
+            last_attempt: *last_attempt,
         }),
         TaskState::Allocated {
             host,
@@ -169,7 +178,7 @@
     }
 }
 
-/// The tasks of a run record that holds so many.
+/// States of the `task_count` tasks of a run record.
 fn task_states(record: &RunRecord, task_count: u32) -> Vec<TaskState> {
     let mut tasks = vec![TaskState::default(); task_count as usize];
     let mut set = |offset: u32, state: TaskState| {
@@ -178,8 +187,8 @@
         }
     };
     for entry in &record.attempted {
-        let last = entry.last_attempt;
-        set(entry.offset, TaskState::Waiting { last_attempt: last });
+        let last_attempt = entry.last_attempt;
+        set(entry.offset, TaskState::Waiting { last_attempt });
     }
     for range in &record.finished {
         let end = range.first.saturating_add(range.count).min(task_count);
--- a/src/coordination/cluster/jobs.rs
+++ b/src/coordination/cluster/jobs.rs
@@ -1,4 +1,4 @@
-//! Jobs as their records come and go.
+//! Applies job records, outcomes and cancellations to the state.
 
 use std::collections::BTreeSet;
 
@@ -8,23 +8,23 @@
 use crate::storage::records::{JobRecord, OutcomeRecord};
 use crate::types::{HostName, JobId, Term, Time, Version};
 
-/// What the record of a job brought about.
+/// How a job record changed the state.
 #[derive(Debug)]
 pub(crate) enum JobRecordEffect {
-    /// The job is new.
+    /// The job is new and was added.
     Added,
-    /// The job was known already, and nothing changed.
+    /// The job was known already, so nothing changed.
     AlreadyKnown,
-    /// The record is the last step of a split, whose outcome was lost. These hosts have tasks that may be started
-    /// now.
+    /// The record was written by the last step of a record split, the response to which was lost. The split has taken
+    /// effect.
     SplitCommitted {
-        /// Their names.
+        /// Hosts with tasks that may be started now.
         hosts_to_command: BTreeSet<HostName>,
     },
 }
 
 impl ClusterState {
-    /// Takes in the record of a job that is not over.
+    /// Applies the record of a job that is not over.
     pub(crate) fn on_job_record(
         &mut self,
         record: JobRecord,
@@ -46,8 +46,8 @@
         JobRecordEffect::Added
     }
 
-    /// Takes in an outcome that stands in the place of the job's description: the job was finished by an earlier
-    /// leader, or by this one and the response was lost.
+    /// Applies an outcome that has replaced the job's description under the same key: the job was finished by an
+    /// earlier leader, or by this one and the response to the write was lost.
     pub(crate) fn on_outcome_record(
         &mut self,
         id: JobId,
@@ -58,9 +58,9 @@
         let job = self
             .jobs
             .entry(id)
-            .or_insert_with(|| Job::finished_earlier(id, outcome, version));
+            .or_insert_with(|| Job::finished_by_earlier_leader(id, outcome, version));
         if job.phase == JobPhase::Active {
-            // Its tasks decide.
+            // An active job is finished by the states of its tasks alone.
             return;
         }
         if job.record_version != version {
@@ -71,14 +71,14 @@
         self.record_writer.queue_deletion(id);
     }
 
-    /// Cancels a job. Returns its allocated tasks, which have to be stopped; `None` if it is over already.
-    /// [`ClusterState::finish_cancelling`] has to follow once they are.
+    /// Cancels a job. Returns its allocated tasks, which have to be stopped; `None` if the job is unknown or over
+    /// already. [`ClusterState::finish_cancelling`] has to be called once their stop was requested.
     pub(crate) fn begin_cancelling(&mut self, id: JobId, now: Time) -> Option<Vec<AllocatedTask>> {
         let job = self.jobs.get_mut(&id)?;
         if !matches!(job.phase, JobPhase::Active | JobPhase::Finishing) {
             return None;
         }
-        tracing::debug!(job = %id, allocated = job.allocated_count, "cancelled");
+        tracing::debug!(job = %id, allocated = job.allocated_count, "job cancelled");
         job.set_phase(JobPhase::Cancelled, now);
         let allocated = self.hosts.values().flat_map(|host| {
             host.allocations
@@ -88,8 +88,8 @@
         Some(allocated.filter(|(_, task)| task.job == id).collect())
     }
 
-    /// The tasks of a cancelled job are marked to be stopped. Allocations that were not written are freed by that,
-    /// and no record of them will come.
+    /// Completes the cancellation of a job whose tasks were all marked to be stopped. That has freed the allocations
+    /// that were not written, and no run record with them will be written.
     pub(crate) fn finish_cancelling(&mut self, id: JobId, now: Time) {
         self.uncommitted_allocations
             .retain(|record, _| record.job != id);
@@ -97,8 +97,8 @@
         self.request_scheduling();
     }
 
-    /// Whether no other leader can command a task of the job: the workers that may hold one have seen the fencing
-    /// token of `term`, so they obey no earlier leader. A later leader reads the records first.
+    /// Whether no other leader can run a task of the job: all workers to which its tasks are allocated have seen the
+    /// fencing token of `term`, so they reject commands of earlier leaders. A later leader reads the records first.
     pub(crate) fn has_fenced_all_hosts(&self, id: JobId, term: Term) -> bool {
         let Some(job) = self.jobs.get(&id).filter(|job| job.allocated_count > 0) else {
             return true;
@@ -112,13 +112,13 @@
 
 fn log_new_job(spec: &JobSpec) {
     tracing::debug!(
-        "{}: {} tasks, {:?}, {} CPUs, about {} s each, saves every {} s, due in {} s",
+        "{}: new job: {} tasks, priority {:?}, {} CPUs, estimate {} s, checkpoint every {} s, deadline after {} s",
         spec.id,
         spec.tasks,
         spec.priority,
         spec.cpus.0,
         spec.estimate_s.0,
         spec.checkpoint_s.0,
-        spec.deadline_s.map_or(f64::INFINITY, |d| d.0)
+        spec.deadline_s.map_or(f64::INFINITY, |deadline_s| deadline_s.0)
     );
 }
--- a/src/coordination/cluster/loading.rs
+++ b/src/coordination/cluster/loading.rs
@@ -1,4 +1,4 @@
-//! Building the state from the records that earlier leaders left.
+//! Builds the state from the records that earlier leaders wrote.
 
 use super::host::{Allocation, Host, HostLifecycle, StopReason};
 use super::job::{Job, JobPhase};
@@ -7,7 +7,7 @@
 use crate::types::{JobId, TaskId, Time, Version};
 
 impl ClusterState {
-    /// Takes in a run record, with the allocations that it holds.
+    /// Applies a run record and the allocations in it.
     pub(crate) fn load_run_record(
         &mut self,
         id: RunRecordId,
@@ -37,17 +37,17 @@
                 job: id.job,
                 index: recorded.task_index,
             };
-            host.allocate(task, allocation);
-            self.charge(&team, &resources);
+            host.add_allocation(task, allocation);
+            self.add_team_usage(&team, &resources);
         }
     }
 
-    /// All records are read. Hosts count as unresponsive until their heartbeats come, as only the records speak for
-    /// them.
+    /// Completes the loading once all records are read. Hosts count as unresponsive until their heartbeats arrive, as
+    /// they are known from the records alone.
     pub(crate) fn finish_loading(&mut self, now: Time) {
         self.is_loaded = true;
-        let ids: Vec<JobId> = self.jobs.keys().copied().collect();
-        for id in ids {
+        let job_ids: Vec<JobId> = self.jobs.keys().copied().collect();
+        for id in job_ids {
             if let Some(job) = self.jobs.get_mut(&id) {
                 job.finish_loading();
             }
--- a/src/coordination/cluster/persistence.rs
+++ b/src/coordination/cluster/persistence.rs
@@ -1,4 +1,4 @@
-//! Writing the records of the state, and what follows once they are written.
+//! Writes the records of the state in batches, and commits allocations once their records are written.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -10,30 +10,30 @@
 use crate::storage::records::RunRecordId;
 use crate::types::{HostName, JobId, Time, Version};
 
-/// What the outcome of a batch means for the leader.
+/// Result of a batch, with what the leader has to do about it.
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) enum BatchResult {
-    /// These hosts have tasks that may be started now.
+    /// The records are written.
     Committed {
-        /// Their names.
+        /// Hosts with tasks that may be started now.
         hosts_to_command: BTreeSet<HostName>,
     },
-    /// Nothing was written, as conditions failed.
+    /// Nothing was written, as conditions of the transaction failed.
     Conflict {
-        /// Jobs whose records are gone: they were cancelled.
+        /// Jobs that were cancelled, as their records are gone.
         cancelled: Vec<JobId>,
-        /// The allowance of a team has changed, so the accounts have to be read again.
+        /// Whether the allowance of a team has changed, so that the quota records have to be read again.
         is_allowance_outdated: bool,
     },
-    /// This controller leads no more.
+    /// This controller is no longer the leader.
     LeadershipLost,
-    /// Nothing is decided; the records are written by a later batch.
+    /// Nothing is known to be written; a later batch writes the records.
     Retry,
 }
 
 impl ClusterState {
-    /// Puts together the next transaction of at most `max_changes`, if there is one to send. With
-    /// `has_spare_budget` it takes in records that nothing waits for.
+    /// Returns the next transaction of at most `max_changes` changes, if there is one to send. It includes records that
+    /// nothing waits for only with `has_spare_budget`.
     pub(crate) fn next_batch(&mut self, max_changes: usize, has_spare_budget: bool) -> Option<Txn> {
         if !self.is_loaded {
             return None;
@@ -45,7 +45,7 @@
             .next_batch(&mut self.jobs, max_changes, has_spare_budget)
     }
 
-    /// Takes in the outcome of the batch that was put together last.
+    /// Applies the outcome of the last batch.
     pub(crate) fn on_batch_outcome(&mut self, outcome: Outcome, now: Time) -> BatchResult {
         let result = match outcome {
             Outcome::Committed(revision) => {
@@ -82,24 +82,25 @@
         }
     }
 
-    /// Takes the run records whose versions have to be read before they can be written again.
+    /// Takes the run records whose versions have to be read before the records can be written again.
     pub(crate) fn take_records_of_unknown_version(&mut self) -> BTreeSet<RunRecordId> {
         self.record_writer.take_version_unknown()
     }
 
-    /// The version of a run record was read; `None` if it could not be, and has to be read again.
+    /// Applies the version that was read of a run record; with `None` the read failed, and has to be repeated.
     pub(crate) fn on_run_record_version(&mut self, id: RunRecordId, version: Option<Version>) {
         self.record_writer
             .on_version_read(&mut self.jobs, id, version);
     }
 
-    /// Sets the keys and versions that allocations of each team depend on, beside their own.
+    /// Sets the allowance fence of each team: the key and version on which the writes of its allocations are
+    /// conditional, in addition to their own records.
     pub(crate) fn set_allowance_fences(&mut self, fences: BTreeMap<String, (String, Version)>) {
         self.record_writer.set_allowance_fences(fences);
         self.request_scheduling();
     }
 
-    /// Allocations in these records may be started now. Returns the hosts that have such.
+    /// Commits the allocations in run records that were written. Returns the hosts with tasks that may be started now.
     pub(super) fn on_records_written(
         &mut self,
         written: &[RunRecordId],
@@ -109,75 +110,77 @@
         if written.is_empty() {
             return hosts_to_command;
         }
-        // Allocations may have waited for room among the records.
+        // Scheduling pauses while too many records wait to be written.
         self.request_scheduling();
         for id in written {
             self.check_completion(id.job, now);
         }
         for id in written {
-            let Some(waiting) = self.uncommitted_allocations.remove(id) else {
+            let Some(uncommitted) = self.uncommitted_allocations.remove(id) else {
                 continue;
             };
             let job = self.jobs.get(&id.job);
             let chunk = job.and_then(|job| job.chunk(id.number));
-            let written_change = chunk.map_or(0, |chunk| chunk.written_change_count);
-            let still_waiting =
-                self.commit_allocations(waiting, written_change, &mut hosts_to_command);
-            if !still_waiting.is_empty() {
-                self.uncommitted_allocations.insert(*id, still_waiting);
+            let written_change_count = chunk.map_or(0, |chunk| chunk.written_change_count);
+            let still_uncommitted =
+                self.commit_allocations(uncommitted, written_change_count, &mut hosts_to_command);
+            if !still_uncommitted.is_empty() {
+                self.uncommitted_allocations.insert(*id, still_uncommitted);
             }
         }
         hosts_to_command
     }
 
-    /// Commits the allocations whose change is written. Returns the others.
+    /// Commits the allocations that are part of the first `written_change_count` changes of their record. Returns the
+    /// others.
     fn commit_allocations(
         &mut self,
-        waiting: Vec<AllocatedTask>,
-        written_change: u64,
+        uncommitted: Vec<AllocatedTask>,
+        written_change_count: u64,
         hosts_to_command: &mut BTreeSet<HostName>,
     ) -> Vec<AllocatedTask> {
-        let mut still_waiting = Vec::new();
-        for (name, task) in waiting {
+        let mut still_uncommitted = Vec::new();
+        for (name, task) in uncommitted {
             let host = self.hosts.get_mut(&name);
             let allocation = host.and_then(|host| host.allocations.get_mut(&task));
-            let Some(allocation) = allocation.filter(|a| a.phase == AllocationPhase::Persisting)
+            let Some(allocation) =
+                allocation.filter(|allocation| allocation.phase == AllocationPhase::Persisting)
             else {
                 continue;
             };
-            if written_change >= allocation.record_change_count {
+            if written_change_count >= allocation.record_change_count {
                 allocation.phase = AllocationPhase::Committed;
                 hosts_to_command.insert(name);
             } else {
-                still_waiting.push((name, task));
+                still_uncommitted.push((name, task));
             }
         }
-        still_waiting
+        still_uncommitted
     }
 
-    /// Splits the records of a job of which one has become too large. What waits for an old record waits for the
-    /// new one that holds it.
+    /// Splits the run records of a job of which one has become too large. Uncommitted allocations are moved to the new
+    /// records that hold them.
     fn split_records(&mut self, id: JobId) {
         let Some(job) = self.jobs.get_mut(&id) else {
             return;
         };
-        // The last step writes the description too, which an earlier version may have left too large.
+        // The last step of the split also writes the description, which an earlier version may have left too large.
         job.shorten_description(self.record_writer.max_value_bytes(), &self.machine_types);
         if !self.record_writer.split(job) {
             return;
         }
-        let (of_job, others): (BTreeMap<_, _>, BTreeMap<_, _>) =
+        let (of_job, of_other_jobs): (BTreeMap<_, _>, BTreeMap<_, _>) =
             std::mem::take(&mut self.uncommitted_allocations)
                 .into_iter()
                 .partition(|(record, _)| record.job == id);
-        self.uncommitted_allocations = others;
+        self.uncommitted_allocations = of_other_jobs;
         for (host, task) in of_job.into_values().flatten() {
             let record = RunRecordId {
                 job: id,
                 number: job.record_number_of(task.index),
             };
-            let waiting = self.uncommitted_allocations.entry(record).or_default();
-            waiting.push((host, task));
+            let uncommitted = self.uncommitted_allocations.entry(record).or_default();
+            uncommitted.push((host, task));
         }
     }
 }
--- a/src/coordination/cluster/reconciliation.rs
+++ b/src/coordination/cluster/reconciliation.rs
@@ -1,7 +1,7 @@
-//! Reconciliation: squares what a worker's heartbeat says with the state.
+//! Reconciles the state with what a worker's heartbeat reports.
 //!
-//! Only a heartbeat that shows the term's fencing token proves anything: its worker obeys no earlier leader any
-//! more. One that was made before may be a late copy.
+//! Only a heartbeat with the fencing token of this term proves anything, as its worker rejects commands of earlier
+//! leaders. A heartbeat that was composed before its worker saw the token may be a delayed copy.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -18,28 +18,29 @@
 use crate::storage::records::RunRecordId;
 use crate::types::{seconds, Attempt, Incarnation, SequenceNumber, TaskId, Term, Time};
 
-/// An attempt that was started by a direct command stays in its worker's memory for so many of its leases after it
-/// ended, as a copy of the command may still arrive.
-const RETAINED_LEASES: u32 = 4;
-/// The tasks of a job of which one was refused wait for this long.
-const REFUSED_PAUSE: Duration = Duration::from_secs(1);
-/// A host with tasks of so many failing jobs is faulty.
-const FAULTY_AFTER_JOBS: usize = 2;
-/// A host with so many failures in a row is faulty, if the job succeeds elsewhere.
-const FAULTY_AFTER_FAILURES: u32 = 2;
-/// A single failing host with so many failures in a row is more likely to blame than its job.
-const FAILURES_THAT_BLAME_THE_HOST: u32 = 3;
+/// For how many worker leases an ended attempt that was started by a direct command is retained by its worker, as a
+/// copy of the command may still arrive.
+const ENDED_ATTEMPT_RETENTION_LEASES: u32 = 4;
+/// How long no task of a job is placed after a worker refused to start one.
+const START_REFUSED_BACKOFF: Duration = Duration::from_secs(1);
+/// A host on which tasks of this many jobs failed is faulty.
+const FAULTY_AFTER_FAILED_JOBS: usize = 2;
+/// A host with this many consecutive failures is faulty if the job succeeds elsewhere.
+const FAULTY_AFTER_CONSECUTIVE_FAILURES: u32 = 2;
+/// If a job has failed on one host only, this many consecutive failures there are blamed on the host and not on the
+/// job.
+const BLAME_HOST_AFTER_CONSECUTIVE_FAILURES: u32 = 3;
 
 /// How a heartbeat reached the leader.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum HeartbeatSource {
-    /// The worker sent it by itself. It may be a late copy.
+    /// The worker sent it on its own. It may be a delayed copy.
     Worker,
-    /// It came in the response to a direct command or a probe.
+    /// It is the response to direct commands or a probe.
     CommandResponse,
 }
 
-/// One reconciliation of a heartbeat with the state.
+/// The reconciliation of the state with one heartbeat.
 pub(crate) struct Reconciliation<'a> {
     pub(crate) cluster: &'a mut ClusterState,
     pub(crate) run_times: &'a mut RunTimes,
@@ -50,8 +51,8 @@
 }
 
 impl Reconciliation<'_> {
-    /// Takes in a heartbeat that shows this term's fencing token. Returns whether it was newer than all before;
-    /// others count for nothing.
+    /// Applies a heartbeat with this term's fencing token. Returns whether it was newer than all earlier ones of its
+    /// host; if not, it is ignored.
     pub(crate) fn apply(&mut self, heartbeat: &WorkerHeartbeat) -> bool {
         let name = heartbeat.host.clone();
         let mut host = self
@@ -61,10 +62,10 @@
             .unwrap_or_else(|| Host::new(name.clone(), self.now));
         let is_newer = host.is_newer_heartbeat(heartbeat);
         if is_newer {
-            self.update(&mut host, heartbeat);
+            self.apply_newer(&mut host, heartbeat);
         } else {
             tracing::debug!(
-                "{name}: late heartbeat {}/{}",
+                "{name}: ignoring late heartbeat, incarnation {}, sequence number {}",
                 heartbeat.incarnation,
                 heartbeat.sequence
             );
@@ -73,14 +74,14 @@
         is_newer
     }
 
-    /// Takes in a heartbeat that its worker made before it saw this term's fencing token. It may be a late copy, even
-    /// of a host that is gone by now, so it proves nothing, not even that there is such a host. The response carries
-    /// the token, and the next heartbeat counts.
+    /// Applies a heartbeat that its worker composed before it saw this term's fencing token. It may be a delayed copy,
+    /// even from a host that is gone by now, so it proves nothing, not even that the host exists. The response carries
+    /// the token, and the next heartbeat will show it.
     pub(crate) fn apply_unfenced(&mut self, heartbeat: &WorkerHeartbeat) {
         let Some(mut host) = self.cluster.hosts.remove(&heartbeat.host) else {
             return;
         };
-        self.describe(&mut host, heartbeat);
+        self.update_attributes(&mut host, heartbeat);
         let id = HeartbeatId {
             incarnation: heartbeat.incarnation,
             sequence: heartbeat.sequence,
@@ -92,35 +93,37 @@
     }
 
     fn on_newer_unfenced(&self, host: &mut Host, id: HeartbeatId) {
-        let was_told_before = host.newest_unfenced_heartbeat != HeartbeatId::default();
+        let was_answered = host.newest_unfenced_heartbeat != HeartbeatId::default();
         host.newest_unfenced_heartbeat = id;
         match self.source {
-            HeartbeatSource::Worker if was_told_before => host.command_had_no_effect(self.now),
+            HeartbeatSource::Worker if was_answered => host.on_command_without_effect(self.now),
             HeartbeatSource::Worker => {}
-            // A probe for the wrong incarnation was turned down; now the right one is known.
+            // The worker rejected a probe for the wrong incarnation. The right one is known now, so probe again at
+            // once.
             HeartbeatSource::CommandResponse => host.next_probe_at = self.now,
         }
     }
 
-    /// Takes in what does not change while a host lives.
-    fn describe(&self, host: &mut Host, heartbeat: &WorkerHeartbeat) {
+    /// Sets the host's machine type, zone, spot flag and address from the heartbeat.
+    fn update_attributes(&self, host: &mut Host, heartbeat: &WorkerHeartbeat) {
         if host.type_index.is_none() || host.zone.is_empty() {
             let mut types = self.cluster.machine_types.iter();
-            host.type_index = types.position(|t| t.name == heartbeat.machine_type);
+            host.type_index =
+                types.position(|machine_type| machine_type.name == heartbeat.machine_type);
             host.zone.clone_from(&heartbeat.zone);
             host.is_spot = heartbeat.spot;
         }
         host.address = heartbeat.address.parse().ok();
     }
 
-    fn update(&mut self, host: &mut Host, heartbeat: &WorkerHeartbeat) {
-        // A heartbeat after a silence in this term may have been under way for long.
+    fn apply_newer(&mut self, host: &mut Host, heartbeat: &WorkerHeartbeat) {
+        // A heartbeat that ends a silence within this term may have been in transit for long.
         let was_silent =
             host.first_heartbeat_at.is_some() && host.lifecycle == HostLifecycle::Unresponsive;
         if host.first_heartbeat_at.is_none() {
             host.first_heartbeat_at = Some(self.now);
         }
-        self.describe(host, heartbeat);
+        self.update_attributes(host, heartbeat);
         self.update_reachability(host, heartbeat, was_silent);
         host.fencing_token = heartbeat.fencing_token;
         host.last_heartbeat_at = self.now;
@@ -147,18 +150,18 @@
         heartbeat: &WorkerHeartbeat,
         was_silent: bool,
     ) {
-        let before = host.reachability;
-        let has_heard_us = host.fencing_token < heartbeat.fencing_token
+        let reachability_before = host.reachability;
+        let has_received_message = host.fencing_token < heartbeat.fencing_token
             || self.source == HeartbeatSource::CommandResponse;
-        if has_heard_us {
-            host.command_took_effect();
+        if has_received_message {
+            host.on_command_took_effect();
         } else if was_silent {
             host.set_reachability(Reachability::Unconfirmed);
             host.next_probe_at = self.now;
         } else if host.reachability == Reachability::Unconfirmed {
             host.set_reachability(Reachability::Confirmed);
         }
-        if host.reachability != before {
+        if host.reachability != reachability_before {
             self.cluster.request_scheduling();
         }
     }
@@ -171,12 +174,13 @@
         self.cluster.request_scheduling();
     }
 
-    /// The worker's lease expired: it killed and forgot all that earlier incarnations held.
+    /// Handles a new incarnation: the worker's lease expired, and it killed and forgot all tasks of earlier
+    /// incarnations.
     fn on_new_incarnation(&mut self, host: &mut Host, incarnation: Incarnation) {
         let sent_by_worker = self.source == HeartbeatSource::Worker;
         if sent_by_worker && host.incarnation != Incarnation(0) && host.is_up() {
-            // Its lease expired although its heartbeats were answered.
-            host.command_had_no_effect(self.now);
+            // The lease expired although heartbeats of the worker were answered, so the responses had no effect.
+            host.on_command_without_effect(self.now);
         }
         let is_older = |allocation: &Allocation| allocation.incarnation < incarnation;
         let lost: Vec<TaskId> = host
@@ -187,7 +191,7 @@
             .collect();
         if !lost.is_empty() {
             tracing::info!(
-                "{}: incarnation {incarnation}, {} tasks lost",
+                "{}: worker lease expired, new incarnation {incarnation}, {} tasks lost",
                 host.name,
                 lost.len()
             );
@@ -213,11 +217,11 @@
                     self.on_task_started(host, task);
                 }
                 if run_took_effect {
-                    host.command_took_effect();
+                    host.on_command_took_effect();
                 }
             }
             (None, AttemptState::Ended) => {
-                // Its outcome is in the records already, or never mattered.
+                // Its outcome is in the records already, or does not matter.
                 let ended = EndedAttempt {
                     record_change_count: 0,
                     retain_until: self.now,
@@ -237,7 +241,7 @@
         } = *status;
         let is_service = self.cluster.job(task.job).is_some_and(Job::is_service);
         let started_at = host.allocations.get(&task).and_then(|a| a.started_at);
-        let ran_for = started_at.map_or(Duration::ZERO, |at| self.now.since(at));
+        let ran_for = started_at.map_or(Duration::ZERO, |started_at| self.now.since(started_at));
         if is_service {
             self.on_replica_ended(host, status, ran_for);
         }
@@ -245,12 +249,12 @@
             Some(EndReason::Done) if is_service => {}
             Some(EndReason::Done) => self.on_task_succeeded(host, task, started_at),
             Some(EndReason::Stopped) => {}
-            // One that had long been running says nothing of its host.
+            // A replica that ran for long before it failed says nothing about its host.
             Some(EndReason::Error) if is_service && ran_for >= REPLICA_STABLE_AFTER => {}
             Some(EndReason::Error) => self.on_task_failed(host, task),
             _ => self.on_start_refused(host, status),
         }
-        // A service is never done.
+        // A service has no end: a replica that ended is started again.
         let is_done = end_reason == Some(EndReason::Done) && !is_service;
         self.retain_ended_attempt(host, task, attempt, is_done);
         self.cluster.request_scheduling();
@@ -264,7 +268,7 @@
             job.on_replica_ended(ran_for, self.now);
         }
         tracing::info!(
-            "{}: {} ended by itself after {ran_for:?}: {:?}",
+            "{}: replica {} ended by itself after {ran_for:?}: {:?}",
             host.name,
             status.task,
             status.end_reason
@@ -280,20 +284,21 @@
         host.failed_jobs.clear();
     }
 
+    /// Handles an attempt that the worker refused to start, or that ended for an unknown reason.
     fn on_start_refused(&mut self, host: &Host, status: &AttemptStatus) {
         tracing::info!(
-            "{}: {} attempt {} refused: {:?}",
+            "{}: worker refused to start {} attempt {}: {:?}",
             host.name,
             status.task,
             status.attempt,
             status.end_reason
         );
         if let Some(job) = self.cluster.jobs.get_mut(&status.task.job) {
-            job.retry_not_before = self.now.after(REFUSED_PAUSE);
+            job.retry_not_before = self.now.after(START_REFUSED_BACKOFF);
         }
     }
 
-    /// A task failed: either its job is to blame, if it fails everywhere, or its host.
+    /// Handles a failed task. Its job is to blame if it fails on every host, and otherwise its host may be.
     fn on_task_failed(&mut self, host: &mut Host, task: TaskId) {
         let Some(job) = self.cluster.jobs.get_mut(&task.job) else {
             return;
@@ -304,29 +309,32 @@
         if job.fails_everywhere() {
             if !failed_everywhere_before {
                 tracing::info!(
-                    "{}: fails wherever it is tried ({} times, {} hosts)",
+                    "{}: job fails on every host where it is tried ({} failures, {} hosts)",
                     task.job,
-                    job.consecutive_failures,
+                    job.failure_count,
                     job.failed_hosts.len()
                 );
             }
-            // That says nothing about this host.
+            // Such a failure says nothing about this host.
             return;
         }
         host.consecutive_failures += 1;
         let failures = host.consecutive_failures;
         let succeeds_elsewhere = job.done_count > 0
-            || job.failed_hosts.len() == 1 && failures >= FAILURES_THAT_BLAME_THE_HOST;
-        tracing::info!("{}: {task} failed, {failures} in a row", host.name);
-        let is_faulty = host.failed_jobs.len() >= FAULTY_AFTER_JOBS
-            || succeeds_elsewhere && failures >= FAULTY_AFTER_FAILURES;
+            || job.failed_hosts.len() == 1 && failures >= BLAME_HOST_AFTER_CONSECUTIVE_FAILURES;
+        tracing::info!(
+            "{}: {task} failed, {failures} consecutive failures on this host",
+            host.name
+        );
+        let is_faulty = host.failed_jobs.len() >= FAULTY_AFTER_FAILED_JOBS
+            || succeeds_elsewhere && failures >= FAULTY_AFTER_CONSECUTIVE_FAILURES;
         if is_faulty {
-            tracing::info!("{}: fails what it is given", host.name);
+            tracing::info!("{}: host is faulty: tasks fail on it repeatedly", host.name);
             host.cordon(CordonReason::Faulty);
         }
     }
 
-    /// Frees the allocation of an attempt that ended. The worker has to remember the attempt for as long as a copy of
+    /// Frees the allocation of an attempt that ended. The worker has to remember the attempt while a delayed copy of
     /// its `run` may still arrive.
     fn retain_ended_attempt(
         &mut self,
@@ -336,30 +344,34 @@
         is_done: bool,
     ) {
         let allocation = host.allocations.get(&task);
-        let may_have_copies = allocation.is_some_and(|allocation| allocation.was_run_sent_directly);
-        let retained_for = if may_have_copies {
-            self.policy.lease * RETAINED_LEASES
+        let may_run_arrive_late =
+            allocation.is_some_and(|allocation| allocation.was_run_sent_directly);
+        let retention = if may_run_arrive_late {
+            self.policy.lease * ENDED_ATTEMPT_RETENTION_LEASES
         } else {
             Duration::ZERO
         };
-        let record_change = self.cluster.end_allocation(host, task, is_done, self.now);
+        let record_change_count = self.cluster.end_allocation(host, task, is_done, self.now);
         let ended = EndedAttempt {
-            record_change_count: record_change,
-            retain_until: self.now.after(retained_for),
+            record_change_count,
+            retain_until: self.now.after(retention),
         };
         host.ended_attempts.insert((task, attempt), ended);
     }
 
-    /// The task has its image and runs.
+    /// Handles the start of a task: its image is on the host, and it runs.
     fn on_task_started(&mut self, host: &mut Host, task: TaskId) {
         let Some(job) = self.cluster.jobs.get_mut(&task.job) else {
             return;
         };
         if let Some(outage) = job.replica_outages.remove(&task.index) {
-            let lasted = self.now.since(outage.since);
-            tracing::info!("{task} runs again after {lasted:?}: {}", outage.cause);
+            let outage_duration = self.now.since(outage.since);
+            tracing::info!(
+                "replica {task} runs again after an outage of {outage_duration:?}: {}",
+                outage.cause
+            );
         }
-        // Only services ask where their image is.
+        // Cached images are considered in the placement of services only.
         let spec = job.spec.as_ref().filter(|spec| spec.is_service());
         let machine_type = host
             .type_index
@@ -369,17 +381,21 @@
         }
     }
 
-    /// An attempt that no record places on this host. As tasks are recorded before they are started, there is no
-    /// ordinary way to this. It is stopped, and until it has ended its task is not started elsewhere.
+    /// Handles an attempt that no run record places on this host. As allocations are recorded before their tasks are
+    /// started, this does not occur in normal operation. The attempt is stopped, and until it has ended its task is not
+    /// started elsewhere.
     fn on_unrecorded_attempt(&mut self, host: &mut Host, task: TaskId, attempt: Attempt) {
-        tracing::warn!("{}: {task} attempt {attempt} is not booked here", host.name);
+        tracing::warn!(
+            "{}: {task} attempt {attempt} is not allocated to this host, stopping it",
+            host.name
+        );
         host.unrecorded_attempts.insert((task, attempt));
         let Some(job) = self.cluster.jobs.get_mut(&task.job) else {
             return;
         };
         let state = job.task_state(task.index);
         let is_unallocated =
-            matches!(state, Some(TaskState::Waiting { last_attempt: last }) if *last <= attempt);
+            matches!(state, Some(TaskState::Waiting { last_attempt }) if *last_attempt <= attempt);
         let is_allocated_here = host.allocations.contains_key(&task);
         if job.phase != JobPhase::Active || !is_unallocated || is_allocated_here {
             return;
@@ -399,41 +415,41 @@
             number: change.record_number,
         };
         self.cluster.record_writer.mark_dirty(record, true);
-        self.cluster.charge(&team, &resources);
+        self.cluster.add_team_usage(&team, &resources);
         let allocation =
             Allocation::found_running(attempt, host.incarnation, resources, change.change_count);
-        host.allocate(task, allocation);
+        host.add_allocation(task, allocation);
     }
 
-    /// Frees the allocations that the heartbeat does not list, where that proves that they ended.
+    /// Frees the allocations whose attempts are missing from the heartbeat, where that proves that they ended.
     fn reconcile_missing(&mut self, host: &mut Host, heartbeat: &WorkerHeartbeat) {
         let statuses = heartbeat.tasks.iter();
-        let listed: BTreeSet<(TaskId, Attempt)> = statuses
+        let reported: BTreeSet<(TaskId, Attempt)> = statuses
             .map(|status| (status.task, status.attempt))
             .collect();
-        host.ended_attempts.retain(|key, _| listed.contains(key));
+        host.ended_attempts.retain(|key, _| reported.contains(key));
         let missing: Vec<TaskId> = host
             .allocations
             .iter()
-            .filter(|(task, allocation)| !listed.contains(&(**task, allocation.attempt)))
+            .filter(|(task, allocation)| !reported.contains(&(**task, allocation.attempt)))
             .map(|(task, _)| *task)
             .collect();
         let sent_by_worker = self.source == HeartbeatSource::Worker;
-        // Only what was in the response to an earlier heartbeat should show by now.
+        // A command must have taken effect by now only if it was sent in the response to an earlier heartbeat.
         let is_overdue = |sent_in_response_to: SequenceNumber| {
             sent_by_worker
                 && sent_in_response_to != SequenceNumber(0)
                 && heartbeat.sequence > sent_in_response_to
         };
         let ignores_stop = |allocation: &Allocation| {
-            allocation.is_running_against_stop() && is_overdue(allocation.stop_sent_in_response_to)
+            allocation.is_running_despite_stop() && is_overdue(allocation.stop_sent_in_response_to)
         };
         let mut ignores_commands = host.allocations.values().any(ignores_stop);
         for task in missing {
             let Some(allocation) = host.allocations.get(&task) else {
                 continue;
             };
-            // One that is still wanted is started again under the same attempt, which is safe.
+            // An attempt that is to run is started again under the same number, which is safe.
             if allocation.is_to_be_started() {
                 ignores_commands |= is_overdue(allocation.run_sent_in_response_to);
                 continue;
@@ -443,12 +459,12 @@
             }
         }
         if ignores_commands {
-            host.command_had_no_effect(self.now);
+            host.on_command_without_effect(self.now);
         }
     }
 
-    /// Whether the absence of a task from the heartbeat proves that it is not there and can't arrive: late commands of
-    /// earlier leaders are fenced off, and none of this leader's is still under way.
+    /// Whether the absence of a task from the heartbeat proves that it is not on the host and can't be started there:
+    /// late commands of earlier leaders are fenced off, and no `run` of this leader is still in flight.
     fn proves_absence(
         &self,
         host: &Host,
@@ -460,14 +476,15 @@
             return true;
         }
         let sent_in_response_to = allocation.run_sent_in_response_to;
-        let has_executed_response = sent_in_response_to == SequenceNumber(0)
+        let has_processed_response = sent_in_response_to == SequenceNumber(0)
             || self.source == HeartbeatSource::Worker && heartbeat.sequence > sent_in_response_to;
         heartbeat.fencing_token == self.term
-            && has_executed_response
+            && has_processed_response
             && !host.is_run_unacknowledged(task, allocation.attempt)
     }
 
-    /// The cloud will reclaim the host: what can't end in time is stopped now, so that it can save and move.
+    /// Handles the notice that the cloud will reclaim the host. Tasks that can't end in time are stopped now, so that
+    /// they can save their progress and be placed elsewhere.
     fn on_reclaim_notice(&mut self, host: &mut Host, time_left: Duration) {
         if host.reclaim_at.is_some() {
             return;
@@ -480,7 +497,7 @@
                 continue;
             };
             if job.is_service() {
-                // When a replica moves is decided by what room there is elsewhere.
+                // Replicas are moved by the autoscaler, once other hosts have room for them.
                 continue;
             }
             let remaining_s =
--- a/src/coordination/leader/status.rs
+++ b/src/coordination/leader/status.rs
@@ -105,7 +105,7 @@
         ) {
             "a new leader is making its picture".to_owned()
         } else if job.fails_everywhere() || now < job.retry_not_before {
-            format!("it failed {} times", job.consecutive_failures)
+            format!("it failed {} times", job.failure_count)
         } else if self.view().team_room(job) == 0 {
             format!("{} is at its limit", job.team)
         } else if self.cluster.record_writer().urgent_count() >= self.policy.records {
