--- a/src/coordination/leader/status.rs
+++ b/src/coordination/leader/status.rs
@@ -108,7 +108,7 @@
         ) {
             "a new leader is making its picture".to_owned()
         } else if job.fails_everywhere() || now < job.retry_not_before {
-            format!("it failed {} times", job.consecutive_failures)
+            format!("it failed {} times", job.failure_count)
         } else if self.view().tasks_within_team_quota(job) == 0 {
             format!("{} is at its limit", job.team)
         } else if self.cluster.record_writer().urgent_record_count()
