--- a/src/coordination/actions.rs
+++ b/src/coordination/actions.rs
@@ -1,4 +1,4 @@
-//! What the leader asks its process to do, and what came of it.
+//! Actions that the leader requests of the node, and the results of commands.
 
 use std::net::SocketAddr;
 
@@ -6,42 +6,44 @@
 use crate::protocol::workers::{Command, WorkerHeartbeat};
 use crate::types::{HostName, Incarnation, Term};
 
-/// What the leader wants done outside.
+/// A request to a worker or to the cloud that the leader has decided on.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Send a worker commands.
+    /// Send commands to a worker, or a probe if there are none.
     SendCommands {
-        /// Its machine.
+        /// The worker's host.
         host: HostName,
-        /// Where to send them.
+        /// The worker's address.
         address: SocketAddr,
-        /// Incarnation that they are meant for.
+        /// Incarnation of the worker that the commands are meant for.
         incarnation: Incarnation,
         /// The commands.
         commands: Vec<Command>,
     },
-    /// Rent machines.
+    /// Provision hosts.
     ScaleOut(ProvisionRequest),
-    /// Return machines, as they are not needed.
+    /// Release hosts that are not needed.
     ScaleIn(Vec<HostName>),
-    /// The same, and so pressing that it goes out without a lease too: these machines hold cancelled
-    /// work whose time is nearly up. Another leader could lose no more by it than a machine.
+    /// Release hosts on which tasks of a cancelled job still run although the cancellation timeout is about to expire.
+    /// This is sent without a valid leader lease too: if another controller leads already, it loses no more than a
+    /// host.
     ForceRelease(Vec<HostName>),
 }
 
-/// How a direct command ended.
+/// The result of a direct command request or a probe.
 #[derive(Debug)]
 pub enum CommandResult {
-    /// The worker answered with its report, whether or not it executed anything.
+    /// The worker responded with a heartbeat, whether or not it executed any command.
     Heartbeat(Box<WorkerHeartbeat>),
-    /// Surely not executed.
+    /// The commands were certainly not executed.
     NotExecuted,
-    /// Never left this process, so it says nothing of the machine either.
+    /// The request was never sent, so the result says nothing about the host.
     NotAttempted,
-    /// May have been executed, or may yet be.
+    /// No response arrived: the commands may have been executed, or may still be.
     NoResponse,
 }
 
-/// A worker has seen a higher token: another controller leads.
+/// Another controller leads: a worker has seen a higher fencing token, or a condition on the leader's key failed.
+/// Holds the term of that controller, or the own term if the other one is unknown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LeadershipLost(pub Term);
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -1,15 +1,18 @@
-//! The decisions of a controller, without input or output: events and the time come in, actions go out,
-//! so that kept traces can be replayed.
+//! The decisions of a controller, free of input and output: it takes events and the time and returns actions, so that
+//! recorded traces can be replayed.
 //!
-//! | module | what it owns |
+//! | module | responsibility |
 //! | --- | --- |
 //! | [`election`] | which controller leads, and in which term |
-//! | [`leader`] | the leader of one term: hands events to the components below and collects their actions |
-//! | [`cluster`] | hosts, jobs, allocations and the records still to be written; the only place that changes them |
+//! | [`leader`] | the leader of one term: passes events to the components below and collects their actions |
+//! | [`cluster`] | hosts, jobs, allocations and the records still to be written; the only module that changes them |
 //! | `scheduling` | the queue order, eligibility, scores, placement and preemption |
 //! | `autoscaling` | the demand forecast, the capacity pools, scale-out, scale-in and warm spares |
 //! | `failure_detection` | hosts that missed heartbeats and partitioned or lost zones |
-//! | `dispatch` | commands and probes to workers |
+//! | `dispatch` | the limits on commands and probes in flight to workers |
+//! | `quota` | what each team may use: its limits, or the leader's allowances of them |
+//! | `run_times` | expected run times, learnt from completed tasks |
+//! | `policy` | the parameters of all decisions, derived from the settings |
 
 mod actions;
 pub mod autoscaling;
--- a/src/coordination/policy.rs
+++ b/src/coordination/policy.rs
@@ -1,4 +1,5 @@
-//! What follows from the settings for every decision.
+//! The limits, intervals and team policies that the leader's decisions depend on, derived from settings, tuning and
+//! features.
 
 use std::time::Duration;
 
@@ -7,44 +8,45 @@
 use crate::settings::{Service, Team, Tuning};
 use crate::types::seconds;
 
-/// The settings that decisions depend on.
+/// The parameters of the leader's decisions.
 #[derive(Clone, Debug)]
 pub struct Policy {
-    /// Interval of reports.
+    /// Interval between the heartbeats of a worker.
     pub heartbeat_interval: Duration,
-    /// Lease of workers.
+    /// How long a worker keeps its tasks without a response from a leader.
     pub worker_lease: Duration,
-    /// Time for cancellations.
+    /// Time from the confirmation of a job's cancellation by which none of its tasks may run any more.
     pub cancellation_timeout: Duration,
-    /// How far the cloud's list lags at the most.
+    /// The longest time by which the cloud's list of hosts lags behind.
     pub max_host_list_lag: Duration,
-    /// How many tasks share a run record.
+    /// Number of tasks that share a run record.
     pub tasks_per_record: u32,
-    /// Machines that may be asked at once whether they hear: each takes a socket for a while.
+    /// Probes of hosts that may be in flight at once. Each occupies a socket until its response or its timeout.
     pub max_probes_in_flight: usize,
-    /// Direct commands that may be under way at once, for the same reason; the others wait.
+    /// Direct command requests that may be in flight at once, limited for the same reason. Further ones are queued.
     pub max_commands_in_flight: usize,
-    /// What a value and a transaction may hold at the most.
+    /// Largest size of a value in the state service.
     pub max_value_bytes: usize,
-    /// Changes that a transaction may hold.
+    /// Most changes that one transaction may hold.
     pub max_txn_changes: usize,
-    /// Records of the lowest priority that may wait for being written; each higher one may have as
-    /// many again. What is booked beyond that would only hold machines idle.
+    /// With this many urgent records queued for writing, no more tasks of the lowest priority are allocated; each
+    /// higher priority adds the same number once more. Tasks allocated beyond that would only keep hosts idle, as a
+    /// task starts after its record is written.
     pub max_queued_records_per_priority: usize,
     /// Teams with their guarantees and limits.
     pub teams: Vec<Team>,
-    /// The policy of the teams' allowances, where that feature is on.
+    /// The policy of the teams' allowances, if the `quota` feature is enabled.
     pub quota: Option<lichencrank_quota::QuotaPolicy>,
-    /// How lost zones are judged and emptied, where that feature is on.
+    /// How lost zones are detected and their hosts released, if the `zones` feature is enabled.
     pub zones: Option<lichencrank_zones::ZoneSettings>,
-    /// Classes that are to begin within so many seconds.
+    /// Job classes that have a wait objective, each with the time in seconds within which its tasks are to start.
     pub wait_objectives_s: Vec<(String, f64)>,
-    /// What operators have tuned.
+    /// The operators' tuning.
     pub tuning: Tuning,
 }
 
 impl Policy {
-    /// The policy that follows from the settings.
+    /// Derives the policy from settings, tuning and features.
     pub fn new(service: &Service, tuning: &Tuning, features: &Features) -> Policy {
         Policy {
             heartbeat_interval: service.workers.report(),
@@ -65,12 +67,12 @@
         }
     }
 
-    /// A machine without a report for longer counts as silent.
+    /// The usual time without a heartbeat after which a host is given up.
     pub fn heartbeat_timeout(&self) -> Duration {
         self.heartbeat_interval.mul_f64(self.tuning.silent_reports)
     }
 
-    /// The team of that name.
+    /// The team with the given name.
     pub fn team(&self, name: &str) -> Option<&Team> {
         self.teams.iter().find(|t| t.name == name)
     }
--- a/src/coordination/resources.rs
+++ b/src/coordination/resources.rs
@@ -1,6 +1,6 @@
-//! CPUs, GPUs and memory: what tasks take and machines have.
+//! CPUs, GPUs and memory, as tasks require them and hosts provide them.
 
-/// What a task takes of its machine.
+/// An amount of each resource of a host.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Resources {
     /// CPUs.
@@ -11,50 +11,50 @@
     pub memory_gb: f64,
 }
 
-/// Sums of decimals are not exact; this much is forgiven.
-const SLACK: f64 = 1e-6;
+/// Tolerance for comparisons, as sums of decimal amounts are inexact in floating point.
+const TOLERANCE: f64 = 1e-6;
 
 impl Resources {
-    /// Whether it fits into that room.
-    pub fn fits(&self, room: &Resources) -> bool {
-        self.cpus <= room.cpus + SLACK
-            && self.gpus <= room.gpus + SLACK
-            && self.memory_gb <= room.memory_gb + SLACK
+    /// Whether this amount is available within `free`, in every resource.
+    pub fn fits(&self, free: &Resources) -> bool {
+        self.cpus <= free.cpus + TOLERANCE
+            && self.gpus <= free.gpus + TOLERANCE
+            && self.memory_gb <= free.memory_gb + TOLERANCE
     }
 
-    /// Adds to it.
+    /// Adds another amount to this one.
     pub fn add(&mut self, other: &Resources) {
         self.cpus += other.cpus;
         self.gpus += other.gpus;
         self.memory_gb += other.memory_gb;
     }
 
-    /// Takes from it; nothing goes below zero.
+    /// Subtracts another amount from this one. No resource goes below zero.
     pub fn subtract(&mut self, other: &Resources) {
         self.cpus = (self.cpus - other.cpus).max(0.0);
         self.gpus = (self.gpus - other.gpus).max(0.0);
         self.memory_gb = (self.memory_gb - other.memory_gb).max(0.0);
     }
 
-    /// What is left of it without the other.
+    /// This amount without the other one. No resource goes below zero.
     pub fn saturating_sub(&self, other: &Resources) -> Resources {
-        let mut rest = *self;
-        rest.subtract(other);
-        rest
+        let mut remaining = *self;
+        remaining.subtract(other);
+        remaining
     }
 
-    /// How many of `self` fit into `room`.
-    pub fn multiples_within(&self, room: &Resources) -> u64 {
-        let times = |need: f64, have: f64| {
-            if need > 0.0 {
-                (have + SLACK) / need
+    /// How many times this amount fits into `free`.
+    pub fn multiples_within(&self, free: &Resources) -> u64 {
+        let multiples = |required: f64, available: f64| {
+            if required > 0.0 {
+                (available + TOLERANCE) / required
             } else {
                 1e6
             }
         };
-        let least = times(self.cpus, room.cpus)
-            .min(times(self.gpus, room.gpus))
-            .min(times(self.memory_gb, room.memory_gb));
-        least.max(0.0) as u64
+        let fewest = multiples(self.cpus, free.cpus)
+            .min(multiples(self.gpus, free.gpus))
+            .min(multiples(self.memory_gb, free.memory_gb));
+        fewest.max(0.0) as u64
     }
 }
--- a/src/coordination/view.rs
+++ b/src/coordination/view.rs
@@ -1,4 +1,4 @@
-//! What decisions read.
+//! The read-only view of the leader's state that decisions are based on.
 
 use crate::coordination::autoscaling::Autoscaler;
 use crate::coordination::cluster::ClusterState;
@@ -9,8 +9,8 @@
 use crate::coordination::Policy;
 use crate::types::Time;
 
-/// Shared references to all that decisions read. Decisions are made over a view and carried out by the leader, so that
-/// nothing changes while one is made.
+/// Shared references to the state that decisions read. The leader makes a decision on a view and applies it
+/// afterwards, so that the state does not change while the decision is made.
 #[derive(Clone, Copy)]
 pub(crate) struct View<'a> {
     pub(crate) policy: &'a Policy,
@@ -20,6 +20,6 @@
     pub(crate) quota: &'a TeamQuota,
     pub(crate) run_times: &'a RunTimes,
     pub(crate) clock: Clock,
-    /// When the leader had read all records, or, before that, when its term began.
+    /// When the leader had read all records, or, while it still reads them, when its term began.
     pub(crate) started_at: Time,
 }
