--- a/src/coordination/election.rs
+++ b/src/coordination/election.rs
@@ -1,5 +1,5 @@
-//! Who leads. The leader's key hangs on a lease of the state service; winning the key and raising
-//! the term is one transaction, and the term is the fencing token.
+//! Leader election. The leader's key is attached to a lease of the state service and vanishes with it. A candidate
+//! creates the key and raises the term in one transaction; the term is the fencing token.
 
 use std::time::Duration;
 
@@ -8,69 +8,69 @@
 use crate::types::{LeaseId, Term, Time, Version};
 use lichencrank_store::{value, Change, Txn};
 
-/// Where this controller is in the election.
+/// The state of this controller in the election.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Role {
-    /// Someone else leads, or nobody does yet.
+    /// Another controller leads, or none does yet.
     Following,
-    /// The key is free; a lease to hang it on is being asked for.
+    /// The leader's key is free; the lease to which this controller will attach it has been requested.
     AwaitingLease {
-        /// The term to be won.
+        /// The term to claim.
         term: Term,
-        /// Version of the highest term's key.
+        /// Version of the key of the highest term.
         term_version: Version,
     },
-    /// The transaction that wins the key is on its way.
+    /// The transaction that creates the leader's key is in flight.
     Claiming {
-        /// Its lease.
+        /// The lease to which the key will be attached.
         lease: LeaseId,
-        /// The term to be won.
+        /// The term to claim.
         term: Term,
     },
-    /// Leads, as far as it knows.
+    /// This controller leads, as far as it knows.
     Leading {
-        /// Its lease.
+        /// The lease to which the leader's key is attached.
         lease: LeaseId,
-        /// Its term, the fencing token.
+        /// The own term, which is the fencing token.
         term: Term,
         /// Version of the leader's key.
         leader_key_version: Version,
     },
 }
 
-/// Which request of the election an outcome belongs to.
+/// The kind of election request to which an outcome belongs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ElectionStep {
-    /// Reads who leads.
+    /// Reads the leader's record and the highest term.
     ReadRecords,
-    /// Asks for a lease.
+    /// Requests a lease.
     GrantLease,
-    /// Takes the leader's key and raises the term, in one transaction.
+    /// Creates the leader's key and raises the term, in one transaction.
     Claim,
-    /// Of this lease: an answer may come when the leadership was lost and won again.
+    /// Renews this lease. Its response may arrive after the leadership was lost and won again under another lease.
     Renew(LeaseId),
     /// Ends a lease.
     EndLease,
 }
 
-/// What the election needs done.
+/// A request of the election to the node.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ElectionAction {
     /// Read the keys below `lead/`.
     ReadRecords,
-    /// Ask for a lease of that length.
+    /// Request a lease with the given duration.
     GrantLease(Duration),
-    /// Send this claim.
+    /// Send the transaction that claims the leadership.
     Claim(Txn),
     /// Renew the lease.
     Renew(LeaseId),
-    /// End the lease of a process that is surely dead, or our own that is not needed.
+    /// End the lease of an earlier process of this node, which is certainly dead, or an own lease that is not needed.
     EndLease(LeaseId),
-    /// Transfer the leadership in favour of a node that is better placed: end the lease, step down.
+    /// Give up the leadership in favour of a better placed node: stop leading and end the lease.
     Resign(LeaseId),
     /// Begin to lead.
     BeginLeading {
-        /// Term that was won.
+        /// The term that this controller won.
         term: Term,
         /// Version of the leader's key.
         leader_key_version: Version,
@@ -79,78 +79,85 @@
     StepDown,
 }
 
-/// What a read of the keys below `lead/` showed.
+/// The records below `lead/`, as one read returned them.
 #[derive(Clone, Debug, Default)]
 pub struct ElectionRecords {
-    /// The leader's key and its version, if it exists.
+    /// The leader's record and its version, if its key exists.
     pub holder: Option<(LeaderRecord, Version)>,
-    /// The highest term and its version.
+    /// The highest term and the version of its key, if it exists.
     pub term: Option<(Term, Version)>,
 }
 
-/// Clocks of different machines drift apart by at most 0.05%; this is well beyond that.
-const DRIFT: f64 = 0.99;
-const READ_EVERY: Duration = Duration::from_millis(400);
-/// A node that transferred the leadership lets the others go first.
-const REST: Duration = Duration::from_secs(3);
-/// What the state service said of the leader counts for this long.
-const FRESH: Duration = Duration::from_millis(1500);
-const READ_LIMIT: Duration = Duration::from_millis(1500);
-/// A renewal that was refused, or got no answer, is tried again after this.
-const RENEW_AGAIN: Duration = Duration::from_millis(200);
+/// The part of the lease duration for which the leader relies on its lease. The clocks of two machines differ in rate
+/// by at most 0.05%, so 1% is a wide margin.
+const RELIABLE_LEASE_PART: f64 = 0.99;
+/// Mean interval between two reads of the records below `lead/`.
+const READ_INTERVAL: Duration = Duration::from_millis(400);
+/// A node that resigned does not campaign for this long, so that the others can claim the leadership.
+const RESIGNATION_PAUSE: Duration = Duration::from_secs(3);
+/// How long the last confirmation by the state service that another node leads is valid.
+const CONFIRMATION_VALIDITY: Duration = Duration::from_millis(1500);
+/// A read without a response for this long is repeated, and a response that is processed later is discarded.
+const READ_TIMEOUT: Duration = Duration::from_millis(1500);
+/// Delay until a renewal is retried that was refused or got no response.
+const RENEWAL_RETRY_DELAY: Duration = Duration::from_millis(200);
 
-/// The election, as one controller takes part in it.
+/// The leader election from the point of view of one controller. It returns requests as [`ElectionAction`]s and takes
+/// their outcomes.
 pub struct LeaderElection {
     node: String,
+    /// Tells this process from earlier processes of the same node.
     incarnation: u64,
-    ttl: Duration,
-    /// Where this controller is.
+    lease_ttl: Duration,
+    /// The state of this controller.
     pub role: Role,
-    /// The highest term seen anywhere, and who leads it, if known.
+    /// The highest term that this controller has learnt of.
     pub highest_term: Term,
-    /// Who leads, by the last word heard.
+    /// The leader of that term, if known.
     pub known_leader: Option<String>,
+    /// Until when the own lease is certainly valid.
     lease_valid_until: Time,
-    /// When the lease is to be renewed next.
-    renew_at: Time,
-    renewing: bool,
-    next_read: Time,
-    reading: Option<Time>,
-    /// How long the key must have been free before this node claims it.
+    next_renewal_at: Time,
+    is_renewing: bool,
+    next_read_at: Time,
+    /// When the read in flight was sent.
+    read_sent_at: Option<Time>,
+    /// How long the leader's key must have been free before this node claims it.
     pub campaign_delay: Duration,
-    free_since: Option<Time>,
-    /// When the state service last said that another node leads.
+    /// Since when reads have shown that the leader's key is free.
+    key_free_since: Option<Time>,
+    /// When the state service last confirmed that another node leads.
     confirmed_at: Option<Time>,
     resigned_at: Option<Time>,
-    random: fastrand::Rng,
+    rng: fastrand::Rng,
 }
 
 impl LeaderElection {
-    /// A controller that knows nothing yet. `seed` tells this process from others of its name.
-    pub fn new(node: &str, ttl: Duration, seed: u64) -> LeaderElection {
-        let mut random = fastrand::Rng::with_seed(seed);
+    /// A follower that has read nothing yet. `seed` has to differ between the processes of one node.
+    pub fn new(node: &str, lease_ttl: Duration, seed: u64) -> LeaderElection {
+        let mut rng = fastrand::Rng::with_seed(seed);
         LeaderElection {
             node: node.to_owned(),
-            incarnation: random.u64(..),
-            ttl,
+            incarnation: rng.u64(..),
+            lease_ttl,
             role: Role::Following,
             highest_term: Term(0),
             known_leader: None,
             lease_valid_until: Time::default(),
-            renew_at: Time::default(),
-            renewing: false,
-            next_read: Time::default(),
-            reading: None,
+            next_renewal_at: Time::default(),
+            is_renewing: false,
+            next_read_at: Time::default(),
+            read_sent_at: None,
             campaign_delay: Duration::ZERO,
-            free_since: None,
+            key_free_since: None,
             confirmed_at: None,
             resigned_at: None,
-            random,
+            rng,
         }
     }
 
-    /// The one place where the role changes.
-    fn enter(&mut self, role: Role) {
+    /// Changes the role. Nothing else does.
+    fn set_role(&mut self, role: Role) {
         if self.role != role {
             tracing::info!("leadership: {:?} -> {role:?}", self.role);
             self.role = role;
@@ -162,13 +169,13 @@
         matches!(self.role, Role::Leading { .. })
     }
 
-    /// Whether the own lease surely still stands. Without it the leader goes on answering workers,
-    /// but begins nothing: an outage is not deposition.
+    /// Whether the own lease is certainly still valid. Without it the leader goes on answering workers but starts
+    /// nothing: an outage of the state service does not mean that another controller leads.
     pub fn is_lease_valid(&self, now: Time) -> bool {
         now < self.lease_valid_until()
     }
 
-    /// Until when the own lease surely stands, as far as is known now.
+    /// Until when the own lease is certainly valid, by the last confirmed renewal.
     pub fn lease_valid_until(&self) -> Time {
         if self.is_leading() {
             self.lease_valid_until
@@ -177,40 +184,42 @@
         }
     }
 
-    /// When [`LeaderElection::tick`] will have something to do, if nothing happens before. While a request
-    /// is under way only its end does, which wakes the node by itself: waiting for a moment that has
-    /// passed would be no waiting at all.
+    /// When [`LeaderElection::tick`] is due next if no event arrives before. While a request is in flight, nothing is
+    /// due until its outcome, which wakes the node by itself, or until the timeout of a read. Returning a time in the
+    /// past would make the event loop spin.
     pub fn next_wakeup(&self) -> Time {
         match self.role {
-            Role::Leading { .. } if self.renewing => Time(u64::MAX),
-            Role::Leading { .. } => self.renew_at,
+            Role::Leading { .. } if self.is_renewing => Time(u64::MAX),
+            Role::Leading { .. } => self.next_renewal_at,
             Role::Following => {
-                let pending = self
-                    .reading
-                    .map_or(Time::default(), |at| at.after(READ_LIMIT));
-                self.next_read.max(pending)
+                let read_timeout_at = self
+                    .read_sent_at
+                    .map_or(Time::default(), |at| at.after(READ_TIMEOUT));
+                self.next_read_at.max(read_timeout_at)
             }
             Role::AwaitingLease { .. } | Role::Claiming { .. } => Time(u64::MAX),
         }
     }
 
-    /// What is due by time alone.
+    /// Returns the request that is due at `now`.
     pub fn tick(&mut self, now: Time) -> Option<ElectionAction> {
         match self.role {
             Role::Leading { lease, .. } => {
-                if self.renewing || now < self.renew_at {
+                if self.is_renewing || now < self.next_renewal_at {
                     return None;
                 }
-                self.renewing = true;
-                self.renew_at = now.after(self.ttl / 3);
+                self.is_renewing = true;
+                self.next_renewal_at = now.after(self.lease_ttl / 3);
                 Some(ElectionAction::Renew(lease))
             }
             Role::Following => {
-                let pending = self.reading.is_some_and(|at| now < at.after(READ_LIMIT));
-                if pending || now < self.next_read {
+                let is_reading = self
+                    .read_sent_at
+                    .is_some_and(|at| now < at.after(READ_TIMEOUT));
+                if is_reading || now < self.next_read_at {
                     return None;
                 }
-                self.reading = Some(now);
+                self.read_sent_at = Some(now);
                 self.schedule_read(now);
                 Some(ElectionAction::ReadRecords)
             }
@@ -219,12 +228,13 @@
     }
 
     fn schedule_read(&mut self, now: Time) {
-        // Random, so that candidates seldom meet.
-        let pause = READ_EVERY.mul_f64(0.75 + 0.5 * self.random.f64());
-        self.next_read = now.after(pause);
+        // Jitter, so that candidates seldom claim the key at the same time.
+        let interval = READ_INTERVAL.mul_f64(0.75 + 0.5 * self.rng.f64());
+        self.next_read_at = now.after(interval);
     }
 
-    /// Someone speaks of a term: a worker's report, a peer, the state service.
+    /// Takes in a term, and its leader if known, that a worker, a peer or the state service reported. A leader steps
+    /// down if the term is higher than its own.
     pub fn observe_term(&mut self, term: Term, leader: Option<&str>) -> Option<ElectionAction> {
         if term < self.highest_term {
             return None;
@@ -238,12 +248,12 @@
             self.known_leader = Some(leader.to_owned());
         }
         match self.role {
-            Role::Leading { term: ours, .. } if term > ours => Some(self.step_down()),
+            Role::Leading { term: own_term, .. } if term > own_term => Some(self.step_down()),
             _ => None,
         }
     }
 
-    /// Transfers the leadership, unless that was done a short while ago.
+    /// Gives up the leadership in favour of another node, unless this node has recently done so.
     pub fn resign(&mut self, now: Time) -> Option<ElectionAction> {
         let Role::Leading { lease, .. } = self.role else {
             return None;
@@ -256,62 +266,71 @@
         Some(ElectionAction::Resign(lease))
     }
 
-    /// Whether this node transferred the leadership a short while ago.
+    /// Whether this node has recently given up the leadership in favour of another one.
     pub fn has_recently_resigned(&self, now: Time) -> bool {
-        self.resigned_at.is_some_and(|at| now.since(at) < REST * 10)
+        self.resigned_at
+            .is_some_and(|at| now.since(at) < RESIGNATION_PAUSE * 10)
     }
 
-    /// Proof came that another leads.
+    /// Stops leading, as it is proven that the own lease has ended or another controller leads.
     pub fn step_down(&mut self) -> ElectionAction {
-        self.enter(Role::Following);
-        // A read under way may still show our key; what the lease was good for ended here.
+        self.set_role(Role::Following);
+        // A read in flight may still show the own key, so that this node leads again: the ended lease must not count as
+        // valid then.
         self.lease_valid_until = Time::default();
         if self.known_leader.as_deref() == Some(&self.node) {
             self.known_leader = None;
         }
-        self.renewing = false;
-        self.next_read = Time::default();
+        self.is_renewing = false;
+        self.next_read_at = Time::default();
         ElectionAction::StepDown
     }
 
-    /// `sent` is when the read was sent: an answer that lay here for long, as this process stood
-    /// still, tells how things were and not how they are.
+    /// Takes in the records that were read, or `None` if the read failed. The read was sent at `sent_at`: a response
+    /// that is processed late, as this process was paused, is discarded as outdated.
     pub fn on_records_read(
         &mut self,
-        seen: Option<ElectionRecords>,
-        sent: Time,
+        records: Option<ElectionRecords>,
+        sent_at: Time,
         now: Time,
     ) -> Option<ElectionAction> {
-        self.reading = None;
-        let seen = seen.filter(|_| now.since(sent) < READ_LIMIT)?;
+        self.read_sent_at = None;
+        let records = records.filter(|_| now.since(sent_at) < READ_TIMEOUT)?;
         if self.role != Role::Following {
             return None;
         }
-        let (term, term_version) = seen.term.unwrap_or((Term(0), Version(0)));
-        let Some((holder, leader_key_version)) = seen.holder else {
+        let (term, term_version) = records.term.unwrap_or((Term(0), Version(0)));
+        let Some((holder, leader_key_version)) = records.holder else {
             self.confirmed_at = None;
             if term >= self.highest_term {
                 self.highest_term = term;
                 self.known_leader = None;
             }
-            let since = *self.free_since.get_or_insert(now);
-            let resting = self.resigned_at.is_some_and(|at| now.since(at) < REST);
-            if now.since(since) < self.campaign_delay || resting {
+            let free_since = *self.key_free_since.get_or_insert(now);
+            let is_pausing = self
+                .resigned_at
+                .is_some_and(|at| now.since(at) < RESIGNATION_PAUSE);
+            if now.since(free_since) < self.campaign_delay || is_pausing {
                 return None;
             }
-            self.enter(Role::AwaitingLease {
+            self.set_role(Role::AwaitingLease {
                 term: Term(term.0 + 1),
                 term_version,
             });
-            return Some(ElectionAction::GrantLease(self.ttl));
+            return Some(ElectionAction::GrantLease(self.lease_ttl));
         };
-        self.free_since = None;
+        self.key_free_since = None;
         if holder.node == self.node {
             if holder.incarnation == self.incarnation {
-                // A claim thought lost was carried out.
-                return Some(self.lead(holder.lease, holder.term, leader_key_version, now));
+                // An earlier claim whose response was lost was committed.
+                return Some(self.begin_leading(
+                    holder.lease,
+                    holder.term,
+                    leader_key_version,
+                    now,
+                ));
             }
-            // This node's earlier process: it is dead, or this one would not run.
+            // The key of an earlier process of this node, which is dead, as otherwise this one would not run.
             return Some(ElectionAction::EndLease(holder.lease));
         }
         let action = self.observe_term(holder.term, Some(&holder.node));
@@ -321,17 +340,19 @@
         action
     }
 
-    /// The term and the leader that the state service confirmed a moment ago.
+    /// The term and the name of another leader, if the state service has confirmed them recently.
     pub fn confirmed_leader(&self, now: Time) -> Option<(Term, &str)> {
-        let fresh = self.confirmed_at.is_some_and(|at| now.since(at) < FRESH);
+        let is_recent = self
+            .confirmed_at
+            .is_some_and(|at| now.since(at) < CONFIRMATION_VALIDITY);
         let leader = self
             .known_leader
             .as_deref()
-            .filter(|_| fresh && self.role == Role::Following);
+            .filter(|_| is_recent && self.role == Role::Following);
         leader.map(|leader| (self.highest_term, leader))
     }
 
-    fn lead(
+    fn begin_leading(
         &mut self,
         lease: LeaseId,
         term: Term,
@@ -340,14 +361,14 @@
     ) -> ElectionAction {
         self.highest_term = term;
         self.known_leader = Some(self.node.clone());
-        self.enter(Role::Leading {
+        self.set_role(Role::Leading {
             lease,
             term,
             leader_key_version,
         });
-        // A renewal at once: the time of the grant is not known for sure any more.
-        self.renewing = false;
-        self.renew_at = Time::default();
+        // Renews the lease at once, as it is not certain any more when it was granted.
+        self.is_renewing = false;
+        self.next_renewal_at = Time::default();
         self.lease_valid_until = self.lease_valid_until.max(now);
         ElectionAction::BeginLeading {
             term,
@@ -355,12 +376,12 @@
         }
     }
 
-    /// Takes in the outcome of one of the election's requests.
+    /// Takes in the outcome of an election request that was sent at `sent_at`.
     pub fn on_outcome(
         &mut self,
         step: ElectionStep,
         outcome: Outcome,
-        sent: Time,
+        sent_at: Time,
         now: Time,
     ) -> Option<ElectionAction> {
         match (step, &self.role, outcome) {
@@ -370,17 +391,17 @@
                 Outcome::Granted(lease),
             ) => {
                 let (term, term_version) = (*term, *term_version);
-                self.lease_valid_until = sent.after(self.ttl.mul_f64(DRIFT));
-                self.enter(Role::Claiming { lease, term });
+                self.lease_valid_until = sent_at.after(self.lease_ttl.mul_f64(RELIABLE_LEASE_PART));
+                self.set_role(Role::Claiming { lease, term });
                 Some(ElectionAction::Claim(self.claim(lease, term, term_version)))
             }
             (ElectionStep::Claim, Role::Claiming { lease, term }, Outcome::Committed(version)) => {
                 let (lease, term) = (*lease, *term);
-                Some(self.lead(lease, term, version, now))
+                Some(self.begin_leading(lease, term, version, now))
             }
             (ElectionStep::Claim, Role::Claiming { lease, .. }, Outcome::Conflict(_)) => {
                 let lease = *lease;
-                self.enter(Role::Following);
+                self.set_role(Role::Following);
                 self.schedule_read(now);
                 Some(ElectionAction::EndLease(lease))
             }
@@ -389,22 +410,26 @@
                 Role::AwaitingLease { .. } | Role::Claiming { .. },
                 _,
             ) => {
-                // Whatever became of it, the next read shows.
-                self.enter(Role::Following);
+                // Whether the request was carried out shows in the next read.
+                self.set_role(Role::Following);
                 self.schedule_read(now);
                 None
             }
-            (ElectionStep::Renew(of), Role::Leading { lease, .. }, outcome) if of == *lease => {
-                self.renewing = false;
+            (ElectionStep::Renew(renewed), Role::Leading { lease, .. }, outcome)
+                if renewed == *lease =>
+            {
+                self.is_renewing = false;
                 match outcome {
                     Outcome::Extended => {
-                        self.lease_valid_until = sent.after(self.ttl.mul_f64(DRIFT));
+                        self.lease_valid_until =
+                            sent_at.after(self.lease_ttl.mul_f64(RELIABLE_LEASE_PART));
                         None
                     }
                     Outcome::LeaseGone => Some(self.step_down()),
                     _ => {
-                        // Three refusals in a row must not cost the leadership: it is asked again soon.
-                        self.renew_at = self.renew_at.min(now.after(RENEW_AGAIN));
+                        // Retried soon, as otherwise three refusals in a row would cost the leadership.
+                        self.next_renewal_at =
+                            self.next_renewal_at.min(now.after(RENEWAL_RETRY_DELAY));
                         None
                     }
                 }
@@ -413,6 +438,7 @@
         }
     }
 
+    /// The transaction that claims the leadership: it fails if the key exists or the term has changed.
     fn claim(&self, lease: LeaseId, term: Term, term_version: Version) -> Txn {
         let holder = LeaderRecord {
             node: self.node.clone(),
