--- a/src/coordination/quota.rs
+++ b/src/coordination/quota.rs
@@ -1,4 +1,5 @@
-//! What teams may use: their limits, or where the feature is on the leader's allowances of them.
+//! Team quotas: how much each team may use. Without the `quota` feature these are the limits in the settings, with it
+//! the allowances that the leader has claimed of them.
 
 use std::collections::BTreeMap;
 
@@ -14,9 +15,9 @@
 use crate::settings::Team;
 use crate::types::{TaskId, Term};
 
-/// What a task counts as.
-pub(crate) fn usage(need: &Resources) -> ResourceVector {
-    ResourceVector::rounded_up(need.cpus, need.gpus)
+/// The amount that a task is charged to its team.
+pub(crate) fn task_charge(task_resources: &Resources) -> ResourceVector {
+    ResourceVector::rounded_up(task_resources.cpus, task_resources.gpus)
 }
 
 fn guarantee(team: &Team) -> ResourceVector {
@@ -30,7 +31,7 @@
     ResourceVector::from_limit_settings(cpus, gpus)
 }
 
-/// The policy that settings and features make; `None` where the feature is off.
+/// The quota policy that follows from the teams' settings; `None` if the feature is disabled.
 pub fn quota_policy(
     teams: &[Team],
     feature: &QuotaFeature,
@@ -38,7 +39,7 @@
     if !feature.enabled {
         return None;
     }
-    let of_team = |team: &Team| {
+    let named_policy = |team: &Team| {
         let policy = TeamPolicy {
             guarantee: guarantee(team),
             limit: limit(team),
@@ -51,11 +52,11 @@
     );
     Some(lichencrank_quota::QuotaPolicy {
         capacity,
-        teams: teams.iter().map(of_team).collect(),
+        teams: teams.iter().map(named_policy).collect(),
     })
 }
 
-fn priority(priority: Priority) -> lichencrank_quota::Priority {
+fn quota_priority(priority: Priority) -> lichencrank_quota::Priority {
     match priority {
         Priority::Critical => lichencrank_quota::Priority::Critical,
         Priority::High => lichencrank_quota::Priority::High,
@@ -64,131 +65,134 @@
     }
 }
 
-/// What teams may use beside what their allocations take.
+/// The state of the team quotas, apart from the usage by allocations, which
+/// [`ClusterState`](crate::coordination::cluster::ClusterState) tracks.
 pub(crate) struct TeamQuota {
-    /// What hosts report of each team that is not allocated there.
+    /// Usage of each team by attempts that hosts report although no record places them there.
     unrecorded_usage: BTreeMap<String, ResourceVector>,
-    /// The allowances that allocations are charged to, where that feature is on.
-    accounts: Option<LeaderAllowances>,
-    /// An allocation failed, as its allowance has changed: the accounts have to be read again.
-    pub(crate) outdated: bool,
+    /// The allowances that allocations are charged to, if the feature is enabled.
+    allowances: Option<LeaderAllowances>,
+    /// Whether the quota records have to be read again, as an allocation failed because its allowance had changed.
+    pub(crate) needs_reload: bool,
 }
 
 impl TeamQuota {
     pub(crate) fn new(term: Term, policy: &Policy) -> TeamQuota {
-        let accounts = policy.quota.clone();
+        let quota_policy = policy.quota.clone();
         TeamQuota {
             unrecorded_usage: BTreeMap::new(),
-            accounts: accounts.map(|accounts| LeaderAllowances::new(term.0, accounts)),
-            outdated: false,
+            allowances: quota_policy.map(|policy| LeaderAllowances::new(term.0, policy)),
+            needs_reload: false,
         }
     }
 }
 
 impl View<'_> {
-    /// What counts for a team: its allocations, and what machines reported that is not booked there.
-    fn counted(&self, team: &str) -> ResourceVector {
-        let booked = self.cluster.team_usage(team);
-        let unbooked = self
+    /// What is charged to a team: its allocations, and the attempts that hosts report without a record.
+    fn charged_usage(&self, team: &str) -> ResourceVector {
+        let allocated = self.cluster.team_usage(team);
+        let unrecorded = self
             .quota
             .unrecorded_usage
             .get(team)
             .copied()
             .unwrap_or_default();
-        booked + unbooked
+        allocated + unrecorded
     }
 
-    /// How many more tasks of this size the team may have booked.
+    /// How many more tasks of the job its team's quota permits to be allocated.
     pub(crate) fn tasks_within_team_quota(&self, job: &Job) -> u64 {
         let Some(team) = self.policy.team(&job.team) else {
             return 0;
         };
-        let allowed = match &self.quota.accounts {
-            // Before the allowance is claimed nothing is booked.
-            Some(accounts) => accounts
+        let quota = match &self.quota.allowances {
+            // Nothing is allocated before the allowance is claimed.
+            Some(allowances) => allowances
                 .granted(&TeamName::new(&job.team))
                 .unwrap_or_default(),
             None => limit(team),
         };
-        let room = allowed.saturating_sub(&self.counted(&job.team));
-        usage(&job.task_resources).multiples_within(&room)
+        let remaining = quota.saturating_sub(&self.charged_usage(&job.team));
+        task_charge(&job.task_resources).multiples_within(&remaining)
     }
 
-    /// Whether a task of that priority may be stopped for the job, by the rules of preemption. Borrowed
-    /// work gives way to guarantees where the feature is on.
-    pub(crate) fn may_preempt(&self, victim: &Job, by: &Job) -> bool {
-        let by_guarantee = self.quota.accounts.is_some()
-            && victim.team != by.team
+    /// Whether a task of `victim` may be stopped to make room for one of `preemptor`: if its priority is lower, or,
+    /// with the feature enabled, if it exceeds its team's guarantee and the other one is within the guarantee of its
+    /// own team.
+    pub(crate) fn may_preempt(&self, victim: &Job, preemptor: &Job) -> bool {
+        let preemptor_is_guaranteed = self.quota.allowances.is_some()
+            && victim.team != preemptor.team
             && self
-                .team_use(&by.team)
-                .guarantee_covers(&usage(&by.task_resources));
-        let borrowed = self
-            .team_use(&victim.team)
-            .is_borrowed(&usage(&victim.task_resources));
+                .guarantee_and_usage(&preemptor.team)
+                .guarantee_covers(&task_charge(&preemptor.task_resources));
+        let victim_is_borrowed = self
+            .guarantee_and_usage(&victim.team)
+            .is_borrowed(&task_charge(&victim.task_resources));
         let case = PreemptionCase {
-            victim_priority: priority(victim.priority()),
-            victim_is_borrowed: borrowed,
-            preemptor_priority: priority(by.priority()),
-            preemptor_is_guaranteed: by_guarantee,
+            victim_priority: quota_priority(victim.priority()),
+            victim_is_borrowed,
+            preemptor_priority: quota_priority(preemptor.priority()),
+            preemptor_is_guaranteed,
         };
         case.is_allowed()
     }
 
-    /// Whether stopping tasks of the other job serves the guarantee of this one's team.
-    pub(crate) fn serves_guarantee(&self, victim: &Job, by: &Job) -> bool {
-        victim.priority() <= by.priority() && self.may_preempt(victim, by)
+    /// Whether tasks of `victim`, which is of the same or a higher priority, may be stopped because `preemptor` is
+    /// within its team's guarantee.
+    pub(crate) fn serves_guarantee(&self, victim: &Job, preemptor: &Job) -> bool {
+        victim.priority() <= preemptor.priority() && self.may_preempt(victim, preemptor)
     }
 
-    fn team_use(&self, name: &str) -> TeamUsage {
+    fn guarantee_and_usage(&self, team: &str) -> TeamUsage {
         TeamUsage {
-            guarantee: self.policy.team(name).map(guarantee).unwrap_or_default(),
-            used: self.counted(name),
+            guarantee: self.policy.team(team).map(guarantee).unwrap_or_default(),
+            used: self.charged_usage(team),
         }
     }
 
-    fn demands(&self) -> BTreeMap<TeamName, TeamWorkload> {
-        let mut demands: BTreeMap<TeamName, TeamWorkload> = BTreeMap::new();
+    /// The charged and the pending resources of each team, by which the allowances are claimed.
+    fn team_workloads(&self) -> BTreeMap<TeamName, TeamWorkload> {
+        let mut workloads: BTreeMap<TeamName, TeamWorkload> = BTreeMap::new();
         for team in &self.policy.teams {
-            let used = self.counted(&team.name);
-            let demand = TeamWorkload {
-                charged: used,
+            let charged = self.charged_usage(&team.name);
+            let workload = TeamWorkload {
+                charged,
                 ..TeamWorkload::default()
             };
-            demands.insert(TeamName::new(&team.name), demand);
+            workloads.insert(TeamName::new(&team.name), workload);
         }
-        let active = self
+        let active_jobs = self
             .cluster
             .jobs()
             .values()
-            .filter(|j| j.phase == JobPhase::Active);
-        for job in active.filter(|j| j.waiting_count() > 0) {
-            let Some(demand) = demands.get_mut(&TeamName::new(&job.team)) else {
+            .filter(|job| job.phase == JobPhase::Active);
+        for job in active_jobs.filter(|job| job.waiting_count() > 0) {
+            let Some(workload) = workloads.get_mut(&TeamName::new(&job.team)) else {
                 continue;
             };
-            let one = usage(&job.task_resources);
-            demand.pending += one.saturating_mul(u64::from(job.waiting_count()));
-            demand.largest_pending_task = demand.largest_pending_task.component_max(&one);
+            let charge = task_charge(&job.task_resources);
+            workload.pending += charge.saturating_mul(u64::from(job.waiting_count()));
+            workload.largest_pending_task = workload.largest_pending_task.component_max(&charge);
         }
-        demands
+        workloads
     }
 }
 
 impl Leader {
-    /// Whether it is known what teams may use. Before that all work seems to need no machines, and they
-    /// would be returned.
+    /// Whether the allowances of all teams have been claimed. Before that no task may be allocated, so all hosts would
+    /// seem surplus and be released.
     pub(crate) fn has_claimed_allowances(&self) -> bool {
-        let Some(accounts) = &self.quota.accounts else {
+        let Some(allowances) = &self.quota.allowances else {
             return true;
         };
         let mut teams = self.policy.teams.iter();
-        teams.all(|team| accounts.granted(&TeamName::new(&team.name)).is_some())
+        teams.all(|team| allowances.granted(&TeamName::new(&team.name)).is_some())
     }
 
-    /// Sums up what machines report and nobody booked there. It is rare, so looking is cheap where there
-    /// is none.
+    /// Sums up the usage by attempts that hosts report without a record. They are rare, so this is usually cheap.
     pub(crate) fn update_unrecorded_usage(&mut self) {
         self.quota.unrecorded_usage.clear();
-        if self.quota.accounts.is_none() {
+        if self.quota.allowances.is_none() {
             return;
         }
         let unrecorded_attempts = self
@@ -199,110 +203,113 @@
         let tasks: Vec<TaskId> = unrecorded_attempts.map(|(task, _)| *task).collect();
         for task in tasks {
             if let Some(job) = self.cluster.jobs().get(&task.job) {
-                let counted = self
+                let team_usage = self
                     .quota
                     .unrecorded_usage
                     .entry(job.team.clone())
                     .or_default();
-                *counted += usage(&job.task_resources);
+                *team_usage += task_charge(&job.task_resources);
             }
         }
     }
 
-    // ---- the accounts
+    // ---- quota records
 
-    /// Whether the accounts have to be read again, which is then taken for done.
+    /// Whether the quota records have to be read again. Clears the request.
     pub fn take_quota_reload_request(&mut self) -> bool {
-        std::mem::take(&mut self.quota.outdated)
+        std::mem::take(&mut self.quota.needs_reload)
     }
 
-    /// The accounts have to be read again.
+    /// Requests that the quota records are read again.
     pub fn request_quota_reload(&mut self) {
-        self.quota.outdated = true;
+        self.quota.needs_reload = true;
     }
 
-    /// The policy of the accounts, where the feature is on.
+    /// The quota policy, if the feature is enabled.
     pub fn quota_policy(&self) -> Option<&lichencrank_quota::QuotaPolicy> {
         self.policy.quota.as_ref()
     }
 
-    /// Whether a change of the accounts is under way.
+    /// Whether a transaction on the quota records is in flight.
     pub fn is_writing_quota(&self) -> bool {
         self.quota
-            .accounts
+            .allowances
             .as_ref()
             .is_some_and(LeaderAllowances::is_writing)
     }
 
-    /// Begins to read the accounts' records anew.
+    /// Begins to read all quota records again.
     pub fn begin_loading_quota(&mut self) {
-        if let Some(accounts) = &mut self.quota.accounts {
-            accounts.begin_reading();
+        if let Some(allowances) = &mut self.quota.allowances {
+            allowances.begin_reading();
         }
     }
 
-    /// Takes in a record of the accounts.
+    /// Takes in a quota record while they are read.
     pub fn on_quota_item(&mut self, item: &Item) {
-        if let Some(accounts) = &mut self.quota.accounts {
-            accounts.insert_item(item);
+        if let Some(allowances) = &mut self.quota.allowances {
+            allowances.insert_item(item);
         }
     }
 
-    /// All records of the accounts are read.
+    /// All quota records have been read.
     pub fn on_quota_loaded(&mut self) {
-        if let Some(accounts) = &mut self.quota.accounts {
-            accounts.finish_reading();
+        if let Some(allowances) = &mut self.quota.allowances {
+            allowances.finish_reading();
         }
-        self.quota_changed();
+        self.update_allowance_fences();
     }
 
-    /// The next change of the accounts, on condition that this controller still leads.
+    /// The next transaction on the quota records, if one is needed, conditional on this controller still being the
+    /// leader.
     pub fn next_quota_txn(&mut self) -> Option<Txn> {
         self.update_unrecorded_usage();
-        let ready = self
+        let is_idle = self
             .quota
-            .accounts
+            .allowances
             .as_ref()
             .is_some_and(LeaderAllowances::is_idle);
-        if !ready {
+        if !is_idle {
             return None;
         }
-        let demands = self.view().demands();
-        let most = self.cluster.records().max_txn_changes();
+        let workloads = self.view().team_workloads();
+        let max_changes = self.cluster.records().max_txn_changes();
         let mut txn = self
             .quota
-            .accounts
+            .allowances
             .as_mut()?
-            .next_transaction(&demands, most)?;
-        let holder = crate::storage::records::LEADER_KEY.to_owned();
-        txn.require(holder, self.cluster.records().leader_key_version());
+            .next_transaction(&workloads, max_changes)?;
+        let leader_key = crate::storage::records::LEADER_KEY.to_owned();
+        txn.require(leader_key, self.cluster.records().leader_key_version());
         Some(txn)
     }
 
-    /// A change of the accounts was written.
+    /// The last transaction on the quota records was committed.
     pub fn on_quota_committed(&mut self, version: Version) {
-        if let Some(accounts) = &mut self.quota.accounts {
-            accounts.on_committed(version);
+        if let Some(allowances) = &mut self.quota.allowances {
+            allowances.on_committed(version);
         }
-        self.quota_changed();
+        self.update_allowance_fences();
     }
 
-    /// A change of the accounts was surely not written.
+    /// The last transaction on the quota records was not committed. This is called for an unknown outcome too, after
+    /// which the records have to be read again.
     pub fn on_quota_not_committed(&mut self) {
-        if let Some(accounts) = &mut self.quota.accounts {
-            accounts.on_not_committed();
+        if let Some(allowances) = &mut self.quota.allowances {
+            allowances.on_not_committed();
         }
     }
 
-    /// Every allocation depends on the version of its team's allowance.
-    fn quota_changed(&mut self) {
-        let Some(accounts) = &self.quota.accounts else {
+    /// Passes on the keys and versions of the allowances. The write of every allocation is conditional on the version
+    /// of its team's allowance.
+    fn update_allowance_fences(&mut self) {
+        let Some(allowances) = &self.quota.allowances else {
             return;
         };
         let teams = self.policy.teams.iter();
         let fences = teams
             .filter_map(|team| {
-                let fence = accounts.fence(&TeamName::new(&team.name))?;
+                let fence = allowances.fence(&TeamName::new(&team.name))?;
                 Some((team.name.clone(), (fence.key, fence.version)))
             })
             .collect();
--- a/tests/quota_leader.rs
+++ b/tests/quota_leader.rs
@@ -1,5 +1,6 @@
-//! What the leader decides with team limits in allowances: nothing before they are claimed, every booking
-//! on their condition, what machines report counts, and borrowed work gives way to guarantees.
+//! The leader with the `quota` feature: it allocates nothing before the allowances are claimed, every write of an
+//! allocation is conditional on the team's allowance, unrecorded attempts that hosts report are charged, and borrowed
+//! work is preempted for guarantees.
 
 use lichencrank::coordination::{Leader, Policy};
 use lichencrank::features::Features;
@@ -29,7 +30,7 @@
     }
 }"#;
 
-fn kind() -> MachineType {
+fn machine_type() -> MachineType {
     MachineType {
         name: "c8".into(),
         cpus: Amount(8.0),
@@ -44,7 +45,7 @@
     }
 }
 
-fn job(number: u64, team: &str, tasks: u64) -> JobRecord {
+fn job_record(number: u64, team: &str, tasks: u64) -> JobRecord {
     JobRecord {
         spec: JobSpec {
             id: JobId(number),
@@ -73,195 +74,200 @@
     }
 }
 
-/// A leader with one machine of eight CPUs, and the state service that takes whatever it writes.
-struct SimulatedLeader {
-    controller: Leader,
+/// A leader, one host of eight CPUs, and a state service that commits every transaction.
+struct Harness {
+    leader: Leader,
     now: Time,
-    tick: u64,
-    revision: u64,
-    /// What the machine holds beside its bookings.
-    reported: Vec<(TaskId, Attempt)>,
+    heartbeat_sequence: u64,
+    store_revision: u64,
+    /// Attempts that run on the host without an allocation.
+    unrecorded_attempts: Vec<(TaskId, Attempt)>,
 }
 
-impl SimulatedLeader {
-    fn new() -> SimulatedLeader {
-        let settings = Settings::parse(SETTINGS).expect("the settings here");
-        let features = Features::parse("quota: {enabled: true}").expect("the features here");
+impl Harness {
+    fn new() -> Harness {
+        let settings = Settings::parse(SETTINGS).expect("valid settings");
+        let features = Features::parse("quota: {enabled: true}").expect("valid features");
         let tuning = Tuning {
-            // The machine stays for the whole test.
+            // Keeps the host for the whole test.
             idle_return_s: 86_400.0,
             ..Tuning::default()
         };
-        let rules = Policy::new(&settings.settings, &tuning, &features);
-        let mut controller = Leader::new(TERM, Version(1), rules, vec![kind()], Time(0));
-        controller.set_lease_valid_until(Time(u64::MAX));
-        controller.on_loaded(Time(0));
-        let mut leader = SimulatedLeader {
-            controller,
+        let policy = Policy::new(&settings.settings, &tuning, &features);
+        let mut leader = Leader::new(TERM, Version(1), policy, vec![machine_type()], Time(0));
+        leader.set_lease_valid_until(Time(u64::MAX));
+        leader.on_loaded(Time(0));
+        let mut harness = Harness {
+            leader,
             now: Time(0),
-            tick: 0,
-            revision: 10,
-            reported: Vec::new(),
+            heartbeat_sequence: 0,
+            store_revision: 10,
+            unrecorded_attempts: Vec::new(),
         };
         for _ in 0..3 {
-            leader.report();
+            harness.send_heartbeat();
         }
-        leader
+        harness
     }
 
-    /// The machine reports what is booked there, and the leader decides.
-    fn report(&mut self) -> Vec<Command> {
+    /// The host sends a heartbeat in which all allocated tasks run, and the leader decides.
+    fn send_heartbeat(&mut self) -> Vec<Command> {
         self.now = Time(self.now.0 + 3000);
-        self.tick += 1;
-        let name = HostName::new("vm-000001");
-        let booked = self.controller.cluster().hosts().get(&name);
-        let booked = booked
+        self.heartbeat_sequence += 1;
+        let host_name = HostName::new("vm-000001");
+        let host = self.leader.cluster().hosts().get(&host_name);
+        let allocations = host
             .map(|host| host.allocations.iter())
             .into_iter()
             .flatten();
-        let booked = booked.map(|(task, booking)| (*task, booking.attempt));
-        let all: Vec<(TaskId, Attempt)> = booked.chain(self.reported.iter().copied()).collect();
+        let allocated = allocations.map(|(task, allocation)| (*task, allocation.attempt));
+        let all: Vec<(TaskId, Attempt)> = allocated
+            .chain(self.unrecorded_attempts.iter().copied())
+            .collect();
         let tasks = all.into_iter().map(|(task, attempt)| AttemptStatus {
             task,
             attempt,
             state: AttemptState::Running,
             end_reason: None,
         });
-        let report = WorkerHeartbeat {
-            host: name,
+        let heartbeat = WorkerHeartbeat {
+            host: host_name,
             address: "127.0.0.1:9000".into(),
             machine_type: "c8".into(),
             zone: "a".into(),
             spot: true,
             incarnation: Incarnation(1),
-            sequence: SequenceNumber(self.tick),
+            sequence: SequenceNumber(self.heartbeat_sequence),
             fencing_token: TERM,
             notice_s: None,
             tasks: tasks.collect(),
         };
-        let orders = self
-            .controller
-            .on_heartbeat(&report, self.now)
-            .expect("its term");
-        self.controller.tick(self.now, self.now.0);
-        orders
+        let commands = self
+            .leader
+            .on_heartbeat(&heartbeat, self.now)
+            .expect("no later leader");
+        self.leader.tick(self.now, self.now.0);
+        commands
     }
 
-    /// Reads empty accounts and writes them until nothing changes. Returns the transactions.
-    fn claim(&mut self) -> Vec<Txn> {
-        self.controller.on_quota_loaded();
-        let mut written = Vec::new();
-        while let Some(txn) = self.controller.next_quota_txn() {
-            self.revision += 1;
-            self.controller.on_quota_committed(Version(self.revision));
-            written.push(txn);
-            assert!(written.len() < 10, "{written:?}");
+    /// Loads an empty set of quota records and commits the leader's changes until there are none. Returns the
+    /// transactions.
+    fn claim_allowances(&mut self) -> Vec<Txn> {
+        self.leader.on_quota_loaded();
+        let mut committed = Vec::new();
+        while let Some(txn) = self.leader.next_quota_txn() {
+            self.store_revision += 1;
+            self.leader.on_quota_committed(Version(self.store_revision));
+            committed.push(txn);
+            assert!(committed.len() < 10, "{committed:?}");
         }
-        written
+        committed
     }
 
-    fn write(&mut self) -> Vec<Txn> {
-        let mut written = Vec::new();
-        while let Some(txn) = self.controller.next_batch(16, true) {
-            self.revision += 1;
-            let outcome = Outcome::Committed(Version(self.revision));
-            self.controller
+    /// Commits the batches of records until there are none. Returns the transactions.
+    fn commit_batches(&mut self) -> Vec<Txn> {
+        let mut committed = Vec::new();
+        while let Some(txn) = self.leader.next_batch(16, true) {
+            self.store_revision += 1;
+            let outcome = Outcome::Committed(Version(self.store_revision));
+            self.leader
                 .on_batch_outcome(outcome, self.now)
-                .expect("its term");
-            written.push(txn);
+                .expect("no later leader");
+            committed.push(txn);
         }
-        self.controller.take_actions();
-        written
+        self.leader.take_actions();
+        committed
     }
 
     fn submit(&mut self, number: u64, team: &str, tasks: u64) {
-        self.revision += 1;
-        self.controller
-            .on_job(job(number, team, tasks), Version(self.revision));
+        self.store_revision += 1;
+        self.leader.on_job(
+            job_record(number, team, tasks),
+            Version(self.store_revision),
+        );
     }
 
-    fn booked(&self, number: u64) -> u32 {
-        self.controller.cluster().jobs()[&JobId(number)].allocated_count
+    fn allocated_count(&self, number: u64) -> u32 {
+        self.leader.cluster().jobs()[&JobId(number)].allocated_count
     }
 }
 
 #[test]
-fn nothing_is_booked_before_the_allowances_are_claimed() {
-    let mut leader = SimulatedLeader::new();
-    leader.submit(1, "borrower", 10);
+fn nothing_is_allocated_before_the_allowances_are_claimed() {
+    let mut harness = Harness::new();
+    harness.submit(1, "borrower", 10);
     for _ in 0..10 {
-        leader.report();
+        harness.send_heartbeat();
     }
-    assert_eq!(leader.booked(1), 0);
-    // Work that may not begin yet seems to need no machine, which stays all the same.
-    assert_eq!(leader.controller.take_actions(), []);
-    let machine = leader.controller.cluster().hosts().values().next();
-    assert!(machine.is_some_and(|host| host.cordon.is_none()));
-    let claims = leader.claim();
+    assert_eq!(harness.allocated_count(1), 0);
+    // Tasks that may not start yet create no demand, and yet the host is not released.
+    assert_eq!(harness.leader.take_actions(), []);
+    let host = harness.leader.cluster().hosts().values().next();
+    assert!(host.is_some_and(|host| host.cordon.is_none()));
+    let claims = harness.claim_allowances();
     for txn in &claims {
         let mut conditions = txn.conditions.iter();
         assert!(conditions.any(|c| c.key == "lead/holder" && c.version == Version(1)));
     }
-    leader.report();
-    // The limit, not the machine, is what ends it: both have eight CPUs.
-    assert_eq!(leader.booked(1), 4);
-    for txn in leader.write() {
+    harness.send_heartbeat();
+    // Both the host and the team's limit allow eight CPUs, which are four tasks.
+    assert_eq!(harness.allocated_count(1), 4);
+    for txn in harness.commit_batches() {
         let mut conditions = txn.conditions.iter();
-        let fenced = conditions.any(|c| c.key == "quota/allowance/borrower/leader");
-        assert!(fenced, "{txn:?}");
+        let is_fenced = conditions.any(|c| c.key == "quota/allowance/borrower/leader");
+        assert!(is_fenced, "{txn:?}");
     }
 }
 
-/// A task that the records don't place there runs all the same: it takes its team's room until it is
-/// gone, also above the limit.
+/// An attempt that runs on a host without a record is charged to its team until it has ended, even beyond the limit.
 #[test]
-fn what_a_machine_reports_unbooked_counts() {
-    let mut leader = SimulatedLeader::new();
-    leader.claim();
-    leader.submit(1, "borrower", 3);
-    leader.report();
-    leader.write();
-    assert_eq!(leader.booked(1), 3);
-    // A second copy of a task that is booked with another attempt.
+fn unrecorded_attempts_are_charged() {
+    let mut harness = Harness::new();
+    harness.claim_allowances();
+    harness.submit(1, "borrower", 3);
+    harness.send_heartbeat();
+    harness.commit_batches();
+    assert_eq!(harness.allocated_count(1), 3);
+    // A second copy of a task that is allocated with another attempt number.
     let copy = TaskId {
         job: JobId(1),
         index: 0,
     };
-    leader.reported.push((copy, Attempt(7)));
-    leader.report();
-    leader.submit(2, "borrower", 1);
-    leader.report();
-    assert_eq!(leader.booked(2), 0);
-    leader.reported.clear();
-    leader.report();
-    leader.report();
-    assert_eq!(leader.booked(2), 1);
+    harness.unrecorded_attempts.push((copy, Attempt(7)));
+    harness.send_heartbeat();
+    harness.submit(2, "borrower", 1);
+    harness.send_heartbeat();
+    assert_eq!(harness.allocated_count(2), 0);
+    harness.unrecorded_attempts.clear();
+    harness.send_heartbeat();
+    harness.send_heartbeat();
+    assert_eq!(harness.allocated_count(2), 1);
 }
 
-/// Work of the same priority that another team runs beyond its guarantee is stopped for work within
-/// one, and no more of it than is needed.
+/// Tasks of the same priority that another team runs beyond its guarantee are stopped for tasks within a guarantee, and
+/// no more of them than needed.
 #[test]
-fn borrowed_work_gives_way_to_a_guarantee() {
-    let mut leader = SimulatedLeader::new();
-    leader.claim();
-    leader.submit(1, "borrower", 4);
-    leader.report();
-    leader.write();
-    assert_eq!(leader.booked(1), 4);
-    leader.report();
-    leader.submit(2, "lender", 4);
-    let mut stopped = Vec::new();
+fn borrowed_work_is_preempted_for_a_guarantee() {
+    let mut harness = Harness::new();
+    harness.claim_allowances();
+    harness.submit(1, "borrower", 4);
+    harness.send_heartbeat();
+    harness.commit_batches();
+    assert_eq!(harness.allocated_count(1), 4);
+    harness.send_heartbeat();
+    harness.submit(2, "lender", 4);
+    let mut stop_commands = Vec::new();
     for _ in 0..2 {
-        let orders = leader.report();
-        stopped.extend(
-            orders
+        let commands = harness.send_heartbeat();
+        stop_commands.extend(
+            commands
                 .into_iter()
-                .filter(|o| matches!(o, Command::Stop { .. })),
+                .filter(|command| matches!(command, Command::Stop { .. })),
         );
     }
-    assert!(!stopped.is_empty());
-    let of_borrower =
-        |order: &Command| matches!(order, Command::Stop { task, .. } if task.job == JobId(1));
-    assert!(stopped.iter().all(of_borrower));
-    assert!(stopped.len() <= 2, "{stopped:?}");
+    assert!(!stop_commands.is_empty());
+    let is_of_borrower =
+        |command: &Command| matches!(command, Command::Stop { task, .. } if task.job == JobId(1));
+    assert!(stop_commands.iter().all(is_of_borrower));
+    assert!(stop_commands.len() <= 2, "{stop_commands:?}");
 }
