--- a/src/coordination/leader/dispatch.rs
+++ b/src/coordination/leader/dispatch.rs
@@ -1,4 +1,4 @@
-//! Sending commands to workers.
+//! Sending of direct commands to workers.
 
 use std::collections::BTreeSet;
 
@@ -9,7 +9,7 @@
 use crate::types::{HostName, TaskId, Time};
 
 impl Leader {
-    /// Marks a task to be stopped and tells its worker at once.
+    /// Marks a task to be stopped and sends the command to its worker at once.
     pub(crate) fn stop_task(
         &mut self,
         name: &HostName,
@@ -22,14 +22,14 @@
         }
     }
 
-    /// Sends each host the commands that it needs.
+    /// Sends each of the hosts the commands that are due for it.
     pub(super) fn send_commands_to(&mut self, hosts: &BTreeSet<HostName>, now: Time) {
         for name in hosts {
             self.send_commands(name, now);
         }
     }
 
-    /// Sends the host the commands that it needs, or has it wait until fewer are in flight.
+    /// Sends the host the commands that are due for it, or queues the host if too many requests are in flight.
     pub(super) fn send_commands(&mut self, name: &HostName, now: Time) {
         let host = self.cluster.host(name);
         let Some(host) = host.filter(|host| accepts_commands(host, &self.policy, now)) else {
@@ -55,18 +55,18 @@
         });
     }
 
-    /// Sends the commands that waited for others to end, in their order.
+    /// Sends the commands of queued hosts, in order, as far as the limit permits.
     pub(super) fn send_waiting_commands(&mut self, now: Time) {
         while let Some(name) = self.dispatcher.next_waiting_host() {
             self.send_commands(&name, now);
         }
     }
 
-    /// On what conditions commands are sent now.
+    /// The state of the leader on which the choice of commands depends.
     pub(super) fn command_context(&self, now: Time) -> CommandContext {
         CommandContext {
             term: self.term,
-            may_start_tasks: self.may_act(now),
+            may_start_tasks: self.has_valid_lease(now),
             now,
         }
     }
--- a/src/coordination/leader/heartbeats.rs
+++ b/src/coordination/leader/heartbeats.rs
@@ -1,4 +1,4 @@
-//! Heartbeats of workers and the outcomes of direct commands.
+//! Handling of worker heartbeats and of the results of direct commands.
 
 use crate::coordination::cluster::{HeartbeatSource, Reconciliation};
 use crate::coordination::{CommandResult, Leader, LeaderPhase, LeadershipLost};
@@ -6,7 +6,7 @@
 use crate::types::{HostName, Incarnation, Time};
 
 impl Leader {
-    /// Takes in the heartbeat that a worker sent. Returns the commands for the response.
+    /// Handles a heartbeat that a worker sent. Returns the commands for the response.
     ///
     /// # Errors
     ///
@@ -28,8 +28,9 @@
             .commands_in_response(&heartbeat.host, heartbeat.sequence, context))
     }
 
-    /// While the records are read, the fencing token alone keeps the worker's lease alive. That may take longer than
-    /// cancelled work has, so it is stopped.
+    /// While the records are being read, the fencing token in the response renews the worker's lease and with it all
+    /// its tasks. Reading may take longer than the cancellation timeout, so tasks of jobs known to be cancelled are
+    /// stopped.
     fn commands_while_loading(
         &self,
         heartbeat: &WorkerHeartbeat,
@@ -42,7 +43,8 @@
         }))
     }
 
-    /// Squares a heartbeat with the state. Returns whether it counted, as the newest of its host.
+    /// Reconciles the state of the cluster with a heartbeat. Returns whether it was applied, which only the newest of
+    /// its host is.
     fn reconcile(
         &mut self,
         heartbeat: &WorkerHeartbeat,
@@ -70,7 +72,7 @@
         Ok(reconciliation.apply(heartbeat))
     }
 
-    /// Takes in what became of direct commands, or of a probe if there were none.
+    /// Handles the result of direct commands, or of a probe if `commands` is empty.
     ///
     /// # Errors
     ///
@@ -84,9 +86,9 @@
         now: Time,
     ) -> Result<(), LeadershipLost> {
         self.dispatcher.on_result(commands);
-        let applied = self.apply_command_result(name, incarnation, commands, result, now);
+        let result = self.apply_command_result(name, incarnation, commands, result, now);
         self.send_waiting_commands(now);
-        applied
+        result
     }
 
     fn apply_command_result(
--- a/src/coordination/leader/jobs.rs
+++ b/src/coordination/leader/jobs.rs
@@ -1,4 +1,4 @@
-//! Jobs as they are accepted, finished and cancelled.
+//! Handling of job records: accepted, finished and cancelled jobs.
 
 use std::collections::BTreeMap;
 
@@ -8,43 +8,45 @@
 use crate::storage::records::{JobRecord, OutcomeRecord};
 use crate::types::{JobId, Time, Version};
 
-/// Cancelled jobs that are remembered, of some ten bytes each; several heartbeats' worth.
-const MAX_CANCELLED: usize = 12_000;
-/// A new leader that can't read the records renews workers' leases for this part of the time by which the time for
-/// cancellations exceeds a worker's lease. The rest is for jobs whose cancellation was confirmed just before its term.
+/// Most cancelled jobs that are remembered, at some ten bytes each: as many as several peer heartbeats carry.
+const MAX_CANCELLED_JOBS: usize = 12_000;
+/// A new leader that cannot read the records renews workers' leases for this part of the time by which the cancellation
+/// timeout exceeds a worker's lease. The rest is for jobs whose cancellation was confirmed shortly before its term.
 const LOADING_LEASE_PART: f64 = 0.6;
 
-/// Jobs that some controller told its user were cancelled, and when this leader heard of it.
+/// Jobs whose cancellation some controller has confirmed to its user, and when this leader learnt of it.
 #[derive(Debug, Default)]
 pub(crate) struct Cancellations {
-    jobs: BTreeMap<JobId, Time>,
+    learnt_at: BTreeMap<JobId, Time>,
 }
 
 impl Cancellations {
-    /// Whether the job was cancelled by a controller's word.
+    /// Whether the job is known to be cancelled.
     pub(crate) fn contains(&self, job: JobId) -> bool {
-        self.jobs.contains_key(&job)
+        self.learnt_at.contains_key(&job)
     }
 
-    /// Notes a cancellation. Returns whether it was news.
+    /// Adds a cancelled job. Returns whether it was not known before.
     fn insert(&mut self, job: JobId, now: Time) -> bool {
-        self.jobs.insert(job, now).is_none()
+        self.learnt_at.insert(job, now).is_none()
     }
 
     fn forget_oldest_beyond_limit(&mut self) {
-        if self.jobs.len() <= MAX_CANCELLED {
+        if self.learnt_at.len() <= MAX_CANCELLED_JOBS {
             return;
         }
-        tracing::warn!("more than {MAX_CANCELLED} jobs are cancelled, the oldest is forgotten");
-        let oldest = self.jobs.iter().min_by_key(|(_, at)| **at);
+        tracing::warn!(
+            "more than {MAX_CANCELLED_JOBS} cancelled jobs to remember: forgetting the oldest"
+        );
+        let oldest = self.learnt_at.iter().min_by_key(|(_, at)| **at);
         if let Some(oldest) = oldest.map(|(job, _)| *job) {
-            self.jobs.remove(&oldest);
+            self.learnt_at.remove(&oldest);
         }
     }
 }
 
 impl Leader {
-    /// Takes in the record of a job that is not over, while the records are read or as a change that was watched.
+    /// Handles the record of an unfinished job, which was read at the start of the term or reported by the watch.
     pub fn on_job(&mut self, record: JobRecord, version: Version) {
         let now = self.clock.now;
         let id = record.spec.id;
@@ -63,22 +65,22 @@
                     self.autoscaler.on_job_arrived(submitted_at, spec);
                 }
                 if self.cancellations.contains(id) {
-                    // The record was read before the job was cancelled.
+                    // The record was read before the cancellation deleted it.
                     self.on_job_deleted(id, now);
                 }
             }
         }
     }
 
-    /// Takes in an outcome that stands in the place of the job's description: an earlier leader finished the job, or this
-    /// one did and the response was lost.
+    /// Handles an outcome that has replaced the job's specification in its record: an earlier leader finished the job,
+    /// or this one did and the response to the write was lost.
     pub fn on_outcome_record(&mut self, id: JobId, outcome: OutcomeRecord, version: Version) {
         let now = self.clock.now;
         self.cluster.on_outcome_record(id, outcome, version, now);
     }
 
-    /// Some controller told its user that the job is cancelled. If the store does not answer this controller, the record
-    /// that says so may not reach it for long.
+    /// Some controller has confirmed to its user that the job is cancelled. The deletion of its record may reach this
+    /// controller much later, if the state service does not respond to it.
     pub fn on_cancellation(&mut self, id: JobId, now: Time) {
         if self.cancellations.insert(id, now) {
             self.on_job_deleted(id, now);
@@ -86,25 +88,26 @@
         self.cancellations.forget_oldest_beyond_limit();
     }
 
-    /// Whether no other leader can keep a task of the cancelled job running; see
+    /// Whether no other leader can keep a task of the cancelled job running. See
     /// [`ClusterState::is_sole_commander`](crate::coordination::cluster::ClusterState).
     pub fn is_sole_commander(&self, id: JobId) -> bool {
         self.cluster.is_sole_commander(id, self.term)
     }
 
-    /// Whether workers may not be answered any more, so that their leases expire. The records, and with them the
-    /// cancellations from before this term, have been out of reach for long: each response would keep cancelled work
-    /// alive that nobody else knows of. Without one it ends with its worker's lease, just in time.
+    /// Whether heartbeats must be left without a response, so that the workers' leases expire. The records, and with
+    /// them the cancellations from before this term, could not be read for too long: each response would keep tasks of
+    /// cancelled jobs running that this leader does not know of. Without one they end with their worker's lease,
+    /// before the cancellation timeout expires.
     pub fn must_let_leases_expire(&self, now: Time) -> bool {
-        let spare = self
+        let max_renewal_time = self
             .policy
             .cancellation_timeout
             .saturating_sub(self.policy.worker_lease);
         self.phase == LeaderPhase::LoadingRecords
-            && now.since(self.started_at) > spare.mul_f64(LOADING_LEASE_PART)
+            && now.since(self.started_at) > max_renewal_time.mul_f64(LOADING_LEASE_PART)
     }
 
-    /// The job's record is gone: its user cancelled it, unless this leader finished it.
+    /// The job's record has been deleted: its user has cancelled the job, unless this leader has finished it.
     pub fn on_job_deleted(&mut self, id: JobId, now: Time) {
         let Some(allocated) = self.cluster.begin_cancelling(id, now) else {
             return;
--- a/src/coordination/leader/mod.rs
+++ b/src/coordination/leader/mod.rs
@@ -1,4 +1,4 @@
-//! The leader of one term: hands events to its components and collects the actions that they ask for.
+//! The leader of one term: passes events to its components and collects the actions that they request.
 
 mod dispatch;
 mod heartbeats;
@@ -27,32 +27,31 @@
 use crate::protocol::cloud::MachineType;
 use crate::types::{HostName, JobId, Term, Time, Version};
 
-/// How far a leader's picture is.
+/// How complete a leader's view of the cluster is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LeaderPhase {
-    /// Records are being read.
+    /// The records are being read.
     LoadingRecords,
-    /// One report round passes, so that the picture is whole before machines are judged; work goes
-    /// only to those that have reported.
+    /// The leader waits for a heartbeat of each host, so that its view is complete before it declares any host lost.
+    /// Tasks are placed only on hosts that have sent one.
     AwaitingHeartbeats {
-        /// When the round of reports is over at the latest.
+        /// When this phase ends at the latest.
         until: Time,
     },
-    /// The picture is complete: work is placed.
+    /// The view is complete: tasks are placed on all hosts.
     Scheduling,
 }
 
-/// The leader of one term. Its components own its state; it hands events to them.
+/// The leader of one term. Its components own its state; it passes events to them.
 pub struct Leader {
-    /// The leader's term.
     term: Term,
-    /// How far its view of the cluster is.
     phase: LeaderPhase,
-    /// Until when the own lease surely stands. It is looked at whenever something is begun, as the
-    /// process may have stood still since it was last asked.
+    /// Until when the own lease is certainly valid. It is checked whenever something is started, as the process may
+    /// have been paused since the last check.
     lease_valid_until: Time,
     pub(crate) policy: Policy,
     pub(crate) clock: Clock,
+    /// When all records had been read, or, while they still are, when the term began.
     pub(crate) started_at: Time,
     /// Hosts, jobs, allocations, and the records still to be written.
     pub(crate) cluster: ClusterState,
@@ -62,33 +61,34 @@
     pub(crate) failure_detector: FailureDetector,
     pub(crate) dispatcher: CommandDispatcher,
     cancellations: Cancellations,
-    /// What teams may use.
+    /// How much each team may use.
     pub(crate) quota: TeamQuota,
     pub(crate) run_times: RunTimes,
+    /// Actions that the node has not taken yet.
     pub(crate) actions: Vec<Action>,
 }
 
-/// The times of the event that is being handled.
+/// The time at which the current event is handled, by both clocks.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Clock {
-    /// The steady clock.
+    /// The monotonic clock.
     pub(crate) now: Time,
-    /// The time of day in milliseconds, by which deadlines are judged.
+    /// The wall clock in milliseconds since the Unix epoch, by which submission times and deadlines are judged.
     pub(crate) wall_clock_ms: u64,
 }
 
-/// The round of heartbeats is over after this if no host is known.
-const EMPTY_ROUND: Duration = Duration::from_millis(500);
-/// Hosts that have been heard are used after this part of the first heartbeat interval.
-const EARLY_ROUND_PART: u32 = 4;
+/// How long a leader waits for first heartbeats if it knows no host.
+const HEARTBEAT_ROUND_WITHOUT_HOSTS: Duration = Duration::from_millis(500);
+/// A new leader places tasks on the hosts that have sent a heartbeat after the heartbeat interval divided by this.
+const EARLY_SCHEDULING_DIVISOR: u32 = 4;
 
 impl Leader {
-    /// A leader that has read nothing yet. `leader_key` is the version of its key in the store.
+    /// A leader that has not read any record yet. `leader_key_version` is the version of its key in the state service.
     pub fn new(
         term: Term,
-        leader_key: Version,
+        leader_key_version: Version,
         policy: Policy,
-        types: Vec<MachineType>,
+        machine_types: Vec<MachineType>,
         now: Time,
     ) -> Self {
         Leader {
@@ -100,7 +100,7 @@
                 wall_clock_ms: 0,
             },
             started_at: now,
-            cluster: ClusterState::new(types, leader_key, &policy),
+            cluster: ClusterState::new(machine_types, leader_key_version, &policy),
             scheduler: Scheduler::new(now),
             autoscaler: Autoscaler::new(term),
             failure_detector: FailureDetector::new(&policy, now),
@@ -113,58 +113,58 @@
         }
     }
 
-    /// The hosts, jobs and allocations, to look at.
+    /// The hosts, jobs and allocations.
     pub fn cluster(&self) -> &ClusterState {
         &self.cluster
     }
 
-    /// The machine types, as far as they are known.
+    /// The machine types that the cloud offers, as far as they are known.
     pub fn machine_types(&self) -> &[MachineType] {
         self.cluster.machine_types()
     }
 
-    /// The jobs that are not over, or whose records are not deleted yet.
+    /// The jobs that are not finished, or whose records are not deleted yet.
     pub fn job_ids(&self) -> impl Iterator<Item = JobId> + '_ {
         self.cluster.jobs().keys().copied()
     }
 
-    /// How many tasks of the job are done, and how many are allocated.
+    /// The number of completed and the number of allocated tasks of the job.
     pub fn task_counts(&self, job: JobId) -> Option<(u64, u64)> {
         let job = self.cluster.jobs().get(&job)?;
         Some((u64::from(job.done_count), u64::from(job.allocated_count)))
     }
 
-    /// The term, which is the fencing token.
+    /// The leader's term, which is the fencing token.
     pub fn term(&self) -> Term {
         self.term
     }
 
-    /// How far the view of the cluster is.
+    /// How complete the leader's view of the cluster is.
     pub fn phase(&self) -> LeaderPhase {
         self.phase
     }
 
-    /// Until when the own lease surely stands.
+    /// Until when the own lease is certainly valid.
     pub fn lease_valid_until(&self) -> Time {
         self.lease_valid_until
     }
 
-    /// Notes until when the own lease surely stands.
+    /// Sets until when the own lease is certainly valid.
     pub fn set_lease_valid_until(&mut self, until: Time) {
         self.lease_valid_until = until;
     }
 
-    /// Notes which controllers answer this one: `without_peer` are the zones of which none does.
+    /// Sets which controllers respond to this one. `zones_without_reachable_peer` are the zones of which none does.
     pub fn set_controller_reach(
         &mut self,
-        without_peer: Vec<String>,
-        by_zone: BTreeMap<String, ControllerReach>,
+        zones_without_reachable_peer: Vec<String>,
+        zone_controllers: BTreeMap<String, ControllerReach>,
     ) {
-        self.failure_detector.zones_without_reachable_peer = without_peer;
-        self.failure_detector.zone_controllers = by_zone;
+        self.failure_detector.zones_without_reachable_peer = zones_without_reachable_peer;
+        self.failure_detector.zone_controllers = zone_controllers;
     }
 
-    /// What decisions read.
+    /// The view that decisions are based on.
     pub(crate) fn view(&self) -> View<'_> {
         View {
             policy: &self.policy,
@@ -178,50 +178,52 @@
         }
     }
 
-    /// Takes what is to be done outside.
+    /// Takes the actions that the node is to carry out.
     pub fn take_actions(&mut self) -> Vec<Action> {
         std::mem::take(&mut self.actions)
     }
 
-    /// Whether the own lease surely stands: without it nothing is begun.
-    pub(crate) fn may_act(&self, now: Time) -> bool {
+    /// Whether the own lease is certainly valid. Without it the leader starts nothing.
+    pub(crate) fn has_valid_lease(&self, now: Time) -> bool {
         now < self.lease_valid_until
     }
 
-    /// The process was paused for longer than its lease, while the world went on.
+    /// The process was paused for longer than its lease: what it knows of the hosts is outdated.
     pub fn on_process_resumed(&mut self) {
         self.cluster.mark_all_unresponsive();
     }
 
-    /// The one place where the phase changes.
+    /// Changes the phase. Nothing else does.
     fn set_phase(&mut self, phase: LeaderPhase) {
         tracing::info!("term {}: {:?} -> {phase:?}", self.term, self.phase);
         self.phase = phase;
         self.cluster.request_scheduling();
     }
 
-    /// Does what is due. `wall_clock_ms` is the time of day in milliseconds.
+    /// Does what is due at `now`. `wall_clock_ms` is the same time in milliseconds since the Unix epoch.
     pub fn tick(&mut self, now: Time, wall_clock_ms: u64) {
         self.clock = Clock { now, wall_clock_ms };
         match self.phase {
             LeaderPhase::LoadingRecords => return,
-            LeaderPhase::AwaitingHeartbeats { until } if !self.is_round_over(until, now) => {
+            LeaderPhase::AwaitingHeartbeats { until }
+                if !self.is_heartbeat_wait_over(until, now) =>
+            {
                 return self.schedule_early(now);
             }
             LeaderPhase::AwaitingHeartbeats { .. } => self.set_phase(LeaderPhase::Scheduling),
             LeaderPhase::Scheduling => {}
         }
-        let may_act = self.may_act(now);
+        let has_valid_lease = self.has_valid_lease(now);
         if self.failure_detector.starts_check(now) {
-            self.check_hosts(now, may_act);
-            if may_act {
+            self.check_hosts(now, has_valid_lease);
+            if has_valid_lease {
                 self.move_replicas(now);
             }
         }
-        if may_act {
-            // Jobs that were told to wait after a failure become ready without any event.
-            let is_requested = self.cluster.take_scheduling_request();
-            if is_requested || self.scheduler.is_pass_due(now) {
+        if has_valid_lease {
+            // Passes also run periodically, as jobs that wait after a failure become ready without any event.
+            let is_pass_requested = self.cluster.take_scheduling_request();
+            if is_pass_requested || self.scheduler.is_pass_due(now) {
                 self.scheduler.begin_pass(now);
                 self.place(now);
             }
@@ -231,23 +233,23 @@
         }
     }
 
-    /// Whether the round of heartbeats is over in which a new leader completes its view: at the latest at `until`, sooner
-    /// if all known hosts have been heard or none is known.
-    fn is_round_over(&self, until: Time, now: Time) -> bool {
+    /// Whether a new leader has waited long enough for the first heartbeats: at the latest at `until`, after one
+    /// heartbeat interval if all known hosts have sent one, or earlier if no host is known.
+    fn is_heartbeat_wait_over(&self, until: Time, now: Time) -> bool {
         let elapsed = now.since(self.started_at);
         let hosts = self.cluster.hosts();
-        let all_up = hosts.values().all(|host| host.is_up());
+        let all_are_up = hosts.values().all(|host| host.is_up());
         now >= until
-            || all_up && elapsed >= self.policy.heartbeat_interval
-            || hosts.is_empty() && elapsed >= EMPTY_ROUND
+            || all_are_up && elapsed >= self.policy.heartbeat_interval
+            || hosts.is_empty() && elapsed >= HEARTBEAT_ROUND_WITHOUT_HOSTS
     }
 
-    /// Uses the hosts that have been heard before the round is over. The records hold what is allocated to the others, and
-    /// none of these takes anything before it has been heard.
+    /// Places tasks on the hosts that have sent a heartbeat, before the view is complete. This is safe, as the records
+    /// hold what is allocated to the other hosts, and nothing is allocated to those before they have sent one.
     fn schedule_early(&mut self, now: Time) {
-        let is_early =
-            now.since(self.started_at) < self.policy.heartbeat_interval / EARLY_ROUND_PART;
-        if is_early || !self.may_act(now) {
+        let is_too_early =
+            now.since(self.started_at) < self.policy.heartbeat_interval / EARLY_SCHEDULING_DIVISOR;
+        if is_too_early || !self.has_valid_lease(now) {
             return;
         }
         if self.cluster.take_scheduling_request() {
@@ -256,7 +258,7 @@
         self.rent_standby(now);
     }
 
-    /// The cloud confirmed that these hosts and all on them are gone.
+    /// The cloud confirmed that these hosts and everything on them are gone.
     pub fn on_hosts_gone(&mut self, names: &[HostName], now: Time) {
         self.cluster.remove_hosts(names, now);
     }
--- a/src/coordination/leader/records.rs
+++ b/src/coordination/leader/records.rs
@@ -1,4 +1,5 @@
-//! The leader's records: reading them at the start, the next batch of writes, and what became of the last one.
+//! The leader's records: loading them at the start of the term, composing the next batch of writes, and handling the
+//! outcome of the last one.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -10,21 +11,21 @@
 use crate::storage::records::{RunRecord, RunRecordId};
 use crate::types::{Time, Version};
 
-/// A new leader awaits the heartbeats of all hosts for so many intervals, and a margin.
+/// A new leader waits for the first heartbeat of each host for this many heartbeat intervals plus the margin.
 const HEARTBEAT_ROUND_INTERVALS: f64 = 1.25;
 const HEARTBEAT_ROUND_MARGIN: Duration = Duration::from_millis(500);
 
-/// Records that wait to be written.
+/// The number of records that wait to be written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct WriteBacklog {
-    /// Records that something waits for, such as the start of a task.
+    /// Records on whose write something depends, such as the start of a task.
     pub urgent: usize,
     /// All other records.
     pub other: usize,
 }
 
 impl Leader {
-    /// Takes in a run record while the records are read.
+    /// Handles a run record while the records are being read.
     pub fn on_run_record(
         &mut self,
         id: RunRecordId,
@@ -35,7 +36,7 @@
         self.cluster.load_run_record(id, record, version, now);
     }
 
-    /// All records are read: from now on heartbeats complete the view of the cluster.
+    /// All records have been read: from now on heartbeats complete the view of the cluster.
     pub fn on_loaded(&mut self, now: Time) {
         let round = self
             .policy
@@ -49,17 +50,17 @@
         self.cluster.finish_loading(now);
     }
 
-    /// Puts together the next transaction of at most `max_changes`, if there is one to send. With `has_spare_budget` it
-    /// takes in records that nothing waits for.
+    /// Composes the next transaction of at most `max_changes` changes; `None` if there is nothing to write or a batch
+    /// is in flight. With `has_spare_budget` it includes records on which nothing depends.
     pub fn next_batch(&mut self, max_changes: usize, has_spare_budget: bool) -> Option<Txn> {
         self.cluster.next_batch(max_changes, has_spare_budget)
     }
 
-    /// Takes in the outcome of the batch that was put together last.
+    /// Handles the outcome of the last batch.
     ///
     /// # Errors
     ///
-    /// The leader's key has changed.
+    /// The leader's key has changed: another controller leads.
     pub fn on_batch_outcome(&mut self, outcome: Outcome, now: Time) -> Result<(), LeadershipLost> {
         match self.cluster.on_batch_outcome(outcome, now) {
             BatchResult::Committed { hosts_to_command } => {
@@ -87,12 +88,12 @@
         self.cluster.take_records_of_unknown_version()
     }
 
-    /// The version of a run record was read; `None` if it could not be, and has to be read again.
+    /// Handles the version of a run record that was read; `None` if the read failed and has to be repeated.
     pub fn on_run_record_version(&mut self, id: RunRecordId, version: Option<Version>) {
         self.cluster.on_run_record_version(id, version);
     }
 
-    /// How many records wait to be written.
+    /// The number of records that wait to be written.
     pub fn write_backlog(&self) -> WriteBacklog {
         let records = self.cluster.records();
         WriteBacklog {
@@ -101,22 +102,22 @@
         }
     }
 
-    /// Whether something waits for a record to be written.
+    /// Whether something depends on a record that is still to be written.
     pub fn has_urgent_writes(&self) -> bool {
         self.cluster.records().has_urgent()
     }
 
-    /// Whether no batch is under way.
+    /// Whether no batch is in flight.
     pub fn is_write_idle(&self) -> bool {
         self.cluster.records().is_idle()
     }
 
-    /// The most bytes that a stored value may have.
+    /// The largest size of a stored value in bytes.
     pub fn max_value_bytes(&self) -> usize {
         self.cluster.records().max_value_bytes()
     }
 
-    /// The version of the leader's key, on which every write is conditional.
+    /// The version of the leader's key, on which every transaction is conditional.
     pub fn leader_key_version(&self) -> Version {
         self.cluster.records().leader_key_version()
     }
--- a/src/coordination/leader/status.rs
+++ b/src/coordination/leader/status.rs
@@ -1,4 +1,4 @@
-//! What the leader tells of itself: to the node, about which machines it hears, and to the log.
+//! The leader's status reports: the reachability of hosts for the node, and summaries for the log.
 
 use std::collections::BTreeMap;
 
@@ -9,19 +9,19 @@
 use crate::coordination::{Leader, LeaderPhase, View};
 use crate::types::Time;
 
-/// How many machines the leader hears.
+/// How many hosts the leader receives heartbeats from.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct WorkerReach {
-    /// Machines that reported lately.
+    /// Hosts whose last heartbeat is not late.
     pub reachable_hosts: usize,
-    /// Machines that are up or silent.
+    /// Hosts that are up or unresponsive.
     pub known_hosts: usize,
-    /// The zone that holds the most machines.
+    /// The zone that holds the most of these hosts.
     pub home_zone: Option<String>,
 }
 
 impl WorkerReach {
-    /// More than half of the machines are out of earshot.
+    /// Whether more than half of the hosts are unreachable.
     pub fn is_partitioned(&self) -> bool {
         self.known_hosts >= 3 && self.reachable_hosts * 2 < self.known_hosts
     }
@@ -30,10 +30,10 @@
 /// CPUs of the hosts that are up.
 #[derive(Clone, Copy, Debug, Default)]
 struct CpuUsage {
-    allocated: f64,
-    /// Free on hosts that are cordoned.
-    cordoned: f64,
-    total: f64,
+    allocated_cpus: f64,
+    /// CPUs that are free on cordoned hosts.
+    cordoned_cpus: f64,
+    total_cpus: f64,
 }
 
 impl View<'_> {
@@ -43,16 +43,16 @@
             .cluster
             .hosts()
             .values()
-            .filter(|h| h.lifecycle == HostLifecycle::Up)
+            .filter(|host| host.lifecycle == HostLifecycle::Up)
         {
             let cpus = host
                 .type_index
-                .and_then(|k| self.cluster.machine_types().get(k))
-                .map_or(0.0, |t| t.cpus.0);
-            usage.allocated += host.allocated.cpus;
-            usage.total += cpus;
+                .and_then(|index| self.cluster.machine_types().get(index))
+                .map_or(0.0, |machine_type| machine_type.cpus.0);
+            usage.allocated_cpus += host.allocated.cpus;
+            usage.total_cpus += cpus;
             if host.cordon.is_some() {
-                usage.cordoned += cpus - host.allocated.cpus;
+                usage.cordoned_cpus += cpus - host.allocated.cpus;
             }
         }
         usage
@@ -60,11 +60,12 @@
 }
 
 impl Leader {
-    /// How many of the machines that were up this leader still hears, and where most of them are.
+    /// How many of the hosts that have been up still send heartbeats to this leader, and which zone holds the most
+    /// hosts.
     pub fn worker_reach(&self, now: Time) -> WorkerReach {
-        let late = self.policy.heartbeat_interval.mul_f64(zones::LATE_FACTOR);
+        let max_silence = self.policy.heartbeat_interval.mul_f64(zones::LATE_FACTOR);
         let mut reach = WorkerReach::default();
-        let mut zones: BTreeMap<&str, usize> = BTreeMap::new();
+        let mut hosts_by_zone: BTreeMap<&str, usize> = BTreeMap::new();
         for host in self.cluster.hosts().values() {
             if host.zone.is_empty()
                 || !matches!(
@@ -75,99 +76,105 @@
                 continue;
             }
             reach.known_hosts += 1;
-            reach.reachable_hosts += usize::from(now.since(host.last_heartbeat_at) <= late);
-            *zones.entry(&host.zone).or_default() += 1;
+            reach.reachable_hosts += usize::from(now.since(host.last_heartbeat_at) <= max_silence);
+            *hosts_by_zone.entry(&host.zone).or_default() += 1;
         }
-        reach.home_zone = zones
+        reach.home_zone = hosts_by_zone
             .iter()
             .max_by_key(|(_, count)| **count)
             .map(|(zone, _)| (*zone).to_owned());
         reach
     }
 
-    /// Which job has waited the longest for its first start, and why, for operators.
+    /// A log line for operators that names the job that has waited the longest for its first task to start, and the
+    /// reason.
     pub fn longest_wait(&self, now: Time) -> Option<String> {
-        let unbegun =
-            |j: &&Job| j.waiting_count() > 0 && j.allocated_count == 0 && j.done_count == 0;
+        let has_not_started =
+            |job: &&Job| job.waiting_count() > 0 && job.allocated_count == 0 && job.done_count == 0;
         let job = self
             .cluster
             .jobs()
             .values()
-            .filter(unbegun)
-            .min_by_key(|j| j.submitted_at_ms)?;
+            .filter(has_not_started)
+            .min_by_key(|job| job.submitted_at_ms)?;
         let spec = job.spec.as_ref()?;
-        let waited = self.clock.wall_clock_ms.saturating_sub(job.submitted_at_ms) / 1000;
-        let why = if !self.may_act(now) {
-            "the state service does not answer here".to_owned()
+        let waited_s = self.clock.wall_clock_ms.saturating_sub(job.submitted_at_ms) / 1000;
+        let reason = if !self.has_valid_lease(now) {
+            "no valid leader lease, as the state service does not respond to this controller"
+                .to_owned()
         } else if matches!(
             self.phase,
             LeaderPhase::LoadingRecords | LeaderPhase::AwaitingHeartbeats { .. }
         ) {
-            "a new leader is making its picture".to_owned()
+            "the new leader is still reading records or awaiting heartbeats".to_owned()
         } else if job.fails_everywhere() || now < job.retry_not_before {
-            format!("it failed {} times", job.failures_in_a_row)
+            format!("its tasks failed {} times in a row", job.failures_in_a_row)
         } else if self.view().tasks_within_team_quota(job) == 0 {
-            format!("{} is at its limit", job.team)
+            format!("team {} has no quota left for another task", job.team)
         } else if self.cluster.records().urgent_count()
             >= self.policy.max_queued_records_per_priority
         {
             format!(
-                "{} records wait to be written",
+                "{} urgent records wait to be written",
                 self.cluster.records().urgent_count()
             )
         } else {
-            let suits = |h: &&Host| {
-                let kind = h
+            let is_suitable = |host: &&Host| {
+                let machine_type = host
                     .type_index
-                    .and_then(|k| self.cluster.machine_types().get(k));
-                kind.is_some_and(|t| scoring::type_suits(spec, t)) && (spec.spot || !h.spot)
+                    .and_then(|index| self.cluster.machine_types().get(index));
+                machine_type.is_some_and(|machine_type| scoring::type_suits(spec, machine_type))
+                    && (spec.spot || !host.spot)
             };
-            let count = |life| {
-                let hosts = self.cluster.hosts().values().filter(suits);
-                hosts.filter(|h| h.lifecycle == life).count()
+            let count = |lifecycle| {
+                let hosts = self.cluster.hosts().values().filter(is_suitable);
+                hosts.filter(|host| host.lifecycle == lifecycle).count()
             };
             let (up, expected) = (count(HostLifecycle::Up), count(HostLifecycle::Expected));
-            format!("no room on {up} machines that suit it, {expected} more expected")
+            format!("no free capacity on {up} suitable hosts that are up, {expected} more expected")
         };
-        Some(format!("{} waits for {waited} s: {why}", job.id))
+        Some(format!(
+            "{} has waited for {waited_s} s for its first task to start: {reason}",
+            job.id
+        ))
     }
 
-    /// A line for the log that tells operators how things stand.
+    /// A log line for operators that summarizes the state of the cluster.
     pub fn summary(&self) -> String {
-        let count = |life| {
+        let count = |lifecycle| {
             self.cluster
                 .hosts()
                 .values()
-                .filter(|h| h.lifecycle == life)
+                .filter(|host| host.lifecycle == lifecycle)
                 .count()
         };
         let waiting: u64 = self
             .cluster
             .jobs()
             .values()
-            .map(|j| u64::from(j.waiting_count()))
+            .map(|job| u64::from(job.waiting_count()))
             .sum();
-        let booked: usize = self
+        let allocated: usize = self
             .cluster
             .hosts()
             .values()
-            .map(|h| h.allocations.len())
+            .map(|host| host.allocations.len())
             .sum();
-        let fetching: usize = self
+        let not_started: usize = self
             .cluster
             .hosts()
             .values()
-            .map(|h| {
-                h.allocations
+            .map(|host| {
+                host.allocations
                     .values()
-                    .filter(|b| b.started_at.is_none())
+                    .filter(|allocation| allocation.started_at.is_none())
                     .count()
             })
             .sum();
-        let cpus = self.view().cpu_usage();
-        let (used, closed, all) = (cpus.allocated, cpus.cordoned, cpus.total);
+        let usage = self.view().cpu_usage();
+        let (used, cordoned, all) = (usage.allocated_cpus, usage.cordoned_cpus, usage.total_cpus);
         format!(
-            "{} jobs, {waiting} tasks waiting, {booked} booked, {fetching} of them not started; {used} of {all} CPUs used, {closed} closed; machines: {} up, {} expected, {} silent, {} returning",
+            "{} jobs, {waiting} tasks waiting, {allocated} allocated, {not_started} of them not started; {used} of {all} CPUs allocated, {cordoned} free on cordoned hosts; hosts: {} up, {} expected, {} unresponsive, {} being released",
             self.cluster.jobs().len(),
             count(HostLifecycle::Up),
             count(HostLifecycle::Expected),
