--- a/src/coordination/autoscaling/forecast.rs
+++ b/src/coordination/autoscaling/forecast.rs
@@ -1,11 +1,11 @@
-//! The forecast: when each waiting task would start on the machines that are here or coming, and which
-//! machines are rented because that is too late.
+//! The scale-out forecast: when each waiting task would start on the hosts that are up, expected or requested, and which
+//! hosts are requested because that is too late.
 
 use std::collections::BTreeMap;
 
-use crate::coordination::autoscaling::pools::{Outlook, MARGIN_S};
-use crate::coordination::autoscaling::provisioning::{CapacityPool, ARRIVALS_FOR};
-use crate::coordination::autoscaling::timeline::{Starts, Timeline};
+use crate::coordination::autoscaling::pools::{TaskForecast, DEADLINE_MARGIN_S};
+use crate::coordination::autoscaling::provisioning::{CapacityPool, ARRIVAL_WINDOW};
+use crate::coordination::autoscaling::timeline::{HostTimeline, StartQueue};
 use crate::coordination::resources::Resources;
 use crate::coordination::scheduling::scoring;
 use crate::coordination::{Leader, View};
@@ -13,104 +13,111 @@
 use crate::protocol::users::JobSpec;
 use crate::types::Time;
 
-/// Tasks that one forecast looks at.
-const MAX_FORECAST: u32 = 8000;
-/// Machines that one forecast may ask of a pool; they go out in requests of [`MAX_PROVISION_COUNT`].
-const MAX_WANTED: u64 = 400;
-/// How much of what came is chance: of as many jobs of a class this many standard deviations may
-/// stay away the next time, and are not rented for. Where few come, little is sure.
-const CHANCE: f64 = 1.0;
+/// Tasks that one forecast covers.
+const MAX_FORECAST_TASKS: u32 = 8000;
+/// Hosts that one forecast may request from a pool, in requests of at most [`MAX_PROVISION_COUNT`].
+const MAX_HOSTS_PER_POOL: u64 = 400;
+/// Arrivals are partly random: of `n` recent jobs of a class, this many standard deviations (`sqrt(n)` jobs each) are
+/// assumed not to recur, and no host is provisioned for them. With few arrivals little is certain.
+const NON_RECURRING_DEVIATIONS: f64 = 1.0;
 
-/// Tasks that the forecast has to find room for; times are seconds from now.
-struct Work<'a> {
+/// Tasks of a job that the forecast has to find room for. Times are seconds from now.
+struct JobDemand<'a> {
     spec: &'a JobSpec,
-    run: f64,
-    due: Option<f64>,
-    tasks: u64,
-    /// When they begin to wait.
-    from: f64,
-    /// It is not here yet, but likely to come.
-    to_come: bool,
+    /// The expected run time of a task.
+    run_s: f64,
+    deadline_s: Option<f64>,
+    task_count: u64,
+    /// When the tasks begin to wait.
+    arrives_in_s: f64,
+    /// Whether the job has not been submitted but is expected from recent arrivals.
+    is_predicted: bool,
 }
 
-impl Work<'_> {
-    /// Whether a task that starts then keeps the deadline.
-    fn in_time(&self, start: f64) -> bool {
-        self.due.is_none_or(|due| start + self.run <= due)
+impl JobDemand<'_> {
+    /// Whether a task that starts then meets the deadline. Without a deadline it always does.
+    fn meets_deadline(&self, start_s: f64) -> bool {
+        self.deadline_s
+            .is_none_or(|deadline_s| start_s + self.run_s <= deadline_s)
     }
 }
 
-/// A forecast while it is made.
+/// The state of a forecast in progress.
 struct Forecast {
-    timelines: Vec<Timeline>,
-    /// Machines that have to be rented.
-    wanted: BTreeMap<CapacityPool, u64>,
-    /// Tasks looked at so far.
-    tasks: u32,
+    timelines: Vec<HostTimeline>,
+    /// How many hosts to request from each pool.
+    hosts_to_request: BTreeMap<CapacityPool, u64>,
+    /// Tasks covered so far.
+    task_count: u32,
     now: Time,
 }
 
 impl Forecast {
-    /// A service makes room for itself where lower priorities run: how many of its tasks start so.
-    fn preempted_for(&mut self, work: &Work, options: &Options) -> u64 {
-        let spec = work.spec;
+    /// Reserves room for the replicas of a service that can start at once, if need be by preempting other tasks. Returns
+    /// how many can.
+    fn reserve_by_preemption(&mut self, demand: &JobDemand, options: &StartOptions) -> u64 {
+        let spec = demand.spec;
         if !spec.is_service() {
             return 0;
         }
         let need = &options.need;
-        let suits = |timeline: &Timeline| {
-            timeline.at <= work.from + MARGIN_S
-                && options.usable[timeline.kind]
+        let suits = |timeline: &HostTimeline| {
+            timeline.up_at_s <= demand.arrives_in_s + DEADLINE_MARGIN_S
+                && options.usable_types[timeline.type_index]
                 && (spec.spot || !timeline.spot)
-                && spec.zone.as_ref().is_none_or(|z| *z == timeline.zone)
-                && need.fits(&timeline.for_services)
+                && spec.zone.as_ref().is_none_or(|zone| *zone == timeline.zone)
+                && need.fits(&timeline.free_for_services)
         };
         let mut started = 0;
-        while started < work.tasks {
+        while started < demand.task_count {
             let Some(timeline) = self.timelines.iter_mut().find(|t| suits(t)) else {
                 break;
             };
-            timeline.for_services.remove(need);
+            timeline.free_for_services.remove(need);
             started += 1;
         }
         started
     }
 
-    /// Counts one more machine of that pool, unless enough are wanted there.
-    fn may_want(&mut self, pool: &CapacityPool, view: &View<'_>) -> bool {
-        // Where there was nothing lately, one request is enough to ask again.
-        let doubtful = view.autoscaler.closed.contains_key(pool);
-        let most = if doubtful {
+    /// Adds one host to those to request from the pool, unless that would exceed the pool's limit. Returns whether it was
+    /// added.
+    fn try_request_host(&mut self, pool: &CapacityPool, view: &View<'_>) -> bool {
+        // If the last request to the pool was not fulfilled, a single one suffices to find out whether it has capacity again.
+        let was_unfulfilled = view.autoscaler.pool_backoff_until.contains_key(pool);
+        let limit = if was_unfulfilled {
             MAX_PROVISION_COUNT
         } else {
-            MAX_WANTED
+            MAX_HOSTS_PER_POOL
         };
-        let wanted = self.wanted.entry(pool.clone()).or_default();
-        let may = *wanted < most;
-        if may {
-            *wanted += 1;
+        let count = self.hosts_to_request.entry(pool.clone()).or_default();
+        let is_below_limit = *count < limit;
+        if is_below_limit {
+            *count += 1;
         }
-        may
+        is_below_limit
     }
 }
 
-/// Where the tasks of some work may start.
-struct Options {
+/// Where the tasks of a job may start.
+struct StartOptions {
     need: Resources,
-    usable: Vec<bool>,
-    starts: Starts,
-    /// How soon a machine rented now could start a task.
+    usable_types: Vec<bool>,
+    /// The hosts of the usable types.
+    starts: StartQueue,
+    /// Seconds until a host requested now could start a task.
     min_startup_delay_s: f64,
-    /// The scarce types too, if only they may keep the deadline; and the same of those alone.
-    overflow: Option<Vec<bool>>,
-    overflow_starts: Starts,
-    overflow_ready: f64,
+    /// The usable types and the scarce types kept for other jobs, where only the latter may meet the deadline.
+    overflow_types: Option<Vec<bool>>,
+    /// The hosts of those scarce types alone.
+    overflow_starts: StartQueue,
+    /// Seconds until a host of those scarce types, requested now, could start a task.
+    overflow_startup_delay_s: f64,
 }
 
 impl View<'_> {
-    /// The tasks that wait, in the order in which they are served.
-    fn waiting_work(&self, now: Time) -> Vec<Work<'_>> {
-        let mut works = Vec::new();
+    /// The waiting tasks that may be placed, by job, in the order in which jobs are served.
+    fn waiting_demand(&self, now: Time) -> Vec<JobDemand<'_>> {
+        let mut demands = Vec::new();
         for rank in self.ranked() {
             let Some(job) = self.cluster.jobs().get(&rank.id) else {
                 continue;
@@ -119,211 +126,234 @@
             if now < job.retry_not_before || job.fails_everywhere() {
                 continue;
             }
-            works.push(Work {
+            demands.push(JobDemand {
                 spec,
-                run: self.run_times.expected_s(job),
-                due: job.due_in_s(self.clock.day_ms),
-                tasks: u64::from(job.schedulable_count()).min(self.team_room(job)),
-                from: 0.0,
-                to_come: false,
+                run_s: self.run_times.expected_s(job),
+                deadline_s: job.due_in_s(self.clock.day_ms),
+                task_count: u64::from(job.schedulable_count()).min(self.team_room(job)),
+                arrives_in_s: 0.0,
+                is_predicted: false,
             });
         }
-        works
+        demands
     }
 
-    /// The work that is likely to come, from what came lately.
-    fn all_work_to_come<'a>(
+    /// The demand expected from recent arrivals, which are given with their ages in seconds.
+    fn predicted_demand<'a>(
         &self,
-        coming: &'a [(f64, Box<JobSpec>)],
-        scarce: &[bool],
-    ) -> Vec<Work<'a>> {
-        let mut came: BTreeMap<&str, f64> = BTreeMap::new();
-        for (_, spec) in coming {
-            *came.entry(&spec.class).or_default() += 1.0;
+        arrivals: &'a [(f64, Box<JobSpec>)],
+        scarce_types: &[bool],
+    ) -> Vec<JobDemand<'a>> {
+        let mut count_by_class: BTreeMap<&str, f64> = BTreeMap::new();
+        for (_, spec) in arrivals {
+            *count_by_class.entry(&spec.class).or_default() += 1.0;
         }
-        let expected = coming.iter().filter_map(|arrival| {
+        let predicted = arrivals.iter().filter_map(|arrival| {
             let spec = &arrival.1;
-            let count = came.get(spec.class.as_str()).copied().unwrap_or(0.0);
-            // A service can't wait to see whether it was chance.
-            let chance = if spec.is_service() { 0.0 } else { CHANCE };
-            let sure = 1.0 - chance / count.max(1.0).sqrt();
-            self.work_to_come(arrival, sure, scarce)
+            let class_count = count_by_class
+                .get(spec.class.as_str())
+                .copied()
+                .unwrap_or(0.0);
+            // A service has to start at once, so all of its arrivals are assumed to recur.
+            let deviations = if spec.is_service() {
+                0.0
+            } else {
+                NON_RECURRING_DEVIATIONS
+            };
+            let recurring_share = 1.0 - deviations / class_count.max(1.0).sqrt();
+            self.predicted_job_demand(arrival, recurring_share, scarce_types)
         });
-        expected.collect()
+        predicted.collect()
     }
 
-    /// Forecasts when the tasks of some work start, and what has to be rented for them.
-    fn forecast_work(&self, work: &Work, scarce: &[bool], forecast: &mut Forecast) {
-        let usable = self.usable_types(work.spec, scarce);
-        // Types that are scarce for others, where only they keep a deadline.
-        let overflow = if work.to_come {
+    /// Forecasts when the tasks of a job start, and which hosts to request for them.
+    fn forecast_job(&self, demand: &JobDemand, scarce_types: &[bool], forecast: &mut Forecast) {
+        let usable_types = self.usable_types(demand.spec, scarce_types);
+        // Includes the types kept for other jobs if only these meet the deadline.
+        let overflow_types = if demand.is_predicted {
             None
         } else {
-            self.overflow_types(work.spec, &usable, work.run, work.due)
+            self.overflow_types(demand.spec, &usable_types, demand.run_s, demand.deadline_s)
         };
-        let mut overflow_starts = Starts::default();
-        let mut overflow_ready = f64::INFINITY;
-        if let Some(overflow) = &overflow {
-            let both = overflow.iter().zip(&usable);
-            let only: Vec<bool> = both.map(|(more, usual)| *more && !*usual).collect();
-            overflow_starts = Starts::of(&forecast.timelines, work.spec, &only);
-            overflow_ready = self.min_startup_delay_s(work.spec, &only);
+        let mut overflow_starts = StartQueue::default();
+        let mut overflow_startup_delay_s = f64::INFINITY;
+        if let Some(overflow_types) = &overflow_types {
+            let both = overflow_types.iter().zip(&usable_types);
+            let added_types: Vec<bool> = both
+                .map(|(is_overflow, is_usable)| *is_overflow && !*is_usable)
+                .collect();
+            overflow_starts = StartQueue::for_job(&forecast.timelines, demand.spec, &added_types);
+            overflow_startup_delay_s = self.min_startup_delay_s(demand.spec, &added_types);
         }
-        let mut options = Options {
-            need: scoring::need(work.spec),
-            starts: Starts::of(&forecast.timelines, work.spec, &usable),
-            min_startup_delay_s: self.min_startup_delay_s(work.spec, &usable),
-            usable,
-            overflow,
+        let mut options = StartOptions {
+            need: scoring::need(demand.spec),
+            starts: StartQueue::for_job(&forecast.timelines, demand.spec, &usable_types),
+            min_startup_delay_s: self.min_startup_delay_s(demand.spec, &usable_types),
+            usable_types,
+            overflow_types,
             overflow_starts,
-            overflow_ready,
+            overflow_startup_delay_s,
         };
-        let waiting = work.tasks - forecast.preempted_for(work, &options);
-        for left in (1..=waiting).rev() {
-            forecast.tasks += 1;
-            if forecast.tasks > MAX_FORECAST
-                || !self.forecast_task(work, left, &mut options, forecast)
+        let waiting_count = demand.task_count - forecast.reserve_by_preemption(demand, &options);
+        for waiting_tasks in (1..=waiting_count).rev() {
+            forecast.task_count += 1;
+            if forecast.task_count > MAX_FORECAST_TASKS
+                || !self.forecast_task(demand, waiting_tasks, &mut options, forecast)
             {
                 break;
             }
         }
     }
 
-    /// Finds the start of the next task, of which so many are left with it. `false`: neither the
-    /// machines that there are nor any that is worth renting can take it.
+    /// Forecasts the start of the next task and reserves room for it, if need be on a host to request. `waiting_tasks`
+    /// counts this task and those of its job that come after it. Returns false if neither the present hosts nor one that
+    /// is worth its cost can take it.
     fn forecast_task(
         &self,
-        work: &Work,
-        left: u64,
-        options: &mut Options,
+        demand: &JobDemand,
+        waiting_tasks: u64,
+        options: &mut StartOptions,
         forecast: &mut Forecast,
     ) -> bool {
-        let (from, run) = (work.from, work.run);
-        let start = options.starts.soonest().max(from);
-        if !work.in_time(start) && work.in_time(options.overflow_starts.soonest()) {
+        let (arrives_in_s, run_s) = (demand.arrives_in_s, demand.run_s);
+        let start_s = options.starts.earliest_start_s().max(arrives_in_s);
+        if !demand.meets_deadline(start_s)
+            && demand.meets_deadline(options.overflow_starts.earliest_start_s())
+        {
             let starts = &mut options.overflow_starts;
-            starts.take(&mut forecast.timelines, from, run, &options.need);
+            starts.reserve_earliest(&mut forecast.timelines, arrives_in_s, run_s, &options.need);
             return true;
         }
-        let pool = self.pool_for(work, start, left, options, forecast);
+        let pool = self.pool_for_task(demand, start_s, waiting_tasks, options, forecast);
         match pool {
-            Some(pool) if forecast.may_want(&pool, self) => {
-                self.add_rented(pool, work, options, forecast);
+            Some(pool) if forecast.try_request_host(&pool, self) => {
+                self.add_requested_host(pool, demand, options, forecast);
                 true
             }
             _ => {
                 let starts = &mut options.starts;
-                starts.take(&mut forecast.timelines, from, run, &options.need)
+                starts.reserve_earliest(&mut forecast.timelines, arrives_in_s, run_s, &options.need)
             }
         }
     }
 
-    /// Where a machine is to be rented for a task that would start then on those there are, if
-    /// anywhere.
-    fn pool_for(
+    /// The pool to request a host from for a task that would start at `start_s` on the present hosts, if that is worth it.
+    fn pool_for_task(
         &self,
-        work: &Work,
-        start: f64,
-        left: u64,
-        options: &Options,
+        demand: &JobDemand,
+        start_s: f64,
+        waiting_tasks: u64,
+        options: &StartOptions,
         forecast: &Forecast,
     ) -> Option<CapacityPool> {
-        let hurried = options.overflow.as_ref();
-        let hurried =
-            hurried.filter(|_| !work.in_time(start) && work.in_time(options.overflow_ready));
-        if start <= options.min_startup_delay_s && hurried.is_none() {
+        let overflow_types = options.overflow_types.as_ref();
+        let overflow_types = overflow_types.filter(|_| {
+            !demand.meets_deadline(start_s)
+                && demand.meets_deadline(options.overflow_startup_delay_s)
+        });
+        if start_s <= options.min_startup_delay_s && overflow_types.is_none() {
             return None;
         }
-        let outlook = Outlook {
-            start,
-            run: work.run,
-            due: work.due,
-            left,
+        let task = TaskForecast {
+            start_s,
+            run_s: demand.run_s,
+            deadline_s: demand.deadline_s,
+            waiting_tasks,
         };
-        let types = hurried.unwrap_or(&options.usable);
-        self.worth_renting(work.spec, &outlook, types, forecast.now)
+        let allowed_types = overflow_types.unwrap_or(&options.usable_types);
+        self.pool_worth_provisioning(demand.spec, &task, allowed_types, forecast.now)
     }
 
-    /// Counts a machine that is rented for the task, which starts on it.
-    fn add_rented(
+    /// Adds the timeline of a host that will be requested for the next task, and reserves room for the task on it.
+    fn add_requested_host(
         &self,
         pool: CapacityPool,
-        work: &Work,
-        options: &mut Options,
+        demand: &JobDemand,
+        options: &mut StartOptions,
         forecast: &mut Forecast,
     ) {
-        let starts = if options.usable[pool.type_index] {
+        let starts = if options.usable_types[pool.type_index] {
             &mut options.starts
         } else {
             &mut options.overflow_starts
         };
-        let mut timeline = self.new_timeline(pool);
-        timeline.take(timeline.at.max(work.from), work.run, &options.need);
+        let mut timeline = self.new_host_timeline(pool);
+        timeline.reserve(
+            timeline.up_at_s.max(demand.arrives_in_s),
+            demand.run_s,
+            &options.need,
+        );
         forecast.timelines.push(timeline);
-        let newest = forecast.timelines.len() - 1;
-        starts.add(&forecast.timelines, newest, &options.need);
+        let newest_index = forecast.timelines.len() - 1;
+        starts.push(&forecast.timelines, newest_index, &options.need);
     }
 
-    /// What will wait by the time that a machine rented now is ready, if the coming while is like
-    /// the last: a machine takes so long to come that it has to be rented before the work is there.
-    fn work_to_come<'a>(
+    /// The demand that a recent arrival predicts until a host requested now could start a task, if jobs go on arriving as
+    /// they did in the window: hosts take so long to start that they have to be requested before the jobs arrive. The
+    /// window is scaled down to that time, the arrival's position in it and its task count likewise. `None` if no task
+    /// remains.
+    fn predicted_job_demand<'a>(
         &self,
-        (age, spec): &'a (f64, Box<JobSpec>),
-        sure: f64,
-        scarce: &[bool],
-    ) -> Option<Work<'a>> {
-        let window = ARRIVALS_FOR.as_secs_f64();
-        let horizon = self.min_startup_delay_s(spec, &self.usable_types(spec, scarce));
-        let share = (horizon / window).min(1.0);
-        let from = (window - age) * share;
-        let run = self.run_times.expected_of_spec_s(spec);
-        Some(Work {
+        (age_s, spec): &'a (f64, Box<JobSpec>),
+        recurring_share: f64,
+        scarce_types: &[bool],
+    ) -> Option<JobDemand<'a>> {
+        let window_s = ARRIVAL_WINDOW.as_secs_f64();
+        let horizon_s = self.min_startup_delay_s(spec, &self.usable_types(spec, scarce_types));
+        let window_share = (horizon_s / window_s).min(1.0);
+        let arrives_in_s = (window_s - age_s) * window_share;
+        let run_s = self.run_times.expected_of_spec_s(spec);
+        Some(JobDemand {
             spec,
-            run,
-            due: spec.deadline_s.map(|d| from + d.0),
-            tasks: (spec.tasks as f64 * share * sure.max(0.0)).round() as u64,
-            from,
-            to_come: true,
+            run_s,
+            deadline_s: spec
+                .deadline_s
+                .map(|deadline_s| arrives_in_s + deadline_s.0),
+            task_count: (spec.tasks as f64 * window_share * recurring_share.max(0.0)).round()
+                as u64,
+            arrives_in_s,
+            is_predicted: true,
         })
-        .filter(|w| w.tasks > 0)
+        .filter(|demand| demand.task_count > 0)
     }
 }
 
 impl Leader {
-    /// Rents what waiting work needs beyond the machines that are here or coming. A forecast tells
-    /// when each waiting task would start on those; only where that is too late, and a new machine
-    /// would be sooner, one is rented.
-    pub(crate) fn rent(&mut self, scarce: &[bool], now: Time) {
-        let coming = self.autoscaler.coming(now);
+    /// Requests the hosts that waiting and predicted tasks need beyond those that are up, expected or requested. The
+    /// forecast tells when each task would start on these; a host is requested only where that is too late and a new host
+    /// would start the task sooner.
+    pub(crate) fn scale_out(&mut self, scarce_types: &[bool], now: Time) {
+        let arrivals = self.autoscaler.arrivals_with_age_s(now);
         let view = self.view();
-        let mut works = view.waiting_work(now);
-        let waiting_now: u64 = works.iter().map(|w| w.tasks).sum();
-        works.extend(self.view().all_work_to_come(&coming, scarce));
-        if works.is_empty() {
+        let mut demands = view.waiting_demand(now);
+        let waiting_now: u64 = demands.iter().map(|demand| demand.task_count).sum();
+        demands.extend(self.view().predicted_demand(&arrivals, scarce_types));
+        if demands.is_empty() {
             return;
         }
         let mut forecast = Forecast {
-            timelines: self.view().timelines(now),
-            wanted: BTreeMap::new(),
-            tasks: 0,
+            timelines: self.view().host_timelines(now),
+            hosts_to_request: BTreeMap::new(),
+            task_count: 0,
             now,
         };
-        for work in &works {
-            self.view().forecast_work(work, scarce, &mut forecast);
+        for demand in &demands {
+            self.view()
+                .forecast_job(demand, scarce_types, &mut forecast);
         }
         let Forecast {
             timelines,
-            wanted,
-            tasks,
+            hosts_to_request,
+            task_count,
             ..
         } = forecast;
         tracing::debug!(
-            "forecast: {tasks} tasks, {waiting_now} waiting now, on {} machines; {} more wanted",
+            "forecast: {task_count} tasks, {waiting_now} waiting now, on {} hosts; {} more hosts to request",
             timelines.len(),
-            wanted.values().sum::<u64>()
+            hosts_to_request.values().sum::<u64>()
         );
-        for (pool, count) in wanted {
-            self.order(pool, count, now);
+        for (pool, count) in hosts_to_request {
+            self.request_hosts(pool, count, now);
         }
     }
 }
--- a/src/coordination/autoscaling/mod.rs
+++ b/src/coordination/autoscaling/mod.rs
@@ -1,4 +1,5 @@
-//! How many machines there are: demand, capacity pools, scale-out, scale-in and warm spares.
+//! Decides how many hosts of which types there are: the demand forecast, capacity pools, scale-out, scale-in and standby
+//! capacity for services.
 
 pub mod forecast;
 pub mod pools;
--- a/src/coordination/autoscaling/pools.rs
+++ b/src/coordination/autoscaling/pools.rs
@@ -1,4 +1,5 @@
-//! Which pool a machine is rented from, and whether that is worth its price.
+//! Which pool a host is provisioned from for a waiting task, and whether the host would start the task soon enough to be
+//! worth it.
 
 use crate::coordination::autoscaling::provisioning::CapacityPool;
 use crate::coordination::scheduling::scoring::{self, capacity};
@@ -6,113 +7,131 @@
 use crate::protocol::users::{JobSpec, Priority};
 use crate::types::Time;
 
-/// A deadline is taken for kept if the forecast leaves this much.
-pub(crate) const MARGIN_S: f64 = 3.0;
-/// The longest of a job's tasks takes this much more than the expected one, as a share.
-const MARGIN_SHARE: f64 = 1.0;
-/// How long late work waits for room rather than for a machine of its own.
-const LATE_PATIENCE_S: f64 = 45.0;
-/// How much more a machine may cost that keeps a deadline which another would miss.
-const LATE_FACTOR: f64 = 2.0;
-/// How long work that may use spot machines waits for one before an ordinary one is rented.
-const ORDINARY_AFTER_S: f64 = 180.0;
-/// For a service a machine that takes this much longer to come is worth half as much.
-const URGENCY_S: f64 = 60.0;
-/// The cloud charges a machine for so long at the least.
-const LEAST_CHARGED_S: f64 = 60.0;
+/// A deadline counts as met if the forecast leaves at least this margin.
+pub(crate) const DEADLINE_MARGIN_S: f64 = 3.0;
+/// By how much the longest task of a job may exceed the expected run time, as a share of it.
+const RUN_TIME_MARGIN_SHARE: f64 = 1.0;
+/// A host that does not meet the deadline of a task, or is for a task without one, is provisioned only if it starts the
+/// task sooner by more than this. For services any gain suffices.
+const MIN_TIME_SAVED_S: f64 = 45.0;
+/// Cost factor of a host that does not meet the task's deadline.
+const MISSED_DEADLINE_COST_FACTOR: f64 = 2.0;
+/// A task that may use spot hosts gets an on-demand host only if it would wait for longer than this.
+const ON_DEMAND_AFTER_S: f64 = 180.0;
+/// For services, the cost of a host grows by its price for each such period of startup delay.
+const STARTUP_DELAY_COST_S: f64 = 60.0;
+/// The cloud bills each host for at least this time.
+const MIN_BILLED_S: f64 = 60.0;
 
-/// What the forecast says of a waiting task; times are seconds from now.
-pub(crate) struct Outlook {
-    /// When it would start on the machines that are here or coming.
-    pub(crate) start: f64,
-    pub(crate) run: f64,
-    pub(crate) due: Option<f64>,
-    /// How many of the job's tasks wait, with this one.
-    pub(crate) left: u64,
+/// The forecast for a waiting task. Times are seconds from now.
+pub(crate) struct TaskForecast {
+    /// When it would start on the hosts that are up, expected or requested.
+    pub(crate) start_s: f64,
+    /// Its expected run time.
+    pub(crate) run_s: f64,
+    /// Its deadline.
+    pub(crate) deadline_s: Option<f64>,
+    /// How many tasks of its job wait, including this one.
+    pub(crate) waiting_tasks: u64,
 }
 
 impl View<'_> {
-    /// The pool to rent from, if the task would start too late otherwise.
-    pub(crate) fn worth_renting(
+    /// The pool to provision a host from for the task; `None` if the task meets its deadline without a new host, or a new
+    /// host would not start it soon enough to be worth it.
+    pub(crate) fn pool_worth_provisioning(
         &self,
         spec: &JobSpec,
-        outlook: &Outlook,
-        usable: &[bool],
+        task: &TaskForecast,
+        usable_types: &[bool],
         now: Time,
     ) -> Option<CapacityPool> {
-        let Outlook {
-            start, run, due, ..
-        } = *outlook;
-        if due.is_some_and(|due| start + run * (1.0 + MARGIN_SHARE) + MARGIN_S <= due) {
+        let TaskForecast {
+            start_s,
+            run_s,
+            deadline_s,
+            ..
+        } = *task;
+        if deadline_s.is_some_and(|deadline_s| {
+            start_s + run_s * (1.0 + RUN_TIME_MARGIN_SHARE) + DEADLINE_MARGIN_S <= deadline_s
+        }) {
             return None;
         }
-        let pool = self.cheapest(spec, outlook, usable, now)?;
-        let ready = self.ready_after(spec, pool.type_index);
-        let in_time = due.is_some_and(|due| ready + run <= due);
-        // Work that is late either way still has to be done, but without hurry.
-        let gained = if in_time || spec.is_service() {
+        let pool = self.cheapest_pool(spec, task, usable_types, now)?;
+        let startup_delay_s = self.startup_delay_s(spec, pool.type_index);
+        let meets_deadline =
+            deadline_s.is_some_and(|deadline_s| startup_delay_s + run_s <= deadline_s);
+        // A task that is late on any host still has to run, but is not urgent.
+        let min_time_saved_s = if meets_deadline || spec.is_service() {
             0.0
         } else {
-            LATE_PATIENCE_S
+            MIN_TIME_SAVED_S
         };
-        (ready + gained < start).then_some(pool)
+        (startup_delay_s + min_time_saved_s < start_s).then_some(pool)
     }
 
-    /// How soon a task of the job could start on any machine rented now.
-    pub(crate) fn min_startup_delay_s(&self, spec: &JobSpec, usable: &[bool]) -> f64 {
-        let kinds = (0..self.cluster.machine_types().len()).filter(|k| usable[*k]);
-        kinds
-            .map(|kind| self.ready_after(spec, kind))
+    /// Seconds until a task of the job could start on a host requested now, by the usable type with the least delay;
+    /// infinite if no type is usable.
+    pub(crate) fn min_startup_delay_s(&self, spec: &JobSpec, usable_types: &[bool]) -> f64 {
+        let type_indices =
+            (0..self.cluster.machine_types().len()).filter(|index| usable_types[*index]);
+        type_indices
+            .map(|type_index| self.startup_delay_s(spec, type_index))
             .fold(f64::INFINITY, f64::min)
     }
 
-    /// The pool with the lowest cost per task, counting boot and fetch.
-    fn cheapest(
+    /// The pool with the lowest cost per task, boot and image fetch included, among those that the job may use now and that
+    /// have no request pending.
+    fn cheapest_pool(
         &self,
         spec: &JobSpec,
-        outlook: &Outlook,
-        usable: &[bool],
+        task: &TaskForecast,
+        usable_types: &[bool],
         now: Time,
     ) -> Option<CapacityPool> {
-        // Spot machines serve nearly as well at a third of the price: for work that may use them,
-        // an ordinary one is worth its price only when there are none, and the wait is long.
-        let spot_left = usable.iter().enumerate().any(|(kind, usable)| {
-            let mut zones = self.cluster.machine_types()[kind].zones.iter();
-            *usable
-                && zones.any(|z| {
-                    !self.is_closed(
+        // Spot hosts serve nearly as well at a third of the price. For a task that may use them, an on-demand host is worth
+        // its price only if no spot pool is available and the wait is long.
+        let is_spot_available = usable_types.iter().enumerate().any(|(index, is_usable)| {
+            let mut zones = self.cluster.machine_types()[index].zones.iter();
+            *is_usable
+                && zones.any(|zone| {
+                    !self.is_pool_unavailable(
                         &CapacityPool {
-                            type_index: kind,
-                            zone: z.clone(),
+                            type_index: index,
+                            zone: zone.clone(),
                             spot: true,
                         },
                         now,
                     )
                 })
         });
-        // Work of the lowest priority is there to use what is cheap.
-        let worth = spec.priority != Priority::BestEffort;
-        let ordinary = !spec.spot || (worth && !spot_left && outlook.start > ORDINARY_AFTER_S);
+        // Best-effort tasks that may use spot hosts never get on-demand ones: they are to use cheap capacity.
+        let is_above_best_effort = spec.priority != Priority::BestEffort;
+        let may_use_on_demand = !spec.spot
+            || (is_above_best_effort && !is_spot_available && task.start_s > ON_DEMAND_AFTER_S);
         let mut best: Option<(f64, CapacityPool)> = None;
         for (type_index, machine_type) in self.cluster.machine_types().iter().enumerate() {
-            if !usable[type_index] {
+            if !usable_types[type_index] {
                 continue;
             }
             let zones = machine_type.zones.iter();
-            for zone in zones.filter(|z| spec.zone.as_ref().is_none_or(|s| s == *z)) {
+            for zone in zones.filter(|zone| spec.zone.as_ref().is_none_or(|only| only == *zone)) {
                 for spot in [true, false] {
                     let pool = CapacityPool {
                         type_index,
                         zone: zone.clone(),
                         spot,
                     };
-                    let has_request = self.autoscaler.rentals.values().any(|r| r.pool == pool);
-                    let allowed = if spot { spec.spot } else { ordinary };
-                    if self.is_closed(&pool, now) || has_request || !allowed {
+                    let has_request = self
+                        .autoscaler
+                        .pending_requests
+                        .values()
+                        .any(|pending| pending.pool == pool);
+                    let is_allowed = if spot { spec.spot } else { may_use_on_demand };
+                    if self.is_pool_unavailable(&pool, now) || has_request || !is_allowed {
                         continue;
                     }
-                    let cost = self.cost_per_task(spec, outlook, type_index, spot);
-                    if best.as_ref().is_none_or(|(c, _)| cost < *c) {
+                    let cost = self.cost_per_task(spec, task, type_index, spot);
+                    if best.as_ref().is_none_or(|(lowest, _)| cost < *lowest) {
                         best = Some((cost, pool));
                     }
                 }
@@ -121,46 +140,49 @@
         best.map(|(_, pool)| pool)
     }
 
-    /// What a task costs on a new machine of that type, counting boot and fetch, and more if it would miss
-    /// its deadline there.
+    /// The cost of a task on a new host of the type, boot and image fetch included; higher if the task would miss its
+    /// deadline there. Costs are only compared with each other.
     fn cost_per_task(
         &self,
         spec: &JobSpec,
-        outlook: &Outlook,
+        task: &TaskForecast,
         type_index: usize,
         spot: bool,
     ) -> f64 {
         let machine_type = &self.cluster.machine_types()[type_index];
-        let fits = scoring::need(spec).times_in(&capacity(machine_type)).max(1);
-        let ready = self.ready_after(spec, type_index);
-        let span = ready + outlook.run;
+        let tasks_per_host = scoring::need(spec).times_in(&capacity(machine_type)).max(1);
+        let startup_delay_s = self.startup_delay_s(spec, type_index);
+        let finish_s = startup_delay_s + task.run_s;
         let price = if spot {
             machine_type.spot_price.0
         } else {
             machine_type.on_demand_price.0
         };
-        let machine_cost = price * span.max(LEAST_CHARGED_S);
-        // What a service leaves of a machine others use; that it is there soon counts more.
+        let host_cost = price * finish_s.max(MIN_BILLED_S);
+        // Other tasks use what a service leaves free on the host; a short startup delay matters more to a service.
         let cost = if spec.is_service() {
-            machine_cost / fits as f64 * self.urgency_factor(ready)
+            host_cost / tasks_per_host as f64 * self.startup_delay_cost_factor(startup_delay_s)
         } else {
-            machine_cost / fits.min(outlook.left) as f64
+            host_cost / tasks_per_host.min(task.waiting_tasks) as f64
         };
-        if outlook.due.is_some_and(|due| span <= due) {
+        if task
+            .deadline_s
+            .is_some_and(|deadline_s| finish_s <= deadline_s)
+        {
             cost
         } else {
-            cost * LATE_FACTOR
+            cost * MISSED_DEADLINE_COST_FACTOR
         }
     }
 
-    /// How much dearer a machine may be that is there sooner.
-    pub(crate) fn urgency_factor(&self, ready: f64) -> f64 {
-        1.0 + ready / URGENCY_S
+    /// Factor on the cost of a host for services, by its startup delay.
+    pub(crate) fn startup_delay_cost_factor(&self, startup_delay_s: f64) -> f64 {
+        1.0 + startup_delay_s / STARTUP_DELAY_COST_S
     }
 
-    /// How long a machine rented now takes until a task of the job can start on it.
-    fn ready_after(&self, spec: &JobSpec, kind: usize) -> f64 {
-        let t = &self.cluster.machine_types()[kind];
-        t.boot_s.0 + spec.image_gb.0 / t.fetch_gb_per_s.0.max(0.01)
+    /// Seconds until a task of the job could start on a host of the type requested now: boot and image fetch.
+    fn startup_delay_s(&self, spec: &JobSpec, type_index: usize) -> f64 {
+        let machine_type = &self.cluster.machine_types()[type_index];
+        machine_type.boot_s.0 + spec.image_gb.0 / machine_type.fetch_gb_per_s.0.max(0.01)
     }
 }
--- a/src/coordination/autoscaling/scale_in.rs
+++ b/src/coordination/autoscaling/scale_in.rs
@@ -1,4 +1,4 @@
-//! Scaling down: which machines are closed because the work does not need them, and when they go back.
+//! Scale-in: which hosts are cordoned because the recent demand does not need them, and when they are released.
 
 use std::cmp::Ordering;
 use std::time::Duration;
@@ -8,8 +8,8 @@
 use crate::coordination::{Leader, View};
 use crate::types::{seconds, HostName, Time};
 
-/// The cloud charges at least a minute; a machine that goes back earlier saves nothing.
-const MIN_PAID: Duration = Duration::from_secs(55);
+/// The cloud bills each host for at least a minute, so releasing one much earlier saves nothing.
+const MIN_TIME_BEFORE_RELEASE: Duration = Duration::from_secs(55);
 
 /// A host that may be cordoned as surplus.
 struct ScaleInCandidate {
@@ -21,9 +21,9 @@
 }
 
 impl View<'_> {
-    /// The hosts of the group that may be kept or cordoned as surplus, those to be kept first: the
+    /// The hosts that may be kept or cordoned as surplus, on the scarce types or on the others, those to be kept first: the
     /// cheapest per CPU, then the fullest.
-    fn scale_in_candidates(&self, scarce: &[bool], group: bool) -> Vec<ScaleInCandidate> {
+    fn scale_in_candidates(&self, scarce_types: &[bool], is_scarce: bool) -> Vec<ScaleInCandidate> {
         let mut candidates: Vec<ScaleInCandidate> = self
             .cluster
             .hosts()
@@ -31,19 +31,21 @@
             .filter(|h| h.lifecycle == HostLifecycle::Up)
             .filter(|h| matches!(h.cordon, None | Some(CordonReason::Surplus)))
             .filter_map(|h| {
-                let kind = h.type_index.filter(|k| scarce.get(*k) == Some(&group))?;
-                let machine_type = self.cluster.machine_types().get(kind)?;
+                let type_index = h
+                    .type_index
+                    .filter(|index| scarce_types.get(*index) == Some(&is_scarce))?;
+                let machine_type = self.cluster.machine_types().get(type_index)?;
                 let price = if h.spot {
                     machine_type.spot_price.0
                 } else {
                     machine_type.on_demand_price.0
                 };
                 let cpus = machine_type.cpus.0.max(0.1);
-                // What is cordoned already stays so, other things being equal.
-                let cordoned = if h.cordon.is_some() { 1.0 } else { 0.0 };
+                // Other things being equal, hosts that are cordoned already stay cordoned.
+                let cordoned_penalty = if h.cordon.is_some() { 1.0 } else { 0.0 };
                 Some(ScaleInCandidate {
                     price_per_cpu: price / cpus,
-                    idleness: cordoned - h.allocated.cpus / cpus,
+                    idleness: cordoned_penalty - h.allocated.cpus / cpus,
                     name: h.name.clone(),
                     cpus,
                 })
@@ -56,21 +58,25 @@
         candidates
     }
 
-    /// CPUs that booked and waiting work takes, on the scarce types or on the others.
-    fn demand(&self, scarce: &[bool], group: bool) -> f64 {
-        let mut demand = 0.0;
+    /// CPUs that allocated and waiting tasks take, on the scarce types or on the others. A host counts with the larger of
+    /// the allocated shares of its CPUs and of its memory.
+    fn demand_cpus(&self, scarce_types: &[bool], is_scarce: bool) -> f64 {
+        let mut demand_cpus = 0.0;
         for host in self.cluster.hosts().values() {
-            let Some(kind) = host.type_index.filter(|k| scarce.get(*k) == Some(&group)) else {
+            let Some(type_index) = host
+                .type_index
+                .filter(|index| scarce_types.get(*index) == Some(&is_scarce))
+            else {
                 continue;
             };
-            let Some(t) = self.cluster.machine_types().get(kind) else {
+            let Some(machine_type) = self.cluster.machine_types().get(type_index) else {
                 continue;
             };
-            let whole = capacity(t);
-            let share =
-                (host.allocated.cpus / whole.cpus).max(host.allocated.memory_gb / whole.memory_gb);
-            demand += if share.is_finite() {
-                share * whole.cpus
+            let total = capacity(machine_type);
+            let used_share =
+                (host.allocated.cpus / total.cpus).max(host.allocated.memory_gb / total.memory_gb);
+            demand_cpus += if used_share.is_finite() {
+                used_share * total.cpus
             } else {
                 0.0
             };
@@ -82,35 +88,39 @@
             let needs_scarce = self
                 .suited(spec)
                 .iter()
-                .all(|k| scarce.get(*k) == Some(&true));
-            if needs_scarce == group {
+                .all(|index| scarce_types.get(*index) == Some(&true));
+            if needs_scarce == is_scarce {
                 let count = u64::from(job.schedulable_count()).min(self.team_room(job));
-                demand += count as f64 * job.task_resources.cpus;
+                demand_cpus += count as f64 * job.task_resources.cpus;
             }
         }
-        demand
+        demand_cpus
     }
 }
 
 impl Leader {
-    /// Scale down by cordoning. Headroom spreads work thinly over all machines, so that none ever
-    /// idles; what the recent peak of demand does not need is therefore closed, the dearest first,
-    /// runs empty, and goes back. When demand rises it is opened again before any is rented.
-    pub(crate) fn cordon_surplus(&mut self, scarce: &[bool], now: Time) {
+    /// Scales in by cordoning. Placement by headroom spreads tasks over all hosts, so that none ever idles. Hosts that the
+    /// recent peak demand does not need are therefore cordoned, the most expensive first, and released once their tasks
+    /// have ended. When demand rises they are uncordoned before any host is requested.
+    pub(crate) fn cordon_surplus_hosts(&mut self, scarce_types: &[bool], now: Time) {
         let window = seconds(self.policy.tuning.idle_return_s);
-        let ordinary = self.ordinary_kept(now);
-        for group in [false, true] {
-            let demand = self.view().demand(scarce, group);
-            let peak = self.autoscaler.peaks[usize::from(group)].note(now, demand, window);
-            let wanted = peak * (1.0 + self.policy.tuning.spare_share);
-            let candidates = self.view().scale_in_candidates(scarce, group);
-            let mut kept = 0.0;
+        let kept_on_demand = self.on_demand_hosts_to_keep(now);
+        for is_scarce in [false, true] {
+            let demand_cpus = self.view().demand_cpus(scarce_types, is_scarce);
+            let peak_cpus = self.autoscaler.demand_cpus[usize::from(is_scarce)].record(
+                now,
+                demand_cpus,
+                window,
+            );
+            let wanted_cpus = peak_cpus * (1.0 + self.policy.tuning.spare_share);
+            let candidates = self.view().scale_in_candidates(scarce_types, is_scarce);
+            let mut kept_cpus = 0.0;
             for ScaleInCandidate { name, cpus, .. } in candidates {
                 let Some(host) = self.cluster.host(&name) else {
                     continue;
                 };
-                if kept < wanted || ordinary.contains(&name) {
-                    kept += cpus;
+                if kept_cpus < wanted_cpus || kept_on_demand.contains(&name) {
+                    kept_cpus += cpus;
                     self.cluster.uncordon_surplus(&name);
                 } else if now >= host.keep_open_until {
                     self.cluster.cordon_surplus(&name, now);
@@ -119,12 +129,12 @@
         }
     }
 
-    /// Machines that are closed for good reasons and empty go back.
-    pub(crate) fn return_empty(&mut self, now: Time) {
+    /// Releases empty hosts that are cordoned, unless the cloud reclaims them anyway.
+    pub(crate) fn release_empty_hosts(&mut self, now: Time) {
         let is_releasable = |host: &&Host| {
             let is_empty = host.is_up() && host.allocations.is_empty();
-            // What has been paid for anyway may stay.
-            let is_paid_for = now.since(host.provisioned_at) < MIN_PAID;
+            // A host may stay for the time that is billed in any case.
+            let is_paid_for = now.since(host.provisioned_at) < MIN_TIME_BEFORE_RELEASE;
             let is_cordoned = host
                 .cordon
                 .is_some_and(|reason| reason != CordonReason::Reclaimed);
--- a/src/coordination/autoscaling/services.rs
+++ b/src/coordination/autoscaling/services.rs
@@ -1,5 +1,5 @@
-//! Standing services: their replicas have no end, so room for them is kept ready, and they are moved in
-//! time when their machine goes.
+//! Capacity for services: their replicas run until the job is cancelled and have to start sooner than a host boots, so
+//! on-demand capacity is kept ready for them, and replicas are moved before their host is reclaimed.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -14,104 +14,123 @@
 use crate::protocol::users::JobSpec;
 use crate::types::{seconds, HostName, JobId, TaskId, Time};
 
-/// A replica whose machine goes is moved at the latest so long before, room or not.
-const LAST_MOMENT: Duration = Duration::from_secs(2);
-/// A machine that nothing but replicas keeps from going back is emptied after so long.
-const IDLE_FOR: Duration = Duration::from_secs(120);
-/// A machine that was opened for a replica stays open for so long.
-const REOPENED_FOR: Duration = Duration::from_secs(3);
-/// So much of the ordinary machines is kept for what needs them.
-const ORDINARY_SPARE: f64 = 1.25;
+/// How long before its host is reclaimed a replica is stopped even if no other host has room for it.
+const RECLAIM_MARGIN: Duration = Duration::from_secs(2);
+/// How long a host has to be cordoned as surplus before replicas are moved off it, if nothing else runs there.
+const SURPLUS_DRAIN_DELAY: Duration = Duration::from_secs(120);
+/// How long a host that was uncordoned for a replica is not cordoned as surplus again.
+const UNCORDONED_FOR: Duration = Duration::from_secs(3);
+/// On-demand capacity that is kept, as a multiple of the recent peak demand of jobs that may not use spot hosts.
+const ON_DEMAND_HEADROOM_FACTOR: f64 = 1.25;
 
 impl View<'_> {
+    /// Whether the task is a replica of a service.
     pub(crate) fn is_replica(&self, task: TaskId) -> bool {
         self.cluster
             .jobs()
             .get(&task.job)
-            .is_some_and(|j| j.is_service())
+            .is_some_and(|job| job.is_service())
     }
 
+    /// Whether any replica is allocated to the host.
     pub(crate) fn holds_replicas(&self, host: &Host) -> bool {
         host.allocations.keys().any(|task| self.is_replica(*task))
     }
 
-    /// CPUs on ordinary machines that services should find free, or taken by what they preempt, at any
-    /// time: they are to begin sooner than any machine boots. So it is for classes of which that is
-    /// expected and no job has been seen yet, as nobody knows what they will need.
-    fn standby(&self, now: Time) -> f64 {
-        let boots = self.cluster.machine_types().iter().map(|t| t.boot_s.0);
-        let soonest = boots.fold(f64::INFINITY, f64::min);
-        let unseen = |class: &str| !self.autoscaler.seen_classes.contains(class);
-        let hurried = |(class, within): &(String, f64)| *within < soonest && unseen(class);
-        // The first jobs of the day are about to tell which classes there are.
-        let settled = now.since(self.started_at) > STANDBY_AFTER;
-        let unknown = settled && self.policy.hurried.iter().any(hurried);
-        if unknown || self.cluster.jobs().values().any(Job::is_service) {
+    /// CPUs on on-demand hosts that services should find free, or taken by tasks that they preempt, at any time, as they
+    /// have to start sooner than any host boots. This capacity is also kept for classes whose start objective is shorter
+    /// than any boot time and of which no job has been seen, as nobody knows what they will need.
+    fn standby_cpus(&self, now: Time) -> f64 {
+        let boot_times_s = self.cluster.machine_types().iter().map(|t| t.boot_s.0);
+        let min_boot_s = boot_times_s.fold(f64::INFINITY, f64::min);
+        let is_unseen = |class: &str| !self.autoscaler.seen_classes.contains(class);
+        let needs_standby =
+            |(class, within_s): &(String, f64)| *within_s < min_boot_s && is_unseen(class);
+        // Right after the start the first jobs are about to show which classes there are.
+        let has_settled = now.since(self.started_at) > UNSEEN_CLASSES_COUNT_AFTER;
+        let expects_unseen_class = has_settled && self.policy.hurried.iter().any(needs_standby);
+        if expects_unseen_class || self.cluster.jobs().values().any(Job::is_service) {
             self.policy.tuning.standby_cpus
         } else {
             0.0
         }
     }
 
-    /// CPUs on ordinary machines, here or to come, that no replica takes.
-    fn room_for_services(&self) -> f64 {
-        let cpus = |kind: usize| {
+    /// CPUs on on-demand hosts that are up, expected or requested, without those that present and waiting replicas take.
+    fn cpus_for_services(&self) -> f64 {
+        let cpus_of_type = |type_index: usize| {
             self.cluster
                 .machine_types()
-                .get(kind)
+                .get(type_index)
                 .map_or(0.0, |t| t.cpus.0)
         };
-        let here = self.cluster.hosts().values().filter(|h| {
+        let usable_hosts = self.cluster.hosts().values().filter(|h| {
             !h.spot
                 && h.lifecycle != HostLifecycle::Releasing
                 && matches!(h.cordon, None | Some(CordonReason::Surplus))
         });
-        let room = here.map(|h| {
-            let replicas = h.allocations.iter().filter(|(t, _)| self.is_replica(**t));
-            let taken: f64 = replicas.map(|(_, b)| b.resources.cpus).sum();
-            (h.type_index.map_or(0.0, cpus) - taken).max(0.0)
+        let host_cpus = usable_hosts.map(|h| {
+            let replicas = h
+                .allocations
+                .iter()
+                .filter(|(task, _)| self.is_replica(**task));
+            let replica_cpus: f64 = replicas
+                .map(|(_, allocation)| allocation.resources.cpus)
+                .sum();
+            (h.type_index.map_or(0.0, cpus_of_type) - replica_cpus).max(0.0)
         });
-        let rentals = self.autoscaler.rentals.values().filter(|r| !r.pool.spot);
-        let ordered = rentals.map(|r| cpus(r.pool.type_index) * r.rental.count as f64);
+        let pending_requests = self
+            .autoscaler
+            .pending_requests
+            .values()
+            .filter(|pending| !pending.pool.spot);
+        let requested_cpus = pending_requests
+            .map(|pending| cpus_of_type(pending.pool.type_index) * pending.request.count as f64);
         let services = self.cluster.jobs().values().filter(|j| j.is_service());
-        let waiting = services.map(|j| f64::from(j.waiting_count()) * j.task_resources.cpus);
-        room.chain(ordered).sum::<f64>() - waiting.sum::<f64>()
+        let waiting_cpus = services.map(|j| f64::from(j.waiting_count()) * j.task_resources.cpus);
+        host_cpus.chain(requested_cpus).sum::<f64>() - waiting_cpus.sum::<f64>()
     }
 
-    /// A replica on a machine that has long been closed as not needed, and holds nothing but replicas.
-    fn idle_replica(&self, now: Time) -> Option<(HostName, TaskId)> {
-        let long = |at: Time| now.since(at) > IDLE_FOR;
+    /// A replica on a host that has been cordoned as surplus for [`SURPLUS_DRAIN_DELAY`] and holds nothing but replicas, each
+    /// of which has room elsewhere.
+    fn replica_on_surplus_host(&self, now: Time) -> Option<(HostName, TaskId)> {
+        let is_past_delay = |since: Time| now.since(since) > SURPLUS_DRAIN_DELAY;
         let host = self.cluster.hosts().values().find(|host| {
-            let idle =
+            let is_surplus =
                 host.cordon == Some(CordonReason::Surplus) && host.lifecycle == HostLifecycle::Up;
-            let idle = idle && host.surplus_since.is_some_and(long) && !host.allocations.is_empty();
-            idle && host.allocations.iter().all(|(task, b)| {
-                b.stop_reason.is_none() && self.is_replica(*task) && self.has_room(*task, host, now)
-            })
+            let may_be_drained = is_surplus
+                && host.surplus_since.is_some_and(is_past_delay)
+                && !host.allocations.is_empty();
+            may_be_drained
+                && host.allocations.iter().all(|(task, allocation)| {
+                    allocation.stop_reason.is_none()
+                        && self.is_replica(*task)
+                        && self.has_room_elsewhere(*task, host, now)
+                })
         })?;
         let task = *host.allocations.keys().next()?;
         Some((host.name.clone(), task))
     }
 
-    /// Whether another open machine could take the task at once.
-    fn has_room(&self, task: TaskId, but: &Host, now: Time) -> bool {
+    /// Whether a host other than the task's present one could take the task at once.
+    fn has_room_elsewhere(&self, task: TaskId, present_host: &Host, now: Time) -> bool {
         let Some(spec) = self
             .cluster
             .jobs()
             .get(&task.job)
-            .and_then(|j| j.spec.as_ref())
+            .and_then(|job| job.spec.as_ref())
         else {
             return false;
         };
         let need = scoring::need(spec);
         self.cluster.hosts().values().any(|host| {
-            let kind = host
+            let machine_type = host
                 .type_index
-                .and_then(|k| self.cluster.machine_types().get(k));
-            host.name != but.name
+                .and_then(|index| self.cluster.machine_types().get(index));
+            host.name != present_host.name
                 && self.is_open(host, now)
                 && (spec.spot || !host.spot)
-                && kind.is_some_and(|t| {
+                && machine_type.is_some_and(|t| {
                     scoring::type_suits(spec, t) && need.fits(&capacity(t).minus(&host.allocated))
                 })
         })
@@ -119,180 +138,205 @@
 }
 
 impl Leader {
-    /// CPUs on ordinary machines that work needs which may use no others: the peak of the last while of
-    /// what is booked and waits, and what is likely to come before another could boot.
-    fn ordinary_wanted(&mut self, now: Time) -> f64 {
-        let mut demand = 0.0;
+    /// CPUs to keep on on-demand hosts: the recent peak demand of jobs that may not use spot hosts, with headroom, and the
+    /// standby for services. The demand is that of allocated and waiting tasks and of tasks that are likely to be submitted
+    /// before a new host could start them.
+    fn wanted_on_demand_cpus(&mut self, now: Time) -> f64 {
+        let mut demand_cpus = 0.0;
         for job in self.cluster.jobs().values() {
-            let ordinary = job.spec.as_ref().is_some_and(|s| !s.spot);
-            if ordinary && job.phase == JobPhase::Active {
-                let tasks = f64::from(job.allocated_count) + f64::from(job.schedulable_count());
-                demand += tasks * job.task_resources.cpus;
+            let needs_on_demand = job.spec.as_ref().is_some_and(|spec| !spec.spot);
+            if needs_on_demand && job.phase == JobPhase::Active {
+                let task_count =
+                    f64::from(job.allocated_count) + f64::from(job.schedulable_count());
+                demand_cpus += task_count * job.task_resources.cpus;
             }
         }
-        for spec in self.autoscaler.lately(now).filter(|s| !s.spot) {
-            let ready = self
+        for spec in self
+            .autoscaler
+            .recent_arrivals(now)
+            .filter(|spec| !spec.spot)
+        {
+            let startup_delay_s = self
                 .view()
                 .min_startup_delay_s(spec, &self.view().usable_types(spec, &[]));
-            let share = (ready
-                / crate::coordination::autoscaling::provisioning::ARRIVALS_FOR.as_secs_f64())
+            let window_share = (startup_delay_s
+                / crate::coordination::autoscaling::provisioning::ARRIVAL_WINDOW.as_secs_f64())
             .min(1.0);
-            demand += spec.tasks as f64 * spec.cpus.0 * share;
+            demand_cpus += spec.tasks as f64 * spec.cpus.0 * window_share;
         }
         let window = seconds(self.policy.tuning.idle_return_s) * 2;
-        let peak = self.autoscaler.ordinary_peak.note(now, demand, window);
-        // Headroom spreads replicas thinly, so some of it is split up among machines.
-        peak * ORDINARY_SPARE + self.view().standby(now)
+        let peak_cpus = self
+            .autoscaler
+            .on_demand_only_cpus
+            .record(now, demand_cpus, window);
+        // Placement by headroom spreads replicas over many hosts, so part of the free capacity is fragmented.
+        peak_cpus * ON_DEMAND_HEADROOM_FACTOR + self.view().standby_cpus(now)
     }
 
-    /// The ordinary machines that are kept for that: first those that hold replicas, which have no end,
-    /// then those that are open, then the cheapest.
-    pub(crate) fn ordinary_kept(&mut self, now: Time) -> BTreeSet<HostName> {
-        let mut wanted = self.ordinary_wanted(now);
-        let mut order = Vec::new();
+    /// The on-demand hosts to keep for that demand: first those that hold replicas, which have no end, then those that are
+    /// not cordoned, then the cheapest.
+    pub(crate) fn on_demand_hosts_to_keep(&mut self, now: Time) -> BTreeSet<HostName> {
+        let mut missing_cpus = self.wanted_on_demand_cpus(now);
+        let mut candidates = Vec::new();
         for host in self
             .cluster
             .hosts()
             .values()
             .filter(|h| !h.spot && h.lifecycle == HostLifecycle::Up)
         {
-            if let Some(t) = host
+            if let Some(machine_type) = host
                 .type_index
-                .and_then(|k| self.cluster.machine_types().get(k))
+                .and_then(|index| self.cluster.machine_types().get(index))
             {
-                let cpus = t.cpus.0.max(0.1);
-                let price = t.on_demand_price.0 / cpus * self.view().urgency_factor(t.boot_s.0);
-                let idle = !self.view().holds_replicas(host);
-                order.push((idle, host.cordon.is_some(), price, cpus, &host.name));
+                let cpus = machine_type.cpus.0.max(0.1);
+                let cost_per_cpu = machine_type.on_demand_price.0 / cpus
+                    * self.view().startup_delay_cost_factor(machine_type.boot_s.0);
+                let has_no_replicas = !self.view().holds_replicas(host);
+                candidates.push((
+                    has_no_replicas,
+                    host.cordon.is_some(),
+                    cost_per_cpu,
+                    cpus,
+                    &host.name,
+                ));
             }
         }
-        order.sort_by(|a, b| {
-            let first = (a.0, a.1).cmp(&(b.0, b.1));
-            first.then(a.2.total_cmp(&b.2)).then(a.4.cmp(b.4))
+        candidates.sort_by(|a, b| {
+            let by_use = (a.0, a.1).cmp(&(b.0, b.1));
+            by_use.then(a.2.total_cmp(&b.2)).then(a.4.cmp(b.4))
         });
         let mut kept = BTreeSet::new();
-        for (_, _, _, cpus, name) in order {
-            if wanted <= 0.0 {
+        for (_, _, _, cpus, name) in candidates {
+            if missing_cpus <= 0.0 {
                 break;
             }
-            wanted -= cpus;
+            missing_cpus -= cpus;
             kept.insert(name.clone());
         }
         kept
     }
 
-    /// Rents what the standby lacks: ordinary machines that are cheap and come soon.
+    /// Requests on-demand hosts for the CPUs that the standby lacks, of the type that is cheap and boots fast.
     pub(crate) fn provision_standby(&mut self, now: Time) {
-        let wanted = self.view().standby(now);
-        if wanted <= 0.0 {
+        let wanted_cpus = self.view().standby_cpus(now);
+        if wanted_cpus <= 0.0 {
             return;
         }
-        let missing = wanted - self.view().room_for_services();
-        let cpus = |kind: usize| self.cluster.machine_types()[kind].cpus.0.max(0.1);
-        let cost = |kind: &usize| {
-            let t = &self.cluster.machine_types()[*kind];
-            t.on_demand_price.0 / cpus(*kind) * self.view().urgency_factor(t.boot_s.0)
+        let missing_cpus = wanted_cpus - self.view().cpus_for_services();
+        let cpus_of_type =
+            |type_index: usize| self.cluster.machine_types()[type_index].cpus.0.max(0.1);
+        let cost_per_cpu = |type_index: &usize| {
+            let machine_type = &self.cluster.machine_types()[*type_index];
+            machine_type.on_demand_price.0 / cpus_of_type(*type_index)
+                * self.view().startup_delay_cost_factor(machine_type.boot_s.0)
         };
-        let pools = (0..self.cluster.machine_types().len()).filter_map(|kind| {
-            let on_demand = |zone: &String| CapacityPool {
-                type_index: kind,
+        let pools = (0..self.cluster.machine_types().len()).filter_map(|type_index| {
+            let on_demand_pool = |zone: &String| CapacityPool {
+                type_index,
                 zone: zone.clone(),
                 spot: false,
             };
-            let mut pools = self.cluster.machine_types()[kind]
+            let mut pools_of_type = self.cluster.machine_types()[type_index]
                 .zones
                 .iter()
-                .map(on_demand);
-            pools.find(|pool| !self.view().is_closed(pool, now))
+                .map(on_demand_pool);
+            pools_of_type.find(|pool| !self.view().is_pool_unavailable(pool, now))
         });
-        let best = pools.min_by(|a, b| cost(&a.type_index).total_cmp(&cost(&b.type_index)));
-        let Some(pool) = best.filter(|_| missing > 0.0) else {
+        let cheapest_pool = pools
+            .min_by(|a, b| cost_per_cpu(&a.type_index).total_cmp(&cost_per_cpu(&b.type_index)));
+        let Some(pool) = cheapest_pool.filter(|_| missing_cpus > 0.0) else {
             return;
         };
-        let count = (missing / cpus(pool.type_index)).ceil() as u64;
-        tracing::info!("{count} machines are rented as a standby");
-        self.order(pool, count, now);
+        let count = (missing_cpus / cpus_of_type(pool.type_index)).ceil() as u64;
+        tracing::info!("requesting {count} on-demand hosts as standby capacity for services");
+        self.request_hosts(pool, count, now);
     }
 
-    /// Opens a machine that was closed as not needed and could take a replica that found no other: those
-    /// left open may remember an earlier attempt at it, and it is not to wait for that.
+    /// Uncordons a surplus host that could take a replica for which no other host was found. The hosts that are not cordoned
+    /// may still remember an earlier attempt at the replica, and it is not to wait until they no longer do. Returns whether
+    /// a host was uncordoned.
     pub(crate) fn uncordon_host_for_replica(
         &mut self,
-        id: JobId,
+        job_id: JobId,
         spec: &JobSpec,
-        usable: &[bool],
+        usable_types: &[bool],
         now: Time,
     ) -> bool {
-        let Some(job) = self.cluster.job(id) else {
+        let Some(job) = self.cluster.job(job_id) else {
             return false;
         };
         let Some(index) = job.next_waiting_task() else {
             return false;
         };
-        let task = TaskId { job: id, index };
+        let task = TaskId { job: job_id, index };
         let suits = |host: &&Host| {
-            let kind = host.type_index.filter(|k| usable.get(*k) == Some(&true));
-            let whole = kind
-                .and_then(|k| self.cluster.machine_types().get(k))
+            let type_index = host
+                .type_index
+                .filter(|type_index| usable_types.get(*type_index) == Some(&true));
+            let host_capacity = type_index
+                .and_then(|type_index| self.cluster.machine_types().get(type_index))
                 .map(capacity);
             host.cordon == Some(CordonReason::Surplus)
                 && host.lifecycle == HostLifecycle::Up
                 && now.since(host.last_heartbeat_at) <= self.policy.report * 2
                 && host.reachability == Reachability::Confirmed
                 && (spec.spot || !host.spot)
-                && spec.zone.as_ref().is_none_or(|z| *z == host.zone)
-                && whole.is_some_and(|w| job.task_resources.fits(&w.minus(&host.allocated)))
+                && spec.zone.as_ref().is_none_or(|zone| *zone == host.zone)
+                && host_capacity
+                    .is_some_and(|total| job.task_resources.fits(&total.minus(&host.allocated)))
                 && !host.remembers_task(task)
         };
-        let found = self
+        let host_name = self
             .cluster
             .hosts()
             .values()
             .find(suits)
             .map(|h| h.name.clone());
-        let Some(name) = found else { return false };
-        self.cluster.keep_open_until(&name, now.after(REOPENED_FOR));
+        let Some(name) = host_name else { return false };
+        self.cluster
+            .keep_open_until(&name, now.after(UNCORDONED_FOR));
         self.cluster.uncordon_surplus(&name)
     }
 
-    /// Moves replicas whose machine is about to go as soon as there is room for them elsewhere, so that
-    /// the gap is no longer than a start; and those that alone keep a machine which nobody else needs.
+    /// Moves replicas off hosts that are to be reclaimed as soon as there is room elsewhere, so that each is down for no
+    /// longer than a start takes. Also moves replicas off surplus hosts that hold nothing else, one at a time.
     pub(crate) fn move_replicas(&mut self, now: Time) {
         if !self.cluster.jobs().values().any(Job::is_service) {
             return;
         }
-        let mut moves: Vec<(HostName, TaskId)> = Vec::new();
+        let mut replicas_to_move: Vec<(HostName, TaskId)> = Vec::new();
         for host in self.cluster.hosts().values() {
-            let leaving = host
+            let reclaim_at = host
                 .reclaim_at
                 .filter(|_| host.lifecycle == HostLifecycle::Up);
-            if let Some(by) = leaving {
-                let last = by.since(now) <= LAST_MOMENT;
-                let there = host
+            if let Some(reclaim_at) = reclaim_at {
+                let is_within_margin = reclaim_at.since(now) <= RECLAIM_MARGIN;
+                let active_allocations = host
                     .allocations
                     .iter()
-                    .filter(|(_, b)| b.stop_reason.is_none());
-                for (task, _) in there {
+                    .filter(|(_, allocation)| allocation.stop_reason.is_none());
+                for (task, _) in active_allocations {
                     if self.view().is_replica(*task)
-                        && (last || self.view().has_room(*task, host, now))
+                        && (is_within_margin || self.view().has_room_elsewhere(*task, host, now))
                     {
-                        moves.push((host.name.clone(), *task));
+                        replicas_to_move.push((host.name.clone(), *task));
                     }
                 }
             }
         }
-        if moves.is_empty() && self.scheduler.may_move_idle_replica(now) {
-            moves.extend(self.view().idle_replica(now));
-            if !moves.is_empty() {
+        if replicas_to_move.is_empty() && self.scheduler.may_move_idle_replica(now) {
+            replicas_to_move.extend(self.view().replica_on_surplus_host(now));
+            if !replicas_to_move.is_empty() {
                 self.scheduler.on_idle_replica_moved(now);
             }
         }
-        for (host, task) in moves {
-            tracing::info!("{host}: {task} is moved");
+        for (host, task) in replicas_to_move {
+            tracing::info!("{host}: stopping replica {task}, to be restarted on another host");
             self.stop_task(&host, task, StopReason::Drained, now);
         }
     }
 }
 
-/// What a new leader has read by then it has seen.
-const STANDBY_AFTER: Duration = Duration::from_secs(2);
+/// Unseen classes count only once a leader has run for this long: by then it has seen the classes of all jobs in the
+/// records that it read.
+const UNSEEN_CLASSES_COUNT_AFTER: Duration = Duration::from_secs(2);
--- a/src/coordination/autoscaling/timeline.rs
+++ b/src/coordination/autoscaling/timeline.rs
@@ -1,4 +1,4 @@
-//! When machines that are up or to come have room, as the forecast sees it.
+//! When hosts that are up, expected or requested have room for further tasks, as the forecast assumes.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -11,174 +11,198 @@
 use crate::protocol::users::JobSpec;
 use crate::types::Time;
 
-/// A machine that is not up after this many times its boot time may never come.
-const HOPELESS_BOOT: f64 = 1.7;
+/// A host that is not up after this multiple of its boot time may never come up, so the forecast ignores it.
+const MAX_BOOT_TIME_FACTOR: f64 = 1.7;
 
-/// How long a task runs on of whose job nothing is known.
-const UNKNOWN_REST_S: f64 = 30.0;
+/// Expected remaining run time of a task whose job is not known.
+const UNKNOWN_JOB_REMAINING_S: f64 = 30.0;
 
-/// A machine that is up or to come, as the forecast sees it; times are seconds from now.
-pub(crate) struct Timeline {
-    pub(crate) kind: usize,
+/// A host that is up, expected or requested, and when its capacity gets free. Times are seconds from now.
+pub(crate) struct HostTimeline {
+    /// Index of its machine type.
+    pub(crate) type_index: usize,
     pub(crate) zone: String,
     pub(crate) spot: bool,
-    /// When it is up.
-    pub(crate) at: f64,
-    /// What services leave of it: they preempt all else.
-    pub(crate) for_services: Resources,
+    /// When it is up; 0 if it is up already.
+    pub(crate) up_at_s: f64,
+    /// Capacity that no replica takes: services preempt all other tasks.
+    pub(crate) free_for_services: Resources,
+    /// Capacity that no task takes.
     pub(crate) free: Resources,
-    /// What gets free later, in the order of time.
-    pub(crate) ends: Vec<(f64, Resources)>,
+    /// When tasks on it are expected to end and which resources that frees, in the order of time.
+    pub(crate) expected_ends: Vec<(f64, Resources)>,
 }
 
-impl Timeline {
-    /// When there will be room for a task.
-    pub(crate) fn start_of(&self, need: &Resources) -> Option<f64> {
+impl HostTimeline {
+    /// When a task could start on it; `None` if it never has room.
+    pub(crate) fn earliest_start_s(&self, need: &Resources) -> Option<f64> {
         let mut free = self.free;
         if need.fits(&free) {
-            return Some(self.at);
+            return Some(self.up_at_s);
         }
-        for (end, freed) in &self.ends {
+        for (end_s, freed) in &self.expected_ends {
             free.add(freed);
             if need.fits(&free) {
-                return Some(end.max(self.at));
+                return Some(end_s.max(self.up_at_s));
             }
         }
         None
     }
 
-    /// Gives the room to a task from `start` on.
-    pub(crate) fn take(&mut self, start: f64, run: f64, need: &Resources) {
-        while let Some((_, freed)) = self.ends.first().filter(|(end, _)| *end <= start) {
+    /// Reserves room for a task that starts at `start_s` and runs for `run_s`.
+    pub(crate) fn reserve(&mut self, start_s: f64, run_s: f64, need: &Resources) {
+        while let Some((_, freed)) = self
+            .expected_ends
+            .first()
+            .filter(|(end_s, _)| *end_s <= start_s)
+        {
             self.free.add(freed);
-            self.ends.remove(0);
+            self.expected_ends.remove(0);
         }
         self.free.remove(need);
-        let end = start + run;
-        let at = self.ends.partition_point(|(e, _)| *e <= end);
-        self.ends.insert(at, (end, *need));
+        let end_s = start_s + run_s;
+        let position = self
+            .expected_ends
+            .partition_point(|(other_end_s, _)| *other_end_s <= end_s);
+        self.expected_ends.insert(position, (end_s, *need));
     }
 }
 
-/// When each of the machines that suit a job would take a task of it, the soonest on top. Times are
-/// never negative, so their bits are in the order of their values.
+/// The hosts that suit a job, by when each could start its next task, the earliest first. An entry holds the bits of the
+/// time in seconds, which sort like the times since these are never negative, and the index of the host's timeline.
 #[derive(Default)]
-pub(crate) struct Starts(BinaryHeap<Reverse<(u64, usize)>>);
+pub(crate) struct StartQueue(BinaryHeap<Reverse<(u64, usize)>>);
 
-impl Starts {
-    pub(crate) fn of(timelines: &[Timeline], spec: &JobSpec, usable: &[bool]) -> Starts {
+impl StartQueue {
+    /// The queue for a job, of the hosts whose machine types are usable and that have room at some time.
+    pub(crate) fn for_job(
+        timelines: &[HostTimeline],
+        spec: &JobSpec,
+        usable_types: &[bool],
+    ) -> StartQueue {
         let need = scoring::need(spec);
-        let suits = |timeline: &Timeline| {
-            usable[timeline.kind]
+        let suits = |timeline: &HostTimeline| {
+            usable_types[timeline.type_index]
                 && (spec.spot || !timeline.spot)
-                && spec.zone.as_ref().is_none_or(|z| *z == timeline.zone)
+                && spec.zone.as_ref().is_none_or(|zone| *zone == timeline.zone)
         };
         let suited = timelines
             .iter()
             .enumerate()
             .filter(|(_, timeline)| suits(timeline));
         let starts = suited
-            .filter_map(|(at, timeline)| Some(Reverse((timeline.start_of(&need)?.to_bits(), at))))
+            .filter_map(|(index, timeline)| {
+                Some(Reverse((
+                    timeline.earliest_start_s(&need)?.to_bits(),
+                    index,
+                )))
+            })
             .collect();
-        Starts(starts)
+        StartQueue(starts)
     }
 
-    /// Infinite if none ever would.
-    pub(crate) fn soonest(&self) -> f64 {
+    /// Seconds until the earliest start; infinite if no host can take a task.
+    pub(crate) fn earliest_start_s(&self) -> f64 {
         let first = self.0.peek();
-        first.map_or(f64::INFINITY, |Reverse((start, _))| f64::from_bits(*start))
+        first.map_or(f64::INFINITY, |Reverse((start_bits, _))| {
+            f64::from_bits(*start_bits)
+        })
     }
 
-    /// Gives the next task to the machine that would take it the soonest; false if there is none.
-    pub(crate) fn take(
+    /// Reserves room for the next task on the host that could start it first, but not before `not_before_s`. Returns
+    /// false if no host can take it.
+    pub(crate) fn reserve_earliest(
         &mut self,
-        timelines: &mut [Timeline],
-        from: f64,
-        run: f64,
+        timelines: &mut [HostTimeline],
+        not_before_s: f64,
+        run_s: f64,
         need: &Resources,
     ) -> bool {
-        let Some(Reverse((start, at))) = self.0.pop() else {
+        let Some(Reverse((start_bits, index))) = self.0.pop() else {
             return false;
         };
-        timelines[at].take(f64::from_bits(start).max(from), run, need);
-        self.add(timelines, at, need);
+        timelines[index].reserve(f64::from_bits(start_bits).max(not_before_s), run_s, need);
+        self.push(timelines, index, need);
         true
     }
 
-    pub(crate) fn add(&mut self, timelines: &[Timeline], at: usize, need: &Resources) {
-        if let Some(next) = timelines[at].start_of(need) {
-            self.0.push(Reverse((next.to_bits(), at)));
+    /// Adds a host by the index of its timeline, if it has room for a task at some time.
+    pub(crate) fn push(&mut self, timelines: &[HostTimeline], index: usize, need: &Resources) {
+        if let Some(start_s) = timelines[index].earliest_start_s(need) {
+            self.0.push(Reverse((start_s.to_bits(), index)));
         }
     }
 }
 
 impl View<'_> {
-    /// Machines that are here or coming, and when their room gets free.
-    pub(crate) fn timelines(&self, now: Time) -> Vec<Timeline> {
+    /// The timelines of all hosts that are up, expected or requested.
+    pub(crate) fn host_timelines(&self, now: Time) -> Vec<HostTimeline> {
         let hosts = self.cluster.hosts().values();
-        let mut timelines: Vec<Timeline> = hosts.filter_map(|h| self.timeline(h, now)).collect();
-        for open in self.autoscaler.rentals.values() {
-            for _ in 0..open.rental.count {
-                timelines.push(self.new_timeline(open.pool.clone()));
+        let mut timelines: Vec<HostTimeline> = hosts
+            .filter_map(|host| self.host_timeline(host, now))
+            .collect();
+        for pending in self.autoscaler.pending_requests.values() {
+            for _ in 0..pending.request.count {
+                timelines.push(self.new_host_timeline(pending.pool.clone()));
             }
         }
         timelines
     }
 
-    /// The timeline of a machine, unless nothing can be expected of it.
-    pub(crate) fn timeline(&self, host: &Host, now: Time) -> Option<Timeline> {
-        let kind = host.type_index?;
-        let machine_type = self.cluster.machine_types().get(kind)?;
-        let at = match host.lifecycle {
+    /// The timeline of a host; `None` if no task can be expected to start on it.
+    pub(crate) fn host_timeline(&self, host: &Host, now: Time) -> Option<HostTimeline> {
+        let type_index = host.type_index?;
+        let machine_type = self.cluster.machine_types().get(type_index)?;
+        let up_at_s = match host.lifecycle {
             HostLifecycle::Up if matches!(host.cordon, None | Some(CordonReason::Surplus)) => 0.0,
             HostLifecycle::Expected => {
-                let boot = machine_type.boot_s.0;
-                let age = now.since(host.provisioned_at).as_secs_f64();
-                // One that takes much longer than usual may never come.
-                if age > boot * HOPELESS_BOOT {
+                let boot_s = machine_type.boot_s.0;
+                let age_s = now.since(host.provisioned_at).as_secs_f64();
+                if age_s > boot_s * MAX_BOOT_TIME_FACTOR {
                     return None;
                 }
-                (boot - age).max(1.0)
+                (boot_s - age_s).max(1.0)
             }
             HostLifecycle::Up | HostLifecycle::Unresponsive | HostLifecycle::Releasing => {
                 return None
             }
         };
-        let mut ends = Vec::new();
-        let mut for_services = capacity(machine_type);
+        let mut expected_ends = Vec::new();
+        let mut free_for_services = capacity(machine_type);
         for (task, allocation) in &host.allocations {
             let job = self.cluster.jobs().get(&task.job);
-            let rest = job.map_or(UNKNOWN_REST_S, |j| {
+            let remaining_s = job.map_or(UNKNOWN_JOB_REMAINING_S, |j| {
                 self.run_times
                     .expected_remaining_s(j, allocation.started_at, now)
             });
-            ends.push((rest, allocation.resources));
+            expected_ends.push((remaining_s, allocation.resources));
             if self.is_replica(*task) {
-                for_services.remove(&allocation.resources);
+                free_for_services.remove(&allocation.resources);
             }
         }
-        ends.sort_by(|a, b| a.0.total_cmp(&b.0));
-        Some(Timeline {
-            kind,
+        expected_ends.sort_by(|a, b| a.0.total_cmp(&b.0));
+        Some(HostTimeline {
+            type_index,
             zone: host.zone.clone(),
             spot: host.spot,
-            at,
-            for_services,
+            up_at_s,
+            free_for_services,
             free: capacity(machine_type).minus(&host.allocated),
-            ends,
+            expected_ends,
         })
     }
 
-    pub(crate) fn new_timeline(&self, pool: CapacityPool) -> Timeline {
+    /// The timeline of an empty host that is requested from the pool now.
+    pub(crate) fn new_host_timeline(&self, pool: CapacityPool) -> HostTimeline {
         let machine_type = &self.cluster.machine_types()[pool.type_index];
-        Timeline {
-            kind: pool.type_index,
+        HostTimeline {
+            type_index: pool.type_index,
             zone: pool.zone,
             spot: pool.spot,
-            at: machine_type.boot_s.0,
-            for_services: capacity(machine_type),
+            up_at_s: machine_type.boot_s.0,
+            free_for_services: capacity(machine_type),
             free: capacity(machine_type),
-            ends: Vec::new(),
+            expected_ends: Vec::new(),
         }
     }
 }
