--- a/src/coordination/autoscaling/timeline.rs
+++ b/src/coordination/autoscaling/timeline.rs
@@ -104,9 +104,7 @@
     /// Seconds until the earliest start; infinite if no host can take a task.
     pub(crate) fn earliest_start_s(&self) -> f64 {
         let first = self.0.peek();
-        first.map_or(f64::INFINITY, |Reverse((start_bits, _))| {
-            f64::from_bits(*start_bits)
-        })
+        first.map_or(f64::INFINITY, |Reverse((bits, _))| f64::from_bits(*bits))
     }
 
     /// Reserves room for the next task on the host that could start it first, but not before `not_before_s`. Returns
@@ -118,10 +116,10 @@
         run_s: f64,
         need: &Resources,
     ) -> bool {
-        let Some(Reverse((start_bits, index))) = self.0.pop() else {
+        let Some(Reverse((bits, index))) = self.0.pop() else {
             return false;
         };
-        timelines[index].reserve(f64::from_bits(start_bits).max(not_before_s), run_s, need);
+        timelines[index].reserve(f64::from_bits(bits).max(not_before_s), run_s, need);
         self.push(timelines, index, need);
         true
     }
--- a/src/coordination/run_times.rs
+++ b/src/coordination/run_times.rs
@@ -1,4 +1,4 @@
-//! How long tasks run, learnt from those that completed.
+//! Expected run times of tasks, estimated from completed tasks of the same job class.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -7,39 +7,41 @@
 use crate::protocol::users::JobSpec;
 use crate::types::Time;
 
-/// What earlier runs still count for when the next one completes, so that a new day is noticed.
-const DECAY: f64 = 0.98;
-/// Nobody knows when a replica ends: forecasts assume so many seconds.
+/// Weight that earlier runs keep whenever another run completes. It lets the estimate follow a change from one day to the
+/// next.
+const DECAY_PER_RUN: f64 = 0.98;
+/// The run time that forecasts assume for replicas, whose end nobody knows.
 const SERVICE_RUN_S: f64 = 600.0;
-/// The owner's estimate counts as so many runs, so that the first completed ones do not decide alone.
+/// The number of runs that the owner's estimate counts as, so that the first completed runs do not decide alone.
 const PRIOR_RUNS: f64 = 4.0;
-/// The bounds of the factor between the owner's estimate and the expected run time.
-const MIN_FACTOR: f64 = 0.4;
-const MAX_FACTOR: f64 = 2.5;
-/// A task that has run longer than expected is expected to run on for this share of the time it has run.
+/// Bounds of the ratio of the expected run time to the owner's estimate.
+const MIN_ESTIMATE_RATIO: f64 = 0.4;
+const MAX_ESTIMATE_RATIO: f64 = 2.5;
+/// A task that overruns its expected run time is expected to run for another such share of the time it has run so far.
 const OVERRUN_SHARE: f64 = 0.25;
-/// A running task is expected to run on for so many seconds at the least.
+/// The least remaining run time that is expected of a running task.
 const MIN_REMAINING_S: f64 = 1.0;
 
-/// Run times by the class of the job. Owners' estimates are often wrong, and on some days all in one direction.
+/// Run times by job class. Owners' estimates are often wrong, and on some days all in the same direction.
 #[derive(Debug, Default)]
 pub(crate) struct RunTimes {
     by_class: BTreeMap<String, ClassRunTimes>,
 }
 
-/// Run times of one class of jobs: sums in seconds in which older runs decay.
+/// Run times of one job class: decaying sums over its completed runs.
 #[derive(Clone, Copy, Debug, Default)]
 struct ClassRunTimes {
     actual_s: f64,
+    /// The owners' estimates for the same runs.
     estimated_s: f64,
 }
 
 impl RunTimes {
-    /// A task of the job completed after it had run for so long.
+    /// Takes in the run time of a completed task of the job.
     pub(crate) fn observe(&mut self, spec: &JobSpec, ran_for: Duration) {
         let class = self.by_class.entry(spec.class.clone()).or_default();
-        class.actual_s = class.actual_s * DECAY + ran_for.as_secs_f64();
-        class.estimated_s = class.estimated_s * DECAY + spec.estimate_s.0;
+        class.actual_s = class.actual_s * DECAY_PER_RUN + ran_for.as_secs_f64();
+        class.estimated_s = class.estimated_s * DECAY_PER_RUN + spec.estimate_s.0;
     }
 
     /// How long a task of the job is likely to run, in seconds.
@@ -50,7 +52,7 @@
         }
     }
 
-    /// How long a task of such a job is likely to run, in seconds.
+    /// How long a task of a job with this specification is likely to run, in seconds.
     pub(crate) fn expected_of_spec_s(&self, spec: &JobSpec) -> f64 {
         if spec.is_service() {
             return SERVICE_RUN_S;
@@ -58,12 +60,12 @@
         let class = self.by_class.get(&spec.class).copied().unwrap_or_default();
         let estimate_s = spec.estimate_s.0.max(1.0);
         let prior_s = estimate_s * PRIOR_RUNS;
-        let factor = (class.actual_s + prior_s) / (class.estimated_s + prior_s);
-        estimate_s * factor.clamp(MIN_FACTOR, MAX_FACTOR)
+        let ratio = (class.actual_s + prior_s) / (class.estimated_s + prior_s);
+        estimate_s * ratio.clamp(MIN_ESTIMATE_RATIO, MAX_ESTIMATE_RATIO)
     }
 
-    /// How much longer a task is likely to run that started then, in seconds. One that overruns shows that the estimate
-    /// was wrong.
+    /// How much longer a task that started at `started_at` is likely to run, in seconds. A task that overruns its expected
+    /// run time shows that the estimate was wrong.
     pub(crate) fn expected_remaining_s(
         &self,
         job: &Job,
