--- a/examples/scale.rs
+++ b/examples/scale.rs
@@ -1,5 +1,6 @@
-//! Measures processor time per report and per placement by the number of machines:
-//! `cargo run --release --example scale`. The figures are in `docs/results.md`.
+//! Measures the leader's processor time per heartbeat, per placed task and per tick at several cluster sizes, and its
+//! longest tick while half of the hosts are cut off: `cargo run --release --example scale`. The figures are in
+//! `docs/results.md`.
 
 use std::time::{Duration, Instant};
 
@@ -17,15 +18,16 @@
 };
 use lichencrank_zones::ControllerReach;
 
-const FLEETS: [u64; 3] = [100, 1000, 4000];
+/// Numbers of hosts to measure with.
+const CLUSTER_SIZES: [u64; 3] = [100, 1000, 4000];
 const TERM: Term = Term(3);
-const CPUS: f64 = 8.0;
+const HOST_CPUS: f64 = 8.0;
 const TASK_CPUS: f64 = 2.0;
 const TASKS_PER_JOB: u64 = 20;
-const ROUNDS: u64 = 10;
-/// Rounds of reports until well after the first machines of a cut zone are given up.
-const CUT_ROUNDS: u64 = ROUNDS + 70;
-const CUT_ZONE: &str = "b";
+const HEARTBEAT_ROUNDS: u64 = 10;
+/// Rounds of heartbeats until well after the first hosts of the partitioned zone are released.
+const PARTITION_ROUNDS: u64 = HEARTBEAT_ROUNDS + 70;
+const PARTITIONED_ZONE: &str = "b";
 const SETTINGS: &str = r#"{
     "host_name": "node-0", "area": "a", "front": "127.0.0.1:1", "internal_addr": "127.0.0.1:2",
     "outside": {"cloud": "127.0.0.1:3", "state": "127.0.0.1:4"},
@@ -37,10 +39,10 @@
     }
 }"#;
 
-fn kind() -> MachineType {
+fn machine_type() -> MachineType {
     MachineType {
         name: "c8".into(),
-        cpus: Amount(CPUS),
+        cpus: Amount(HOST_CPUS),
         gpus: Amount(0.0),
         memory_gb: Amount(32.0),
         cache_gb: Amount(50.0),
@@ -48,11 +50,11 @@
         on_demand_price: Amount(1.0),
         spot_price: Amount(0.3),
         boot_s: Amount(30.0),
-        zones: vec!["a".into(), CUT_ZONE.into()],
+        zones: vec!["a".into(), PARTITIONED_ZONE.into()],
     }
 }
 
-fn job(number: u64) -> JobRecord {
+fn job_record(number: u64) -> JobRecord {
     JobRecord {
         spec: JobSpec {
             id: JobId(number),
@@ -81,16 +83,16 @@
     }
 }
 
-/// Every other machine is in the zone that [`measure_cut`] cuts off.
+/// The zone of a host. Every other host is in the zone that [`measure_partition`] cuts off.
 fn zone_of(host: u64) -> &'static str {
     if host % 2 == 0 {
         "a"
     } else {
-        CUT_ZONE
+        PARTITIONED_ZONE
     }
 }
 
-fn report(host: u64, tick: u64, tasks: &[(TaskId, Attempt)]) -> WorkerHeartbeat {
+fn heartbeat(host: u64, sequence: u64, tasks: &[(TaskId, Attempt)]) -> WorkerHeartbeat {
     let tasks = tasks.iter().map(|(task, attempt)| AttemptStatus {
         task: *task,
         attempt: *attempt,
@@ -104,193 +106,212 @@
         zone: zone_of(host).into(),
         spot: true,
         incarnation: Incarnation(1),
-        sequence: SequenceNumber(tick),
+        sequence: SequenceNumber(sequence),
         fencing_token: TERM,
         notice_s: None,
         tasks: tasks.collect(),
     }
 }
 
-/// What the machines hold, by the records of the leader.
-fn bookings(c: &Leader, host: u64) -> Vec<(TaskId, Attempt)> {
-    let host = c
+/// The tasks that the leader has allocated to the host, with their attempts.
+fn allocated_attempts(leader: &Leader, host: u64) -> Vec<(TaskId, Attempt)> {
+    let host = leader
         .cluster()
         .hosts()
         .get(&HostName::new(&format!("vm-{host:06}")));
-    let bookings = host.map(|host| host.allocations.iter());
-    let bookings = bookings.into_iter().flatten();
-    bookings
-        .map(|(task, booking)| (*task, booking.attempt))
+    let allocations = host.map(|host| host.allocations.iter());
+    let allocations = allocations.into_iter().flatten();
+    allocations
+        .map(|(task, allocation)| (*task, allocation.attempt))
         .collect()
 }
 
-/// The longest passes of a leader while half of its machines, all of them busy, are cut off: in the
-/// minute before the first is given up, and while they are.
-struct CutMeasured {
-    before: Duration,
-    displacing: Duration,
-    given_up: usize,
+/// The longest ticks of a leader while half of its hosts, all of them busy, are cut off.
+struct PartitionMeasurement {
+    /// The longest tick in the minute before the first host is released.
+    max_tick_before: Duration,
+    /// The longest tick from then on.
+    max_tick_releasing: Duration,
+    released_count: usize,
 }
 
-fn measure_cut(machines: u64) -> CutMeasured {
-    let settings = Settings::parse(SETTINGS).expect("the settings here");
-    let features = Features::parse("zones: {enabled: true}").expect("the features here");
-    let rules = Policy::new(&settings.settings, &Tuning::default(), &features);
+/// Measures a cluster that loses [`PARTITIONED_ZONE`] after [`HEARTBEAT_ROUNDS`].
+fn measure_partition(host_count: u64) -> PartitionMeasurement {
+    let settings = Settings::parse(SETTINGS).expect("valid settings");
+    let features = Features::parse("zones: {enabled: true}").expect("valid features");
+    let policy = Policy::new(&settings.settings, &Tuning::default(), &features);
     let mut now = Time(0);
-    let mut c = Leader::new(TERM, Version(1), rules, vec![kind()], now);
-    c.set_lease_valid_until(Time(u64::MAX));
-    c.on_zones_record(None, now);
-    c.on_loaded(now);
-    let mut measured = CutMeasured {
-        before: Duration::ZERO,
-        displacing: Duration::ZERO,
-        given_up: 0,
+    let mut leader = Leader::new(TERM, Version(1), policy, vec![machine_type()], now);
+    leader.set_lease_valid_until(Time(u64::MAX));
+    leader.on_zones_record(None, now);
+    leader.on_loaded(now);
+    let mut measured = PartitionMeasurement {
+        max_tick_before: Duration::ZERO,
+        max_tick_releasing: Duration::ZERO,
+        released_count: 0,
     };
-    let fit = (CPUS / TASK_CPUS) as u64 * machines;
-    for number in 0..fit / TASKS_PER_JOB {
-        c.on_job(job(number + 1), Version(number + 10));
+    let task_capacity = (HOST_CPUS / TASK_CPUS) as u64 * host_count;
+    for number in 0..task_capacity / TASKS_PER_JOB {
+        leader.on_job(job_record(number + 1), Version(number + 10));
     }
-    for round in 0..CUT_ROUNDS {
+    for round in 0..PARTITION_ROUNDS {
         now = now.after(Duration::from_secs(3));
-        let cut = round >= ROUNDS;
-        for host in (0..machines).filter(|host| !cut || zone_of(*host) != CUT_ZONE) {
-            let report = report(host, round + 1, &bookings(&c, host));
-            c.on_heartbeat(&report, now).expect("its term");
+        let is_partitioned = round >= HEARTBEAT_ROUNDS;
+        for host in
+            (0..host_count).filter(|host| !is_partitioned || zone_of(*host) != PARTITIONED_ZONE)
+        {
+            let heartbeat = heartbeat(host, round + 1, &allocated_attempts(&leader, host));
+            leader
+                .on_heartbeat(&heartbeat, now)
+                .expect("no newer leader");
         }
-        if !cut {
-            place_all(&mut c, &mut now);
+        if !is_partitioned {
+            place_all_tasks(&mut leader, &mut now);
             continue;
         }
-        let reach = [
+        let reach_by_zone = [
             ("a", ControllerReach::Reachable),
-            (CUT_ZONE, ControllerReach::Unreachable),
+            (PARTITIONED_ZONE, ControllerReach::Unreachable),
         ];
-        let controllers = reach.map(|(zone, reach)| (zone.to_owned(), reach)).into();
-        c.set_controller_reach(Vec::new(), controllers);
-        let began = Instant::now();
-        c.tick(now, now.0);
-        let pass = began.elapsed();
-        let releases = c.take_actions().into_iter();
-        let given_up: usize = releases
+        let controllers = reach_by_zone
+            .map(|(zone, reach)| (zone.to_owned(), reach))
+            .into();
+        leader.set_controller_reach(Vec::new(), controllers);
+        let started_at = Instant::now();
+        leader.tick(now, now.0);
+        let tick_time = started_at.elapsed();
+        let actions = leader.take_actions().into_iter();
+        let released_count: usize = actions
             .map(|action| match action {
                 Action::ScaleIn(hosts) => hosts.len(),
                 _ => 0,
             })
             .sum();
-        measured.given_up += given_up;
-        let longest = if measured.given_up > 0 {
-            &mut measured.displacing
+        measured.released_count += released_count;
+        let max_tick = if measured.released_count > 0 {
+            &mut measured.max_tick_releasing
         } else {
-            &mut measured.before
+            &mut measured.max_tick_before
         };
-        *longest = pass.max(*longest);
+        *max_tick = tick_time.max(*max_tick);
     }
     measured
 }
 
-struct Measured {
-    report: Duration,
-    placement: Duration,
-    idle_pass: Duration,
+struct Measurement {
+    per_heartbeat: Duration,
+    per_placement: Duration,
+    /// A tick without a task to place.
+    idle_tick: Duration,
 }
 
-fn measure(machines: u64) -> Measured {
-    let settings = Settings::parse(SETTINGS).expect("the settings here");
-    let rules = Policy::new(&settings.settings, &Tuning::default(), &Features::default());
+/// Measures a cluster that is filled with tasks in the second round of heartbeats.
+fn measure(host_count: u64) -> Measurement {
+    let settings = Settings::parse(SETTINGS).expect("valid settings");
+    let policy = Policy::new(&settings.settings, &Tuning::default(), &Features::default());
     let mut now = Time(0);
-    let mut c = Leader::new(TERM, Version(1), rules, vec![kind()], now);
-    c.set_lease_valid_until(Time(u64::MAX));
-    c.on_loaded(now);
-    let mut reports = Duration::ZERO;
-    let mut placements = Duration::ZERO;
-    for round in 0..ROUNDS {
+    let mut leader = Leader::new(TERM, Version(1), policy, vec![machine_type()], now);
+    leader.set_lease_valid_until(Time(u64::MAX));
+    leader.on_loaded(now);
+    let mut heartbeat_time = Duration::ZERO;
+    let mut placement_time = Duration::ZERO;
+    for round in 0..HEARTBEAT_ROUNDS {
         now = now.after(Duration::from_secs(3));
-        let all: Vec<WorkerHeartbeat> = (0..machines)
-            .map(|host| report(host, round + 1, &bookings(&c, host)))
+        let heartbeats: Vec<WorkerHeartbeat> = (0..host_count)
+            .map(|host| heartbeat(host, round + 1, &allocated_attempts(&leader, host)))
             .collect();
-        let began = Instant::now();
-        for report in &all {
-            c.on_heartbeat(report, now).expect("its term");
+        let started_at = Instant::now();
+        for heartbeat in &heartbeats {
+            leader
+                .on_heartbeat(heartbeat, now)
+                .expect("no newer leader");
         }
-        reports += began.elapsed();
+        heartbeat_time += started_at.elapsed();
         if round == 1 {
-            let fit = (CPUS / TASK_CPUS) as u64 * machines;
-            for number in 0..fit / TASKS_PER_JOB {
-                c.on_job(job(number + 1), Version(number + 10));
+            let task_capacity = (HOST_CPUS / TASK_CPUS) as u64 * host_count;
+            for number in 0..task_capacity / TASKS_PER_JOB {
+                leader.on_job(job_record(number + 1), Version(number + 10));
             }
         }
-        // Until all fits: a pass books so many tasks at the most.
-        let began = Instant::now();
-        place_all(&mut c, &mut now);
-        placements += began.elapsed();
+        // Several ticks, as one tick allocates only a limited number of tasks.
+        let started_at = Instant::now();
+        place_all_tasks(&mut leader, &mut now);
+        placement_time += started_at.elapsed();
     }
-    let booked: usize = c
+    let allocated_count: usize = leader
         .cluster()
         .hosts()
         .values()
         .map(|host| host.allocations.len())
         .sum();
-    let began = Instant::now();
-    c.tick(now.after(Duration::from_secs(1)), 0);
-    let idle_pass = began.elapsed();
-    Measured {
-        report: reports / (ROUNDS * machines) as u32,
-        placement: placements / booked.max(1) as u32,
-        idle_pass,
+    let started_at = Instant::now();
+    leader.tick(now.after(Duration::from_secs(1)), 0);
+    let idle_tick = started_at.elapsed();
+    Measurement {
+        per_heartbeat: heartbeat_time / (HEARTBEAT_ROUNDS * host_count) as u32,
+        per_placement: placement_time / allocated_count.max(1) as u32,
+        idle_tick,
     }
 }
 
-fn place_all(c: &mut Leader, now: &mut Time) {
-    for _ in 0..machines_passes() {
-        c.tick(*now, now.0);
-        let mut wrote = false;
-        while let Some(txn) = c.next_batch(16, true) {
-            wrote = !txn.changes.is_empty();
+/// Ticks until no more records are written, which are all committed at once. Direct commands are never attempted.
+fn place_all_tasks(leader: &mut Leader, now: &mut Time) {
+    for _ in 0..max_placement_ticks() {
+        leader.tick(*now, now.0);
+        let mut has_written = false;
+        while let Some(txn) = leader.next_batch(16, true) {
+            has_written = !txn.changes.is_empty();
             let outcome = Outcome::Committed(Version(now.0 + 100));
-            c.on_batch_outcome(outcome, *now).expect("its term");
+            leader
+                .on_batch_outcome(outcome, *now)
+                .expect("no newer leader");
         }
-        let commands = c.take_actions();
-        for action in commands {
+        let actions = leader.take_actions();
+        for action in actions {
             if let Action::SendCommands {
                 host,
                 incarnation,
-                commands: orders,
+                commands,
                 ..
             } = action
             {
                 let result = lichencrank::coordination::CommandResult::NotAttempted;
-                let _ = c.on_command_result(&host, incarnation, &orders, result, *now);
+                let _ = leader.on_command_result(&host, incarnation, &commands, result, *now);
             }
         }
-        if !wrote {
+        if !has_written {
             return;
         }
         *now = now.after(Duration::from_millis(1));
     }
 }
 
-/// More passes than the largest fleet needs.
-fn machines_passes() -> u32 {
+/// More ticks than it takes to place all tasks on the largest cluster.
+fn max_placement_ticks() -> u32 {
     400
 }
 
 fn main() {
-    println!("machines  per report  per placement  a pass with nothing to place");
-    for machines in FLEETS {
-        let Measured {
-            report,
-            placement,
-            idle_pass,
-        } = measure(machines);
-        println!("{machines:>8}  {report:>10.2?}  {placement:>13.2?}  {idle_pass:>10.2?}");
+    println!("   hosts  per heartbeat  per placement  tick with nothing to place");
+    for host_count in CLUSTER_SIZES {
+        let Measurement {
+            per_heartbeat,
+            per_placement,
+            idle_tick,
+        } = measure(host_count);
+        println!(
+            "{host_count:>8}  {per_heartbeat:>13.2?}  {per_placement:>13.2?}  {idle_tick:>10.2?}"
+        );
     }
-    println!("half cut  longest pass before, while giving up  given up");
-    for machines in FLEETS {
-        let CutMeasured {
-            before,
-            displacing,
-            given_up,
-        } = measure_cut(machines);
-        println!("{machines:>8}  {before:>10.2?}  {displacing:>10.2?}  {given_up:>8}");
+    println!("   hosts  max tick before  max tick releasing  hosts released");
+    for host_count in CLUSTER_SIZES {
+        let PartitionMeasurement {
+            max_tick_before,
+            max_tick_releasing,
+            released_count,
+        } = measure_partition(host_count);
+        println!(
+            "{host_count:>8}  {max_tick_before:>15.2?}  {max_tick_releasing:>18.2?}  {released_count:>14}"
+        );
     }
 }
