--- a/src/coordination/failure_detection/hosts.rs
+++ b/src/coordination/failure_detection/hosts.rs
@@ -1,4 +1,4 @@
-//! Silence: which machines are cut off, broken or gone, and what is done about it.
+//! Detection of failed hosts: which hosts are unresponsive, partitioned or lost, and when they are probed or released.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -12,32 +12,32 @@
 use crate::protocol::cloud::MAX_RELEASE_COUNT;
 use crate::types::{seconds, HostName, Incarnation, Time};
 
-/// A machine that is to be taken and was not heard after its time is gone this much later.
-const TAKEN_AFTER: Duration = Duration::from_millis(500);
-/// Cancelled work that is still there after this part of its time goes with its machine.
-const OVERDUE_PART: f64 = 0.62;
-/// The cloud is asked for that again after this.
-const REMOVE_AGAIN: Duration = Duration::from_secs(2);
+/// A host whose announced reclaim time has passed is lost if no heartbeat has followed within this time.
+const RECLAIM_GRACE: Duration = Duration::from_millis(500);
+/// A host that still holds a cancelled task after this share of the cancellation time limit is released by force.
+const FORCED_RELEASE_CANCEL_SHARE: f64 = 0.62;
+/// Time after which the cloud is asked again for a forced release.
+const FORCED_RELEASE_RETRY_INTERVAL: Duration = Duration::from_secs(2);
 
-/// A worker whose controller does not answer is heard again at the latest so long after its report was
-/// due: it waits 4 s for the answer and 1 s before it tries the next one, which may send it on.
-const LONGEST_RETRY: Duration = Duration::from_millis(6500);
-/// Fewer silent machines than this are broken rather than cut off.
-const FEW_MACHINES: usize = 3;
-/// How long a machine of an unknown type boots.
-const UNKNOWN_BOOT_S: f64 = 60.0;
-/// Reports come at the latest after this many intervals.
-const LATEST_REPORT: f64 = 1.25;
+/// The longest delay of a heartbeat if the worker's controller does not answer: the worker waits 4 s for the
+/// response, then 1 s before it tries the next controller, which may redirect it.
+const MAX_CONTROLLER_FAILOVER_TIME: Duration = Duration::from_millis(6500);
+/// With fewer silent hosts than this in a zone they count as failed rather than partitioned.
+const MIN_SILENT_HOSTS_IN_PARTITION: usize = 3;
+/// Boot time assumed for a host of an unknown machine type.
+const DEFAULT_BOOT_S: f64 = 60.0;
+/// Workers send their heartbeats at most this many heartbeat intervals apart.
+const MAX_HEARTBEAT_INTERVALS: f64 = 1.25;
 
-/// A healthy worker that can reach some controller has been heard by the leader after so long.
-pub fn max_heartbeat_delay(report: Duration) -> Duration {
-    report.mul_f64(LATEST_REPORT) + LONGEST_RETRY
+/// The longest time between two heartbeats of a healthy worker at the leader, if the worker can reach any controller.
+pub fn max_heartbeat_delay(heartbeat_interval: Duration) -> Duration {
+    heartbeat_interval.mul_f64(MAX_HEARTBEAT_INTERVALS) + MAX_CONTROLLER_FAILOVER_TIME
 }
 
-/// A host is probed once it was silent for so many heartbeat intervals.
-const PROBED_AFTER_INTERVALS: f64 = 1.5;
+/// A host is probed once it has been silent for this many heartbeat intervals.
+const PROBE_AFTER_INTERVALS: f64 = 1.5;
 
-/// A command request without commands, to find out whether the host hears this leader.
+/// A command request without commands, to find out whether requests of this leader reach the host's worker.
 struct Probe {
     host: HostName,
     address: SocketAddr,
@@ -45,8 +45,8 @@
 }
 
 impl Probe {
-    /// The probe to that host; `None` if its address is not known.
-    fn to(host: &Host) -> Option<Probe> {
+    /// A probe of the host; `None` if its address is not known.
+    fn of_host(host: &Host) -> Option<Probe> {
         Some(Probe {
             host: host.name.clone(),
             address: host.address?,
@@ -56,142 +56,152 @@
 }
 
 impl View<'_> {
-    /// How many machines of each zone are silent, and how many there are. In a cut the first machine is
-    /// past the limit while the others are merely late: all that missed a report count, or each would be
-    /// given up alone, one after the other.
-    fn silence_by_zone(&self, now: Time) -> BTreeMap<String, (usize, usize)> {
-        let late = self.policy.report.mul_f64(LATE_AFTER_INTERVALS);
-        let mut by_zone: BTreeMap<String, (usize, usize)> = BTreeMap::new();
-        let mut everywhere = (0, 0);
+    /// For each zone, the number of silent hosts and of all hosts. Every host with a late heartbeat counts as silent:
+    /// when a zone is partitioned, the first host exceeds its limit while the others are only late, and without
+    /// counting those each host would be declared lost by itself, one after the other.
+    fn silent_hosts_by_zone(&self, now: Time) -> BTreeMap<String, (usize, usize)> {
+        let max_heartbeat_age = self.policy.report.mul_f64(LATE_AFTER_INTERVALS);
+        let mut counts_by_zone: BTreeMap<String, (usize, usize)> = BTreeMap::new();
+        let mut total_counts = (0, 0);
         for host in self.cluster.hosts().values() {
             if matches!(
                 host.lifecycle,
                 HostLifecycle::Up | HostLifecycle::Unresponsive
             ) {
-                let deaf = matches!(host.reachability, Reachability::HalfOpen { .. });
-                let gone = usize::from(deaf || now.since(host.last_heartbeat_at) > late);
-                let (silent, all) = by_zone.entry(host.zone.clone()).or_default();
-                *all += 1;
-                *silent += gone;
-                everywhere.0 += gone;
-                everywhere.1 += 1;
+                let is_half_open = matches!(host.reachability, Reachability::HalfOpen { .. });
+                let silent = usize::from(
+                    is_half_open || now.since(host.last_heartbeat_at) > max_heartbeat_age,
+                );
+                let (silent_count, host_count) =
+                    counts_by_zone.entry(host.zone.clone()).or_default();
+                *host_count += 1;
+                *silent_count += silent;
+                total_counts.0 += silent;
+                total_counts.1 += 1;
             }
         }
-        // Of machines that only the records of an earlier leader name the zone is not known. They are
-        // all silent, but no zone of their own: that would look like a cut for ever.
-        by_zone.insert(String::new(), everywhere);
-        by_zone
+        // Hosts that are known only from the records of an earlier leader have no known zone. All of them are silent,
+        // so counted as a zone of their own they would look partitioned forever. The totals decide for them instead.
+        counts_by_zone.insert(String::new(), total_counts);
+        counts_by_zone
     }
 
-    /// Whether most machines of the zone are silent, or were until so short a while ago that the others
-    /// have had no time to report.
-    fn is_cut_off(&self, zone: &str, now: Time) -> bool {
+    /// Whether most hosts of the zone are silent, or were until so recently that the others have had no time to send
+    /// a heartbeat.
+    fn is_zone_partitioned(&self, zone: &str, now: Time) -> bool {
         let settling_time = max_heartbeat_delay(self.policy.report);
-        let seen_at = self.failure_detector.partitioned_zones.get(zone);
-        seen_at.is_some_and(|at| now.since(*at) < settling_time)
+        let last_seen_at = self.failure_detector.partitioned_zones.get(zone);
+        last_seen_at.is_some_and(|at| now.since(*at) < settling_time)
     }
 
-    /// How long a machine may be silent before it is given up. Replicas are missed at every moment:
-    /// one that holds some is given up as soon as a healthy worker would have been heard.
-    fn silence_limit(&self, host: &Host) -> Duration {
-        let usual = self.policy.silent_limit();
+    /// How long a host may be silent before it counts as unresponsive. An outage of a service's replica is noticed at
+    /// once, so a host with replicas gets no more time than a healthy worker needs to be heard.
+    fn max_silence(&self, host: &Host) -> Duration {
+        let default_limit = self.policy.silent_limit();
         if self.holds_replicas(host) {
-            usual.min(max_heartbeat_delay(self.policy.report))
+            default_limit.min(max_heartbeat_delay(self.policy.report))
         } else {
-            usual
+            default_limit
         }
     }
 
     fn needs_probe(&self, host: &Host, now: Time) -> bool {
-        let max_silence = self.policy.report.mul_f64(PROBED_AFTER_INTERVALS);
-        let is_wanted = match host.lifecycle {
+        let probe_after = self.policy.report.mul_f64(PROBE_AFTER_INTERVALS);
+        let is_suspect = match host.lifecycle {
             HostLifecycle::Up => host.reachability != Reachability::Confirmed,
-            HostLifecycle::Unresponsive => now.since(host.last_heartbeat_at) > max_silence,
+            HostLifecycle::Unresponsive => now.since(host.last_heartbeat_at) > probe_after,
             HostLifecycle::Expected => host
                 .listed_running_since
-                .is_some_and(|at| now.since(at) > max_silence),
+                .is_some_and(|at| now.since(at) > probe_after),
             HostLifecycle::Releasing => false,
         };
-        is_wanted && now >= host.next_probe_at && !host.command_in_flight
+        is_suspect && now >= host.next_probe_at && !host.command_in_flight
     }
 
-    fn host_is_lost(&self, host: &Host, now: Time) -> bool {
-        let limit = self.silence_limit(host);
+    /// Whether the host is to be declared lost. A host in an unreachable zone is likely to come back, so it gets more
+    /// time.
+    fn is_host_lost(&self, host: &Host, now: Time) -> bool {
+        let max_silence = self.max_silence(host);
         let silent_for = now.since(host.last_heartbeat_at);
-        // What is cut off comes back, later.
-        let machines_cut = self.is_cut_off(&host.zone, now);
-        let cut = machines_cut
+        let is_partitioned = self.is_zone_partitioned(&host.zone, now);
+        let is_zone_unreachable = is_partitioned
             || self
                 .failure_detector
                 .zones_without_reachable_peer
                 .contains(&host.zone);
-        let taken = host
+        let is_reclaim_overdue = host
             .reclaim_at
-            .is_some_and(|by| now.since(by) > TAKEN_AFTER);
+            .is_some_and(|reclaim_at| now.since(reclaim_at) > RECLAIM_GRACE);
         match (host.lifecycle, host.reachability) {
-            // The cloud has taken it, as it said it would.
+            // The cloud has reclaimed it as announced.
             (HostLifecycle::Up | HostLifecycle::Unresponsive, _)
-                if taken && host.reclaim_at > Some(host.last_heartbeat_at) =>
+                if is_reclaim_overdue && host.reclaim_at > Some(host.last_heartbeat_at) =>
             {
                 true
             }
-            // No longer in the list, and silent for longer than reports take.
+            // The cloud no longer lists it, and it is silent for longer than the heartbeat interval allows.
             (HostLifecycle::Up | HostLifecycle::Unresponsive, _) if host.missing_from_list => {
                 silent_for > self.policy.report.mul_f64(1.3)
             }
             _ if self.zone_explains_silence(host) => false,
             (HostLifecycle::Unresponsive, _) => {
-                silent_for > if cut { self.policy.lease * 3 } else { limit }
+                silent_for
+                    > if is_zone_unreachable {
+                        self.policy.lease * 3
+                    } else {
+                        max_silence
+                    }
             }
-            // Its tasks end with its lease, unless it hears again before.
+            // Its tasks end when its worker's lease expires, unless responses reach the worker again before.
             (HostLifecycle::Up, Reachability::HalfOpen { since }) => {
-                let patience = if cut { 3 } else { 1 };
-                now.since(since) > self.policy.lease * patience + limit
+                let lease_count = if is_zone_unreachable { 3 } else { 1 };
+                now.since(since) > self.policy.lease * lease_count + max_silence
             }
             (HostLifecycle::Expected, _) => {
-                // A new leader finds machines that are long up: they get their time to report. In a
-                // cut zone none of them can, nor can one that came up meanwhile.
-                let patience = if machines_cut {
+                // To a new leader also hosts that have been up for long are new: they get time to send a heartbeat. In a
+                // partitioned zone none of them can, and neither can a host that has booted since.
+                let max_wait = if is_partitioned {
                     self.policy.lease * 3
                 } else {
-                    limit
+                    max_silence
                 };
-                now.since(host.first_seen_at) > patience && self.should_have_reported(host, now)
+                now.since(host.first_seen_at) > max_wait && self.should_have_reported(host, now)
             }
             (HostLifecycle::Up | HostLifecycle::Releasing, _) => false,
         }
     }
 
-    /// Whether the machine ought to have reported: it has before, the cloud has said for long that it
-    /// runs, or its boot takes far too long.
+    /// Whether the leader should have received a heartbeat of the host: it has received some before, the cloud has
+    /// listed the host as running for long enough, or the host exceeds its expected boot time by far.
     pub(crate) fn should_have_reported(&self, host: &Host, now: Time) -> bool {
         if host.lifecycle != HostLifecycle::Expected {
             return true;
         }
-        let kind = host
+        let machine_type = host
             .type_index
-            .and_then(|k| self.cluster.machine_types().get(k));
-        let boot = kind.map_or(UNKNOWN_BOOT_S, |t| t.boot_s.0);
-        let overdue =
-            now.since(host.provisioned_at) > seconds(boot * self.policy.tuning.boot_patience);
-        let limit = self.silence_limit(host);
-        let said_running = host
+            .and_then(|index| self.cluster.machine_types().get(index));
+        let boot_s = machine_type.map_or(DEFAULT_BOOT_S, |machine_type| machine_type.boot_s.0);
+        let is_boot_overdue =
+            now.since(host.provisioned_at) > seconds(boot_s * self.policy.tuning.boot_patience);
+        let max_silence = self.max_silence(host);
+        let is_listed_long_enough = host
             .listed_running_since
-            .is_some_and(|at| now.since(at) > limit);
-        overdue || said_running
+            .is_some_and(|at| now.since(at) > max_silence);
+        is_boot_overdue || is_listed_long_enough
     }
 
-    /// A cancelled job's task sits on a machine that doesn't answer, and the time runs out.
-    fn holds_a_cancelled_task(&self, host: &Host, now: Time) -> bool {
-        let heard = now.since(host.last_heartbeat_at) <= self.policy.report * 2
+    /// Whether a task of a cancelled job has not stopped within its share of the cancellation time limit, which is
+    /// smaller if the host does not respond.
+    fn holds_overdue_cancelled_task(&self, host: &Host, now: Time) -> bool {
+        let is_responsive = now.since(host.last_heartbeat_at) <= self.policy.report * 2
             && host.reachability == Reachability::Confirmed;
         host.allocations.iter().any(|(task, allocation)| {
             let cancelled_at = self
                 .cluster
                 .jobs()
                 .get(&task.job)
-                .and_then(|j| j.cancelled_at);
-            let share = if heard { 0.55 } else { 0.25 };
+                .and_then(|job| job.cancelled_at);
+            let share = if is_responsive { 0.55 } else { 0.25 };
             allocation.stop_reason == Some(StopReason::Cancelled)
                 && cancelled_at.is_some_and(|at| now.since(at) > self.policy.cancel.mul_f64(share))
         })
@@ -199,30 +209,35 @@
 }
 
 impl Leader {
+    /// Checks all hosts and zones for failures. Only if `may_act`, which says that the leader's lease is valid, hosts are
+    /// probed and lost hosts released; forced releases do not depend on it.
     pub(crate) fn check_hosts(&mut self, now: Time, may_act: bool) {
         self.mark_unresponsive_hosts(now);
         self.observe_zones(now);
-        self.note_cut_zones(now);
-        self.remove_overdue(now);
+        self.record_partitioned_zones(now);
+        self.force_overdue_releases(now);
         if !may_act {
             return;
         }
         self.send_probes(now);
-        for (name, why) in self.hosts_to_give_up(now) {
+        for (name, reason) in self.hosts_to_release(now) {
             let Some(host) = self.cluster.host(&name) else {
                 continue;
             };
-            let (lifecycle, allocated) = (host.lifecycle, host.allocations.len());
-            if self.cluster.begin_release(&name, why) {
-                tracing::info!("{name}: declared lost, {lifecycle:?}, {allocated} allocated");
+            let (lifecycle, task_count) = (host.lifecycle, host.allocations.len());
+            if self.cluster.begin_release(&name, reason) {
+                tracing::info!(
+                    "{name}: declared lost or faulty, releasing it: {lifecycle:?}, {task_count} tasks allocated"
+                );
                 self.autoscaler.release(name);
             }
         }
     }
 
-    fn hosts_to_give_up(&mut self, now: Time) -> Vec<(HostName, CordonReason)> {
+    /// The hosts to be declared lost or faulty and released, each with the reason. A host may be named twice.
+    fn hosts_to_release(&mut self, now: Time) -> Vec<(HostName, CordonReason)> {
         let displaced = self.hosts_to_displace(now);
-        let mut give_up: Vec<(HostName, CordonReason)> = displaced
+        let mut to_release: Vec<(HostName, CordonReason)> = displaced
             .into_iter()
             .map(|name| (name, CordonReason::Lost))
             .collect();
@@ -230,60 +245,62 @@
             if host.lifecycle == HostLifecycle::Releasing {
                 continue;
             }
-            if self.view().host_is_lost(host, now) || self.view().holds_a_cancelled_task(host, now)
+            if self.view().is_host_lost(host, now)
+                || self.view().holds_overdue_cancelled_task(host, now)
             {
-                give_up.push((host.name.clone(), CordonReason::Lost));
+                to_release.push((host.name.clone(), CordonReason::Lost));
             } else if host.cordon == Some(CordonReason::Faulty) {
-                give_up.push((host.name.clone(), CordonReason::Faulty));
+                to_release.push((host.name.clone(), CordonReason::Faulty));
             }
         }
-        give_up
+        to_release
     }
 
-    /// Many machines at once are cut off rather than broken.
-    fn note_cut_zones(&mut self, now: Time) {
-        for (zone, (silent, all)) in self.view().silence_by_zone(now) {
-            if silent >= FEW_MACHINES && silent * 2 > all {
+    /// Notes zones with many silent hosts as partitioned: many hosts that fall silent at once are cut off rather than
+    /// failed.
+    fn record_partitioned_zones(&mut self, now: Time) {
+        for (zone, (silent_count, host_count)) in self.view().silent_hosts_by_zone(now) {
+            if silent_count >= MIN_SILENT_HOSTS_IN_PARTITION && silent_count * 2 > host_count {
                 self.failure_detector.partitioned_zones.insert(zone, now);
             }
         }
     }
 
     fn mark_unresponsive_hosts(&mut self, now: Time) {
-        let is_overdue = |host: &&Host| {
-            host.is_up() && now.since(host.last_heartbeat_at) > self.view().silence_limit(host)
+        let is_silent_too_long = |host: &&Host| {
+            host.is_up() && now.since(host.last_heartbeat_at) > self.view().max_silence(host)
         };
-        let overdue = self.cluster.hosts().values().filter(is_overdue);
-        let names: Vec<HostName> = overdue.map(|host| host.name.clone()).collect();
+        let unresponsive = self.cluster.hosts().values().filter(is_silent_too_long);
+        let names: Vec<HostName> = unresponsive.map(|host| host.name.clone()).collect();
         for name in names {
-            tracing::info!("{name}: missed heartbeats");
+            tracing::info!("{name}: missed heartbeats, marked as unresponsive");
             self.cluster.mark_unresponsive(&name);
         }
     }
 
-    /// Cancelled work whose time is nearly up goes with its machine, whether or not this leader has
-    /// its lease: in an outage nobody else could do it.
-    fn remove_overdue(&mut self, now: Time) {
-        let limit = self.policy.cancel.mul_f64(OVERDUE_PART);
-        let overdue = |host: &&Host| {
-            let asked = host
+    /// Releases hosts on which a cancelled task has almost reached the cancellation time limit. This does not depend on
+    /// the leader's lease: during an outage of the store no other controller could do it.
+    fn force_overdue_releases(&mut self, now: Time) {
+        let max_cancel_time = self.policy.cancel.mul_f64(FORCED_RELEASE_CANCEL_SHARE);
+        let is_overdue = |host: &&Host| {
+            let was_requested = host
                 .force_released_at
-                .is_some_and(|at| now.since(at) < REMOVE_AGAIN);
-            !asked
+                .is_some_and(|at| now.since(at) < FORCED_RELEASE_RETRY_INTERVAL);
+            !was_requested
                 && host.allocations.iter().any(|(task, allocation)| {
                     let cancelled_at = self
                         .cluster
                         .jobs()
                         .get(&task.job)
-                        .and_then(|j| j.cancelled_at);
+                        .and_then(|job| job.cancelled_at);
                     allocation.stop_reason == Some(StopReason::Cancelled)
-                        && cancelled_at.is_some_and(|at| now.since(at) > limit)
+                        && cancelled_at.is_some_and(|at| now.since(at) > max_cancel_time)
                 })
         };
-        let hosts = self.cluster.hosts().values().filter(overdue);
-        let names: Vec<HostName> = hosts.map(|h| h.name.clone()).collect();
+        let overdue_hosts = self.cluster.hosts().values().filter(is_overdue);
+        let names: Vec<HostName> = overdue_hosts.map(|host| host.name.clone()).collect();
         for name in &names {
-            tracing::info!("{name}: a cancelled task is on it for too long, release is forced");
+            tracing::info!("{name}: forcing its release, a cancelled task has not stopped in time");
             self.cluster.begin_forced_release(name, now);
         }
         for names in names.chunks(MAX_RELEASE_COUNT) {
@@ -291,14 +308,18 @@
         }
     }
 
-    /// Asks machines whether they hear: those that seem not to, and those that are silent here. The
-    /// latter may still report to an earlier leader that is cut off with them; the command carries
-    /// our token, and from then on they drop the answers of the other, who learns of it from them.
+    /// Probes hosts that commands seem not to reach, and hosts whose heartbeats do not arrive. The latter may still send
+    /// them to an earlier leader that is cut off together with them. The probe carries this leader's fencing token: once a
+    /// worker has seen it, the worker ignores the earlier leader's responses, and its heartbeats tell that leader of the new
+    /// term.
     fn send_probes(&mut self, now: Time) {
-        let max_new = self.dispatcher.probes_left();
+        let max_new_probes = self.dispatcher.probes_left();
         let hosts = self.cluster.hosts().values();
-        let due = hosts.filter(|host| self.view().needs_probe(host, now));
-        let probes: Vec<Probe> = due.filter_map(Probe::to).take(max_new).collect();
+        let hosts_to_probe = hosts.filter(|host| self.view().needs_probe(host, now));
+        let probes: Vec<Probe> = hosts_to_probe
+            .filter_map(Probe::of_host)
+            .take(max_new_probes)
+            .collect();
         for probe in probes {
             let next_probe_at = now.after(self.policy.report * 2);
             self.cluster.on_probe_sent(&probe.host, next_probe_at);
--- a/src/coordination/failure_detection/mod.rs
+++ b/src/coordination/failure_detection/mod.rs
@@ -1,4 +1,4 @@
-//! Which hosts and zones are unreachable, and which hosts are declared lost.
+//! Failure detection: which hosts and zones are unreachable, and which hosts are declared lost.
 
 mod hosts;
 pub(crate) mod zones;
@@ -13,37 +13,39 @@
 
 use crate::coordination::Policy;
 use crate::types::Time;
-use zones::Zones;
+use zones::ZoneMonitor;
 
-/// How often hosts are checked for missed heartbeats.
+/// Interval between two checks of all hosts for missed heartbeats.
 const CHECK_INTERVAL: Duration = Duration::from_millis(250);
 
-/// What is known of unreachable hosts and zones.
+/// What the leader knows of unreachable zones. The state of a single host is kept with the host.
 pub(crate) struct FailureDetector {
-    /// Zones of which this node reaches no other node: what is silent there is partitioned.
+    /// Zones in which this node reaches no other controller. A silent host there counts as partitioned rather than
+    /// failed.
     pub zones_without_reachable_peer: Vec<String>,
-    /// Zones of which most hosts missed heartbeats, and when that was last so.
+    /// Zones most of whose hosts were found silent, with the time of the last such check. The empty name stands for
+    /// hosts whose zone is not known.
     pub(crate) partitioned_zones: BTreeMap<String, Time>,
-    /// Whether the controllers of each zone answer this node.
+    /// Whether the controllers in each zone answer this node, by zone.
     pub controller_reach_by_zone: BTreeMap<String, ControllerReach>,
-    /// The states of zones, where they are tracked.
-    pub(crate) zones: Option<Zones>,
+    /// The states of zones; `None` if zone tracking is disabled.
+    pub(crate) zone_monitor: Option<ZoneMonitor>,
     next_check_at: Time,
 }
 
 impl FailureDetector {
     pub(crate) fn new(policy: &Policy, now: Time) -> FailureDetector {
-        let settings = policy.zones.clone();
+        let zone_settings = policy.zones.clone();
         FailureDetector {
             zones_without_reachable_peer: Vec::new(),
             partitioned_zones: BTreeMap::new(),
             controller_reach_by_zone: BTreeMap::new(),
-            zones: settings.map(|settings| Zones::new(settings, now)),
+            zone_monitor: zone_settings.map(|settings| ZoneMonitor::new(settings, now)),
             next_check_at: now,
         }
     }
 
-    /// Whether the hosts are to be checked now; the next check follows after the interval.
+    /// Returns whether a check of all hosts is due. If so, the next one is due after [`CHECK_INTERVAL`].
     pub(crate) fn begin_check(&mut self, now: Time) -> bool {
         let is_due = now >= self.next_check_at;
         if is_due {
