--- a/src/coordination/failure_detection/zones.rs
+++ b/src/coordination/failure_detection/zones.rs
@@ -16,9 +16,9 @@
 pub(crate) const LATE_AFTER_INTERVALS: f64 = 1.8;
 /// A silent host with urgent tasks in an unhealthy zone is overdue after this many lease durations. Until then its tasks
 /// may still be running: a controller in the zone may renew its worker's lease.
-const URGENT_MAX_SILENCE_LEASES: f64 = 2.5;
+const URGENT_SILENCE_LEASES: f64 = 2.5;
 /// The same for a host without urgent tasks.
-const DEFAULT_MAX_SILENCE_LEASES: f64 = 3.0;
+const DEFAULT_SILENCE_LEASES: f64 = 3.0;
 
 /// The leader's zone tracking, if that feature is enabled.
 pub(crate) struct ZoneMonitor {
@@ -109,13 +109,9 @@
         let settling_time = max_heartbeat_delay(self.policy.report);
         match zone_state {
             // The zone has been returning for long enough for a heartbeat of every healthy worker to arrive.
-            Some((ZoneState::Returning, time_in_state)) if time_in_state > settling_time => {
-                self.policy.silent_limit()
-            }
-            _ if self.holds_urgent_task(host) => {
-                self.policy.lease.mul_f64(URGENT_MAX_SILENCE_LEASES)
-            }
-            _ => self.policy.lease.mul_f64(DEFAULT_MAX_SILENCE_LEASES),
+            Some((ZoneState::Returning, age)) if age > settling_time => self.policy.silent_limit(),
+            _ if self.holds_urgent_task(host) => self.policy.lease.mul_f64(URGENT_SILENCE_LEASES),
+            _ => self.policy.lease.mul_f64(DEFAULT_SILENCE_LEASES),
         }
     }
 
--- a/src/coordination/scheduling/mod.rs
+++ b/src/coordination/scheduling/mod.rs
@@ -1,4 +1,5 @@
-//! Which waiting task goes on which host: queue order, eligibility, scores, placement and preemption.
+//! Scheduling: which waiting task is placed on which host. Covers queue order, eligibility, scores, placement and
+//! preemption.
 
 mod candidates;
 mod placement;
@@ -11,20 +12,19 @@
 
 use crate::types::Time;
 
-/// How often one replica is moved off an otherwise empty host.
-const IDLE_MOVE_INTERVAL: Duration = Duration::from_secs(15);
-/// How often room is looked for by preemption.
+/// The least time between two moves of a lone replica, which is the only task on its host.
+const LONE_REPLICA_MOVE_INTERVAL: Duration = Duration::from_secs(15);
+/// The least time between two rounds of preemption.
 const PREEMPTION_INTERVAL: Duration = Duration::from_millis(250);
-/// The longest time between two passes over the waiting tasks.
+/// The longest time between two placement passes.
 const PASS_INTERVAL: Duration = Duration::from_secs(1);
 
-/// When the scheduler runs next.
+/// When the parts of the scheduler run next.
 #[derive(Debug)]
 pub(crate) struct Scheduler {
     next_pass_at: Time,
     next_preemption_at: Time,
-    /// No replica is moved off an otherwise empty host before.
-    next_idle_move_at: Time,
+    next_lone_replica_move_at: Time,
 }
 
 impl Scheduler {
@@ -32,26 +32,26 @@
         Scheduler {
             next_pass_at: now,
             next_preemption_at: now,
-            next_idle_move_at: now,
+            next_lone_replica_move_at: now,
         }
     }
 
-    /// Whether a pass over the waiting tasks is due by time alone.
+    /// Whether a placement pass is due even if none was requested.
     pub(crate) fn is_pass_due(&self, now: Time) -> bool {
         now >= self.next_pass_at
     }
 
-    /// Whether a replica may be moved off an otherwise empty host.
+    /// Whether a replica that is the only task on its host may be moved to another host.
     pub(crate) fn may_move_lone_replica(&self, now: Time) -> bool {
-        now >= self.next_idle_move_at
+        now >= self.next_lone_replica_move_at
     }
 
-    /// A replica is moved off an otherwise empty host.
+    /// A replica that is the only task on its host is being moved.
     pub(crate) fn on_lone_replica_moved(&mut self, now: Time) {
-        self.next_idle_move_at = now.after(IDLE_MOVE_INTERVAL);
+        self.next_lone_replica_move_at = now.after(LONE_REPLICA_MOVE_INTERVAL);
     }
 
-    /// Whether room may be made by preemption now; the next time follows after the interval.
+    /// Returns whether a round of preemption is due. If so, the next one is due after [`PREEMPTION_INTERVAL`].
     pub(crate) fn begin_preemption(&mut self, now: Time) -> bool {
         let is_due = now >= self.next_preemption_at;
         if is_due {
@@ -60,7 +60,7 @@
         is_due
     }
 
-    /// A pass over the waiting tasks begins.
+    /// A placement pass begins; the next one is due after [`PASS_INTERVAL`].
     pub(crate) fn begin_pass(&mut self, now: Time) {
         self.next_pass_at = now.after(PASS_INTERVAL);
     }
--- a/src/coordination/scheduling/ranking.rs
+++ b/src/coordination/scheduling/ranking.rs
@@ -1,4 +1,4 @@
-//! The order in which waiting jobs are served, and how much of a team's limit is left.
+//! The queue order of jobs with waiting tasks.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -9,42 +9,43 @@
 use crate::protocol::users::{JobSpec, Priority};
 use crate::types::{seconds, JobId, Version};
 
-/// Jobs that waited too long and go before all others at one time.
-const MAX_LIFTED: usize = 8;
+/// At most this many jobs count as starving in one pass, and so go before all others.
+const MAX_STARVING_JOBS: usize = 8;
 
-/// Jobs in the order in which they are served: those that have waited too long for a first start
-/// go first, whatever they are, so that nothing starves; then those within their team's guarantee don't wait for
-/// work that others run on borrowed machines; then priority; then those that can still be in time,
-/// or have been late for long; then the earlier deadline; then arrival.
+/// A job's place in the queue; the smallest is served first. Compared in the order of the fields: starving jobs go first
+/// whatever their priority; jobs within their team's guarantee go before those that borrow capacity; then the higher
+/// priority; then jobs that do not yield as late; then the earlier deadline, the smaller remaining work and the earlier
+/// arrival.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct JobRank {
-    /// Nothing of it has begun for longer than any job should wait; `true` sorts last.
+    /// False for a starving job: none of its tasks has started within the time after which a job counts as starving.
     pub is_not_starving: bool,
-    /// Its team has used up its guarantee.
+    /// Whether the unfinished tasks of its team's jobs, from the earliest one to this, exceed the team's guarantee.
     pub is_over_guarantee: bool,
-    /// Its priority.
+    /// Priority of the job.
     pub priority: Priority,
-    /// It can't meet its deadline any more, so it lets those go first that can, for a while.
-    pub will_miss_deadline: bool,
-    /// When it is due, in milliseconds of the day; those without a deadline come last.
+    /// Whether it can no longer meet its deadline, so that jobs which still can go first. It yields only until it has
+    /// waited for twice the time after which a job counts as starving.
+    pub yields_as_late: bool,
+    /// Its deadline in milliseconds of the time of day; `u64::MAX` without a deadline.
     pub due_ms: u64,
-    /// For work of the lowest priority that is due at no time: about how much is left to do, in
-    /// powers of two, so that what is done soon does not wait for what takes for ever.
+    /// For a best-effort job without a deadline, the binary logarithm of its estimated remaining CPU-seconds, so that
+    /// small jobs do not wait for very large ones; 0 for other jobs.
     pub remaining_cpu_s_log2: u32,
-    /// Orders jobs by their arrival.
+    /// Version of its record, which orders jobs by their arrival.
     pub arrival_version: Version,
-    /// The job.
+    /// Id of the job.
     pub job: JobId,
 }
 
 impl JobRank {
-    /// Among those that have waited too long only their arrival counts.
-    fn starving(self) -> JobRank {
+    /// The rank of the job if it is starving. Starving jobs are ordered by arrival alone.
+    fn as_starving(self) -> JobRank {
         JobRank {
             is_not_starving: false,
             is_over_guarantee: false,
             priority: Priority::Critical,
-            will_miss_deadline: false,
+            yields_as_late: false,
             due_ms: 0,
             remaining_cpu_s_log2: 0,
             ..self
@@ -52,64 +53,69 @@
     }
 }
 
-/// What the unfinished tasks of a team's jobs take, up to the one that is looked at.
+/// Resources that the unfinished tasks of a team's jobs take, summed up in order of arrival.
 #[derive(Clone, Copy, Debug, Default)]
-struct Demand {
+struct TeamDemand {
     cpus: f64,
     gpus: f64,
 }
 
-impl Demand {
+impl TeamDemand {
     fn add(&mut self, job: &Job) {
-        let unfinished = f64::from(job.task_count - job.done_count);
-        self.cpus += unfinished * job.task_resources.cpus;
-        self.gpus += unfinished * job.task_resources.gpus;
+        let unfinished_count = f64::from(job.task_count - job.done_count);
+        self.cpus += unfinished_count * job.task_resources.cpus;
+        self.gpus += unfinished_count * job.task_resources.gpus;
     }
 }
 
 impl View<'_> {
-    /// All jobs with waiting tasks, in the order in which they are served.
+    /// The ranks of all jobs with waiting tasks, in queue order.
     pub(crate) fn ranked_jobs(&self) -> Vec<JobRank> {
-        let cpus = self.provisioned_cpus();
+        let provisioned_cpus = self.provisioned_cpus();
         let starve_after = seconds(self.policy.tuning.starve_after_s);
         let mut by_arrival: Vec<&Job> = self
             .cluster
             .jobs()
             .values()
-            .filter(|j| j.phase == JobPhase::Active)
+            .filter(|job| job.phase == JobPhase::Active)
             .collect();
-        by_arrival.sort_by_key(|j| j.record_version);
-        let mut demand_of_teams: BTreeMap<&str, Demand> = BTreeMap::new();
+        by_arrival.sort_by_key(|job| job.record_version);
+        let mut demand_by_team: BTreeMap<&str, TeamDemand> = BTreeMap::new();
         let mut ranks = Vec::new();
         let mut starving_count = 0;
         for job in by_arrival {
             let Some(spec) = &job.spec else { continue };
-            let demand = demand_of_teams.entry(&job.team).or_default();
-            demand.add(job);
+            let team_demand = demand_by_team.entry(&job.team).or_default();
+            team_demand.add(job);
             if job.waiting_count() == 0 {
                 continue;
             }
-            let waited = self.time_since_submission(job);
+            let waiting_for = self.time_since_submission(job);
             let rank = JobRank {
                 is_not_starving: true,
-                is_over_guarantee: !self.is_within_guarantee(job, demand),
+                is_over_guarantee: !self.is_within_guarantee(job, team_demand),
                 priority: spec.priority,
-                will_miss_deadline: waited < starve_after * 2
+                yields_as_late: waiting_for < starve_after * 2
                     && job.will_miss_deadline(
                         self.run_times.expected_s(job),
-                        cpus,
+                        provisioned_cpus,
                         self.clock.day_ms,
                     ),
-                due_ms: job.due_ms().map_or(u64::MAX, |due| due as u64),
-                remaining_cpu_s_log2: self.work_class(job, spec),
+                due_ms: job.due_ms().map_or(u64::MAX, |due_ms| due_ms as u64),
+                remaining_cpu_s_log2: self.remaining_cpu_s_log2(job, spec),
                 arrival_version: job.record_version,
                 job: job.id,
             };
-            // A few at a time, the oldest first: in bulk they would pass all urgent work.
+            // Only the oldest few count as starving: a large number of them would delay all urgent jobs.
             let has_begun = job.allocated_count > 0 || job.done_count > 0;
-            let is_starving = waited >= starve_after && !has_begun && starving_count < MAX_LIFTED;
+            let is_starving =
+                waiting_for >= starve_after && !has_begun && starving_count < MAX_STARVING_JOBS;
             starving_count += usize::from(is_starving);
-            ranks.push(if is_starving { rank.starving() } else { rank });
+            ranks.push(if is_starving {
+                rank.as_starving()
+            } else {
+                rank
+            });
         }
         ranks.sort();
         ranks
@@ -117,37 +123,39 @@
 
     /// How long ago the job was submitted.
     fn time_since_submission(&self, job: &Job) -> Duration {
-        let waited_ms = self.clock.day_ms.saturating_sub(job.submitted_at_ms);
-        seconds(waited_ms as f64 / 1000.0)
+        let age_ms = self.clock.day_ms.saturating_sub(job.submitted_at_ms);
+        seconds(age_ms as f64 / 1000.0)
     }
 
-    /// Whether the job fits into its team's guarantee together with the team's earlier jobs.
-    fn is_within_guarantee(&self, job: &Job, demand: &Demand) -> bool {
-        let guaranteed = self.policy.team(&job.team).map(|team| team.guaranteed());
-        let (cpus, gpus) = guaranteed.unwrap_or_default();
-        demand.cpus <= cpus && (demand.gpus <= gpus || job.task_resources.gpus == 0.0)
+    /// Whether the team's guarantee covers `team_demand`, which includes the job and the team's earlier jobs. GPUs count
+    /// only if the job uses some.
+    fn is_within_guarantee(&self, job: &Job, team_demand: &TeamDemand) -> bool {
+        let guarantee = self.policy.team(&job.team).map(|team| team.guaranteed());
+        let (cpus, gpus) = guarantee.unwrap_or_default();
+        team_demand.cpus <= cpus && (team_demand.gpus <= gpus || job.task_resources.gpus == 0.0)
     }
 
-    fn work_class(&self, job: &Job, spec: &JobSpec) -> u32 {
+    /// See [`JobRank::remaining_cpu_s_log2`].
+    fn remaining_cpu_s_log2(&self, job: &Job, spec: &JobSpec) -> u32 {
         if spec.priority != Priority::BestEffort || spec.deadline_s.is_some() {
             return 0;
         }
-        let open = f64::from(job.task_count - job.done_count);
-        let work = open * job.task_resources.cpus.max(0.1) * self.run_times.expected_s(job);
-        work.max(1.0).log2() as u32
+        let unfinished_count = f64::from(job.task_count - job.done_count);
+        let remaining_cpu_s =
+            unfinished_count * job.task_resources.cpus.max(0.1) * self.run_times.expected_s(job);
+        remaining_cpu_s.max(1.0).log2() as u32
     }
 
-    /// CPUs of all machines that are here or coming.
+    /// CPUs of all hosts that are up or expected to come up.
     fn provisioned_cpus(&self) -> f64 {
-        let here = self
-            .cluster
-            .hosts()
-            .values()
-            .filter(|h| matches!(h.lifecycle, HostLifecycle::Up | HostLifecycle::Expected));
-        let kinds = here.filter_map(|h| {
-            h.type_index
-                .and_then(|k| self.cluster.machine_types().get(k))
+        let hosts =
+            self.cluster.hosts().values().filter(|host| {
+                matches!(host.lifecycle, HostLifecycle::Up | HostLifecycle::Expected)
+            });
+        let machine_types = hosts.filter_map(|host| {
+            host.type_index
+                .and_then(|index| self.cluster.machine_types().get(index))
         });
-        kinds.map(|t| t.cpus.0).sum()
+        machine_types.map(|machine_type| machine_type.cpus.0).sum()
     }
 }
