--- a/src/coordination/autoscaling/services.rs
+++ b/src/coordination/autoscaling/services.rs
@@ -282,10 +282,10 @@
                 }
             }
         }
-        if moves.is_empty() && self.scheduler.may_move_lone_replica(now) {
+        if moves.is_empty() && self.scheduler.may_move_off_surplus_host(now) {
             moves.extend(self.view().idle_replica(now));
             if !moves.is_empty() {
-                self.scheduler.on_lone_replica_moved(now);
+                self.scheduler.on_moved_off_surplus_host(now);
             }
         }
         for (host, task) in moves {
--- a/src/coordination/scheduling/mod.rs
+++ b/src/coordination/scheduling/mod.rs
@@ -12,8 +12,8 @@
 
 use crate::types::Time;
 
-/// The least time between two moves of a lone replica, which is the only task on its host.
-const LONE_REPLICA_MOVE_INTERVAL: Duration = Duration::from_secs(15);
+/// The least time between two moves of a replica off a surplus host that holds nothing but replicas.
+const SURPLUS_HOST_MOVE_INTERVAL: Duration = Duration::from_secs(15);
 /// The least time between two rounds of preemption.
 const PREEMPTION_INTERVAL: Duration = Duration::from_millis(250);
 /// The longest time between two placement passes.
@@ -24,7 +24,7 @@
 pub(crate) struct Scheduler {
     next_pass_at: Time,
     next_preemption_at: Time,
-    next_lone_replica_move_at: Time,
+    next_surplus_move_at: Time,
 }
 
 impl Scheduler {
@@ -32,7 +32,7 @@
         Scheduler {
             next_pass_at: now,
             next_preemption_at: now,
-            next_lone_replica_move_at: now,
+            next_surplus_move_at: now,
         }
     }
 
@@ -41,14 +41,14 @@
         now >= self.next_pass_at
     }
 
-    /// Whether a replica that is the only task on its host may be moved to another host.
-    pub(crate) fn may_move_lone_replica(&self, now: Time) -> bool {
-        now >= self.next_lone_replica_move_at
+    /// Whether a replica may be moved off a surplus host that holds nothing but replicas.
+    pub(crate) fn may_move_off_surplus_host(&self, now: Time) -> bool {
+        now >= self.next_surplus_move_at
     }
 
-    /// A replica that is the only task on its host is being moved.
-    pub(crate) fn on_lone_replica_moved(&mut self, now: Time) {
-        self.next_lone_replica_move_at = now.after(LONE_REPLICA_MOVE_INTERVAL);
+    /// A replica is being moved off a surplus host.
+    pub(crate) fn on_moved_off_surplus_host(&mut self, now: Time) {
+        self.next_surplus_move_at = now.after(SURPLUS_HOST_MOVE_INTERVAL);
     }
 
     /// Returns whether a round of preemption is due. If so, the next one is due after [`PREEMPTION_INTERVAL`].
