--- a/src/coordination/scheduling/candidates.rs
+++ b/src/coordination/scheduling/candidates.rs
@@ -1,4 +1,4 @@
-//! The hosts with room, as one pass over the waiting tasks sees them, and their order by score.
+//! The hosts that a placement pass may place tasks on, and the order in which it prefers them.
 
 use std::cmp::Ordering;
 
@@ -7,24 +7,24 @@
 use crate::coordination::scheduling::scoring::headroom_score;
 use crate::types::HostName;
 
-/// A host with room. What the pass allocates on it counts at once.
+/// A host with free resources, as one placement pass sees it. What the pass allocates on it is counted at once.
 pub(super) struct CandidateHost {
     pub(super) name: HostName,
     pub(super) type_index: usize,
     pub(super) zone: String,
-    pub(super) spot: bool,
+    pub(super) is_spot: bool,
     pub(super) capacity: Resources,
     pub(super) allocated: Resources,
-    /// Whether tasks of some jobs failed on it.
+    /// Whether tasks of any job have failed on it.
     pub(super) has_failed_jobs: bool,
-    /// Whether earlier attempts at some tasks may still be there.
+    /// Whether earlier attempts at any tasks are still listed by the host or may still arrive there.
     pub(super) remembers_tasks: bool,
-    /// Whether it is kept free for a job that has waited too long.
+    /// Whether it is reserved for a starving job.
     pub(super) is_reserved: bool,
 }
 
 impl CandidateHost {
-    /// The host as a candidate of that type; `None` if it has no room.
+    /// The host as a candidate with the capacity of its machine type; `None` if it has no free CPU or memory.
     pub(super) fn new(host: &Host, type_index: usize, capacity: Resources) -> Option<Self> {
         let free = capacity.minus(&host.allocated);
         if free.cpus <= 0.0 || free.memory_gb <= 0.0 {
@@ -34,7 +34,7 @@
             name: host.name.clone(),
             type_index,
             zone: host.zone.clone(),
-            spot: host.spot,
+            is_spot: host.spot,
             capacity,
             allocated: host.allocated,
             has_failed_jobs: !host.failed_jobs.is_empty(),
@@ -43,12 +43,13 @@
         })
     }
 
-    /// What is free on it.
+    /// Its free resources.
     pub(super) fn free(&self) -> Resources {
         self.capacity.minus(&self.allocated)
     }
 
-    /// Its place among the candidates for a task.
+    /// The host with its score for the tasks of a job. `index` is its index among the candidates of the pass,
+    /// `has_sibling` whether it holds another task of the job.
     pub(super) fn scored(
         &self,
         index: usize,
@@ -65,15 +66,15 @@
     }
 }
 
-/// A candidate's place among those that may take a task. The greatest is the best: one without another task of the
-/// job, then, for a service, one on which its image is available sooner, then the higher score, then the first name.
+/// A candidate with its score for a job. The greatest is the best: a host without another task of the job, then, for a
+/// service, the host on which its image is available sooner, then the higher score, then the first name.
 #[derive(PartialEq)]
 pub(super) struct ScoredHost {
     has_sibling: bool,
-    /// How long the image of a service takes, in half seconds.
+    /// Estimated time to fetch the image of a service, in steps of half a second.
     fetch_steps: u32,
     score: f64,
-    /// Index of the candidate; candidates are in the order of their names.
+    /// Index of the candidate in the pass, where candidates are ordered by name.
     pub(super) index: usize,
 }
 
--- a/src/coordination/scheduling/placement.rs
+++ b/src/coordination/scheduling/placement.rs
@@ -1,5 +1,5 @@
-//! Placement: a pass over the waiting tasks, in the order of the queue, that puts each on the eligible host with the
-//! highest weighted headroom. Hosts without another task of the job come first; ties go to the first name.
+//! Placement: a pass over the waiting tasks in queue order that allocates each to the eligible host with the highest
+//! weighted headroom score. Hosts without another task of the job are preferred; ties go to the first name.
 
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 use std::time::Duration;
@@ -15,33 +15,33 @@
 use crate::storage::records::RunRecordId;
 use crate::types::{HostName, JobId, TaskId, Time};
 
-/// Tasks allocated in one pass; the rest waits for the next, so that a pass never takes long.
-const MAX_ALLOCATIONS: u64 = 400;
-/// A failure on a host keeps the job's tasks away from it for this long.
+/// The most tasks that one pass allocates, which bounds the duration of a pass; the others wait for the next pass.
+const MAX_ALLOCATIONS_PER_PASS: u64 = 400;
+/// After a failure of one of its tasks on a host, a job avoids that host for this long.
 const AVOID_FAILED_HOST_FOR: Duration = Duration::from_secs(20);
-/// Steps of an image's fetch time in a second.
+/// Fetch times of images are compared in steps, of which this many make a second.
 const FETCH_STEPS_PER_S: f64 = 2.0;
-/// The slowest rate of image fetches that is reckoned with, in GB a second.
+/// Lower bound for the rate of image fetches in estimates, also assumed for hosts of an unknown machine type.
 const MIN_FETCH_GB_PER_S: f64 = 0.01;
 
-/// What one pass over the waiting tasks keeps.
+/// The state of one placement pass.
 struct PlacementPass {
     candidates: Vec<CandidateHost>,
-    /// Profiles of tasks that found no host.
-    unplaceable: Vec<TaskProfile>,
-    allocations_left: u64,
-    /// How many more tasks the zones take that are limited.
-    zone_allowances: BTreeMap<String, usize>,
+    /// Profiles of unconstrained tasks that found no host in this pass.
+    unplaceable_profiles: Vec<TaskProfile>,
+    remaining_allocations: u64,
+    /// How many more tasks each zone takes; zones without a limit are left out.
+    zone_admissions: BTreeMap<String, usize>,
     now: Time,
 }
 
-/// What decides whether some host has room for a task that may run anywhere.
+/// All that decides whether some host can take an unconstrained task.
 #[derive(Clone, Copy, PartialEq)]
 struct TaskProfile {
     resources: Resources,
-    spot: bool,
-    /// Whether it may use types that are scarce for others.
-    overflows: bool,
+    may_use_spot: bool,
+    /// Whether it may also use types that are scarce for other jobs.
+    may_overflow: bool,
 }
 
 /// The placement of one job's waiting tasks within a pass.
@@ -50,36 +50,36 @@
     spec: Box<JobSpec>,
     resources: Resources,
     profile: TaskProfile,
-    /// Whether the job may run anywhere, so that its profile alone decides.
+    /// Whether the job is not limited to certain machine types or zones, so that the profile alone decides.
     is_unconstrained: bool,
-    /// Whether the job has waited too long for a first start.
+    /// Whether the job has waited too long for the start of its first task.
     is_starving: bool,
-    /// The machine types that its tasks may use, by index.
+    /// For each machine type, whether the job's tasks may use it.
     usable_types: Vec<bool>,
-    /// More types that they may use if there is no room on those.
+    /// The same with scarce types included, for when the hosts of the usable types have no room.
     overflow_types: Option<Vec<bool>>,
-    /// How many of its tasks each zone holds.
+    /// How many of the job's tasks each zone holds.
     siblings_by_zone: BTreeMap<String, u64>,
-    /// The hosts that may take a task, the best on top.
-    eligible: BinaryHeap<ScoredHost>,
-    /// How many more tasks its team's quota and the pass allow.
-    tasks_left: u64,
-    /// How many urgent records may wait to be written before no more is allocated.
+    /// The hosts that may take a task of the job, the best on top.
+    eligible_hosts: BinaryHeap<ScoredHost>,
+    /// How many more of its tasks may be allocated in this pass.
+    remaining_tasks: u64,
+    /// While this many urgent records wait to be written, no task is allocated that needs another record.
     max_waiting_records: usize,
 }
 
-/// What to do next for a job.
+/// The next step in the placement of a job.
 enum NextStep {
-    /// Allocate the task to the candidate of that index.
+    /// Allocate the task to the candidate with this index.
     Allocate(TaskId, usize),
-    /// No host has room for its next task.
+    /// No host has room for the job's next task.
     MakeRoom,
     /// Nothing more in this pass.
     Finish,
 }
 
 impl View<'_> {
-    /// The hosts that take new tasks and have room, in the order of their names.
+    /// The hosts that accept tasks and have free resources, ordered by name.
     fn candidates(&self, now: Time) -> Vec<CandidateHost> {
         let hosts = self.cluster.hosts().values();
         let candidates = hosts.filter_map(|host| {
@@ -92,11 +92,11 @@
         candidates.collect()
     }
 
-    /// Prepares the placement of a job; `None` if none of its tasks can be placed in this pass.
+    /// Begins the placement of a job; `None` if none of its tasks can be placed in this pass.
     fn begin_placement(
         &self,
         rank: &JobRank,
-        scarce: &[bool],
+        scarce_types: &[bool],
         pass: &PlacementPass,
     ) -> Option<JobPlacement> {
         let job = self.cluster.job(rank.job)?;
@@ -104,21 +104,21 @@
         if pass.now < job.retry_not_before || self.cluster.records().is_held(job.id) {
             return None;
         }
-        let usable_types = self.usable_types(&spec, scarce);
+        let usable_types = self.usable_types(&spec, scarce_types);
         let due_in_s = job.due_in_s(self.clock.day_ms);
         let run_s = self.run_times.expected_s(job);
         let overflow_types = self.overflow_types(&spec, &usable_types, run_s, due_in_s);
         let profile = TaskProfile {
             resources: job.task_resources,
-            spot: spec.spot,
-            overflows: overflow_types.is_some(),
+            may_use_spot: spec.spot,
+            may_overflow: overflow_types.is_some(),
         };
         let is_unconstrained = is_unconstrained(&spec);
-        if is_unconstrained && pass.unplaceable.contains(&profile) {
+        if is_unconstrained && pass.unplaceable_profiles.contains(&profile) {
             return None;
         }
-        let schedulable = u64::from(job.schedulable_count());
-        let allowed = self.team_room(job).min(pass.allocations_left);
+        let schedulable_count = u64::from(job.schedulable_count());
+        let max_allocations = self.team_room(job).min(pass.remaining_allocations);
         Some(JobPlacement {
             id: job.id,
             resources: job.task_resources,
@@ -127,14 +127,15 @@
             is_starving: !rank.is_not_starving,
             overflow_types,
             siblings_by_zone: self.siblings_by_zone(job, &spec),
-            eligible: self.eligible_hosts(job, &spec, &usable_types, pass),
-            tasks_left: allowed.min(schedulable),
+            eligible_hosts: self.eligible_hosts(job, &spec, &usable_types, pass),
+            remaining_tasks: max_allocations.min(schedulable_count),
             max_waiting_records: self.max_waiting_records(rank, &spec),
             usable_types,
             spec,
         })
     }
 
+    /// The next step for the job. If that is an allocation, the host is taken from the job's eligible hosts.
     fn next_step(&self, placement: &mut JobPlacement, pass: &PlacementPass) -> NextStep {
         let Some(job) = self.cluster.job(placement.id) else {
             return NextStep::Finish;
@@ -142,7 +143,7 @@
         let Some(index) = job.next_waiting_task() else {
             return NextStep::Finish;
         };
-        // An allocation that waits long for its record would only hold the host idle.
+        // A task starts only once its record is written. An allocation that waits long for that keeps resources idle.
         let records = self.cluster.records();
         let is_queued = records.is_urgent(RunRecordId {
             job: job.id,
@@ -159,12 +160,14 @@
             let Some(overflow_types) = placement.overflow_types.take() else {
                 return NextStep::MakeRoom;
             };
-            placement.eligible = self.eligible_hosts(job, &placement.spec, &overflow_types, pass);
+            placement.eligible_hosts =
+                self.eligible_hosts(job, &placement.spec, &overflow_types, pass);
             placement.usable_types = overflow_types;
         }
     }
 
-    /// How many urgent records may wait to be written before nothing more of the job is allocated.
+    /// The limit of urgent records that wait to be written: the higher the job's priority, the higher the limit. A starving
+    /// job counts as critical.
     fn max_waiting_records(&self, rank: &JobRank, spec: &JobSpec) -> usize {
         let priority = if rank.is_not_starving {
             spec.priority
@@ -174,7 +177,7 @@
         self.policy.records * (1 + Priority::BestEffort as usize - priority as usize)
     }
 
-    /// The candidates that may take a task of the job, the best on top.
+    /// The candidates that may take a task of the job, apart from limits on zones; the best on top.
     fn eligible_hosts(
         &self,
         job: &Job,
@@ -182,27 +185,28 @@
         usable_types: &[bool],
         pass: &PlacementPass,
     ) -> BinaryHeap<ScoredHost> {
-        let hosts_of_job: BTreeSet<&HostName> = job.allocated_hosts().collect();
+        let hosts_with_siblings: BTreeSet<&HostName> = job.allocated_hosts().collect();
         let needs_gpu = job.task_resources.gpus > 0.0;
-        let mut eligible = Vec::new();
+        let mut eligible_hosts = Vec::new();
         for (index, candidate) in pass.candidates.iter().enumerate() {
             let is_eligible = usable_types.get(candidate.type_index) == Some(&true)
                 && !candidate.is_reserved
                 && job.task_resources.fits(&candidate.free())
-                && (spec.spot || !candidate.spot)
+                && (spec.spot || !candidate.is_spot)
                 && !(candidate.has_failed_jobs
-                    && self.failed_lately(&candidate.name, job.id, pass.now));
+                    && self.has_failed_recently(&candidate.name, job.id, pass.now));
             if is_eligible {
-                let has_sibling = hosts_of_job.contains(&candidate.name);
+                let has_sibling = hosts_with_siblings.contains(&candidate.name);
                 let fetch_steps = self.fetch_steps(spec, &candidate.name);
-                eligible.push(candidate.scored(index, has_sibling, fetch_steps, needs_gpu));
+                eligible_hosts.push(candidate.scored(index, has_sibling, fetch_steps, needs_gpu));
             }
         }
-        eligible.into()
+        eligible_hosts.into()
     }
 
-    /// How long the host takes to fetch the image of a service, in steps; 0 for other jobs. This is the exception to the
-    /// order by score: a service is to run within moments, and an image may take longer than that.
+    /// Estimated time that the host takes to fetch the image of a service, in steps of half a second; 0 if the image is
+    /// cached, and for other jobs. It is compared before the score, as a service should start within seconds and fetching
+    /// its image may take longer.
     fn fetch_steps(&self, spec: &JobSpec, name: &HostName) -> u32 {
         let host = self.cluster.host(name).filter(|_| spec.is_service());
         let Some(host) = host.filter(|host| !host.has_cached_image(&spec.image)) else {
@@ -215,107 +219,111 @@
         1 + (spec.image_gb.0 / gb_per_s * FETCH_STEPS_PER_S) as u32
     }
 
-    fn failed_lately(&self, name: &HostName, job: JobId, now: Time) -> bool {
+    /// Whether a task of the job has failed on the host so recently that the job still avoids it.
+    fn has_failed_recently(&self, name: &HostName, job: JobId, now: Time) -> bool {
         let host = self.cluster.host(name);
         let failed_at = host.and_then(|host| host.failed_jobs.get(&job));
         failed_at.is_some_and(|at| now.since(*at) < AVOID_FAILED_HOST_FOR)
     }
 
-    /// Takes the best candidate for the task from those that are eligible for its job.
+    /// Takes the best candidate for the task from the hosts that are eligible for its job, and returns its index. Hosts
+    /// that only this task cannot use remain eligible.
     fn take_best_host(
         &self,
         task: TaskId,
         placement: &mut JobPlacement,
         pass: &PlacementPass,
     ) -> Option<usize> {
-        let mut set_aside = Vec::new();
+        let mut skipped_hosts = Vec::new();
         let mut best = None;
-        while let Some(next) = placement.eligible.pop() {
+        while let Some(next) = placement.eligible_hosts.pop() {
             let candidate = &pass.candidates[next.index];
-            let is_zone_full = pass.zone_allowances.get(&candidate.zone) == Some(&0);
+            let is_zone_full = pass.zone_admissions.get(&candidate.zone) == Some(&0);
             let siblings = &placement.siblings_by_zone;
             if is_zone_full || !is_zone_allowed(&placement.spec, &candidate.zone, siblings) {
-                // That does not change in this pass, as siblings only become more.
+                // The host does not become eligible again in this pass: siblings only increase, and a zone's remaining
+                // admissions only decrease.
                 continue;
             }
             if candidate.remembers_tasks && self.remembers_task(&candidate.name, task) {
-                set_aside.push(next);
+                skipped_hosts.push(next);
                 continue;
             }
             best = Some(next.index);
             break;
         }
-        placement.eligible.extend(set_aside);
+        placement.eligible_hosts.extend(skipped_hosts);
         best
     }
 
-    /// Whether an earlier attempt at the task is still listed by the host, or may still arrive there.
+    /// Whether the host still lists an earlier attempt at the task, or one may still arrive there.
     fn remembers_task(&self, name: &HostName, task: TaskId) -> bool {
         let host = self.cluster.host(name);
         host.is_some_and(|host| host.remembers_task(task))
     }
 
-    /// How many of the job's tasks each zone holds, with those on unresponsive hosts; empty where that does not matter.
+    /// How many of the job's tasks each zone holds, including those on unresponsive hosts; empty if the job has no
+    /// constraint that depends on it.
     fn siblings_by_zone(&self, job: &Job, spec: &JobSpec) -> BTreeMap<String, u64> {
-        let mut by_zone = BTreeMap::new();
+        let mut siblings_by_zone = BTreeMap::new();
         if job.allocated_count > 0 && (spec.same_zone || spec.spread) {
             for host in self.cluster.hosts().values() {
                 let tasks = host.allocations.keys();
-                let count = tasks.filter(|task| task.job == job.id).count() as u64;
-                if count > 0 {
-                    *by_zone.entry(host.zone.clone()).or_default() += count;
+                let sibling_count = tasks.filter(|task| task.job == job.id).count() as u64;
+                if sibling_count > 0 {
+                    *siblings_by_zone.entry(host.zone.clone()).or_default() += sibling_count;
                 }
             }
         }
-        by_zone
+        siblings_by_zone
     }
 
     /// Whether new tasks may be placed on the host.
     pub(crate) fn accepts_tasks(&self, host: &Host, now: Time) -> bool {
-        let is_fresh = now.since(host.last_heartbeat_at) <= self.policy.report * 2;
+        let is_heartbeat_recent = now.since(host.last_heartbeat_at) <= self.policy.report * 2;
         host.is_up()
             && host.cordon.is_none()
-            && is_fresh
+            && is_heartbeat_recent
             && host.reachability == Reachability::Confirmed
     }
 }
 
 impl Leader {
-    /// One pass over the waiting tasks.
+    /// Runs one placement pass over the waiting tasks of all jobs.
     pub(crate) fn place_waiting_tasks(&mut self, now: Time) {
         self.count_unbooked();
         let ranks = self.view().ranked_jobs();
         if ranks.is_empty() {
             return;
         }
-        let scarce = self.view().scarce_types();
+        let scarce_types = self.view().scarce_types();
         let mut pass = PlacementPass {
             candidates: self.view().candidates(now),
-            unplaceable: Vec::new(),
-            allocations_left: MAX_ALLOCATIONS,
-            zone_allowances: self.zone_admission_limits(now),
+            unplaceable_profiles: Vec::new(),
+            remaining_allocations: MAX_ALLOCATIONS_PER_PASS,
+            zone_admissions: self.zone_admission_limits(now),
             now,
         };
         for rank in ranks {
-            if pass.allocations_left == 0 {
-                // The rest follows once heartbeats and users have had their turn.
+            if pass.remaining_allocations == 0 {
+                // The next pass continues, after waiting heartbeats and user requests have been handled.
                 self.cluster.request_scheduling();
                 return;
             }
-            self.place_job(&rank, &scarce, &mut pass);
+            self.place_job(&rank, &scarce_types, &mut pass);
         }
     }
 
     /// Places the waiting tasks of one job.
-    fn place_job(&mut self, rank: &JobRank, scarce: &[bool], pass: &mut PlacementPass) {
+    fn place_job(&mut self, rank: &JobRank, scarce_types: &[bool], pass: &mut PlacementPass) {
         let _job = tracing::debug_span!("job", id = %rank.job).entered();
-        let Some(mut placement) = self.view().begin_placement(rank, scarce, pass) else {
+        let Some(mut placement) = self.view().begin_placement(rank, scarce_types, pass) else {
             return;
         };
-        while placement.tasks_left > 0 {
+        while placement.remaining_tasks > 0 {
             match self.view().next_step(&mut placement, pass) {
-                NextStep::Allocate(task, index) => {
-                    self.allocate_to(task, index, &mut placement, pass);
+                NextStep::Allocate(task, candidate_index) => {
+                    self.allocate_to(task, candidate_index, &mut placement, pass);
                 }
                 NextStep::MakeRoom => return self.make_room(&placement, pass),
                 NextStep::Finish => return,
@@ -323,34 +331,35 @@
         }
     }
 
-    /// Allocates the task to the candidate, which stays eligible for another one if it has room for it.
+    /// Allocates the task to the candidate. The candidate stays eligible if it has room for another task of the job.
     fn allocate_to(
         &mut self,
         task: TaskId,
-        index: usize,
+        candidate_index: usize,
         placement: &mut JobPlacement,
         pass: &mut PlacementPass,
     ) {
-        let candidate = &mut pass.candidates[index];
+        let candidate = &mut pass.candidates[candidate_index];
         let zone = candidate.zone.clone();
         *placement.siblings_by_zone.entry(zone).or_default() += 1;
         candidate.allocated.add(&placement.resources);
         if placement.resources.fits(&candidate.free()) {
             let fetch_steps = self.view().fetch_steps(&placement.spec, &candidate.name);
             let needs_gpu = placement.resources.gpus > 0.0;
-            let scored = candidate.scored(index, true, fetch_steps, needs_gpu);
-            placement.eligible.push(scored);
+            let scored = candidate.scored(candidate_index, true, fetch_steps, needs_gpu);
+            placement.eligible_hosts.push(scored);
         }
         self.cluster.allocate(task, &candidate.name);
-        placement.tasks_left -= 1;
-        pass.allocations_left -= 1;
-        if let Some(left) = pass.zone_allowances.get_mut(&candidate.zone) {
-            *left = left.saturating_sub(1);
+        placement.remaining_tasks -= 1;
+        pass.remaining_allocations -= 1;
+        if let Some(admissions) = pass.zone_admissions.get_mut(&candidate.zone) {
+            *admissions = admissions.saturating_sub(1);
             self.on_task_placed_in_zone(&candidate.zone);
         }
     }
 
-    /// No host has room for the next task of the job: makes room if the job may have that.
+    /// Makes room for the next task of the job, as no host has any: uncordons a host for a service, reserves a host for a
+    /// starving job, or preempts tasks.
     fn make_room(&mut self, placement: &JobPlacement, pass: &mut PlacementPass) {
         let JobPlacement {
             id,
@@ -365,24 +374,26 @@
         if placement.is_starving {
             reserve_host(placement, pass);
         } else if placement.is_unconstrained {
-            pass.unplaceable.push(placement.profile);
+            pass.unplaceable_profiles.push(placement.profile);
         }
-        self.preempt(*id, spec, usable_types, pass.now);
+        self.preempt_for(*id, spec, usable_types, pass.now);
     }
 }
 
+/// Whether the job is not limited to certain machine types or zones.
 fn is_unconstrained(spec: &JobSpec) -> bool {
     spec.machine_types.is_none() && spec.zone.is_none() && !spec.same_zone && !spec.spread
 }
 
-/// Reserves the host where most is free for a job that has waited too long and finds no room, as smaller tasks take
-/// whatever gets free. It takes nothing else until the job fits there.
+/// Reserves the suitable host with the most free CPUs for a starving job that finds no room, since smaller tasks would
+/// otherwise take all resources that become free. For the rest of the pass no other job is placed on the host; the next
+/// pass reserves one again if the job still finds no room.
 fn reserve_host(placement: &JobPlacement, pass: &mut PlacementPass) {
     let spec = &placement.spec;
-    let suits = |candidate: &CandidateHost| {
+    let is_suitable = |candidate: &CandidateHost| {
         placement.usable_types.get(candidate.type_index) == Some(&true)
             && !candidate.is_reserved
-            && (spec.spot || !candidate.spot)
+            && (spec.spot || !candidate.is_spot)
             && spec
                 .zone
                 .as_ref()
@@ -391,22 +402,23 @@
             && !placement.resources.fits(&candidate.free())
     };
     let free_cpus = |candidate: &CandidateHost| candidate.free().cpus;
-    let suited = pass.candidates.iter_mut().filter(|c| suits(c));
-    if let Some(best) = suited.max_by(|a, b| free_cpus(a).total_cmp(&free_cpus(b))) {
+    let suitable_hosts = pass.candidates.iter_mut().filter(|c| is_suitable(c));
+    if let Some(best) = suitable_hosts.max_by(|a, b| free_cpus(a).total_cmp(&free_cpus(b))) {
         best.is_reserved = true;
     }
 }
 
-/// Whether a task of the job may be placed in the zone, given how many of its tasks each zone holds.
+/// Whether the job's constraints on zones allow another of its tasks in the zone, given how many of its tasks each zone
+/// holds. A job with `spread` has at most half of its tasks, rounded up, in one zone.
 pub(crate) fn is_zone_allowed(
     spec: &JobSpec,
     zone: &str,
     siblings_by_zone: &BTreeMap<String, u64>,
 ) -> bool {
-    if spec.zone.as_ref().is_some_and(|only| only != zone) {
+    if spec.zone.as_ref().is_some_and(|required| required != zone) {
         return false;
     }
-    // A host whose zone is not known yet could be in any zone.
+    // A host whose zone is not known yet could be in any zone, so tasks on it count for every zone.
     let in_unknown_zone = siblings_by_zone.get("").copied();
     let is_elsewhere = |other: &String| other != zone;
     if spec.same_zone && (in_unknown_zone.is_some() || siblings_by_zone.keys().any(is_elsewhere)) {
@@ -414,8 +426,8 @@
     }
     if spec.spread {
         let in_zone = siblings_by_zone.get(zone).copied().unwrap_or(0);
-        let with_this = in_zone + in_unknown_zone.unwrap_or(0) + 1;
-        if with_this > spec.tasks.div_ceil(2) {
+        let new_count = in_zone + in_unknown_zone.unwrap_or(0) + 1;
+        if new_count > spec.tasks.div_ceil(2) {
             return false;
         }
     }
--- a/src/coordination/scheduling/preemption.rs
+++ b/src/coordination/scheduling/preemption.rs
@@ -119,7 +119,7 @@
 impl Leader {
     /// Makes room for a job of higher priority by stopping tasks of lower priority that lose little by
     /// it. The next pass sees what came of it.
-    pub(crate) fn preempt(&mut self, id: JobId, spec: &JobSpec, usable: &[bool], now: Time) {
+    pub(crate) fn preempt_for(&mut self, id: JobId, spec: &JobSpec, usable: &[bool], now: Time) {
         let under_way = |h: &Host| {
             let mut allocations = h.allocations.values();
             allocations.any(|b| b.stop_reason == Some(StopReason::Preempted))
--- a/src/coordination/scheduling/ranking.rs
+++ b/src/coordination/scheduling/ranking.rs
@@ -18,14 +18,15 @@
 /// arrival.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct JobRank {
-    /// False for a starving job: none of its tasks has started within the time after which a job counts as starving.
+    /// False for a starving job: it has waited for `starve_after_s` of the tuning, and none of its tasks is allocated or
+    /// done.
     pub is_not_starving: bool,
     /// Whether the unfinished tasks of its team's jobs, from the earliest one to this, exceed the team's guarantee.
     pub is_over_guarantee: bool,
     /// Priority of the job.
     pub priority: Priority,
     /// Whether it can no longer meet its deadline, so that jobs which still can go first. It yields only until it has
-    /// waited for twice the time after which a job counts as starving.
+    /// waited for twice `starve_after_s`.
     pub yields_as_late: bool,
     /// Its deadline in milliseconds of the time of day; `u64::MAX` without a deadline.
     pub due_ms: u64,
@@ -148,10 +149,11 @@
 
     /// CPUs of all hosts that are up or expected to come up.
     fn provisioned_cpus(&self) -> f64 {
-        let hosts =
-            self.cluster.hosts().values().filter(|host| {
-                matches!(host.lifecycle, HostLifecycle::Up | HostLifecycle::Expected)
-            });
+        let hosts = self
+            .cluster
+            .hosts()
+            .values()
+            .filter(|h| matches!(h.lifecycle, HostLifecycle::Up | HostLifecycle::Expected));
         let machine_types = hosts.filter_map(|host| {
             host.type_index
                 .and_then(|index| self.cluster.machine_types().get(index))
--- a/src/coordination/scheduling/scoring.rs
+++ b/src/coordination/scheduling/scoring.rs
@@ -1,23 +1,25 @@
-//! The design's weighted headroom score, and whether a machine type can take a task at all.
+//! The weighted headroom score of hosts, and whether a machine type is suitable for a job at all.
 
 use crate::coordination::resources::Resources;
 use crate::protocol::cloud::MachineType;
 use crate::protocol::users::JobSpec;
 
+// Weights of the percentages that the headroom score adds up.
 const MEMORY_WEIGHT: f64 = 25.0;
 const CPU_WEIGHT: f64 = 25.0;
 const GPU_WEIGHT: f64 = 20.0;
 const UTILIZATION_WEIGHT: f64 = 5.0;
 
-/// What an empty machine of the type has.
-pub fn capacity(kind: &MachineType) -> Resources {
+/// The resources of an empty host of the machine type.
+pub fn capacity(machine_type: &MachineType) -> Resources {
     Resources {
-        cpus: kind.cpus.0,
-        gpus: kind.gpus.0,
-        memory_gb: kind.memory_gb.0,
+        cpus: machine_type.cpus.0,
+        gpus: machine_type.gpus.0,
+        memory_gb: machine_type.memory_gb.0,
     }
 }
 
+/// The part as a percentage of the whole, from 0 to 100; 0 if the whole is 0.
 fn percent(part: f64, whole: f64) -> f64 {
     if whole > 0.0 {
         (100.0 * part / whole).clamp(0.0, 100.0)
@@ -26,31 +28,35 @@
     }
 }
 
-/// The design's weighted headroom score of a machine for a task.
-pub fn headroom_score(whole: &Resources, used: &Resources, needs_gpu: bool) -> f64 {
-    let free = whole.minus(used);
-    let gpu = if needs_gpu {
-        GPU_WEIGHT * percent(free.gpus, whole.gpus)
+/// The weighted headroom score of a host: the more of its memory, CPUs and, if the task needs a GPU, GPUs are free, the
+/// higher; the more of its CPUs are allocated, the lower.
+pub fn headroom_score(capacity: &Resources, allocated: &Resources, needs_gpu: bool) -> f64 {
+    let free = capacity.minus(allocated);
+    let gpu_score = if needs_gpu {
+        GPU_WEIGHT * percent(free.gpus, capacity.gpus)
     } else {
         0.0
     };
-    MEMORY_WEIGHT * percent(free.memory_gb, whole.memory_gb)
-        + CPU_WEIGHT * percent(free.cpus, whole.cpus)
-        + gpu
-        - UTILIZATION_WEIGHT * percent(used.cpus, whole.cpus)
+    MEMORY_WEIGHT * percent(free.memory_gb, capacity.memory_gb)
+        + CPU_WEIGHT * percent(free.cpus, capacity.cpus)
+        + gpu_score
+        - UTILIZATION_WEIGHT * percent(allocated.cpus, capacity.cpus)
 }
 
-/// Whether the job may use machines of this type at all, and one task fits an empty one.
-pub fn is_type_suitable(spec: &JobSpec, kind: &MachineType) -> bool {
-    let allowed = spec
+/// Whether the job's constraints allow hosts of the machine type, and one of its tasks fits an empty one.
+pub fn is_type_suitable(spec: &JobSpec, machine_type: &MachineType) -> bool {
+    let is_allowed = spec
         .machine_types
         .as_ref()
-        .is_none_or(|t| t.contains(&kind.name));
-    let zone = spec.zone.as_ref().is_none_or(|z| kind.zones.contains(z));
-    allowed && zone && task_resources(spec).fits(&capacity(kind))
+        .is_none_or(|names| names.contains(&machine_type.name));
+    let is_in_zone = spec
+        .zone
+        .as_ref()
+        .is_none_or(|zone| machine_type.zones.contains(zone));
+    is_allowed && is_in_zone && task_resources(spec).fits(&capacity(machine_type))
 }
 
-/// What a task of the job takes.
+/// The resources that one task of the job takes.
 pub fn task_resources(spec: &JobSpec) -> Resources {
     Resources {
         cpus: spec.cpus.0,
--- a/src/coordination/scheduling/type_eligibility.rs
+++ b/src/coordination/scheduling/type_eligibility.rs
@@ -1,4 +1,4 @@
-//! Which machine types the tasks of a job may use, with regard to work that has no other type.
+//! Which machine types the tasks of a job may use, and which types are scarce: some other job can use no other type.
 
 use crate::coordination::cluster::job::JobPhase;
 use crate::coordination::scheduling::scoring::is_type_suitable;
@@ -6,103 +6,114 @@
 use crate::protocol::users::JobSpec;
 
 impl View<'_> {
-    /// Types that some waiting or running work needs because no other type fits it.
+    /// For each machine type, whether it is scarce: it is the only suitable type of an active job, or was so earlier in
+    /// this term.
     pub(crate) fn scarce_types(&self) -> Vec<bool> {
-        let mut scarce = vec![false; self.cluster.machine_types().len()];
+        let mut is_scarce = vec![false; self.cluster.machine_types().len()];
         for job in self
             .cluster
             .jobs()
             .values()
-            .filter(|j| j.phase == JobPhase::Active)
+            .filter(|job| job.phase == JobPhase::Active)
         {
             let Some(spec) = &job.spec else { continue };
-            let suited: Vec<usize> = self.suitable_types(spec);
-            if let [only] = suited[..] {
-                scarce[only] = true;
+            let suitable_types: Vec<usize> = self.suitable_types(spec);
+            if let [only_type] = suitable_types[..] {
+                is_scarce[only_type] = true;
             }
         }
-        for only in self.autoscaler.remembered_scarce() {
-            if let Some(s) = scarce.get_mut(*only) {
-                *s = true;
+        for type_index in self.autoscaler.remembered_scarce() {
+            if let Some(is_scarce) = is_scarce.get_mut(*type_index) {
+                *is_scarce = true;
             }
         }
-        scarce
+        is_scarce
     }
 
+    /// Indices of the machine types that suit the job, whether they are scarce or not.
     pub(crate) fn suitable_types(&self, spec: &JobSpec) -> Vec<usize> {
-        let all = self.cluster.machine_types().iter().enumerate();
-        all.filter(|(_, t)| is_type_suitable(spec, t))
-            .map(|(i, _)| i)
+        let machine_types = self.cluster.machine_types().iter().enumerate();
+        machine_types
+            .filter(|(_, machine_type)| is_type_suitable(spec, machine_type))
+            .map(|(index, _)| index)
             .collect()
     }
 
-    /// For each machine type, whether the job's tasks may go there.
-    pub(crate) fn usable_types(&self, spec: &JobSpec, scarce: &[bool]) -> Vec<bool> {
-        let suits = |kind: usize| {
-            is_type_suitable(spec, &self.cluster.machine_types()[kind])
-                && !self.must_avoid_scarce_type(spec, Some(kind), scarce)
+    /// For each machine type, whether the job's tasks may be placed on hosts of it. `scarce_types` says of each type
+    /// whether it is scarce.
+    pub(crate) fn usable_types(&self, spec: &JobSpec, scarce_types: &[bool]) -> Vec<bool> {
+        let is_usable = |type_index: usize| {
+            is_type_suitable(spec, &self.cluster.machine_types()[type_index])
+                && !self.must_avoid_scarce_type(spec, Some(type_index), scarce_types)
         };
-        (0..self.cluster.machine_types().len()).map(suits).collect()
+        (0..self.cluster.machine_types().len())
+            .map(is_usable)
+            .collect()
     }
 
-    /// The exception to eligibility: work that fits another type stays off a type that other work
-    /// can't do without, as headroom would otherwise fill the large machines with small tasks.
+    /// Whether the job must not use the type, as the type is scarce and another suitable type is not. Without this rule
+    /// the headroom score would fill the largest hosts with small tasks, and large tasks would find no room.
     pub(crate) fn must_avoid_scarce_type(
         &self,
         spec: &JobSpec,
-        kind: Option<usize>,
-        scarce: &[bool],
+        type_index: Option<usize>,
+        scarce_types: &[bool],
     ) -> bool {
-        let Some(kind) = kind.filter(|k| scarce.get(*k) == Some(&true)) else {
+        let Some(type_index) = type_index.filter(|i| scarce_types.get(*i) == Some(&true)) else {
             return false;
         };
-        // A service takes little and can't wait.
+        // Services are exempt: they take few resources and cannot wait.
         if spec.is_service() {
             return false;
         }
         self.suitable_types(spec)
             .iter()
-            .any(|k| *k != kind && scarce.get(*k) == Some(&false))
+            .any(|index| *index != type_index && scarce_types.get(*index) == Some(&false))
     }
 
-    /// All kinds that suit urgent work, if that is the only way to its deadline: it would be late if
-    /// it waited for another machine of its own kinds, and is in time if it starts now. Work that has
-    /// no other kind keeps what is scarce if it has the same or a higher priority, or has waited
-    /// for too long.
+    /// For each machine type, whether the job's tasks may use it if scarce types are allowed too; `None` if that allows no
+    /// more types. Scarce types are allowed only if the job meets its deadline when it starts now, but not when it waits
+    /// for a new host of a usable type. A scarce type stays denied if it is the only suitable type of another job that
+    /// waits and has the same or a higher priority, or has waited for too long.
     pub(crate) fn overflow_types(
         &self,
         spec: &JobSpec,
-        usable: &[bool],
-        run: f64,
-        due_in: Option<f64>,
+        usable_types: &[bool],
+        run_s: f64,
+        due_in_s: Option<f64>,
     ) -> Option<Vec<bool>> {
-        let due_in = due_in?;
-        let hurried = run <= due_in && self.least_ready(spec, usable) + run > due_in;
-        if !hurried {
+        let due_in_s = due_in_s?;
+        let needs_overflow =
+            run_s <= due_in_s && self.least_ready(spec, usable_types) + run_s > due_in_s;
+        if !needs_overflow {
             return None;
         }
-        // As with late work, which gives way no longer after twice that time.
+        // Twice `starve_after_s`, as in the queue order, where late jobs no longer yield after that time.
         let starve_after_ms = self.policy.tuning.starve_after_s * 2000.0;
-        let outranks = |kind: usize| {
-            let mut others = self
+        let outranks_dependents = |type_index: usize| {
+            let mut waiting_jobs = self
                 .cluster
                 .jobs()
                 .values()
-                .filter(|j| j.waiting_count() > 0);
-            others.all(|j| {
-                let starves =
-                    self.clock.day_ms.saturating_sub(j.submitted_at_ms) as f64 >= starve_after_ms;
-                let other = j.spec.as_ref();
-                other.is_none_or(|o| {
-                    o.priority > spec.priority && !starves || self.suitable_types(o) != [kind]
+                .filter(|job| job.waiting_count() > 0);
+            waiting_jobs.all(|job| {
+                let is_starving =
+                    self.clock.day_ms.saturating_sub(job.submitted_at_ms) as f64 >= starve_after_ms;
+                let other_spec = job.spec.as_ref();
+                other_spec.is_none_or(|other| {
+                    other.priority > spec.priority && !is_starving
+                        || self.suitable_types(other) != [type_index]
                 })
             })
         };
-        let more = |kind: usize| {
-            usable[kind]
-                || is_type_suitable(spec, &self.cluster.machine_types()[kind]) && outranks(kind)
+        let may_use = |type_index: usize| {
+            usable_types[type_index]
+                || is_type_suitable(spec, &self.cluster.machine_types()[type_index])
+                    && outranks_dependents(type_index)
         };
-        let more: Vec<bool> = (0..self.cluster.machine_types().len()).map(more).collect();
-        (more != usable).then_some(more)
+        let overflow_types: Vec<bool> = (0..self.cluster.machine_types().len())
+            .map(may_use)
+            .collect();
+        (overflow_types != usable_types).then_some(overflow_types)
     }
 }
