--- a/src/coordination/scheduling/preemption.rs
+++ b/src/coordination/scheduling/preemption.rs
@@ -1,4 +1,4 @@
-//! Preemption: room for urgent work, made by stopping what loses little by it.
+//! Preemption: makes room for urgent jobs by stopping tasks that lose little run time by it.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -12,164 +12,187 @@
 use crate::protocol::users::{JobSpec, Priority};
 use crate::types::{seconds, HostName, JobId, TaskId, Time};
 
-/// A task is preempted only if it loses no more than this.
-const PREEMPT_LOSS_S: f64 = 4.0;
-/// So it is with work of the lowest priority, which is there to use what idles.
-const IDLE_LOSS_S: f64 = 20.0;
-/// For a service, which is missed at every moment and takes little, more may be lost.
-const SERVICE_LOSS_S: f64 = 120.0;
-/// A task that ends so soon is not worth stopping.
-const SOON_S: f64 = 5.0;
-/// A job that has waited too long has begun once so many of its tasks have run for so long.
-const FEW: u32 = 4;
-const BEGUN_S: f64 = 30.0;
-/// Machines on which room is made at once.
-const MAX_PREEMPTED: usize = 24;
+/// The most run time that a preempted task may lose, unless another of these limits applies.
+const MAX_LOSS_S: f64 = 4.0;
+/// The limit for best-effort tasks, which exist to use otherwise idle capacity.
+const MAX_BEST_EFFORT_LOSS_S: f64 = 20.0;
+/// The limit if the room is for a service, whose outages users notice at once and which takes few resources.
+const MAX_LOSS_FOR_SERVICE_S: f64 = 120.0;
+/// A task that is expected to end within this time is not preempted.
+const ENDS_SOON_S: f64 = 5.0;
+/// A job that was submitted long enough ago to count as starving is protected while none of its tasks is done and at
+/// most this many are allocated.
+const MAX_PROTECTED_TASKS: u32 = 4;
+/// A task of a protected job is not preempted before it has run for this time.
+const PROTECTED_RUN_S: f64 = 30.0;
+/// The most hosts on which one round preempts tasks.
+const MAX_HOSTS_PER_ROUND: usize = 24;
 
-/// How one machine could make room.
-struct Way {
-    /// All that would be stopped is of the lowest priority.
-    idle: bool,
+/// The tasks to stop on one host to make room for a task.
+struct PreemptionPlan {
+    /// Whether all of the tasks are best-effort.
+    only_best_effort: bool,
+    /// Run time that the tasks lose, in CPU-seconds.
     lost: f64,
-    name: HostName,
+    host: HostName,
     tasks: Vec<TaskId>,
 }
 
 impl View<'_> {
-    /// The tasks on the machine whose stopping makes room for one of the job, and the run time that
-    /// is lost by it.
-    fn way_to_room(&self, host: &Host, job: &Job, spec: &JobSpec, now: Time) -> Option<Way> {
-        let kind = self.cluster.machine_types().get(host.type_index?)?;
+    /// Plans which tasks on the host to stop, those that lose least first, to make room for a task of the job; `None` if
+    /// that is not possible, or if there is room already.
+    fn preemption_plan(
+        &self,
+        host: &Host,
+        job: &Job,
+        spec: &JobSpec,
+        now: Time,
+    ) -> Option<PreemptionPlan> {
+        let machine_type = self.cluster.machine_types().get(host.type_index?)?;
         let mut victims: Vec<(f64, TaskId, Resources)> = host
             .allocations
             .iter()
-            .filter_map(|(task, b)| {
-                let lost = self.loss(*task, b, job, spec, now)?;
-                Some((lost, *task, b.resources))
+            .filter_map(|(task, allocation)| {
+                let loss_s = self.preemption_loss_s(*task, allocation, job, spec, now)?;
+                Some((loss_s, *task, allocation.resources))
             })
             .collect();
         victims.sort_by(|a, b| a.0.total_cmp(&b.0));
-        let mut free = capacity(kind).minus(&host.allocated);
-        let mut lost = 0.0;
-        let mut stopped = Vec::new();
-        for (loss, task, need) in victims {
+        let mut free = capacity(machine_type).minus(&host.allocated);
+        let mut lost_cpu_s = 0.0;
+        let mut tasks = Vec::new();
+        for (loss_s, task, resources) in victims {
             if job.task_resources.fits(&free) {
                 break;
             }
-            free.add(&need);
-            lost += loss * need.cpus;
-            stopped.push(task);
+            free.add(&resources);
+            lost_cpu_s += loss_s * resources.cpus;
+            tasks.push(task);
         }
-        let lowest = |task: &TaskId| {
+        let is_best_effort = |task: &TaskId| {
             let job = self.cluster.jobs().get(&task.job);
-            job.is_some_and(|j| j.priority() == Priority::BestEffort)
+            job.is_some_and(|job| job.priority() == Priority::BestEffort)
         };
-        (job.task_resources.fits(&free) && !stopped.is_empty()).then(|| Way {
-            idle: stopped.iter().all(lowest),
-            lost,
-            name: host.name.clone(),
-            tasks: stopped,
+        (job.task_resources.fits(&free) && !tasks.is_empty()).then(|| PreemptionPlan {
+            only_best_effort: tasks.iter().all(is_best_effort),
+            lost: lost_cpu_s,
+            host: host.name.clone(),
+            tasks,
         })
     }
 
-    /// The run time that a task would lose; `None` if it may not, or had better not, be stopped.
-    fn loss(
+    /// The run time in seconds that a task would lose if it were stopped for a task of `preemptor`; `None` if it may not
+    /// be stopped, or if that is not worth it.
+    fn preemption_loss_s(
         &self,
         task: TaskId,
         allocation: &Allocation,
-        for_job: &Job,
-        by: &JobSpec,
+        preemptor: &Job,
+        preemptor_spec: &JobSpec,
         now: Time,
     ) -> Option<f64> {
         let job = self.cluster.jobs().get(&task.job)?;
         let spec = job.spec.as_ref()?;
-        let ran = allocation
+        let run_time_s = allocation
             .started_at
-            .map_or(0.0, |s| now.since(s).as_secs_f64());
-        // One that saves when it is stopped loses the time that takes.
-        let saves = spec.checkpoint_s.0 > 0.0;
-        let lost = if saves { spec.save_s.0.min(ran) } else { ran };
-        let may = self.may_preempt(job, for_job) && allocation.stop_reason.is_none();
-        // The first tasks of a job that has waited too long are to have begun for good.
+            .map_or(0.0, |started_at| now.since(started_at).as_secs_f64());
+        // A task that saves its progress when it is stopped loses only the time that saving takes.
+        let saves_progress = spec.checkpoint_s.0 > 0.0;
+        let loss_s = if saves_progress {
+            spec.save_s.0.min(run_time_s)
+        } else {
+            run_time_s
+        };
+        let is_allowed = self.may_preempt(job, preemptor) && allocation.stop_reason.is_none();
+        // The first tasks of a job that was starving have to stay, or it would starve again.
         let starve_after = seconds(self.policy.tuning.starve_after_s);
         let waited = Duration::from_millis(self.clock.day_ms.saturating_sub(job.submitted_at_ms));
-        let young = ran < BEGUN_S && job.done_count == 0 && job.allocated_count <= FEW;
-        if waited >= starve_after && young {
+        let has_just_begun = run_time_s < PROTECTED_RUN_S
+            && job.done_count == 0
+            && job.allocated_count <= MAX_PROTECTED_TASKS;
+        if waited >= starve_after && has_just_begun {
             return None;
         }
-        // What ends by itself that soon makes room without being stopped.
-        let ends = self
+        // A task that ends soon makes room without being stopped.
+        let ends_soon = self
             .run_times
             .expected_remaining_s(job, allocation.started_at, now)
-            < SOON_S;
-        let most = if self.serves_guarantee(job, for_job) {
-            // A guarantee holds whatever it costs those who borrow.
+            < ENDS_SOON_S;
+        let max_loss_s = if self.serves_guarantee(job, preemptor) {
+            // A team's guarantee holds regardless of what borrowed work loses.
             f64::INFINITY
-        } else if by.is_service() {
-            SERVICE_LOSS_S
+        } else if preemptor_spec.is_service() {
+            MAX_LOSS_FOR_SERVICE_S
         } else if spec.priority == Priority::BestEffort {
-            IDLE_LOSS_S
+            MAX_BEST_EFFORT_LOSS_S
         } else {
-            PREEMPT_LOSS_S
+            MAX_LOSS_S
         };
-        (may && !ends && lost <= most).then_some(lost)
+        (is_allowed && !ends_soon && loss_s <= max_loss_s).then_some(loss_s)
     }
 }
 
 impl Leader {
-    /// Makes room for a job of higher priority by stopping tasks of lower priority that lose little by
-    /// it. The next pass sees what came of it.
-    pub(crate) fn preempt_for(&mut self, id: JobId, spec: &JobSpec, usable: &[bool], now: Time) {
-        let under_way = |h: &Host| {
-            let mut allocations = h.allocations.values();
-            allocations.any(|b| b.stop_reason == Some(StopReason::Preempted))
+    /// Makes room for tasks of the job by stopping tasks that may be preempted and lose little by it. `usable_types` says
+    /// of each machine type whether the job may use it. A later placement pass uses the room once the tasks have ended.
+    pub(crate) fn preempt_for(
+        &mut self,
+        id: JobId,
+        spec: &JobSpec,
+        usable_types: &[bool],
+        now: Time,
+    ) {
+        let has_preempted_task = |host: &Host| {
+            let mut allocations = host.allocations.values();
+            allocations.any(|a| a.stop_reason == Some(StopReason::Preempted))
         };
-        let lowest = spec.priority == Priority::BestEffort;
-        if spec.same_zone || spec.spread || lowest || !self.scheduler.begin_preemption(now) {
+        let best_effort = spec.priority == Priority::BestEffort;
+        if spec.same_zone || spec.spread || best_effort || !self.scheduler.begin_preemption(now) {
             return;
         }
-        if self.cluster.hosts().values().any(under_way) {
+        // The previous round is still in progress.
+        if self.cluster.hosts().values().any(has_preempted_task) {
             return;
         }
         let Some(job) = self.cluster.job(id) else {
             return;
         };
-        let room = self
+        let task_limit = self
             .view()
             .team_room(job)
             .min(u64::from(job.schedulable_count()));
-        let most = (room as usize).min(MAX_PREEMPTED);
-        let mut ways: Vec<Way> = Vec::new();
+        let limit = (task_limit as usize).min(MAX_HOSTS_PER_ROUND);
+        let mut plans: Vec<PreemptionPlan> = Vec::new();
         for host in self.cluster.hosts().values() {
             let suits = host
                 .type_index
-                .is_some_and(|k| usable.get(k) == Some(&true));
-            let open = suits && self.view().accepts_tasks(host, now) && (spec.spot || !host.spot);
-            if open && is_zone_allowed(spec, &host.zone, &BTreeMap::new()) {
-                ways.extend(self.view().way_to_room(host, job, spec, now));
+                .is_some_and(|index| usable_types.get(index) == Some(&true));
+            let usable = suits && self.view().accepts_tasks(host, now) && (spec.spot || !host.spot);
+            if usable && is_zone_allowed(spec, &host.zone, &BTreeMap::new()) {
+                plans.extend(self.view().preemption_plan(host, job, spec, now));
             }
         }
-        ways.sort_by(|a, b| {
-            a.idle
-                .cmp(&b.idle)
+        plans.sort_by(|a, b| {
+            a.only_best_effort
+                .cmp(&b.only_best_effort)
                 .reverse()
                 .then(a.lost.total_cmp(&b.lost))
         });
-        // Only what is there to use what idles makes room on many machines at once: the others' tasks
-        // have just begun, and their images were fetched for nothing.
-        let idle = ways.iter().filter(|w| w.idle).count();
-        let many = if spec.is_service() { most } else { idle };
-        let many = many.min(most).max(1);
-        for way in ways.into_iter().take(many) {
-            let Way {
-                lost, name, tasks, ..
-            } = way;
+        // Unless the room is for a service, only best-effort tasks are stopped on several hosts at once: other tasks that
+        // may be stopped have only just started, and the fetch of their images would be wasted.
+        let preferred = plans.iter().filter(|p| p.only_best_effort).count();
+        let host_count = if spec.is_service() { limit } else { preferred };
+        let host_count = host_count.min(limit).max(1);
+        for plan in plans.into_iter().take(host_count) {
+            let PreemptionPlan {
+                lost, host, tasks, ..
+            } = plan;
             tracing::debug!(
-                "{id}: {} tasks on {name} make room, {lost} s lost",
+                "{id}: preempting {} tasks on {host}, losing {lost} CPU-seconds",
                 tasks.len()
             );
             for task in tasks {
-                self.stop_task(&name, task, StopReason::Preempted, now);
+                self.stop_task(&host, task, StopReason::Preempted, now);
             }
         }
     }
