--- a/tests/placement.rs
+++ b/tests/placement.rs
@@ -1,6 +1,5 @@
-//! The index that a pass keeps of open machines must choose what the design's plain rule chooses:
-//! among the eligible machines one without a sibling task first, then the highest score, then the
-//! first name.
+//! Guards the candidate index of a placement pass: it has to choose the same host as a full scan of all hosts, which
+//! prefers a host without a sibling, that is another task of the job, then the highest score, then the first name.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -18,12 +17,12 @@
 
 const TERM: Term = Term(3);
 
-fn types() -> Vec<MachineType> {
-    let kind = |name: &str, cpus: f64, memory: f64| MachineType {
+fn machine_types() -> Vec<MachineType> {
+    let machine_type = |name: &str, cpus: f64, memory_gb: f64| MachineType {
         name: name.into(),
         cpus: Amount(cpus),
         gpus: Amount(0.0),
-        memory_gb: Amount(memory),
+        memory_gb: Amount(memory_gb),
         cache_gb: Amount(50.0),
         fetch_gb_per_s: Amount(1.0),
         on_demand_price: Amount(cpus),
@@ -32,21 +31,21 @@
         zones: vec!["a".into(), "b".into()],
     };
     vec![
-        kind("small", 4.0, 16.0),
-        kind("wide", 16.0, 32.0),
-        kind("deep", 8.0, 128.0),
+        machine_type("small", 4.0, 16.0),
+        machine_type("wide", 16.0, 32.0),
+        machine_type("deep", 8.0, 128.0),
     ]
 }
 
-/// What the test knows of a machine, apart from the controller.
-struct Model {
-    kind: usize,
+/// A host as the test knows it, independent of the leader.
+struct HostModel {
+    type_index: usize,
     zone: &'static str,
-    spot: bool,
-    used: Resources,
+    is_spot: bool,
+    allocated: Resources,
 }
 
-fn rules() -> Policy {
+fn policy() -> Policy {
     Policy {
         report: Duration::from_secs(3),
         lease: Duration::from_secs(16),
@@ -72,7 +71,7 @@
     }
 }
 
-fn spec(id: JobId, random: &mut fastrand::Rng) -> JobSpec {
+fn random_spec(id: JobId, random: &mut fastrand::Rng) -> JobSpec {
     JobSpec {
         id,
         class: "work".into(),
@@ -99,109 +98,121 @@
     }
 }
 
-/// The plain scan over all machines, written down as the design says it.
-fn plain(
+/// Chooses a host by a full scan of all hosts.
+fn choose_by_full_scan(
     spec: &JobSpec,
-    types: &[MachineType],
-    machines: &BTreeMap<HostName, Model>,
-    siblings: &BTreeSet<HostName>,
+    machine_types: &[MachineType],
+    hosts: &BTreeMap<HostName, HostModel>,
+    hosts_with_siblings: &BTreeSet<HostName>,
 ) -> Option<HostName> {
-    let need = Resources {
+    let task_resources = Resources {
         cpus: spec.cpus.0,
         gpus: 0.0,
         memory_gb: spec.memory_gb.0,
     };
     let mut best: Option<(bool, f64, &HostName)> = None;
-    for (name, m) in machines {
-        let whole = capacity(&types[m.kind]);
-        let in_zone = spec.zone.as_ref().is_none_or(|z| z == m.zone);
-        if !need.fits(&whole.minus(&m.used)) || !in_zone || (m.spot && !spec.spot) {
+    for (name, host) in hosts {
+        let host_capacity = capacity(&machine_types[host.type_index]);
+        let is_in_zone = spec.zone.as_ref().is_none_or(|zone| zone == host.zone);
+        if !task_resources.fits(&host_capacity.minus(&host.allocated))
+            || !is_in_zone
+            || (host.is_spot && !spec.spot)
+        {
             continue;
         }
-        let alone = !siblings.contains(name);
-        let score = headroom_score(&whole, &m.used, false);
-        if best.is_none_or(|(a, s, _)| (alone, score) > (a, s)) {
-            best = Some((alone, score, name));
+        let has_no_sibling = !hosts_with_siblings.contains(name);
+        let score = headroom_score(&host_capacity, &host.allocated, false);
+        if best.is_none_or(|(a, s, _)| (has_no_sibling, score) > (a, s)) {
+            best = Some((has_no_sibling, score, name));
         }
     }
     best.map(|(_, _, name)| name.clone())
 }
 
 #[test]
-fn the_index_chooses_what_a_plain_scan_chooses() {
-    let mut placed = 0;
+fn a_pass_chooses_the_same_hosts_as_a_full_scan() {
+    let mut placed_count = 0;
     for seed in 0..40 {
         let mut random = fastrand::Rng::with_seed(seed);
-        let mut c = Leader::new(TERM, Version(1), rules(), types(), Time(0));
-        c.on_loaded(Time(0));
-        c.tick(Time(5000), 5000);
-        let mut machines = BTreeMap::new();
+        let mut leader = Leader::new(TERM, Version(1), policy(), machine_types(), Time(0));
+        leader.on_loaded(Time(0));
+        leader.tick(Time(5000), 5000);
+        let mut hosts = BTreeMap::new();
         for number in 0..random.u32(1..60) {
             let name = HostName::new(&format!("vm-{number:04}"));
-            let kind = random.usize(0..3);
-            let model = Model {
-                kind,
+            let type_index = random.usize(0..3);
+            let model = HostModel {
+                type_index,
                 zone: if random.bool() { "a" } else { "b" },
-                spot: random.bool(),
-                used: Resources::default(),
+                is_spot: random.bool(),
+                allocated: Resources::default(),
             };
-            let report = WorkerHeartbeat {
+            let heartbeat = WorkerHeartbeat {
                 host: name.clone(),
                 address: "127.0.0.1:9000".into(),
-                machine_type: types()[kind].name.clone(),
+                machine_type: machine_types()[type_index].name.clone(),
                 zone: model.zone.into(),
-                spot: model.spot,
+                spot: model.is_spot,
                 incarnation: Incarnation(1),
                 sequence: SequenceNumber(1),
                 fencing_token: TERM,
                 notice_s: None,
                 tasks: Vec::new(),
             };
-            c.on_heartbeat(&report, Time(5000)).expect("our own term");
-            machines.insert(name, model);
+            leader
+                .on_heartbeat(&heartbeat, Time(5000))
+                .expect("the heartbeat has the term of the leader");
+            hosts.insert(name, model);
         }
-        // Each job fits at least two types, and all are placed in one pass, so that the exceptions for
-        // scarce types and surplus machines stay out of it.
+        // Each job fits at least two types, and all jobs are placed in one pass, so that no type is scarce and no host is
+        // cordoned as surplus.
         let mut records = Vec::new();
         for number in 0..8 {
             let id = JobId(number);
             let record = JobRecord {
-                spec: spec(id, &mut random),
+                spec: random_spec(id, &mut random),
                 submitted_at_ms: 5000,
                 tasks_per_record: 16,
             };
-            c.on_job(record.clone(), Version(10 + number));
+            leader.on_job(record.clone(), Version(10 + number));
             records.push(record);
         }
-        c.set_lease_valid_until(Time(u64::MAX));
-        c.tick(Time(5000), 5000);
+        leader.set_lease_valid_until(Time(u64::MAX));
+        leader.tick(Time(5000), 5000);
         for record in records {
             let id = record.spec.id;
-            let mut siblings = BTreeSet::new();
+            let mut hosts_with_siblings = BTreeSet::new();
             for index in 0..record.spec.tasks {
-                let expected = plain(&record.spec, &types(), &machines, &siblings);
+                let expected_host = choose_by_full_scan(
+                    &record.spec,
+                    &machine_types(),
+                    &hosts,
+                    &hosts_with_siblings,
+                );
                 let task = lichencrank::types::TaskId {
                     job: id,
                     index: index as u32,
                 };
-                let chosen = c
+                let chosen_host = leader
                     .cluster()
                     .hosts()
                     .values()
-                    .find(|h| h.allocations.contains_key(&task));
-                let chosen = chosen.map(|h| h.name.clone());
-                assert_eq!(chosen, expected, "seed {seed}, {task}");
-                let Some(name) = chosen else { break };
-                let model = machines.get_mut(&name).expect("a machine of the test");
-                model.used.add(&Resources {
+                    .find(|host| host.allocations.contains_key(&task));
+                let chosen_host = chosen_host.map(|host| host.name.clone());
+                assert_eq!(chosen_host, expected_host, "seed {seed}, {task}");
+                let Some(name) = chosen_host else { break };
+                let model = hosts
+                    .get_mut(&name)
+                    .expect("the host was added by the test");
+                model.allocated.add(&Resources {
                     cpus: record.spec.cpus.0,
                     gpus: 0.0,
                     memory_gb: record.spec.memory_gb.0,
                 });
-                siblings.insert(name);
-                placed += 1;
+                hosts_with_siblings.insert(name);
+                placed_count += 1;
             }
         }
     }
-    assert!(placed > 500, "only {placed} tasks were placed");
+    assert!(placed_count > 500, "only {placed_count} tasks were placed");
 }
--- a/tests/zones_leader.rs
+++ b/tests/zones_leader.rs
@@ -1,5 +1,5 @@
-//! What the leader decides while a zone is lost: who is given up first, what waits for proof, where
-//! nothing is rented, and what the next leader continues with.
+//! The leader's decisions while a zone is lost: which hosts are released first, when their tasks are placed again, where
+//! nothing is provisioned, and what the next leader reads from the record.
 
 use lichencrank::coordination::cluster::host::HostLifecycle;
 use lichencrank::coordination::{Action, Leader, Policy};
@@ -26,10 +26,10 @@
         "cloud": {"rps": 10.0}, "resources": {"sockets": 500}
     }
 }"#;
-/// Machines of a zone.
-const MACHINES: u64 = 8;
+/// The number of hosts in each zone.
+const HOSTS_PER_ZONE: u64 = 8;
 
-fn kind() -> MachineType {
+fn machine_type() -> MachineType {
     MachineType {
         name: "c8".into(),
         cpus: Amount(8.0),
@@ -44,7 +44,7 @@
     }
 }
 
-fn job(number: u64, priority: Priority, zone: Option<&str>) -> JobRecord {
+fn job_record(number: u64, priority: Priority, zone: Option<&str>) -> JobRecord {
     JobRecord {
         spec: JobSpec {
             id: JobId(number),
@@ -73,152 +73,165 @@
     }
 }
 
-fn name(zone: &str, number: u64) -> HostName {
+fn host_name(zone: &str, number: u64) -> HostName {
     HostName::new(&format!("vm-{zone}-{number:04}"))
 }
 
-struct SimulatedLeader {
-    controller: Leader,
+/// A leader with simulated hosts and a simulated store.
+struct LeaderSimulation {
+    leader: Leader,
     now: Time,
-    tick: u64,
-    revision: u64,
-    /// Zones that are cut off.
-    cut: Vec<&'static str>,
-    /// Zones of which the leader reaches no controller.
-    without_peer: Vec<String>,
-    rented_in: Vec<String>,
-    released: Vec<HostName>,
+    heartbeat_sequence: u64,
+    store_version: u64,
+    /// Partitioned zones: no heartbeat from there arrives.
+    partitioned_zones: Vec<&'static str>,
+    /// Zones in which the leader reaches no controller.
+    zones_without_peer: Vec<String>,
+    /// The zone of each provisioning request.
+    provisioned_zones: Vec<String>,
+    released_hosts: Vec<HostName>,
 }
 
-impl SimulatedLeader {
-    fn new(features: &str) -> SimulatedLeader {
-        let settings = Settings::parse(SETTINGS).expect("the settings here");
-        let features = Features::parse(features).expect("the features here");
+impl LeaderSimulation {
+    fn new(features: &str) -> LeaderSimulation {
+        let settings = Settings::parse(SETTINGS).expect("the settings of the test are valid");
+        let features = Features::parse(features).expect("the features of the test are valid");
         let tuning = Tuning {
             idle_return_s: 86_400.0,
             ..Tuning::default()
         };
-        let rules = Policy::new(&settings.settings, &tuning, &features);
-        let mut controller = Leader::new(TERM, Version(1), rules, vec![kind()], Time(0));
-        controller.set_lease_valid_until(Time(u64::MAX));
-        controller.on_zones_record_read(None, Time(0));
-        controller.on_loaded(Time(0));
-        let mut leader = SimulatedLeader {
-            controller,
+        let policy = Policy::new(&settings.settings, &tuning, &features);
+        let mut leader = Leader::new(TERM, Version(1), policy, vec![machine_type()], Time(0));
+        leader.set_lease_valid_until(Time(u64::MAX));
+        leader.on_zones_record_read(None, Time(0));
+        leader.on_loaded(Time(0));
+        let mut simulation = LeaderSimulation {
+            leader,
             now: Time(0),
-            tick: 0,
-            revision: 10,
-            cut: Vec::new(),
-            without_peer: Vec::new(),
-            rented_in: Vec::new(),
-            released: Vec::new(),
+            heartbeat_sequence: 0,
+            store_version: 10,
+            partitioned_zones: Vec::new(),
+            zones_without_peer: Vec::new(),
+            provisioned_zones: Vec::new(),
+            released_hosts: Vec::new(),
         };
-        leader.pass(9);
-        leader
+        simulation.advance(9);
+        simulation
     }
 
-    /// So many seconds pass; machines that are not cut off report every three.
-    fn pass(&mut self, seconds: u64) {
+    /// Advances the time by that many seconds. Hosts outside of partitioned zones send a heartbeat every three seconds.
+    fn advance(&mut self, seconds: u64) {
         for _ in 0..seconds {
             self.now = Time(self.now.0 + 1000);
             if self.now.0 % 3000 == 0 {
-                self.reports();
+                self.send_heartbeats();
             }
             let reach = |zone: &str| {
-                if self.cut.contains(&zone) {
+                if self.partitioned_zones.contains(&zone) {
                     ControllerReach::Unreachable
                 } else {
                     ControllerReach::Reachable
                 }
             };
-            let controllers = ["a", "b"].map(|zone| (zone.to_owned(), reach(zone)));
-            let without_peer = self.without_peer.clone();
-            self.controller
-                .set_controller_reach(without_peer, controllers.into());
-            self.controller.tick(self.now, self.now.0);
-            self.write();
-            self.act();
+            let reach_by_zone = ["a", "b"].map(|zone| (zone.to_owned(), reach(zone)));
+            let zones_without_peer = self.zones_without_peer.clone();
+            self.leader
+                .set_controller_reach(zones_without_peer, reach_by_zone.into());
+            self.leader.tick(self.now, self.now.0);
+            self.commit_batches();
+            self.record_actions();
         }
     }
 
-    fn reports(&mut self) {
-        self.tick += 1;
-        let cut = self.cut.clone();
-        for zone in ["a", "b"].into_iter().filter(|z| !cut.contains(z)) {
-            for number in 0..MACHINES {
-                let host = name(zone, number);
-                if !self.released.contains(&host) {
-                    self.report(zone, host);
+    fn send_heartbeats(&mut self) {
+        self.heartbeat_sequence += 1;
+        let partitioned_zones = self.partitioned_zones.clone();
+        for zone in ["a", "b"]
+            .into_iter()
+            .filter(|zone| !partitioned_zones.contains(zone))
+        {
+            for number in 0..HOSTS_PER_ZONE {
+                let host = host_name(zone, number);
+                if !self.released_hosts.contains(&host) {
+                    self.send_heartbeat(zone, host);
                 }
             }
         }
     }
 
-    fn report(&mut self, zone: &str, host: HostName) {
-        let booked = self.controller.cluster().hosts().get(&host);
-        let bookings = booked.into_iter().flat_map(|h| h.allocations.iter());
-        let tasks = bookings.map(|(task, booking)| AttemptStatus {
+    fn send_heartbeat(&mut self, zone: &str, host: HostName) {
+        let known_host = self.leader.cluster().hosts().get(&host);
+        let allocations = known_host
+            .into_iter()
+            .flat_map(|host| host.allocations.iter());
+        let attempts = allocations.map(|(task, allocation)| AttemptStatus {
             task: *task,
-            attempt: booking.attempt,
+            attempt: allocation.attempt,
             state: AttemptState::Running,
             end_reason: None,
         });
-        let report = WorkerHeartbeat {
+        let heartbeat = WorkerHeartbeat {
             host,
             address: "127.0.0.1:9000".into(),
             machine_type: "c8".into(),
             zone: zone.into(),
             spot: true,
             incarnation: Incarnation(1),
-            sequence: SequenceNumber(self.tick),
+            sequence: SequenceNumber(self.heartbeat_sequence),
             fencing_token: TERM,
             notice_s: None,
-            tasks: tasks.collect(),
+            tasks: attempts.collect(),
         };
-        self.controller
-            .on_heartbeat(&report, self.now)
-            .expect("its term");
+        self.leader
+            .on_heartbeat(&heartbeat, self.now)
+            .expect("the leader still leads");
     }
 
-    fn write(&mut self) {
-        while let Some(txn) = self.controller.next_batch(16, true) {
+    fn commit_batches(&mut self) {
+        while let Some(txn) = self.leader.next_batch(16, true) {
             assert!(!txn.conditions.is_empty());
-            self.revision += 1;
-            let outcome = Outcome::Committed(Version(self.revision));
-            self.controller
+            self.store_version += 1;
+            let outcome = Outcome::Committed(Version(self.store_version));
+            self.leader
                 .on_batch_outcome(outcome, self.now)
-                .expect("its term");
+                .expect("the leader still leads");
         }
     }
 
-    fn act(&mut self) {
-        for action in self.controller.take_actions() {
+    fn record_actions(&mut self) {
+        for action in self.leader.take_actions() {
             match action {
-                Action::ScaleOut(rental) => self.rented_in.push(rental.zone),
-                Action::ScaleIn(hosts) => self.released.extend(hosts),
+                Action::ScaleOut(request) => self.provisioned_zones.push(request.zone),
+                Action::ScaleIn(hosts) => self.released_hosts.extend(hosts),
                 Action::ForceRelease(_) | Action::SendCommands { .. } => {}
             }
         }
     }
 
     fn submit(&mut self, number: u64, priority: Priority, zone: Option<&str>) {
-        self.revision += 1;
-        self.controller
-            .on_job(job(number, priority, zone), Version(self.revision));
+        self.store_version += 1;
+        self.leader.on_job(
+            job_record(number, priority, zone),
+            Version(self.store_version),
+        );
     }
 
-    fn waiting(&self, number: u64) -> u32 {
-        self.controller.cluster().jobs()[&JobId(number)].waiting_count()
+    fn waiting_task_count(&self, number: u64) -> u32 {
+        self.leader.cluster().jobs()[&JobId(number)].waiting_count()
     }
 
     fn host_of(&self, number: u64) -> HostName {
-        let job = &self.controller.cluster().jobs()[&JobId(number)];
-        job.allocated_hosts().next().expect("booked").clone()
+        let job = &self.leader.cluster().jobs()[&JobId(number)];
+        job.allocated_hosts()
+            .next()
+            .expect("the task is allocated")
+            .clone()
     }
 
-    fn fill_zone_b(&mut self) {
-        for number in 1..=MACHINES {
-            // Every other job is urgent.
+    /// Fills both zones with jobs: those with the numbers from 1 to [`HOSTS_PER_ZONE`] run in zone b.
+    fn fill_zones(&mut self) {
+        for number in 1..=HOSTS_PER_ZONE {
+            // Every second job in zone b is urgent.
             let priority = if number % 2 == 0 {
                 Priority::High
             } else {
@@ -227,131 +240,173 @@
             self.submit(number, priority, Some("b"));
             self.submit(50 + number, Priority::Normal, Some("a"));
         }
-        self.pass(6);
-        assert!((1..=MACHINES).all(|number| self.waiting(number) == 0));
+        self.advance(6);
+        assert!((1..=HOSTS_PER_ZONE).all(|number| self.waiting_task_count(number) == 0));
     }
 }
 
-const ON: &str = "zones: {enabled: true}";
+/// The features with zone tracking enabled.
+const ZONES_ENABLED: &str = "zones: {enabled: true}";
 
-/// The budget of eight machines is two at once and six a minute: urgent machines take all of it first.
+/// The displacement budget of a zone with eight hosts is two hosts at once and six per minute. Hosts with urgent tasks use
+/// it first, as their tasks lose most by waiting.
 #[test]
-fn urgent_work_is_given_up_first_and_within_the_budget() {
-    let mut leader = SimulatedLeader::new(ON);
-    leader.fill_zone_b();
-    leader.cut.push("b");
-    leader.pass(46);
-    let urgent: Vec<HostName> = [2, 4, 6, 8].map(|n| leader.host_of(n)).into();
-    assert_eq!(leader.released.len(), 2, "{:?}", leader.released);
-    assert!(leader.released.iter().all(|host| urgent.contains(host)));
-    leader.pass(20);
-    assert_eq!(leader.released.len(), 4, "{:?}", leader.released);
-    assert!(leader.released.iter().all(|host| urgent.contains(host)));
-    // A zone that never returns is emptied at that rate.
-    leader.pass(60);
-    assert_eq!(leader.released.len(), MACHINES as usize);
+fn hosts_with_urgent_tasks_are_released_first_and_within_the_budget() {
+    let mut simulation = LeaderSimulation::new(ZONES_ENABLED);
+    simulation.fill_zones();
+    simulation.partitioned_zones.push("b");
+    simulation.advance(46);
+    let urgent_hosts: Vec<HostName> = [2, 4, 6, 8].map(|n| simulation.host_of(n)).into();
+    assert_eq!(
+        simulation.released_hosts.len(),
+        2,
+        "{:?}",
+        simulation.released_hosts
+    );
+    assert!(simulation
+        .released_hosts
+        .iter()
+        .all(|host| urgent_hosts.contains(host)));
+    simulation.advance(20);
+    assert_eq!(
+        simulation.released_hosts.len(),
+        4,
+        "{:?}",
+        simulation.released_hosts
+    );
+    assert!(simulation
+        .released_hosts
+        .iter()
+        .all(|host| urgent_hosts.contains(host)));
+    // All hosts of a zone that does not return are released at the rate of the budget.
+    simulation.advance(60);
+    assert_eq!(simulation.released_hosts.len(), HOSTS_PER_ZONE as usize);
 }
 
-/// Without the feature all go in one pass, as before.
+/// Without zone tracking all hosts of a partitioned zone are released at once after three leases.
 #[test]
-fn without_the_feature_all_are_given_up_after_three_leases() {
-    let mut leader = SimulatedLeader::new("");
-    leader.fill_zone_b();
-    leader.cut.push("b");
-    leader.pass(46);
-    assert_eq!(leader.released.len(), 0);
-    leader.pass(6);
-    assert_eq!(leader.released.len(), MACHINES as usize);
+fn without_zone_tracking_all_hosts_are_released_after_three_leases() {
+    let mut simulation = LeaderSimulation::new("");
+    simulation.fill_zones();
+    simulation.partitioned_zones.push("b");
+    simulation.advance(46);
+    assert_eq!(simulation.released_hosts.len(), 0);
+    simulation.advance(6);
+    assert_eq!(simulation.released_hosts.len(), HOSTS_PER_ZONE as usize);
 }
 
-/// A booking ends by proof: the task waits until the cloud has confirmed that its machine is gone.
+/// An allocation ends only when that is proven: a task is placed again only after the cloud has confirmed the release of
+/// its host. Otherwise two attempts at it could run at the same time.
 #[test]
-fn displaced_work_waits_for_the_release_of_its_machine() {
-    let mut leader = SimulatedLeader::new(ON);
-    leader.fill_zone_b();
-    leader.cut.push("b");
-    leader.pass(46);
-    let released = leader.released.clone();
-    let displaced: Vec<u64> = (1..=MACHINES)
-        .filter(|number| released.contains(&leader.host_of(*number)))
+fn displaced_tasks_wait_for_the_confirmed_release_of_their_host() {
+    let mut simulation = LeaderSimulation::new(ZONES_ENABLED);
+    simulation.fill_zones();
+    simulation.partitioned_zones.push("b");
+    simulation.advance(46);
+    let released_hosts = simulation.released_hosts.clone();
+    let displaced_jobs: Vec<u64> = (1..=HOSTS_PER_ZONE)
+        .filter(|number| released_hosts.contains(&simulation.host_of(*number)))
         .collect();
-    assert_eq!(displaced.len(), 2);
-    assert!(displaced.iter().all(|number| leader.waiting(*number) == 0));
-    leader
-        .controller
-        .on_release_result(&released, false, leader.now);
-    assert!(displaced.iter().all(|number| leader.waiting(*number) == 0));
-    leader
-        .controller
-        .on_release_result(&released, true, leader.now);
-    assert!(displaced.iter().all(|number| leader.waiting(*number) == 1));
+    assert_eq!(displaced_jobs.len(), 2);
+    assert!(displaced_jobs
+        .iter()
+        .all(|number| simulation.waiting_task_count(*number) == 0));
+    simulation
+        .leader
+        .on_release_result(&released_hosts, false, simulation.now);
+    assert!(displaced_jobs
+        .iter()
+        .all(|number| simulation.waiting_task_count(*number) == 0));
+    simulation
+        .leader
+        .on_release_result(&released_hosts, true, simulation.now);
+    assert!(displaced_jobs
+        .iter()
+        .all(|number| simulation.waiting_task_count(*number) == 1));
 }
 
-/// What is heard again before it was released keeps its tasks; the rest of the zone is not given up.
+/// A host whose heartbeats arrive again before it was released stays and keeps its tasks.
 #[test]
-fn machines_that_are_heard_again_keep_their_tasks() {
-    let mut leader = SimulatedLeader::new(ON);
-    leader.fill_zone_b();
-    leader.cut.push("b");
-    leader.pass(46);
-    let released = leader.released.len();
-    leader.cut.clear();
-    leader.pass(60);
-    assert_eq!(leader.released.len(), released);
-    let hosts = leader.controller.cluster().hosts().values();
-    let up = hosts.filter(|h| h.zone == "b" && h.lifecycle == HostLifecycle::Up);
-    assert_eq!(up.count(), MACHINES as usize - released);
+fn hosts_whose_heartbeats_return_keep_their_tasks() {
+    let mut simulation = LeaderSimulation::new(ZONES_ENABLED);
+    simulation.fill_zones();
+    simulation.partitioned_zones.push("b");
+    simulation.advance(46);
+    let released_count = simulation.released_hosts.len();
+    simulation.partitioned_zones.clear();
+    simulation.advance(60);
+    assert_eq!(simulation.released_hosts.len(), released_count);
+    let hosts = simulation.leader.cluster().hosts().values();
+    let up_in_zone_b = hosts.filter(|h| h.zone == "b" && h.lifecycle == HostLifecycle::Up);
+    assert_eq!(
+        up_in_zone_b.count(),
+        HOSTS_PER_ZONE as usize - released_count
+    );
 }
 
 #[test]
 fn nothing_is_rented_in_a_lost_zone() {
-    let mut leader = SimulatedLeader::new(ON);
-    leader.fill_zone_b();
-    leader.cut.push("b");
-    leader.pass(14);
+    let mut simulation = LeaderSimulation::new(ZONES_ENABLED);
+    simulation.fill_zones();
+    simulation.partitioned_zones.push("b");
+    simulation.advance(14);
     for number in 100..130 {
-        leader.submit(number, Priority::High, None);
+        simulation.submit(number, Priority::High, None);
     }
-    leader.pass(10);
-    assert!(!leader.rented_in.is_empty());
-    assert!(leader.rented_in.iter().all(|zone| zone == "a"));
+    simulation.advance(10);
+    assert!(!simulation.provisioned_zones.is_empty());
+    assert!(simulation.provisioned_zones.iter().all(|zone| zone == "a"));
 }
 
 #[test]
-fn the_next_leader_reads_what_this_one_recorded() {
-    let mut leader = SimulatedLeader::new(ON);
-    leader.fill_zone_b();
-    assert!(leader.controller.next_zones_record(leader.now).is_none());
-    leader.cut.push("b");
-    leader.pass(14);
-    let record = leader.controller.next_zones_record(leader.now);
-    let record: ZonesRecord = record.expect("a change of state");
-    let lost = |zone: &&lichencrank_zones::record::ZoneRecord| zone.state == ZoneState::Lost;
-    assert_eq!(record.zones.iter().filter(lost).count(), 1);
-    // A write without an answer is made again, a confirmed one is not.
-    leader.controller.on_zones_record_written(false, leader.now);
-    leader.pass(2);
-    assert!(leader.controller.next_zones_record(leader.now).is_some());
-    leader.controller.on_zones_record_written(true, leader.now);
-    leader.pass(2);
-    assert!(leader.controller.next_zones_record(leader.now).is_none());
-    let mut next = SimulatedLeader::new(ON);
-    next.cut.push("b");
-    next.controller
-        .on_zones_record_read(Some(&record), next.now);
-    assert!(next.controller.tracks_zones());
+fn the_zones_record_is_written_on_changes_and_read_by_the_next_leader() {
+    let mut simulation = LeaderSimulation::new(ZONES_ENABLED);
+    simulation.fill_zones();
+    assert!(simulation
+        .leader
+        .next_zones_record(simulation.now)
+        .is_none());
+    simulation.partitioned_zones.push("b");
+    simulation.advance(14);
+    let record = simulation.leader.next_zones_record(simulation.now);
+    let record: ZonesRecord = record.expect("a zone changed its state");
+    let is_lost = |zone: &&lichencrank_zones::record::ZoneRecord| zone.state == ZoneState::Lost;
+    assert_eq!(record.zones.iter().filter(is_lost).count(), 1);
+    // A write that is not known to have been committed is repeated; a committed one is not.
+    simulation
+        .leader
+        .on_zones_record_written(false, simulation.now);
+    simulation.advance(2);
+    assert!(simulation
+        .leader
+        .next_zones_record(simulation.now)
+        .is_some());
+    simulation
+        .leader
+        .on_zones_record_written(true, simulation.now);
+    simulation.advance(2);
+    assert!(simulation
+        .leader
+        .next_zones_record(simulation.now)
+        .is_none());
+    let mut next_simulation = LeaderSimulation::new(ZONES_ENABLED);
+    next_simulation.partitioned_zones.push("b");
+    next_simulation
+        .leader
+        .on_zones_record_read(Some(&record), next_simulation.now);
+    assert!(next_simulation.leader.tracks_zones());
 }
 
-/// Machines that the cloud calls running can't report from a cut zone, least of all to a new leader: that
-/// they have not done so does not mean that they never booted.
+/// Hosts in a partitioned zone cannot send heartbeats to a new leader, even if the cloud lists them as running. The leader
+/// must not conclude that they never booted, and release them early.
 #[test]
 fn a_new_leader_does_not_take_machines_of_a_cut_zone_for_unbooted() {
-    let mut leader = SimulatedLeader::new("");
-    leader.cut.push("b");
-    leader.without_peer.push("b".to_owned());
-    let unheard = name("b", 99);
+    let mut simulation = LeaderSimulation::new("");
+    simulation.partitioned_zones.push("b");
+    simulation.zones_without_peer.push("b".to_owned());
+    let silent_host = host_name("b", 99);
     let listed = ListedHost {
-        name: unheard.clone(),
+        name: silent_host.clone(),
         address: "127.0.0.1:9000".into(),
         machine_type: "c8".into(),
         zone: "b".into(),
@@ -359,9 +414,9 @@
         state: ListedHostState::Running,
         age_s: Amount(300.0),
     };
-    leader.controller.on_host_list(&[listed], leader.now);
-    leader.pass(40);
-    assert!(!leader.released.contains(&unheard));
-    leader.pass(20);
-    assert!(leader.released.contains(&unheard));
+    simulation.leader.on_host_list(&[listed], simulation.now);
+    simulation.advance(40);
+    assert!(!simulation.released_hosts.contains(&silent_host));
+    simulation.advance(20);
+    assert!(simulation.released_hosts.contains(&silent_host));
 }
