--- a/src/coordination/scheduling/placement.rs
+++ b/src/coordination/scheduling/placement.rs
@@ -50,7 +50,7 @@
     spec: Box<JobSpec>,
     resources: Resources,
     profile: TaskProfile,
-    /// Whether the job is not limited to certain machine types or zones, so that the profile alone decides.
+    /// Whether the job has no constraint on machine types or zones, so that the profile alone decides.
     is_unconstrained: bool,
     /// Whether the job has waited too long for the start of its first task.
     is_starving: bool,
@@ -380,7 +380,7 @@
     }
 }
 
-/// Whether the job is not limited to certain machine types or zones.
+/// Whether the job has no constraint on machine types or zones.
 fn is_unconstrained(spec: &JobSpec) -> bool {
     spec.machine_types.is_none() && spec.zone.is_none() && !spec.same_zone && !spec.spread
 }
