--- a/src/coordination/autoscaling/services.rs
+++ b/src/coordination/autoscaling/services.rs
@@ -329,10 +329,10 @@
                 }
             }
         }
-        if replicas_to_move.is_empty() && self.scheduler.may_move_lone_replica(now) {
+        if replicas_to_move.is_empty() && self.scheduler.may_move_off_surplus_host(now) {
             replicas_to_move.extend(self.view().replica_on_surplus_host(now));
             if !replicas_to_move.is_empty() {
-                self.scheduler.on_lone_replica_moved(now);
+                self.scheduler.on_moved_off_surplus_host(now);
             }
         }
         for (host, task) in replicas_to_move {
