--- a/examples/scale.rs
+++ b/examples/scale.rs
@@ -19,7 +19,6 @@
 use lichencrank_zones::ControllerReach;
 
 /// Numbers of hosts to measure with.
-
 const CLUSTER_SIZES: [u64; 3] = [100, 1000, 4000];
 const TERM: Term = Term(3);
 const HOST_CPUS: f64 = 8.0;
@@ -137,7 +136,6 @@
 }
 
 /// Measures a cluster that loses [`PARTITIONED_ZONE`] after [`HEARTBEAT_ROUNDS`].
-
 fn measure_partition(host_count: u64) -> PartitionMeasurement {
     let settings = Settings::parse(SETTINGS).expect("valid settings");
     let features = Features::parse("zones: {enabled: true}").expect("valid features");
@@ -208,7 +206,6 @@
 }
 
 /// Measures a cluster that is filled with tasks in the second round of heartbeats.
-
 fn measure(host_count: u64) -> Measurement {
     let settings = Settings::parse(SETTINGS).expect("valid settings");
     let policy = Policy::new(&settings.settings, &Tuning::default(), &Features::default());
@@ -258,7 +255,6 @@
 }
 
 /// Ticks until no more records are written, which are all committed at once. Direct commands are never attempted.
-
 fn place_all_tasks(leader: &mut Leader, now: &mut Time) {
     for _ in 0..max_placement_ticks() {
         leader.tick(*now, now.0);
--- a/src/coordination/autoscaling/provisioning.rs
+++ b/src/coordination/autoscaling/provisioning.rs
@@ -38,7 +38,6 @@
 }
 
 /// A provisioning request without a known result.
-
 #[derive(Debug)]
 pub(crate) struct PendingRequest {
     pub(crate) request: ProvisionRequest,
@@ -220,7 +219,6 @@
     }
 
     /// Sends one release request for as many queued hosts as it may name.
-
     fn send_releases(&mut self, now: Time) {
         if self.autoscaler.release_queue.is_empty() || now < self.autoscaler.next_release_at {
             return;
@@ -249,7 +247,6 @@
     }
 
     /// Repeats the provisioning requests whose results are unknown, under the same names.
-
     fn repeat_unknown_requests(&mut self, now: Time) {
         for pending in self.autoscaler.pending_requests.values_mut() {
             if pending.retry_at.is_some_and(|at| now >= at) {
--- a/src/coordination/autoscaling/services.rs
+++ b/src/coordination/autoscaling/services.rs
@@ -33,7 +33,6 @@
     }
 
     /// Whether any replica is allocated to the host.
-
     pub(crate) fn holds_replicas(&self, host: &Host) -> bool {
         host.allocations.keys().any(|task| self.is_replica(*task))
     }
--- a/src/coordination/autoscaling/timeline.rs
+++ b/src/coordination/autoscaling/timeline.rs
@@ -125,7 +125,6 @@
     }
 
     /// Adds a host by the index of its timeline, if it has room for a task at some time.
-
     pub(crate) fn push(&mut self, timelines: &[HostTimeline], index: usize, need: &Resources) {
         if let Some(start_s) = timelines[index].earliest_start_s(need) {
             self.0.push(Reverse((start_s.to_bits(), index)));
@@ -196,7 +195,6 @@
     }
 
     /// The timeline of an empty host that is requested from the pool now.
-
     pub(crate) fn new_host_timeline(&self, pool: CapacityPool) -> HostTimeline {
         let machine_type = &self.cluster.machine_types()[pool.type_index];
         HostTimeline {
--- a/src/coordination/cluster/job/splitting.rs
+++ b/src/coordination/cluster/job/splitting.rs
@@ -100,7 +100,7 @@
         dirty_records
     }
 
-    /// Shortens the description if its record exceeds `max_value_bytes`; see [`JobRecord::shorten`].
+    /// Shortens the description if its record exceeds `max_value_bytes`; see [`JobRecord::remove_unavailable_machine_types`].
     pub(crate) fn shorten_description(
         &mut self,
         max_value_bytes: usize,
@@ -113,14 +113,12 @@
     }
 
     /// Size of the job record with the description, in bytes; `usize::MAX` if the description is unknown.
-
     pub(crate) fn description_size_bytes(&self) -> usize {
         self.description()
             .map_or(usize::MAX, |description| records::json_size(&description))
     }
 
     /// The job record with the description; `None` if the description is unknown.
-
     pub(crate) fn description(&self) -> Option<JobRecord> {
         let spec = self.spec.as_deref()?.clone();
         Some(JobRecord {
--- a/src/coordination/cluster/reconciliation.rs
+++ b/src/coordination/cluster/reconciliation.rs
@@ -287,7 +287,6 @@
     }
 
     /// Handles an attempt that the worker refused to start, or that ended for an unknown reason.
-
     fn on_start_refused(&mut self, host: &Host, status: &AttemptStatus) {
         tracing::info!(
             "{}: worker refused to start {} attempt {}: {:?}",
--- a/src/coordination/failure_detection/hosts.rs
+++ b/src/coordination/failure_detection/hosts.rs
@@ -125,7 +125,6 @@
 
     /// Whether the host is to be declared lost. A host in an unreachable zone is likely to come back, so it gets more
     /// time.
-
     fn is_host_lost(&self, host: &Host, now: Time) -> bool {
         let max_silence = self.max_silence(host);
         let silent_for = now.since(host.last_heartbeat_at);
@@ -242,7 +241,6 @@
     }
 
     /// The hosts to be declared lost or faulty and released, each with the reason. A host may be named twice.
-
     fn hosts_to_release(&mut self, now: Time) -> Vec<(HostName, CordonReason)> {
         let displaced = self.hosts_to_displace(now);
         let mut to_release: Vec<(HostName, CordonReason)> = displaced
--- a/src/coordination/failure_detection/zones.rs
+++ b/src/coordination/failure_detection/zones.rs
@@ -98,7 +98,6 @@
     }
 
     /// How long the host may be silent before its tasks no longer wait for its unhealthy zone.
-
     fn max_silence_in_zone(&self, host: &Host, now: Time) -> Duration {
         let zone_state = self.failure_detector.zone_monitor.as_ref().map(|monitor| {
             let tracker = &monitor.tracker;
@@ -121,7 +120,6 @@
     }
 
     /// Whether the host has a task of high priority or a replica of a service.
-
     fn holds_urgent_task(&self, host: &Host) -> bool {
         host.allocations.keys().any(|task| {
             let job = self.cluster.jobs().get(&task.job);
@@ -160,7 +158,6 @@
     }
 
     /// Whether the team uses more than its guarantee. A team without settings has no guarantee.
-
     fn is_team_over_guarantee(&self, team: &str) -> bool {
         let Some(team_settings) = self.policy.team(team) else {
             return true;
--- a/src/coordination/quota.rs
+++ b/src/coordination/quota.rs
@@ -151,7 +151,6 @@
     }
 
     /// The charged and the pending resources of each team, by which the allowances are claimed.
-
     fn team_workloads(&self) -> BTreeMap<TeamName, TeamWorkload> {
         let mut workloads: BTreeMap<TeamName, TeamWorkload> = BTreeMap::new();
         for team in &self.policy.teams {
--- a/src/coordination/scheduling/placement.rs
+++ b/src/coordination/scheduling/placement.rs
@@ -140,7 +140,6 @@
     }
 
     /// The next step for the job. If that is an allocation, the host is taken from the job's eligible hosts.
-
     fn next_step(&self, placement: &mut JobPlacement, pass: &PlacementPass) -> NextStep {
         let Some(job) = self.cluster.job(placement.id) else {
             return NextStep::Finish;
@@ -226,7 +225,6 @@
     }
 
     /// Whether a task of the job has failed on the host so recently that the job still avoids it.
-
     fn has_failed_recently(&self, name: &HostName, job: JobId, now: Time) -> bool {
         let host = self.cluster.host(name);
         let failed_at = host.and_then(|host| host.failed_jobs.get(&job));
@@ -389,7 +387,6 @@
 }
 
 /// Whether the job has no constraint on machine types or zones.
-
 fn is_unconstrained(spec: &JobSpec) -> bool {
     spec.machine_types.is_none() && spec.zone.is_none() && !spec.same_zone && !spec.spread
 }
--- a/src/coordination/scheduling/preemption.rs
+++ b/src/coordination/scheduling/preemption.rs
@@ -134,15 +134,9 @@
 }
 
 impl Leader {
-    /// Makes room for tasks of the job by stopping tasks that may be preempted and lose little by it. `usable_types` says
-    /// of each machine type whether the job may use it. A later placement pass uses the room once the tasks have ended.
-    pub(crate) fn preempt_for(
-        &mut self,
-        id: JobId,
-        spec: &JobSpec,
-        usable_types: &[bool],
-        now: Time,
-    ) {
+    /// Makes room for tasks of the job by stopping tasks that may be preempted and lose little by it. `types` says of each
+    /// machine type whether the job may use it. A later placement pass uses the room once the tasks have ended.
+    pub(crate) fn preempt_for(&mut self, id: JobId, spec: &JobSpec, types: &[bool], now: Time) {
         let has_preempted_task = |host: &Host| {
             let mut allocations = host.allocations.values();
             allocations.any(|a| a.stop_reason == Some(StopReason::Preempted))
@@ -165,12 +159,10 @@
         let limit = (task_limit as usize).min(MAX_HOSTS_PER_ROUND);
         let mut plans: Vec<PreemptionPlan> = Vec::new();
         for host in self.cluster.hosts().values() {
-            let fits = host
-                .type_index
-                .is_some_and(|index| usable_types.get(index) == Some(&true));
-            let usable =
-                fits && self.view().accepts_tasks(host, now) && (spec.spot || !host.is_spot);
-            if usable && is_zone_allowed(spec, &host.zone, &BTreeMap::new()) {
+            let suits = host.type_index.is_some_and(|i| types.get(i) == Some(&true));
+            let is_usable =
+                suits && self.view().accepts_tasks(host, now) && (spec.spot || !host.is_spot);
+            if is_usable && is_zone_allowed(spec, &host.zone, &BTreeMap::new()) {
                 plans.extend(self.view().preemption_plan(host, job, spec, now));
             }
         }
--- a/src/coordination/scheduling/ranking.rs
+++ b/src/coordination/scheduling/ranking.rs
@@ -137,7 +137,6 @@
     }
 
     /// See [`JobRank::remaining_cpu_s_log2`].
-
     fn remaining_cpu_s_log2(&self, job: &Job, spec: &JobSpec) -> u32 {
         if spec.priority != Priority::BestEffort || spec.deadline_s.is_some() {
             return 0;
--- a/src/coordination/scheduling/scoring.rs
+++ b/src/coordination/scheduling/scoring.rs
@@ -21,7 +21,6 @@
 }
 
 /// The part as a percentage of the whole, from 0 to 100; 0 if the whole is 0.
-
 fn percent(part: f64, whole: f64) -> f64 {
     if whole > 0.0 {
         (100.0 * part / whole).clamp(0.0, 100.0)
--- a/src/coordination/scheduling/type_eligibility.rs
+++ b/src/coordination/scheduling/type_eligibility.rs
@@ -31,7 +31,6 @@
     }
 
     /// Indices of the machine types that suit the job, whether they are scarce or not.
-
     pub(crate) fn suitable_types(&self, spec: &JobSpec) -> Vec<usize> {
         let machine_types = self.cluster.machine_types().iter().enumerate();
         machine_types
--- a/tests/quota_leader.rs
+++ b/tests/quota_leader.rs
@@ -165,7 +165,6 @@
     }
 
     /// Commits the batches of records until there are none. Returns the transactions.
-
     fn commit_batches(&mut self) -> Vec<Txn> {
         let mut committed = Vec::new();
         while let Some(txn) = self.leader.next_batch(16, true) {
