--- a/src/node/leader_duties/cloud.rs
+++ b/src/node/leader_duties/cloud.rs
@@ -94,7 +94,7 @@
             value(&types),
         ));
         self.pending.push((
-            RequestClass::Allocation,
+            RequestClass::Records,
             StoreRequest::Txn(txn),
             BATCH_LIMIT,
             LeaderRequest::Types,
--- a/src/node/leader_duties/loading.rs
+++ b/src/node/leader_duties/loading.rs
@@ -23,7 +23,7 @@
             limit: LOAD_PAGE,
         };
         self.pending
-            .push((RequestClass::Allocation, ask, LOAD_LIMIT, what(after)));
+            .push((RequestClass::Records, ask, LOAD_LIMIT, what(after)));
     }
 
     pub(super) fn watch(&mut self) {
@@ -34,7 +34,7 @@
             hold: WATCH_HOLD,
         };
         self.pending.push((
-            RequestClass::Allocation,
+            RequestClass::Records,
             ask,
             WATCH_SLACK,
             LeaderRequest::Watch,
--- a/src/node/leader_duties/mod.rs
+++ b/src/node/leader_duties/mod.rs
@@ -215,7 +215,7 @@
         for id in self.controller.take_records_of_unknown_version() {
             let ask = StoreRequest::Get(records::run_key(id));
             self.pending.push((
-                RequestClass::Allocation,
+                RequestClass::Records,
                 ask,
                 BATCH_LIMIT,
                 LeaderRequest::RunRecordVersion(id),
@@ -255,7 +255,7 @@
         if let Some(txn) = self.controller.next_batch(most, spare) {
             self.batch_at = now.after(self.batch_interval);
             self.pending.push((
-                RequestClass::Allocation,
+                RequestClass::Records,
                 StoreRequest::Txn(txn),
                 BATCH_LIMIT,
                 LeaderRequest::Batch,
--- a/src/node/leader_duties/quota.rs
+++ b/src/node/leader_duties/quota.rs
@@ -39,7 +39,7 @@
             self.quota.busy = true;
             let ask = StoreRequest::Txn(txn);
             self.pending.push((
-                RequestClass::Allocation,
+                RequestClass::Records,
                 ask,
                 BATCH_LIMIT,
                 LeaderRequest::QuotaTxn,
@@ -60,7 +60,7 @@
         };
         let what = LeaderRequest::Quota { prefix, after };
         self.pending
-            .push((RequestClass::Allocation, ask, LOAD_LIMIT, what));
+            .push((RequestClass::Records, ask, LOAD_LIMIT, what));
     }
 
     pub(super) fn on_quota_page(
--- a/src/node/leader_duties/zones.rs
+++ b/src/node/leader_duties/zones.rs
@@ -17,7 +17,7 @@
         let ask = StoreRequest::Get(KEY.to_owned());
         let what = LeaderRequest::ZonesRecord;
         self.pending
-            .push((RequestClass::Allocation, ask, LOAD_LIMIT, what));
+            .push((RequestClass::Records, ask, LOAD_LIMIT, what));
     }
 
     pub(super) fn on_zones_record(&mut self, outcome: Outcome, now: Time) {
@@ -53,7 +53,7 @@
         let ask = StoreRequest::Txn(txn);
         let what = LeaderRequest::ZonesTxn;
         self.pending
-            .push((RequestClass::Allocation, ask, BATCH_LIMIT, what));
+            .push((RequestClass::Records, ask, BATCH_LIMIT, what));
     }
 
     pub(super) fn on_zones_txn(
--- a/src/node/periodic.rs
+++ b/src/node/periodic.rs
@@ -20,7 +20,7 @@
             let ask = StoreRequest::Get(records::MACHINE_TYPES_KEY.to_owned());
             let id = self
                 .store
-                .enqueue(now, RequestClass::Allocation, ask, LEAD_LIMIT);
+                .enqueue(now, RequestClass::Records, ask, LEAD_LIMIT);
             self.purposes.insert(id, Purpose::Types);
         }
         self.log_peer_reachability(now);
--- a/src/storage/store.rs
+++ b/src/storage/store.rs
@@ -18,7 +18,7 @@
     /// What users wait for.
     User,
     /// The leader's records.
-    Allocation,
+    Records,
     /// Status queries.
     Read,
 }
@@ -145,7 +145,7 @@
         for (class, queue) in &mut self.queues {
             let void = |first: &QueuedRequest| {
                 let books =
-                    *class == RequestClass::Allocation && matches!(first.ask, StoreRequest::Txn(_));
+                    *class == RequestClass::Records && matches!(first.ask, StoreRequest::Txn(_));
                 now > first.until || books && !may_book
             };
             if queue.front().is_some_and(void) {
--- a/tests/budget.rs
+++ b/tests/budget.rs
@@ -62,7 +62,7 @@
     let waits = play(
         &mut store,
         RequestClass::Read,
-        &[(RequestClass::User, 1), (RequestClass::Allocation, 6)],
+        &[(RequestClass::User, 1), (RequestClass::Records, 6)],
     );
     assert!(waits.len() > 80, "{} were looked at", waits.len());
     let refused = waits.iter().filter(|w| w.is_none()).count();
@@ -97,7 +97,7 @@
     let waits = play(
         &mut store,
         RequestClass::Lease,
-        &[(RequestClass::User, 1), (RequestClass::Allocation, 6)],
+        &[(RequestClass::User, 1), (RequestClass::Records, 6)],
     );
     assert!(waits.len() == 100);
     assert!(waits.iter().all(|w| *w == Some(0)), "{waits:?}");
@@ -112,7 +112,7 @@
     let mut classes = BTreeMap::new();
     for now in 0..5000u64 {
         if now % 100 == 0 {
-            for class in [RequestClass::Allocation, RequestClass::User] {
+            for class in [RequestClass::Records, RequestClass::User] {
                 classes.insert(store.enqueue(Time(now), class, write(1), limit), class);
             }
         }
@@ -123,7 +123,7 @@
         }
     }
     assert!(
-        sent[&RequestClass::User] >= 3 * sent[&RequestClass::Allocation],
+        sent[&RequestClass::User] >= 3 * sent[&RequestClass::Records],
         "{sent:?}"
     );
 }
