--- a/src/storage/mod.rs
+++ b/src/storage/mod.rs
@@ -1,4 +1,5 @@
-//! The records in the key-value store: their form and keys, and the queue of requests under rate limits.
+//! The state service as the scheduler uses it: the stored records with their keys, and a client that queues requests
+//! under the rate limits.
 
 pub mod records;
 pub mod store;
--- a/src/storage/records.rs
+++ b/src/storage/records.rs
@@ -1,12 +1,12 @@
-//! The records and their keys.
+//! The records that the scheduler stores in the state service, and their keys.
 //!
-//! | key | holds |
+//! | key | value |
 //! | --- | --- |
-//! | `live/<job>` | an accepted job that is neither done nor cancelled, or got done a while ago |
-//! | `run/<job>/<chunk>` | allocations, attempts and finished tasks of one run of tasks |
-//! | `over/<job>` | the final state, for ever |
-//! | `lead/holder`, `lead/term` | who leads, and the highest term |
-//! | `types` | the machine types as last seen |
+//! | `live/<job>` | an accepted job that is neither done nor cancelled, or the outcome of a done job until it is archived |
+//! | `run/<job>/<number>` | allocations, attempts and finished tasks of a range of the job's tasks |
+//! | `over/<job>` | the archived outcome of a job, which is never deleted |
+//! | `lead/holder`, `lead/term` | the current leader, and the highest term so far |
+//! | `types` | the machine types that the cloud last listed |
 
 use ciborium::Value;
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
@@ -15,35 +15,35 @@
 use crate::protocol::users::{JobSpec, JobState};
 use crate::types::{Attempt, HostName, Incarnation, JobId, LeaseId, Term};
 
-/// Prefix of jobs that are not over, and of final states that are not archived yet.
+/// Key prefix of active jobs, and of outcomes that are not archived yet.
 pub const LIVE_PREFIX: &str = "live/";
-/// Prefix of run records.
+/// Key prefix of run records.
 pub const RUN_PREFIX: &str = "run/";
-/// Prefix of the keys about leadership.
+/// Key prefix of the leadership records.
 pub const LEADERSHIP_PREFIX: &str = "lead/";
-/// Key of the leader; it hangs on the leader's lease.
+/// Key of the current leader's record. It is attached to the leader's lease, so it is deleted when the lease expires.
 pub const LEADER_KEY: &str = "lead/holder";
-/// Key of the highest term.
+/// Key of the highest term so far.
 pub const TERM_KEY: &str = "lead/term";
 /// Key of the machine types.
 pub const MACHINE_TYPES_KEY: &str = "types";
 
-/// Key of a job that is not over.
+/// Key of an active job, or of its outcome until that is archived.
 pub fn live_key(job: JobId) -> String {
     format!("{LIVE_PREFIX}{job}")
 }
 
-/// Key of a job's archived final state.
+/// Key of a job's archived outcome.
 pub fn outcome_key(job: JobId) -> String {
     format!("over/{job}")
 }
 
-/// Prefix of a job's run records.
+/// Key prefix of a job's run records.
 pub fn run_prefix(job: JobId) -> String {
     format!("{RUN_PREFIX}{job}/")
 }
 
-/// Names a run record.
+/// Identifies a run record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct RunRecordId {
     /// The job.
@@ -57,12 +57,12 @@
     format!("{RUN_PREFIX}{}/{:05}", id.job, id.number)
 }
 
-/// The job of a key below [`LIVE_PREFIX`].
+/// The job of a key that begins with [`LIVE_PREFIX`]; `None` for any other key.
 pub fn parse_live_key(key: &str) -> Option<JobId> {
     JobId::parse(key.strip_prefix(LIVE_PREFIX)?)
 }
 
-/// The run record of a key below [`RUN_PREFIX`].
+/// The run record of a key that begins with [`RUN_PREFIX`]; `None` for any other key.
 pub fn parse_run_key(key: &str) -> Option<RunRecordId> {
     let (job, number) = key.strip_prefix(RUN_PREFIX)?.split_once('/')?;
     Some(RunRecordId {
@@ -74,63 +74,67 @@
 /// An accepted job.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct JobRecord {
-    /// As its user described it.
+    /// The job's description as its user submitted it.
     pub spec: JobSpec,
     /// Time of day of the submission, in milliseconds.
     #[serde(rename = "at_ms")]
     pub submitted_at_ms: u64,
-    /// How many tasks share a chunk record.
+    /// How many tasks each run record of the job holds, except for the last one.
     #[serde(rename = "chunk")]
     pub tasks_per_record: u32,
 }
 
 impl JobRecord {
-    /// Leaves out the allowed machine types that the cloud does not offer, if the record is larger than
-    /// that with them: nothing can run on those.
-    pub fn remove_unavailable_machine_types(&mut self, max_value: usize, offered: &[MachineType]) {
-        if json_size(self) <= max_value {
+    /// If the record exceeds the size limit of a value, removes the allowed machine types that the cloud does not
+    /// offer, as no task can run on them.
+    pub fn remove_unavailable_machine_types(
+        &mut self,
+        max_value_bytes: usize,
+        offered_types: &[MachineType],
+    ) {
+        if json_size(self) <= max_value_bytes {
             return;
         }
         if let Some(allowed) = &mut self.spec.machine_types {
-            allowed.retain(|name| offered.iter().any(|offer| offer.name == *name));
+            allowed.retain(|name| offered_types.iter().any(|offered| offered.name == *name));
         }
     }
 }
 
-/// The final state of a job.
+/// The outcome of a job.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub struct OutcomeRecord {
-    /// Done or cancelled.
+    /// The final state: done or cancelled.
     pub state: JobState,
-    /// How many tasks it had, if it is done.
+    /// How many tasks the job had, if it is done; 0 if it was cancelled.
     pub tasks: u64,
 }
 
-/// A job that got done, until its record is moved from `live/` to `over/`: that takes more changes,
-/// and can wait until the budget has some to spare.
+/// The outcome of a done job, stored under its `live/` key. It is moved to the `over/` key later: that takes more
+/// changes, and can wait until the write rate limit has capacity to spare.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub struct UnarchivedOutcome {
-    /// The final state.
+    /// The outcome.
     #[serde(rename = "over")]
     pub outcome: OutcomeRecord,
 }
 
-/// The final state, if this is the record of a job that is over.
+/// The outcome in a value that is stored under a `live/` key; `None` if the value is the record of an active job.
 pub fn unarchived_outcome(value: &Value) -> Option<OutcomeRecord> {
     let fields = value.as_map()?;
-    let is_over = |(key, _): &&(Value, Value)| key.as_text() == Some("over");
-    let (_, over) = fields.iter().find(is_over)?;
-    over.deserialized().ok()
+    let is_outcome = |(key, _): &&(Value, Value)| key.as_text() == Some("over");
+    let (_, outcome) = fields.iter().find(is_outcome)?;
+    outcome.deserialized().ok()
 }
 
-/// Who leads.
+/// The current leader.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LeaderRecord {
-    /// Name of the controller.
+    /// Name of the leading node.
     pub node: String,
-    /// Random for every start of a process: the same node after a restart is another holder.
+    /// Random number that each process draws at its start: a node that has restarted is not the same leader.
     pub incarnation: u64,
-    /// The lease that the key hangs on.
+    /// The lease that the key is attached to.
     pub lease: LeaseId,
     /// The leader's term.
     pub term: Term,
@@ -139,49 +143,49 @@
 /// The highest term that was ever won.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub struct TermRecord {
-    /// The term.
+    /// The highest term.
     pub term: Term,
 }
 
-/// Allocations, attempts and finished tasks of a range of a job's tasks. The stored names are short, as the size of a value
-/// is limited.
+/// Allocations, attempts and finished tasks of a range of a job's tasks. The names in the stored form are short, as the
+/// size of a value is limited.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct RunRecord {
     /// Number of the first task of the range.
     #[serde(rename = "first")]
     pub first_task: u32,
-    /// How many tasks each run record of this job holds, but for the last.
+    /// How many tasks each run record of this job holds, except for the last one.
     #[serde(rename = "size")]
     pub tasks_per_record: u32,
-    /// Team of the job, as the description of a cancelled job is gone.
+    /// Team of the job. It is repeated here since the description of a cancelled job is deleted before its run records.
     pub team: String,
-    /// CPUs of a task.
+    /// CPUs that each task takes.
     pub cpus: f64,
-    /// GPUs of a task.
+    /// GPUs that each task takes.
     pub gpus: f64,
-    /// Memory of a task in GB.
+    /// Memory that each task takes, in GB.
     #[serde(rename = "mem")]
     pub memory_gb: f64,
-    /// Finished tasks.
+    /// Ranges of finished tasks.
     #[serde(rename = "done", default)]
     pub finished: Vec<FinishedRange>,
     /// Tasks that are allocated to a host.
     #[serde(rename = "booked", default)]
     pub allocations: Vec<AllocationEntry>,
-    /// Waiting tasks of which there were attempts.
+    /// Waiting tasks that have been attempted before.
     #[serde(rename = "tried", default)]
     pub attempted: Vec<AttemptedEntry>,
-    /// In the first record of a job with several: what the others hold.
+    /// In the first record of a job with several: how many tasks are done and allocated in the other records.
     #[serde(rename = "rest", default)]
     pub other_records: TaskCounts,
 }
 
-/// Finished tasks next to each other. Stored as a list: offset of the first in the record's range, count.
+/// A range of consecutive finished tasks. Stored as a list: offset of the first task in the record's range, count.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct FinishedRange {
-    /// Offset of the first in the record's range.
+    /// Offset of the first task in the record's range.
     pub first: u32,
-    /// How many there are.
+    /// Number of tasks.
     pub count: u32,
 }
 
@@ -190,7 +194,7 @@
 pub struct AllocationEntry {
     /// Offset of the task in the record's range.
     pub offset: u32,
-    /// Which attempt it is.
+    /// Number of the attempt.
     pub attempt: Attempt,
     /// The host.
     pub host: HostName,
@@ -198,12 +202,12 @@
     pub incarnation: Incarnation,
 }
 
-/// A waiting task of which there were attempts. Stored as a list: offset, last attempt.
+/// A waiting task that has been attempted before. Stored as a list: offset, last attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AttemptedEntry {
     /// Offset of the task in the record's range.
     pub offset: u32,
-    /// The last attempt.
+    /// Number of the last attempt.
     pub last_attempt: Attempt,
 }
 
@@ -216,7 +220,7 @@
     pub allocated: u64,
 }
 
-/// Stores a struct as a list of its fields, in this order.
+/// Serializes a struct as a list of its fields in the given order, which takes fewer bytes than a map.
 macro_rules! stored_as_list {
     ($name:ident: $($field:ident),+) => {
         impl Serialize for $name {
@@ -239,69 +243,73 @@
 stored_as_list!(AttemptedEntry: offset, last_attempt);
 stored_as_list!(TaskCounts: done, allocated);
 
-/// Usual bytes of a run record without entries, and of each kind of entry.
-const USUAL_BYTES: EntryBytes = EntryBytes {
-    record: 200,
-    allocation: 48,
-    attempted: 14,
-    finished: 12,
+/// Sizes for names of hosts, attempts and incarnations of typical length.
+const TYPICAL_SIZES: EntrySizes = EntrySizes {
+    empty_record_bytes: 200,
+    allocation_bytes: 48,
+    attempted_bytes: 14,
+    finished_range_bytes: 12,
 };
-/// The most bytes of a run record without entries, and of each kind of entry: numbers of up to 20 digits where there may be
-/// such, with commas and brackets. Names come on top.
-const MAX_BYTES: EntryBytes = EntryBytes {
-    record: 400,
-    allocation: 60,
-    attempted: 36,
-    finished: 24,
+/// Upper bounds: numbers have up to 20 digits where their type allows it. Commas and brackets are included, names of hosts
+/// and teams are not.
+const MAX_SIZES: EntrySizes = EntrySizes {
+    empty_record_bytes: 400,
+    allocation_bytes: 60,
+    attempted_bytes: 36,
+    finished_range_bytes: 24,
 };
 
-struct EntryBytes {
-    record: usize,
-    allocation: usize,
-    attempted: usize,
-    finished: usize,
+/// Sizes in JSON of a run record without entries, and of each kind of entry.
+struct EntrySizes {
+    empty_record_bytes: usize,
+    allocation_bytes: usize,
+    attempted_bytes: usize,
+    finished_range_bytes: usize,
 }
 
 impl RunRecord {
-    /// How many tasks of the range are done.
+    /// How many tasks of the record's range are done.
     pub fn done_count(&self) -> u64 {
         let ranges = self.finished.iter();
         ranges.map(|range| u64::from(range.count)).sum()
     }
 
-    /// About its size in bytes, with names of hosts, attempts and incarnations of usual length.
+    /// Approximate size in JSON, in bytes, with names of hosts, attempts and incarnations of typical length.
     pub fn estimated_size_bytes(&self) -> usize {
-        self.size_of_entries(&USUAL_BYTES)
+        self.size_from(&TYPICAL_SIZES)
     }
 
-    /// Whether the record surely has no more bytes than that. Where this returns false, it has to be measured.
+    /// Whether an upper bound of the record's size in JSON is within the limit. If not, the record may still fit, but it
+    /// has to be serialized to find out.
     pub fn fits_by_upper_bound(&self, max_bytes: usize) -> bool {
-        let hosts = self.allocations.iter();
-        let host_names: usize = hosts.map(|entry| entry.host.as_str().len()).sum();
-        // Each character of a team's name may need two.
-        let names = self.team.len() * 2 + host_names;
-        self.size_of_entries(&MAX_BYTES) + names <= max_bytes
+        let allocations = self.allocations.iter();
+        let host_name_bytes: usize = allocations.map(|entry| entry.host.as_str().len()).sum();
+        // Each character of a team's name may be escaped, which takes two bytes.
+        let name_bytes = self.team.len() * 2 + host_name_bytes;
+        self.size_from(&MAX_SIZES) + name_bytes <= max_bytes
     }
 
-    fn size_of_entries(&self, bytes: &EntryBytes) -> usize {
-        bytes.record
-            + self.allocations.len() * bytes.allocation
-            + self.attempted.len() * bytes.attempted
-            + self.finished.len() * bytes.finished
+    fn size_from(&self, sizes: &EntrySizes) -> usize {
+        sizes.empty_record_bytes
+            + self.allocations.len() * sizes.allocation_bytes
+            + self.attempted.len() * sizes.attempted_bytes
+            + self.finished.len() * sizes.finished_range_bytes
     }
 }
 
 pub use lichencrank_store::json_size;
 
-/// Bytes of a run record without entries, and of each task in it, with names of usual length, where some tasks are allocated
-/// and others done or attempted.
-const RECORD_BYTES: f64 = 350.0;
-const TASK_BYTES: f64 = 27.0;
-/// The most tasks of a run record.
+/// Planned size in JSON of a run record without entries.
+const RECORD_OVERHEAD_BYTES: f64 = 350.0;
+/// Planned average size in JSON of a task in a run record where some tasks are allocated and others done or attempted,
+/// with names of typical length.
+const AVERAGE_TASK_BYTES: f64 = 27.0;
+/// Upper bound for the number of tasks in a run record.
 const MAX_TASKS_PER_RECORD: f64 = 256.0;
 
-/// How many tasks a run record holds so that it stays below that many KiB with names of usual length. One that does not is
-/// split.
-pub fn tasks_per_record(value_kb: f64) -> u32 {
-    ((value_kb * 1024.0 - RECORD_BYTES) / TASK_BYTES).clamp(1.0, MAX_TASKS_PER_RECORD) as u32
+/// How many tasks a run record holds so that it stays below the size limit of a value, in KiB, with names of typical
+/// length. A record that exceeds the limit nevertheless is split.
+pub fn tasks_per_record(max_value_kib: f64) -> u32 {
+    ((max_value_kib * 1024.0 - RECORD_OVERHEAD_BYTES) / AVERAGE_TASK_BYTES)
+        .clamp(1.0, MAX_TASKS_PER_RECORD) as u32
 }
--- a/src/storage/store.rs
+++ b/src/storage/store.rs
@@ -1,4 +1,4 @@
-//! Requests to the state service: their order under the rate limits, and which answer belongs to which.
+//! A client of the state service: queues requests by priority under the rate limits, and assigns responses to requests.
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::time::Duration;
@@ -10,14 +10,14 @@
 use crate::transport::{CallError, CallId, Response};
 use crate::types::Time;
 
-/// Who goes first when the budget is short.
+/// Priority of a request while the rate limits hold requests back: the first class is sent first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RequestClass {
-    /// Elections and renewals, which all else depends on.
+    /// Leader elections and lease renewals, on which everything else depends.
     Lease,
-    /// What users wait for.
+    /// Submissions and cancellations, whose users wait for a response.
     User,
-    /// The leader's records.
+    /// The leader's records, and the machine types.
     Records,
     /// Status queries.
     Read,
@@ -27,70 +27,76 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct StoreRequestId(pub u64);
 
+/// A request that waits to be sent.
 struct QueuedRequest {
     id: StoreRequestId,
-    ask: StoreRequest,
-    limit: Duration,
-    until: Time,
+    request: StoreRequest,
+    /// How long a response is awaited once the request is sent.
+    response_timeout: Duration,
+    /// The request is refused if it is not sent by then.
+    send_deadline: Time,
 }
 
-/// A request ready to be sent.
+/// A request that is to be sent now.
 pub struct OutgoingRequest {
-    /// The request.
+    /// Identifies the request.
     pub id: StoreRequestId,
-    /// HTTP method.
+    /// Request method.
     pub method: &'static str,
-    /// HTTP target.
+    /// Request target: path and query.
     pub target: String,
-    /// HTTP body.
+    /// Body, empty if there is none.
     pub body: Vec<u8>,
-    /// How long its answer is awaited.
+    /// How long a response is awaited.
     pub response_timeout: Duration,
 }
 
-/// Queues requests to the state service and reads their answers.
+/// Queues requests to the state service and interprets its responses.
 pub struct StoreClient {
-    next: u64,
-    requests_since_read: u32,
+    last_id: u64,
+    /// Requests sent since reads last had priority.
+    requests_since_read_turn: u32,
     queues: BTreeMap<RequestClass, VecDeque<QueuedRequest>>,
     request_rate_limit: RateLimit,
-    /// The budget of puts and deletes.
+    /// Limits puts and deletes.
     pub write_rate_limit: RateLimit,
-    sent: HashMap<StoreRequestId, (RequestKind, Time)>,
-    /// The longest that answers took lately, in milliseconds; it fades with each answer.
+    /// Kind and send time of each request that awaits a response.
+    unanswered: HashMap<StoreRequestId, (RequestKind, Time)>,
+    /// The longest recent response time, in milliseconds. It decays with each response.
     slowest_response_ms: f64,
-    calls: HashMap<CallId, StoreRequestId>,
-    /// When the service last answered properly.
+    request_by_call: HashMap<CallId, StoreRequestId>,
+    /// When the service itself last sent a valid response.
     pub last_response_at: Option<Time>,
 }
 
-/// One of so many requests is a read, if any waits.
-const READ_EVERY: u32 = 4;
-const SLOWEST_KEEP: f64 = 0.9;
-/// A request without an answer counts as lost after this, or after three times as long as answers
-/// took lately, but not after more than a user has.
-const LEAST_PATIENCE: Duration = Duration::from_millis(450);
-const MOST_PATIENCE: Duration = Duration::from_millis(1500);
-/// Above this share of the request budget there is some to spare.
-const SPARE: f64 = 0.5;
+/// Reads have priority over everything but leases for one request in this many.
+const READ_TURN_PERIOD: u32 = 4;
+/// Factor by which the longest recent response time decays with each response.
+const SLOWEST_RESPONSE_DECAY: f64 = 0.9;
+/// Lower and upper bound of the response timeout. The upper one is limited by how long a user's request may take.
+const MIN_RESPONSE_TIMEOUT: Duration = Duration::from_millis(450);
+const MAX_RESPONSE_TIMEOUT: Duration = Duration::from_millis(1500);
+/// Requests that can wait are sent only while more than this fraction of the request rate limit is available.
+const SPARE_BUDGET_FRACTION: f64 = 0.5;
 
 impl StoreClient {
-    /// `rps` and `write_rps` are this node's share of the budgets.
+    /// A client without requests. `rps` and `write_rps` are this node's shares of the rate limits, in requests and changes a
+    /// second.
     pub fn new(rps: f64, write_rps: f64) -> StoreClient {
         StoreClient {
-            next: 0,
-            requests_since_read: 0,
+            last_id: 0,
+            requests_since_read_turn: 0,
             queues: BTreeMap::new(),
             request_rate_limit: RateLimit::new(rps, rps),
             write_rate_limit: RateLimit::new(write_rps, write_rps),
-            sent: HashMap::new(),
+            unanswered: HashMap::new(),
             slowest_response_ms: 0.0,
-            calls: HashMap::new(),
+            request_by_call: HashMap::new(),
             last_response_at: None,
         }
     }
 
-    /// What was spent so far: requests and changes.
+    /// How many requests and changes were sent so far.
     pub fn total_spent(&self) -> (f64, f64) {
         (
             self.request_rate_limit.total_spent(),
@@ -98,106 +104,113 @@
         )
     }
 
-    /// Sets this controller's share of the rate limits.
+    /// Sets this node's shares of the rate limits, in requests and changes a second.
     pub fn set_rates(&mut self, now: Time, rps: f64, write_rps: f64) {
         self.request_rate_limit.set_rate(now, rps);
         self.write_rate_limit.set_rate(now, write_rps);
     }
 
-    /// Whether requests that can wait may go out beside the others.
+    /// Whether requests that can wait may be sent too: no other request waits and enough of the rate limit is available.
     pub fn has_spare_budget(&mut self, now: Time) -> bool {
-        self.request_rate_limit.available_fraction(now) > SPARE
+        self.request_rate_limit.available_fraction(now) > SPARE_BUDGET_FRACTION
             && self.queues.values().all(VecDeque::is_empty)
     }
 
-    /// Queues a request. `limit` is how long an answer is awaited once it is sent; what can't be
-    /// sent within that time is refused.
+    /// Queues a request. `response_timeout` is how long a response is awaited once the request is sent. A request that
+    /// can't be sent within the same time is refused.
     pub fn enqueue(
         &mut self,
         now: Time,
         class: RequestClass,
-        ask: StoreRequest,
-        limit: Duration,
+        request: StoreRequest,
+        response_timeout: Duration,
     ) -> StoreRequestId {
-        self.next += 1;
-        let id = StoreRequestId(self.next);
-        let until = now.after(limit);
-        let waiting = QueuedRequest {
+        self.last_id += 1;
+        let id = StoreRequestId(self.last_id);
+        let send_deadline = now.after(response_timeout);
+        let queued = QueuedRequest {
             id,
-            ask,
-            limit,
-            until,
+            request,
+            response_timeout,
+            send_deadline,
         };
-        self.queues.entry(class).or_default().push_back(waiting);
+        self.queues.entry(class).or_default().push_back(queued);
         id
     }
 
-    /// Takes the next request that the budget allows; `Err` holds one that waited too long. The
-    /// higher class goes first, but every so often reads have their turn: else a backlog of writes
-    /// would leave polls unanswered for as long as it lasts.
-    /// `may_book` says that the own lease stands at this moment: allocations that have waited here since
-    /// it ran out are refused.
+    /// Takes the next request that the rate limits allow; `Err` holds one that is refused since it waited too long.
+    ///
+    /// Requests are taken in the order of their classes, but reads regularly have priority: otherwise a backlog of writes
+    /// would leave status queries unanswered as long as it lasts. `is_leader_lease_valid` says whether this node holds the
+    /// leader lease now; if not, transactions on the leader's records that were queued under it are refused.
     pub fn next_outgoing(
         &mut self,
         now: Time,
-        may_book: bool,
+        is_leader_lease_valid: bool,
     ) -> Option<Result<OutgoingRequest, StoreRequestId>> {
         for (class, queue) in &mut self.queues {
-            let void = |first: &QueuedRequest| {
-                let books =
-                    *class == RequestClass::Records && matches!(first.ask, StoreRequest::Txn(_));
-                now > first.until || books && !may_book
+            let must_be_refused = |first: &QueuedRequest| {
+                let is_records_txn = *class == RequestClass::Records
+                    && matches!(first.request, StoreRequest::Txn(_));
+                now > first.send_deadline || is_records_txn && !is_leader_lease_valid
             };
-            if queue.front().is_some_and(void) {
+            if queue.front().is_some_and(must_be_refused) {
                 return queue.pop_front().map(|first| Err(first.id));
             }
         }
         let mut order: Vec<RequestClass> = self.queues.keys().copied().collect();
-        if self.requests_since_read + 1 >= READ_EVERY {
+        if self.requests_since_read_turn + 1 >= READ_TURN_PERIOD {
             order.sort_by_key(|class| !matches!(class, RequestClass::Lease | RequestClass::Read));
         }
-        let mut writes_taken = false;
+        let mut changes_reserved = false;
         for class in order {
             let queue = self.queues.get(&class);
             let Some(first) = queue.and_then(VecDeque::front) else {
                 continue;
             };
-            let writes = match &first.ask {
+            let change_count = match &first.request {
                 StoreRequest::Txn(txn) => txn.changes.len() as f64,
                 _ => 0.0,
             };
-            // The lease may run the account into debt: without it all the rest is lost.
+            // Lease requests may overdraw the rate limits: without the lease, everything else is lost.
             if class != RequestClass::Lease {
                 if self.request_rate_limit.available(now) < 1.0 {
                     return None;
                 }
-                // Lower classes may read meanwhile, but not take the writes that this one waits for.
-                if writes > 0.0 && (writes_taken || self.write_rate_limit.available(now) < 1.0) {
-                    writes_taken = true;
+                // Lower classes may read meanwhile, but not use the changes that this class waits for.
+                if change_count > 0.0
+                    && (changes_reserved || self.write_rate_limit.available(now) < 1.0)
+                {
+                    changes_reserved = true;
                     continue;
                 }
             }
             let first = self.queues.get_mut(&class)?.pop_front()?;
-            self.requests_since_read = (self.requests_since_read + 1) % READ_EVERY;
+            self.requests_since_read_turn = (self.requests_since_read_turn + 1) % READ_TURN_PERIOD;
             self.request_rate_limit.spend(now, 1.0);
-            self.write_rate_limit.spend(now, writes);
+            self.write_rate_limit.spend(now, change_count);
             return Some(Ok(self.render(first, now)));
         }
         None
     }
 
-    /// How many requests wait for the budget, and for how long the oldest has.
+    /// How many requests the rate limits hold back, and how long the oldest has waited.
     pub fn request_backlog(&self, now: Time) -> (usize, Duration) {
-        let waiting = self.queues.values().flatten();
-        let ages = waiting.map(|w| w.limit.saturating_sub(w.until.since(now)));
+        let queued = self.queues.values().flatten();
+        let ages = queued.map(|request| {
+            request
+                .response_timeout
+                .saturating_sub(request.send_deadline.since(now))
+        });
         (
             self.queues.values().map(VecDeque::len).sum(),
             ages.max().unwrap_or_default(),
         )
     }
 
-    fn render(&mut self, waiting: QueuedRequest, now: Time) -> OutgoingRequest {
-        let held = match &waiting.ask {
+    /// Puts a request into its form in HTTP, and notes that it awaits a response.
+    fn render(&mut self, queued: QueuedRequest, now: Time) -> OutgoingRequest {
+        let hold_time = match &queued.request {
             StoreRequest::Watch { hold, .. } => *hold,
             _ => Duration::ZERO,
         };
@@ -206,37 +219,38 @@
             method,
             target,
             body,
-        } = waiting.ask.render();
-        self.sent.insert(waiting.id, (kind, now));
+        } = queued.request.render();
+        self.unanswered.insert(queued.id, (kind, now));
         OutgoingRequest {
-            id: waiting.id,
+            id: queued.id,
             method,
             target,
             body,
-            response_timeout: waiting.limit + held,
+            response_timeout: queued.response_timeout + hold_time,
         }
     }
 
-    /// Notes the call that carries a request.
+    /// The request was sent with this call, whose result belongs to it.
     pub fn on_sent(&mut self, id: StoreRequestId, call: CallId) {
-        self.calls.insert(call, id);
+        self.request_by_call.insert(call, id);
     }
 
-    /// Whether the call carries one of the requests.
+    /// Whether one of the requests was sent with this call and awaits its response.
     pub fn owns_call(&self, call: CallId) -> bool {
-        self.calls.contains_key(&call)
+        self.request_by_call.contains_key(&call)
     }
 
-    /// Says what the answer to a call means, if the call was one of the store's.
+    /// Interprets the result of a call. Returns the request that was sent with the call, and its outcome; `None` if the call
+    /// carried no request to the state service.
     pub fn on_response(
         &mut self,
         now: Time,
         call: CallId,
         result: Result<Response, CallError>,
     ) -> Option<(StoreRequestId, Outcome)> {
-        let id = self.calls.remove(&call)?;
-        let (kind, sent) = self.sent.remove(&id)?;
-        self.note_response_time(now.since(sent), kind, result.is_ok());
+        let id = self.request_by_call.remove(&call)?;
+        let (kind, sent_at) = self.unanswered.remove(&id)?;
+        self.note_response_time(now.since(sent_at), kind, result.is_ok());
         let outcome = self.interpret(now, kind, result);
         if outcome.is_answer() {
             self.last_response_at = Some(now);
@@ -244,26 +258,34 @@
         Some((id, outcome))
     }
 
-    /// Notes how long an answer took. No answer counts as a slow one, save that of a transaction:
-    /// those are lost one by one while all else is quick.
-    fn note_response_time(&mut self, time: Duration, kind: RequestKind, answered: bool) {
-        let tells = if answered {
+    /// Takes in how long a response took. A missing response counts as a slow one, unless the request was a transaction:
+    /// responses to transactions can be lost one by one while everything else is fast. The service holds watches open, so
+    /// they don't count.
+    fn note_response_time(
+        &mut self,
+        response_time: Duration,
+        kind: RequestKind,
+        has_response: bool,
+    ) {
+        let is_counted = if has_response {
             kind != RequestKind::Watch
         } else {
             !matches!(kind, RequestKind::Watch | RequestKind::Txn)
         };
-        if tells {
-            self.slowest_response_ms =
-                (self.slowest_response_ms * SLOWEST_KEEP).max(time.as_millis() as f64);
+        if is_counted {
+            self.slowest_response_ms = (self.slowest_response_ms * SLOWEST_RESPONSE_DECAY)
+                .max(response_time.as_millis() as f64);
         }
     }
 
-    /// How long an answer is worth waiting for before the request counts as lost.
+    /// After how long without a response a request counts as lost: three times the longest recent response time, within
+    /// bounds.
     pub fn response_timeout(&self) -> Duration {
-        let usual = Duration::from_millis((self.slowest_response_ms * 3.0) as u64);
-        usual.clamp(LEAST_PATIENCE, MOST_PATIENCE)
+        let timeout = Duration::from_millis((self.slowest_response_ms * 3.0) as u64);
+        timeout.clamp(MIN_RESPONSE_TIMEOUT, MAX_RESPONSE_TIMEOUT)
     }
 
+    /// The outcome of a request. A response that the rate limit is exceeded pauses sending.
     fn interpret(
         &mut self,
         now: Time,
--- a/src/types.rs
+++ b/src/types.rs
@@ -1,4 +1,4 @@
-//! Ids, versions and times, each a small type of its own.
+//! Identifiers, versions and times, each a type of its own.
 
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 use std::fmt;
@@ -9,46 +9,47 @@
 pub use lichencrank_store::{LeaseId, Time, Version};
 
 number_type!(
-    /// The leader's term. It is also the fencing token that workers check.
+    /// The term of a leader. It is also the fencing token that workers check.
     Term
 );
 number_type!(
-    /// A worker's incarnation; a new one begins whenever its lease ran out.
+    /// Incarnation of a worker. A new one begins whenever the worker's lease has expired.
     Incarnation
 );
 number_type!(
-    /// Orders the messages of one worker incarnation.
+    /// Position of a message among those of one worker incarnation.
     SequenceNumber
 );
 number_type!(
-    /// Which attempt at a task this is; numbers only grow.
+    /// Number of an attempt at a task. It only grows.
     Attempt
 );
 
 impl Attempt {
-    /// The attempt after this one.
+    /// The number of the next attempt.
     pub fn next(self) -> Attempt {
         Attempt(self.0 + 1)
     }
 }
 
-/// A duration from a settings or protocol number; nonsense becomes zero, not a panic.
-pub fn duration_from_seconds(s: f64) -> Duration {
-    Duration::try_from_secs_f64(s.max(0.0)).unwrap_or(Duration::MAX / 4)
+/// The duration of a number of seconds from the settings or the protocol. It never panics: a negative number and NaN give
+/// zero, a number that is too large gives a very long duration.
+pub fn duration_from_seconds(seconds: f64) -> Duration {
+    Duration::try_from_secs_f64(seconds.max(0.0)).unwrap_or(Duration::MAX / 4)
 }
 
-/// A job's id: `job-` and a number of at least six digits.
+/// Id of a job: `job-` and a number of at least six digits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct JobId(pub u64);
 
 impl JobId {
-    /// Reads an id; `None` if it is not in its one canonical form.
+    /// Parses an id; `None` if it is not in the canonical form.
     pub fn parse(text: &str) -> Option<JobId> {
         let digits = text.strip_prefix("job-")?;
-        let plain = digits.bytes().all(|b| b.is_ascii_digit());
-        // More than six digits never start with a zero, so that one job has one spelling.
-        let canonical = digits.len() == 6 || (digits.len() > 6 && !digits.starts_with('0'));
-        if !plain || !canonical || digits.len() > 18 {
+        let is_numeric = digits.bytes().all(|b| b.is_ascii_digit());
+        // More than six digits never begin with a zero, so that each job has a single id.
+        let is_canonical = digits.len() == 6 || (digits.len() > 6 && !digits.starts_with('0'));
+        if !is_numeric || !is_canonical || digits.len() > 18 {
             return None;
         }
         digits.parse().ok().map(JobId)
@@ -61,17 +62,17 @@
     }
 }
 
-/// One task of a job.
+/// Id of a task: its job and number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TaskId {
-    /// The job.
+    /// The job of the task.
     pub job: JobId,
-    /// Number of the task, from 0.
+    /// Number of the task in its job, from 0.
     pub index: u32,
 }
 
 impl TaskId {
-    /// Reads a name such as `job-000412/3`.
+    /// Parses an id such as `job-000412/3`.
     pub fn parse(text: &str) -> Option<TaskId> {
         let (job, index) = text.split_once('/')?;
         let index = index.parse().ok()?;
@@ -85,17 +86,18 @@
     }
 }
 
-macro_rules! textual {
+/// Serializes an id in its text form.
+macro_rules! serialize_as_text {
     ($name:ident) => {
         impl Serialize for $name {
-            fn serialize<S: Serializer>(&self, s: S) -> Result<S::Ok, S::Error> {
-                s.collect_str(self)
+            fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
+                serializer.collect_str(self)
             }
         }
 
         impl<'de> Deserialize<'de> for $name {
-            fn deserialize<D: Deserializer<'de>>(d: D) -> Result<Self, D::Error> {
-                let text = String::deserialize(d)?;
+            fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
+                let text = String::deserialize(deserializer)?;
                 $name::parse(&text)
                     .ok_or_else(|| serde::de::Error::custom(concat!("not a ", stringify!($name))))
             }
@@ -103,15 +105,15 @@
     };
 }
 
-textual!(JobId);
-textual!(TaskId);
+serialize_as_text!(JobId);
+serialize_as_text!(TaskId);
 
-/// A machine's name. Names sort in the order of creation.
+/// Name of a host. Names sort in the order in which the hosts were created.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct HostName(Arc<str>);
 
 impl HostName {
-    /// A machine's name from its text.
+    /// The host name with that text.
     pub fn new(name: &str) -> HostName {
         HostName(name.into())
     }
@@ -129,13 +131,13 @@
 }
 
 impl Serialize for HostName {
-    fn serialize<S: Serializer>(&self, s: S) -> Result<S::Ok, S::Error> {
-        s.serialize_str(&self.0)
+    fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
+        serializer.serialize_str(&self.0)
     }
 }
 
 impl<'de> Deserialize<'de> for HostName {
-    fn deserialize<D: Deserializer<'de>>(d: D) -> Result<Self, D::Error> {
-        String::deserialize(d).map(|s| HostName::new(&s))
+    fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
+        String::deserialize(deserializer).map(|name| HostName::new(&name))
     }
 }
