--- a/src/coordination/cluster/record_writer/mod.rs
+++ b/src/coordination/cluster/record_writer/mod.rs
@@ -1,5 +1,6 @@
-//! Group commit of the leader's records: what changed is gathered and written in one transaction, one at a time, each
-//! conditional on the leader's key and on the versions of the records that it replaces.
+//! Group commit of the leader's records: changed records are collected and written in batches. Each batch is one transaction
+//! that is conditional on the leader's key and on the versions of the records that it replaces, and one batch is in flight
+//! at a time.
 
 mod batch;
 mod outcomes;
@@ -19,61 +20,64 @@
 /// The jobs of a leader.
 pub(crate) type Jobs = BTreeMap<JobId, Job>;
 
+/// The batch in flight.
 #[derive(Debug)]
 enum InFlight {
-    /// Nothing is under way.
+    /// No batch is in flight.
     Idle,
-    /// A response is awaited.
+    /// The batch was sent and its response is awaited.
     Sent(Batch),
-    /// No response came: the same transaction is sent again, as its conditions let it be committed only once.
-    Repeat(Batch),
+    /// The response was lost: the same transaction is sent again, as its conditions let it be committed only once.
+    Resend(Batch),
 }
 
-/// What the outcome of a batch means.
+/// What the outcome of a batch means for the leader's state.
 #[derive(Debug, PartialEq)]
 pub(crate) enum CommitResult {
-    /// It was committed, and with it these run records.
+    /// The batch was committed, and with it these run records.
     Committed(Vec<RunRecordId>),
-    /// Conditions failed.
+    /// Conditions of the transaction failed, so nothing was written.
     Conflict {
-        /// Jobs whose records are gone: they were cancelled.
+        /// Jobs whose records were deleted, as they were cancelled.
         cancelled: Vec<JobId>,
-        /// The allowance of a team has changed.
+        /// Whether the allowance of a team has changed since the leader read it.
         is_allowance_outdated: bool,
     },
-    /// The leader's key has changed.
+    /// The leader's key has changed: another node leads.
     LeadershipLost,
-    /// Nothing is decided; the records are written by a later batch.
+    /// The batch was not committed, or its outcome is unknown: a later batch writes the records.
     Retry,
 }
 
-/// Gathers the records that have changed and writes them, one transaction after the other.
+/// Collects the records that have changed and writes them, one transaction after the other.
 pub(crate) struct RecordWriter {
     leader_key_version: Version,
-    /// Keys and versions that allocations of each team depend on, beside their own.
+    /// By team, the key and version of the record that guards its allowance. Run records of the team's active jobs are
+    /// written on condition that the version is unchanged.
     allowance_fences: BTreeMap<String, (String, Version)>,
     max_value_bytes: usize,
     max_txn_changes: usize,
     in_flight: InFlight,
     /// Run records that wait to be written.
     queue: WriteQueue,
-    /// Jobs whose outcome is to be written.
-    finishing: BTreeSet<JobId>,
-    /// Jobs whose outcome is to be archived and whose run records are to be deleted.
-    to_delete: BTreeSet<JobId>,
+    /// Jobs whose outcome waits to be written.
+    pending_outcomes: BTreeSet<JobId>,
+    /// Jobs whose outcome waits to be archived and whose run records wait to be deleted.
+    pending_deletions: BTreeSet<JobId>,
     /// Run records whose version has to be read before they can be written again.
-    version_unknown: BTreeSet<RunRecordId>,
-    /// Jobs of which a record was found to be too large.
-    too_large: BTreeSet<JobId>,
-    /// Jobs whose records are being split.
-    splitting: BTreeSet<JobId>,
-    /// Jobs whose records can't be split now, and that wait until the large record is small enough.
-    oversized: BTreeSet<JobId>,
+    records_of_unknown_version: BTreeSet<RunRecordId>,
+    /// Jobs that have a run record above the size limit of a value, found since the last call of
+    /// [`Self::take_jobs_to_split`].
+    jobs_to_split: BTreeSet<JobId>,
+    /// Jobs whose run records are being split.
+    splitting_jobs: BTreeSet<JobId>,
+    /// Jobs that have a run record above the size limit and can't be split now. The record waits until it is small enough.
+    unsplittable_jobs: BTreeSet<JobId>,
 }
 
 impl RecordWriter {
-    /// A writer with nothing to write. `leader_key_version` is the version of the leader's key, on which every write is
-    /// conditional; the limits are those of the store.
+    /// A writer without records to write. `leader_key_version` is the version of the leader's key, on which every write is
+    /// conditional; the limits are those of the state service.
     pub(crate) fn new(
         leader_key_version: Version,
         max_value_bytes: usize,
@@ -86,21 +90,21 @@
             max_txn_changes,
             in_flight: InFlight::Idle,
             queue: WriteQueue::default(),
-            finishing: BTreeSet::new(),
-            to_delete: BTreeSet::new(),
-            version_unknown: BTreeSet::new(),
-            too_large: BTreeSet::new(),
-            splitting: BTreeSet::new(),
-            oversized: BTreeSet::new(),
+            pending_outcomes: BTreeSet::new(),
+            pending_deletions: BTreeSet::new(),
+            records_of_unknown_version: BTreeSet::new(),
+            jobs_to_split: BTreeSet::new(),
+            splitting_jobs: BTreeSet::new(),
+            unsplittable_jobs: BTreeSet::new(),
         }
     }
 
-    /// The version of the leader's key.
+    /// The version of the leader's key, on which every write is conditional.
     pub(crate) fn leader_key_version(&self) -> Version {
         self.leader_key_version
     }
 
-    /// The most bytes that a value may have.
+    /// The size limit of a value in JSON, in bytes.
     pub(crate) fn max_value_bytes(&self) -> usize {
         self.max_value_bytes
     }
@@ -110,39 +114,40 @@
         self.max_txn_changes
     }
 
-    /// Sets the keys and versions that allocations of each team depend on, beside their own.
+    /// Sets, by team, the key and version of the record that guards its allowance.
     pub(crate) fn set_allowance_fences(&mut self, fences: BTreeMap<String, (String, Version)>) {
         self.allowance_fences = fences;
     }
 
-    /// A run record has to be written. It is urgent if something waits for it, such as the start of a task.
+    /// A run record has changed and has to be written. It is urgent if something waits for the write, such as the start of a
+    /// task.
     pub(crate) fn mark_dirty(&mut self, id: RunRecordId, is_urgent: bool) {
         self.queue.push(QueuedRecord { id, is_urgent });
     }
 
-    /// The job's outcome has to be written.
+    /// All tasks of the job are done: its outcome has to be written.
     pub(crate) fn queue_outcome(&mut self, job: JobId) {
-        self.finishing.insert(job);
+        self.pending_outcomes.insert(job);
     }
 
-    /// The job is over: its outcome has to be archived, if there is one, and its run records deleted.
+    /// The job is done or cancelled: its outcome has to be archived, if it is not yet, and its run records deleted.
     pub(crate) fn queue_deletion(&mut self, job: JobId) {
-        self.to_delete.insert(job);
+        self.pending_deletions.insert(job);
     }
 
-    /// Takes the jobs of which a record has become too large.
+    /// Takes the jobs that have a run record above the size limit of a value.
     pub(crate) fn take_jobs_to_split(&mut self) -> BTreeSet<JobId> {
-        std::mem::take(&mut self.too_large)
+        std::mem::take(&mut self.jobs_to_split)
     }
 
-    /// Whether nothing more may be allocated of the job, as its records can't be written now.
+    /// Whether no more tasks of the job may be allocated, as its run records can't be written now.
     pub(crate) fn is_allocation_blocked(&self, job: JobId) -> bool {
-        self.oversized.contains(&job) || self.splitting.contains(&job)
+        self.unsplittable_jobs.contains(&job) || self.splitting_jobs.contains(&job)
     }
 
-    /// Takes the run records whose versions have to be read.
+    /// Takes the run records whose versions have to be read before they can be written again.
     pub(crate) fn take_records_of_unknown_version(&mut self) -> BTreeSet<RunRecordId> {
-        std::mem::take(&mut self.version_unknown)
+        std::mem::take(&mut self.records_of_unknown_version)
     }
 
     /// The version of a run record was read; `None` if it could not be, and has to be read again.
@@ -153,7 +158,7 @@
         version: Option<Version>,
     ) {
         let Some(version) = version else {
-            self.version_unknown.insert(id);
+            self.records_of_unknown_version.insert(id);
             return;
         };
         let job = jobs.get_mut(&id.job);
@@ -164,35 +169,35 @@
         }
     }
 
-    /// Whether something waits for a record to be written.
+    /// Whether a write is urgent: something waits for a record, a split is under way or a batch has to be sent again.
     pub(crate) fn has_urgent_writes(&self) -> bool {
         self.urgent_record_count() > 0
-            || !self.splitting.is_empty()
-            || matches!(self.in_flight, InFlight::Repeat(_))
+            || !self.splitting_jobs.is_empty()
+            || matches!(self.in_flight, InFlight::Resend(_))
     }
 
-    /// How many records wait that something waits for.
+    /// How many urgent records wait to be written, including outcomes.
     pub(crate) fn urgent_record_count(&self) -> usize {
-        self.queue.urgent_len() + self.finishing.len()
+        self.queue.urgent_len() + self.pending_outcomes.len()
     }
 
-    /// How many other records wait to be written.
+    /// How many run records that are not urgent wait to be written.
     pub(crate) fn normal_record_count(&self) -> usize {
         self.queue.normal_len()
     }
 
-    /// Whether the run record waits to be written and something waits for that.
+    /// Whether the run record waits to be written and is urgent.
     pub(crate) fn is_queued_as_urgent(&self, id: RunRecordId) -> bool {
         self.queue.is_urgent(id)
     }
 
-    /// Whether no response is awaited.
+    /// Whether no response is awaited, so that a batch can be sent.
     pub(crate) fn is_idle(&self) -> bool {
         !matches!(self.in_flight, InFlight::Sent(_))
     }
 
-    /// Puts together the next transaction of at most `max_changes`, if there is one to send. With `has_spare_budget` it
-    /// takes in records that nothing waits for.
+    /// The next transaction to send, with at most `max_changes` changes; `None` if there is nothing to write or a response
+    /// is awaited. Records that are not urgent are included only with `has_spare_budget`.
     pub(crate) fn next_batch(
         &mut self,
         jobs: &mut Jobs,
@@ -204,22 +209,22 @@
                 self.in_flight = InFlight::Sent(batch);
                 return None;
             }
-            InFlight::Repeat(batch) => batch,
-            InFlight::Idle => self.gather(jobs, max_changes, has_spare_budget)?,
+            InFlight::Resend(batch) => batch,
+            InFlight::Idle => self.assemble_batch(jobs, max_changes, has_spare_budget)?,
         };
         let txn = batch.txn.clone();
         self.in_flight = InFlight::Sent(batch);
         Some(txn)
     }
 
-    /// Gathers a batch; `None` if there is nothing to write.
-    fn gather(
+    /// Assembles a batch; `None` if there is nothing to write.
+    fn assemble_batch(
         &mut self,
         jobs: &mut Jobs,
         max_changes: usize,
         has_spare_budget: bool,
     ) -> Option<Batch> {
-        self.forget_deleted_jobs(jobs);
+        self.remove_deleted_jobs(jobs);
         let max_changes = max_changes.min(self.max_txn_changes);
         let mut batch = Batch::new(self.leader_key_version, max_changes);
         self.add_split_step(jobs, &mut batch);
--- a/src/coordination/cluster/record_writer/outcomes.rs
+++ b/src/coordination/cluster/record_writer/outcomes.rs
@@ -1,4 +1,4 @@
-//! What the outcome of a batch means for the records in it.
+//! Handling the outcome of a batch: committed, conflict, refused or lost.
 
 use lichencrank_store::Change;
 
@@ -9,12 +9,12 @@
 use crate::storage::records::{self, RunRecordId};
 use crate::types::{JobId, Time, Version};
 
-/// However much the store refuses, transactions may have so many changes and values so many bytes.
+/// Lower bounds of the limits that are reduced when the state service refuses a transaction for its size.
 const MIN_TXN_CHANGES: usize = 4;
 const MIN_VALUE_BYTES: usize = 400;
 
 impl RecordWriter {
-    /// The batch under way was committed at that revision.
+    /// The batch in flight was committed at that revision.
     pub(crate) fn on_committed(
         &mut self,
         jobs: &mut Jobs,
@@ -36,38 +36,44 @@
                 written.push(record.id);
             }
         }
-        for id in batch.deleted {
+        for id in batch.deleted_records {
             if let Some(job) = jobs.get_mut(&id.job) {
                 job.on_run_record_deleted(id.number);
             }
         }
-        for id in batch.archived {
+        for id in batch.archived_jobs {
             if let Some(job) = jobs.get_mut(&id) {
                 job.unarchived_outcome = None;
             }
         }
-        for id in batch.finished {
+        for id in batch.finished_jobs {
             if let Some(job) = jobs.get_mut(&id) {
                 job.on_outcome_written(revision);
                 job.set_phase(JobPhase::GarbageCollecting, now);
-                self.to_delete.insert(id);
+                self.pending_deletions.insert(id);
             }
         }
-        self.forget_deleted_jobs(jobs);
+        self.remove_deleted_jobs(jobs);
         CommitResult::Committed(written)
     }
 
-    /// Forgets jobs that are over and of which no record is left.
-    pub(super) fn forget_deleted_jobs(&mut self, jobs: &mut Jobs) {
+    /// Removes jobs that are done or cancelled and have no record left but their archived outcome.
+    pub(super) fn remove_deleted_jobs(&mut self, jobs: &mut Jobs) {
         let is_deleted = |id: &JobId| jobs.get(id).is_none_or(Job::is_deleted);
-        let deleted: Vec<JobId> = self.to_delete.iter().copied().filter(is_deleted).collect();
+        let deleted: Vec<JobId> = self
+            .pending_deletions
+            .iter()
+            .copied()
+            .filter(is_deleted)
+            .collect();
         for id in deleted {
-            self.to_delete.remove(&id);
+            self.pending_deletions.remove(&id);
             jobs.remove(&id);
         }
     }
 
-    /// Conditions of the batch under way failed: nothing was written, at least not now.
+    /// Conditions of the batch in flight failed: this request wrote nothing, though an earlier one of the same transaction,
+    /// whose response was lost, may have.
     pub(crate) fn on_conflict(&mut self, jobs: &mut Jobs, failed: &[String]) -> CommitResult {
         let Some(batch) = self.take_sent() else {
             return CommitResult::Retry;
@@ -95,54 +101,56 @@
         }
     }
 
-    /// Only the leader writes run records, so an earlier transaction, whose response was lost, was committed.
+    /// A run record has another version than expected. Only the leader writes run records, so an earlier transaction, whose
+    /// response was lost, was committed.
     fn on_run_record_conflict(&mut self, jobs: &mut Jobs, id: RunRecordId) {
         let job = jobs.get_mut(&id.job);
         if let Some(chunk) = job.and_then(|job| job.chunk_mut(id.number)) {
             chunk.version_unknown = true;
-            self.version_unknown.insert(id);
+            self.records_of_unknown_version.insert(id);
         }
     }
 
-    /// The batch under way was surely not committed: its contents are gathered anew.
+    /// The batch in flight was certainly not committed: its records are queued again.
     pub(crate) fn on_not_committed(&mut self) {
         if let Some(batch) = self.take_sent() {
             self.requeue(batch);
         }
     }
 
-    /// The store refuses the batch under way for its size. Later batches are smaller; where a batch can't be, the largest
-    /// value counts as too large.
+    /// The state service refuses the batch in flight for its content, presumably its size. Later batches have fewer
+    /// changes; if the batch already had the fewest, its largest value counts as too large.
     pub(crate) fn on_invalid(&mut self) {
         let Some(batch) = self.take_sent() else {
             return;
         };
         let change_count = batch.txn.changes.len();
-        let values = batch.txn.changes.iter().filter_map(|change| match change {
+        let value_sizes = batch.txn.changes.iter().filter_map(|change| match change {
             Change::Put { value, .. } => Some(records::json_size(value)),
             Change::Delete { .. } => None,
         });
-        let largest = values.max().unwrap_or(0);
+        let largest_value_bytes = value_sizes.max().unwrap_or(0);
         if change_count > MIN_TXN_CHANGES {
             self.max_txn_changes = (change_count / 2).max(MIN_TXN_CHANGES);
         } else {
             self.max_value_bytes = self
                 .max_value_bytes
-                .min(largest.saturating_sub(1))
+                .min(largest_value_bytes.saturating_sub(1))
                 .max(MIN_VALUE_BYTES);
         }
         tracing::info!(
-            "the store refuses {change_count} changes, the largest of {largest} bytes: from now on {} and {}",
+            "the state service refused a transaction of {change_count} changes with values of up to {largest_value_bytes} bytes: limits reduced to {} changes and values of {} bytes",
             self.max_txn_changes,
             self.max_value_bytes
         );
         self.requeue(batch);
     }
 
-    /// The batch under way got no response: it may be committed at any time, so only the very same may follow.
+    /// The response to the batch in flight was lost. The transaction may still be committed at any time, so the same one has
+    /// to be sent again before any other.
     pub(crate) fn on_response_lost(&mut self) {
         if let Some(batch) = self.take_sent() {
-            self.in_flight = InFlight::Repeat(batch);
+            self.in_flight = InFlight::Resend(batch);
         }
     }
 
@@ -150,10 +158,11 @@
     fn take_sent(&mut self) -> Option<Batch> {
         match std::mem::replace(&mut self.in_flight, InFlight::Idle) {
             InFlight::Sent(batch) => Some(batch),
-            InFlight::Idle | InFlight::Repeat(_) => None,
+            InFlight::Idle | InFlight::Resend(_) => None,
         }
     }
 
+    /// Queues all that an uncommitted batch contained again.
     fn requeue(&mut self, batch: Batch) {
         for record in batch.run_records {
             self.queue.push(QueuedRecord {
@@ -161,20 +170,22 @@
                 is_urgent: true,
             });
         }
-        self.finishing.extend(batch.finished);
-        self.to_delete.extend(batch.archived);
-        self.to_delete.extend(batch.deleted.iter().map(|id| id.job));
+        self.pending_outcomes.extend(batch.finished_jobs);
+        self.pending_deletions.extend(batch.archived_jobs);
+        self.pending_deletions
+            .extend(batch.deleted_records.iter().map(|id| id.job));
     }
 }
 
-/// The record of a job is gone or has changed. Returns the job if it was cancelled.
+/// The job's record was deleted or has changed. Returns the job if that means that it was cancelled.
 fn on_job_record_conflict(jobs: &mut Jobs, id: JobId, batch: &Batch) -> Option<JobId> {
     if batch.split_step.as_ref().is_some_and(|step| step.job == id) {
-        // Cancelled, or an earlier transaction, whose response was lost, was committed: the watch says which.
+        // Either the job was cancelled, or an earlier transaction, whose response was lost, was committed. The watch on the
+        // job's record shows which.
         return None;
     }
-    if batch.archived.contains(&id) {
-        // Only the leader archives outcomes, so an earlier transaction was committed.
+    if batch.archived_jobs.contains(&id) {
+        // Only the leader archives outcomes, so an earlier transaction, whose response was lost, was committed.
         if let Some(job) = jobs.get_mut(&id) {
             job.unarchived_outcome = None;
         }
--- a/src/coordination/cluster/record_writer/split.rs
+++ b/src/coordination/cluster/record_writer/split.rs
@@ -1,14 +1,15 @@
-//! Writing the run records of a job in smaller ones, after the limit of a value has fallen.
+//! Splitting a job's run records into smaller ones when a record exceeds the size limit of a value, such as after the limit
+//! was lowered.
 //!
-//! The job's description says how many tasks a record holds, so it tells which records are in force. New records whose
-//! numbers lie beyond the old ones are written first, in as many steps as it takes; no leader reads them. The last step
-//! writes the description, with the new size, and all records whose numbers the old ones had, in one transaction. A split
-//! that is broken off before that leaves the old records in force, with every allocation and attempt. Earlier versions of
-//! this program read both.
+//! The job's description says how many tasks each record holds, and thus which records are in force. New records with
+//! numbers beyond those of the old records are written first, in as many steps as needed; no leader reads them yet. The
+//! last step commits the split: in one transaction it writes the description with the new number of tasks per record, and
+//! all records whose numbers were in use before. If the split is interrupted before that, the old records stay in force
+//! with every allocation and attempt. Earlier versions of this program can read both the old and the new records.
 
 use lichencrank_store::{value, Change};
 
-use super::batch::{Batch, MAX_TXN_BYTES};
+use super::batch::{Batch, TXN_SOFT_LIMIT_BYTES};
 use super::queue::QueuedRecord;
 use super::{Jobs, RecordWriter};
 use crate::coordination::cluster::job::{Job, JobPhase, RecordSplit};
@@ -20,48 +21,48 @@
 pub(super) struct SplitStep {
     /// The job whose records are split.
     pub(super) job: JobId,
-    /// Numbers of the records in it, and up to which change they hold.
+    /// Number of each record that the step writes, and the count of its changes that are included.
     written: Vec<(u32, u64)>,
-    /// Whether it brings the split into force.
+    /// Whether the step commits the split.
     is_last: bool,
 }
 
 impl RecordWriter {
-    /// Begins to split the records of a job of which one is too large. Returns false if that can't be done in transactions
-    /// of this size; then the record waits until enough of its tasks have ended.
+    /// Begins to split the run records of a job that has one above the size limit. Returns false if the split does not fit
+    /// the limits of a transaction or can't begin now; then the record waits until enough of its tasks have ended.
     pub(crate) fn begin_split(&mut self, job: &mut Job) -> bool {
-        let fitting = records::tasks_per_record(self.max_value_bytes as f64 / 1024.0);
-        let tasks_per_record = if fitting < job.tasks_per_record {
-            fitting
+        let fitting_tasks = records::tasks_per_record(self.max_value_bytes as f64 / 1024.0);
+        let tasks_per_record = if fitting_tasks < job.tasks_per_record {
+            fitting_tasks
         } else {
             (job.tasks_per_record / 2).max(1)
         };
-        // The last step replaces the description and all records with old numbers.
+        // The last step has to write the description and all records with numbers of old ones in one transaction.
         let is_possible = job.chunks.len() < self.max_txn_changes
             && job.description_size() <= self.max_value_bytes
             && job.begin_split(tasks_per_record);
         if is_possible {
             tracing::info!(
-                "{}: run records are split into {tasks_per_record} tasks each",
+                "{}: splitting the run records into records of {tasks_per_record} tasks",
                 job.id
             );
-            self.splitting.insert(job.id);
-        } else if self.oversized.insert(job.id) {
+            self.splitting_jobs.insert(job.id);
+        } else if self.unsplittable_jobs.insert(job.id) {
             tracing::info!(
-                "{}: a run record is too large to be written for now",
+                "{}: a run record exceeds the size limit and can't be split now; it is written once enough of its tasks have ended",
                 job.id
             );
         }
         is_possible
     }
 
-    /// Adds the next step of a split, if one is under way. It has the transaction to itself.
+    /// Adds the next step of a split, if one is under way. The step has the transaction to itself.
     pub(super) fn add_split_step(&mut self, jobs: &mut Jobs, batch: &mut Batch) {
-        for id in self.splitting.clone() {
+        for id in self.splitting_jobs.clone() {
             let is_splitting =
                 |job: &&mut Job| job.phase == JobPhase::Active && job.record_split.is_some();
             let Some(job) = jobs.get_mut(&id).filter(is_splitting) else {
-                self.splitting.remove(&id);
+                self.splitting_jobs.remove(&id);
                 continue;
             };
             let Some(step) = next_step(job, batch) else {
@@ -75,7 +76,8 @@
         }
     }
 
-    /// A step of a split is written at that revision. Returns the records that count as written by it.
+    /// A step of a split was committed at that revision. Returns the run records that are in force since then: none before the
+    /// last step.
     pub(super) fn on_split_step_written(
         &mut self,
         jobs: &mut Jobs,
@@ -99,8 +101,8 @@
         Vec::new()
     }
 
-    /// The split of the job's records is in force: its last step was written at that version. Returns the records that
-    /// count as written by it.
+    /// The split of the job's run records is committed: its last step was written at that version. Returns the run records
+    /// that are in force since then.
     pub(crate) fn on_split_committed(
         &mut self,
         job: &mut Job,
@@ -109,8 +111,8 @@
         if job.record_split.is_none() {
             return Vec::new();
         }
-        self.splitting.remove(&job.id);
-        self.oversized.remove(&job.id);
+        self.splitting_jobs.remove(&job.id);
+        self.unsplittable_jobs.remove(&job.id);
         for number in job.finish_split(record_version) {
             let id = RunRecordId {
                 job: job.id,
@@ -119,7 +121,7 @@
             let is_urgent = true;
             self.queue.push(QueuedRecord { id, is_urgent });
         }
-        tracing::info!("{}: its run records are split", job.id);
+        tracing::info!("{}: split of the run records committed", job.id);
         let chunks = (0..).zip(&job.chunks);
         let recorded = chunks.filter(|(_, chunk)| chunk.is_some());
         let ids = recorded.map(|(number, _)| RunRecordId {
@@ -130,7 +132,7 @@
     }
 }
 
-/// Puts the next step of the job's split into the batch; `None` if it has to wait.
+/// Adds the next step of the job's split to the batch; `None` if the step has to wait.
 fn next_step(job: &Job, batch: &mut Batch) -> Option<SplitStep> {
     let split = job.record_split.as_ref()?;
     let mut numbers = unprepared_records(job, split);
@@ -140,7 +142,7 @@
     }
     let is_unknown = |number: &u32| job.chunk(*number).is_some_and(|c| c.version_unknown);
     if numbers.iter().any(is_unknown) {
-        // Their versions are being read.
+        // The versions of these records are being read.
         return None;
     }
     // The last step needs room for the description too.
@@ -159,7 +161,7 @@
     for number in numbers {
         let (chunk, record) = (job.chunk(number)?, job.run_record(number)?);
         bytes += records::json_size(&record);
-        if bytes > MAX_TXN_BYTES && !is_last {
+        if bytes > TXN_SOFT_LIMIT_BYTES && !is_last {
             break;
         }
         let id = RunRecordId {
@@ -178,15 +180,15 @@
     })
 }
 
-/// The new records beyond the old ones that are not written yet.
+/// The new records with numbers beyond those of the old ones that are not written yet.
 fn unprepared_records(job: &Job, split: &RecordSplit) -> Vec<u32> {
-    let beyond = split.old_record_count..job.chunks.len() as u32;
+    let new_numbers = split.old_record_count..job.chunks.len() as u32;
     let is_unprepared =
         |number: &u32| job.chunk(*number).is_some() && !split.prepared_records.contains_key(number);
-    beyond.filter(is_unprepared).collect()
+    new_numbers.filter(is_unprepared).collect()
 }
 
-/// The records that the last step writes beside the description.
+/// The records that the last step writes in addition to the description.
 fn final_records(job: &Job, split: &RecordSplit) -> Vec<u32> {
     let numbers = 0..split.old_record_count.min(job.chunks.len() as u32);
     let has_tasks = |number: &u32| job.chunk(*number).is_some();
