--- a/tests/budget.rs
+++ b/tests/budget.rs
@@ -1,5 +1,5 @@
-//! Requests to the state service under a budget that does not suffice: what goes first, and that
-//! nothing waits without end.
+//! The queue of requests to the state service when the rate limits don't suffice: which requests are sent first, and that none
+//! waits without end.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -10,7 +10,8 @@
 use lichencrank_store::rate_limit::node_share;
 use lichencrank_store::{Change, Txn};
 
-fn write(changes: usize) -> StoreRequest {
+/// A transaction with that many changes.
+fn write_request(changes: usize) -> StoreRequest {
     let mut txn = Txn::default();
     for number in 0..changes {
         txn.changes.push(Change::delete(format!("k/{number}")));
@@ -18,65 +19,78 @@
     StoreRequest::Txn(txn)
 }
 
-/// Plays ten seconds with the given arrivals every 100 ms; returns how long each request of the
-/// class waited until it was sent, `None` for those refused.
-fn play(
+/// Runs the queue for ten seconds. Every 100 ms it gets one request of `observed_class`, and for each entry of `load` six
+/// transactions of that class and with that many changes. Returns how long each request of `observed_class` waited until it
+/// was sent, in milliseconds; `None` for each that was refused.
+fn waits_under_load(
     store: &mut StoreClient,
-    watched: RequestClass,
-    flood: &[(RequestClass, usize)],
+    observed_class: RequestClass,
+    load: &[(RequestClass, usize)],
 ) -> Vec<Option<u64>> {
-    let limit = Duration::from_millis(1700);
-    let mut asked: BTreeMap<StoreRequestId, u64> = BTreeMap::new();
-    let mut waits = Vec::new();
-    for now in 0..10_000u64 {
-        if now % 100 == 0 {
-            for (class, changes) in flood {
+    let response_timeout = Duration::from_millis(1700);
+    let mut enqueued_at_ms: BTreeMap<StoreRequestId, u64> = BTreeMap::new();
+    let mut waits_ms = Vec::new();
+    for now_ms in 0..10_000u64 {
+        if now_ms % 100 == 0 {
+            for (class, changes) in load {
                 for _ in 0..6 {
-                    store.enqueue(Time(now), *class, write(*changes), limit);
+                    store.enqueue(
+                        Time(now_ms),
+                        *class,
+                        write_request(*changes),
+                        response_timeout,
+                    );
                 }
             }
-            let ask = match watched {
+            let request = match observed_class {
                 RequestClass::Lease => StoreRequest::Extend(LeaseId(1)),
                 _ => StoreRequest::Get("live/job-000001".into()),
             };
-            asked.insert(store.enqueue(Time(now), watched, ask, limit), now);
+            enqueued_at_ms.insert(
+                store.enqueue(Time(now_ms), observed_class, request, response_timeout),
+                now_ms,
+            );
         }
-        while let Some(next) = store.next_outgoing(Time(now), true) {
-            let (id, sent) = match next {
-                Ok(out) => (out.id, true),
+        while let Some(next) = store.next_outgoing(Time(now_ms), true) {
+            let (id, is_sent) = match next {
+                Ok(outgoing) => (outgoing.id, true),
                 Err(id) => (id, false),
             };
-            if let Some(at) = asked.remove(&id) {
-                waits.push(sent.then_some(now - at));
+            if let Some(enqueued_at) = enqueued_at_ms.remove(&id) {
+                waits_ms.push(is_sent.then_some(now_ms - enqueued_at));
             }
         }
     }
-    waits
+    waits_ms
 }
 
-/// A backlog of submissions and bookings, beyond both budgets, used to leave polls unanswered for
-/// as long as it lasted: their jobs counted as forgotten.
+/// A backlog of submissions and records of the leader, beyond both rate limits, used to leave status queries unanswered as
+/// long as it lasted, so that users took their jobs for lost.
 #[test]
-fn polls_are_answered_beside_a_backlog_of_writes() {
+fn status_queries_are_sent_beside_a_backlog_of_writes() {
     let mut store = StoreClient::new(40.0, 12.0);
-    let waits = play(
+    let waits_ms = waits_under_load(
         &mut store,
         RequestClass::Read,
         &[(RequestClass::User, 1), (RequestClass::Records, 6)],
     );
-    assert!(waits.len() > 80, "{} were looked at", waits.len());
-    let refused = waits.iter().filter(|w| w.is_none()).count();
-    assert_eq!(refused, 0, "{waits:?}");
+    assert!(
+        waits_ms.len() > 80,
+        "only {} requests were sent or refused",
+        waits_ms.len()
+    );
+    let refused = waits_ms.iter().filter(|wait| wait.is_none()).count();
+    assert_eq!(refused, 0, "{waits_ms:?}");
 }
 
-/// Operators see in the log how much waits, and for how long.
+/// The log shows operators how many requests the rate limits hold back, and for how long.
 #[test]
-fn a_backlog_tells_its_length_and_age() {
+fn the_backlog_has_the_count_and_the_age_of_waiting_requests() {
     let mut store = StoreClient::new(2.0, 2.0);
     assert_eq!(store.request_backlog(Time(0)), (0, Duration::ZERO));
-    for now in [0, 100, 200, 300] {
+    for now_ms in [0, 100, 200, 300] {
         store.enqueue(
-            Time(now),
+            Time(now_ms),
             RequestClass::Read,
             StoreRequest::Get("types".into()),
             Duration::from_secs(2),
@@ -92,99 +106,109 @@
 }
 
 #[test]
-fn the_lease_waits_for_nothing() {
+fn lease_renewals_are_sent_at_once() {
     let mut store = StoreClient::new(5.0, 2.0);
-    let waits = play(
+    let waits_ms = waits_under_load(
         &mut store,
         RequestClass::Lease,
         &[(RequestClass::User, 1), (RequestClass::Records, 6)],
     );
-    assert!(waits.len() == 100);
-    assert!(waits.iter().all(|w| *w == Some(0)), "{waits:?}");
+    assert!(waits_ms.len() == 100);
+    assert!(waits_ms.iter().all(|wait| *wait == Some(0)), "{waits_ms:?}");
 }
 
-/// A booking may not take the writes that a submission waits for.
+/// Records of the leader must not use the changes that a submission waits for.
 #[test]
-fn submissions_get_writes_before_bookings() {
+fn submissions_get_changes_before_records_of_the_leader() {
     let mut store = StoreClient::new(100.0, 6.0);
-    let limit = Duration::from_millis(1700);
-    let mut sent = BTreeMap::new();
-    let mut classes = BTreeMap::new();
-    for now in 0..5000u64 {
-        if now % 100 == 0 {
+    let response_timeout = Duration::from_millis(1700);
+    let mut sent_by_class = BTreeMap::new();
+    let mut class_by_id = BTreeMap::new();
+    for now_ms in 0..5000u64 {
+        if now_ms % 100 == 0 {
             for class in [RequestClass::Records, RequestClass::User] {
-                classes.insert(store.enqueue(Time(now), class, write(1), limit), class);
+                class_by_id.insert(
+                    store.enqueue(Time(now_ms), class, write_request(1), response_timeout),
+                    class,
+                );
             }
         }
-        while let Some(next) = store.next_outgoing(Time(now), true) {
-            if let Ok(out) = next {
-                *sent.entry(classes[&out.id]).or_insert(0) += 1;
+        while let Some(next) = store.next_outgoing(Time(now_ms), true) {
+            if let Ok(outgoing) = next {
+                *sent_by_class.entry(class_by_id[&outgoing.id]).or_insert(0) += 1;
             }
         }
     }
     assert!(
-        sent[&RequestClass::User] >= 3 * sent[&RequestClass::Records],
-        "{sent:?}"
+        sent_by_class[&RequestClass::User] >= 3 * sent_by_class[&RequestClass::Records],
+        "{sent_by_class:?}"
     );
 }
 
-/// Three nodes that each took half of a budget overran it together, and renewals were refused with
-/// the rest. What they take settles at no more than there is, and one alone gets nearly all.
+/// Three nodes that each used half of a rate limit exceeded it together, and lease renewals were refused with everything else.
+/// The rates that nodes use settle within the limit, and a node that is the only one with demand gets all of it.
 #[test]
-fn nodes_share_a_budget_by_what_each_wants() {
-    let settle = |wants: &[f64]| {
-        let mut spends = vec![0.0; wants.len()];
+fn nodes_share_a_rate_limit_by_their_demand() {
+    let settled_rates = |demands_per_s: &[f64]| {
+        let mut rates_per_s = vec![0.0; demands_per_s.len()];
         for round in 0..20 {
-            let before = spends.clone();
-            // Not all hear of the others at the same moment.
-            let node = round % wants.len();
-            let others = before.iter().sum::<f64>() - before[node];
-            spends[node] = node_share(100.0, wants.len(), others).min(wants[node]);
+            let known_rates_per_s = rates_per_s.clone();
+            // The nodes learn of each other's rates at different times, so they adapt one by one.
+            let node = round % demands_per_s.len();
+            let others_per_s = known_rates_per_s.iter().sum::<f64>() - known_rates_per_s[node];
+            rates_per_s[node] =
+                node_share(100.0, demands_per_s.len(), others_per_s).min(demands_per_s[node]);
         }
-        spends
+        rates_per_s
     };
-    assert_eq!(settle(&[500.0, 0.0, 0.0]), [100.0, 0.0, 0.0]);
-    let crowded = settle(&[500.0, 500.0, 500.0]);
+    assert_eq!(settled_rates(&[500.0, 0.0, 0.0]), [100.0, 0.0, 0.0]);
+    let crowded = settled_rates(&[500.0, 500.0, 500.0]);
     assert!(crowded.iter().sum::<f64>() <= 100.0 + 1e-6, "{crowded:?}");
-    assert!(crowded.iter().all(|s| *s >= 33.0), "{crowded:?}");
-    let mixed = settle(&[500.0, 10.0, 20.0]);
+    assert!(crowded.iter().all(|rate| *rate >= 33.0), "{crowded:?}");
+    let mixed = settled_rates(&[500.0, 10.0, 20.0]);
     assert!((mixed[0] - 70.0).abs() < 1e-6, "{mixed:?}");
 }
 
-/// When the state service answers slowly, requests used to be given up before their answers came,
-/// all of them. Transactions that are lost one by one while all else is quick are no such sign.
+/// While the state service was slow, every request used to time out before its response arrived. The timeout grows with the
+/// response times, but not if single transactions are lost while everything else is fast.
 #[test]
-fn patience_follows_what_answers_take() {
+fn the_response_timeout_follows_the_response_times() {
     let mut store = StoreClient::new(1000.0, 1000.0);
-    let mut serial = 0;
-    let mut play = |store: &mut StoreClient, ask: StoreRequest, took: u64, lost: bool| {
-        serial += 1;
-        let at = Time(serial * 10_000);
-        store.enqueue(at, RequestClass::Read, ask, Duration::from_secs(2));
-        let Some(Ok(out)) = store.next_outgoing(at, true) else {
-            panic!("the budget allows it")
-        };
-        store.on_sent(out.id, CallId(serial));
-        let answer = if lost {
-            Err(CallError::Lost)
-        } else {
-            Ok(Response::new(404, Vec::new()))
+    let mut call_number = 0;
+    // Sends a request, and delivers a response or a lost call after that time.
+    let mut exchange =
+        |store: &mut StoreClient, request: StoreRequest, response_time_ms: u64, is_lost: bool| {
+            call_number += 1;
+            let sent_at = Time(call_number * 10_000);
+            store.enqueue(sent_at, RequestClass::Read, request, Duration::from_secs(2));
+            let Some(Ok(outgoing)) = store.next_outgoing(sent_at, true) else {
+                panic!("the rate limit allows the request")
+            };
+            store.on_sent(outgoing.id, CallId(call_number));
+            let result = if is_lost {
+                Err(CallError::Lost)
+            } else {
+                Ok(Response::new(404, Vec::new()))
+            };
+            store.on_response(
+                Time(sent_at.0 + response_time_ms),
+                CallId(call_number),
+                result,
+            );
         };
-        store.on_response(Time(at.0 + took), CallId(serial), answer);
-    };
     let get = || StoreRequest::Get("types".into());
-    let usual = store.response_timeout();
+    let initial_timeout = store.response_timeout();
     for _ in 0..5 {
-        play(&mut store, get(), 8, false);
-        play(&mut store, write(1), 450, true);
+        exchange(&mut store, get(), 8, false);
+        exchange(&mut store, write_request(1), 450, true);
     }
-    assert_eq!(store.response_timeout(), usual);
-    play(&mut store, get(), 400, false);
+    assert_eq!(store.response_timeout(), initial_timeout);
+    exchange(&mut store, get(), 400, false);
     assert_eq!(store.response_timeout(), Duration::from_millis(1200));
-    play(&mut store, get(), 1200, true);
+    exchange(&mut store, get(), 1200, true);
     assert_eq!(store.response_timeout(), Duration::from_millis(1500));
     for _ in 0..40 {
-        play(&mut store, get(), 8, false);
+        exchange(&mut store, get(), 8, false);
     }
-    assert_eq!(store.response_timeout(), usual);
+    assert_eq!(store.response_timeout(), initial_timeout);
 }
--- a/tests/record_split.rs
+++ b/tests/record_split.rs
@@ -1,5 +1,5 @@
-//! Run records that the version in production left larger than the limits of later allow are split in
-//! steps. After each step a take-over, by either version, finds every booking and attempt.
+//! Run records that the version in production wrote under a larger size limit of values are split into smaller ones in several
+//! transactions. After each of them, a new leader of this version or the earlier one finds all allocations and attempts.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -23,14 +23,14 @@
 use lichencrank_testkit::{InMemoryStore, Limits};
 
 const JOB: JobId = JobId(1);
-const TASKS: u32 = 600;
-const OLD_CHUNK: u32 = 256;
+const TASK_COUNT: u32 = 600;
+const OLD_TASKS_PER_RECORD: u32 = 256;
 const NOW: Time = Time(10_000);
 
-/// Where each task was booked, and under which attempt; or the last attempt that was tried.
-type Picture = BTreeMap<u32, (u64, Option<String>)>;
+/// By task: the number of its current attempt and the host, or the number of its last attempt and no host.
+type TaskAttempts = BTreeMap<u32, (u64, Option<String>)>;
 
-fn host_of(index: u32) -> HostName {
+fn host_name(index: u32) -> HostName {
     HostName::new(&format!("vm-{:06}", index % 97))
 }
 
@@ -41,7 +41,7 @@
         team: "open".into(),
         kind: JobKind::Array,
         priority: Priority::Normal,
-        tasks: u64::from(TASKS),
+        tasks: u64::from(TASK_COUNT),
         cpus: Amount(1.0),
         gpus: Amount(0.0),
         memory_gb: Amount(1.0),
@@ -63,26 +63,27 @@
     map(vec![("set", key.into()), ("data", data)])
 }
 
-/// What production left: two records of 256 tasks, most of them booked, some tried; the rest untouched.
-fn left_behind() -> InMemoryStore {
-    let mut state = InMemoryStore::new(Limits {
+/// A store as the version in production leaves it, before the limits are lowered: two records of 256 tasks, of which most are
+/// allocated and some were attempted before; the other tasks were never allocated.
+fn store_with_oversized_records() -> InMemoryStore {
+    let mut store = InMemoryStore::new(Limits {
         value_bytes: 16 * 1024,
         changes: 16,
     });
     let description = JobRecord {
         spec: spec(),
         submitted_at_ms: 1000,
-        tasks_per_record: OLD_CHUNK,
+        tasks_per_record: OLD_TASKS_PER_RECORD,
     };
     let mut changes = vec![
         put("lead/holder", map(vec![])),
         put(&records::live_key(JOB), value(&description)),
     ];
     for number in 0..2 {
-        let first = number * OLD_CHUNK;
+        let first = number * OLD_TASKS_PER_RECORD;
         let mut record = RunRecord {
             first_task: first,
-            tasks_per_record: OLD_CHUNK,
+            tasks_per_record: OLD_TASKS_PER_RECORD,
             team: "open".into(),
             cpus: 1.0,
             memory_gb: 1.0,
@@ -99,7 +100,7 @@
                 record.allocations.push(AllocationEntry {
                     offset,
                     attempt,
-                    host: host_of(first + offset),
+                    host: host_name(first + offset),
                     incarnation: Incarnation(1),
                 });
             }
@@ -107,16 +108,16 @@
         let id = RunRecordId { job: JOB, number };
         changes.push(put(&records::run_key(id), value(&record)));
     }
-    let response = state.transact(&map(vec![("apply", Value::Array(changes))]));
+    let response = store.transact(&map(vec![("apply", Value::Array(changes))]));
     assert_eq!(response.status, 200, "{response:?}");
-    state.set_limits(Limits {
+    store.set_limits(Limits {
         value_bytes: 2048,
         changes: 5,
     });
-    state
+    store
 }
 
-fn rules() -> Policy {
+fn policy() -> Policy {
     Policy {
         report: Duration::from_secs(3),
         lease: Duration::from_secs(16),
@@ -142,19 +143,19 @@
     }
 }
 
-fn items(state: &mut InMemoryStore, prefix: &str) -> Vec<(String, Value, u64)> {
+fn list_items(store: &mut InMemoryStore, prefix: &str) -> Vec<(String, Value, u64)> {
     let target = format!("/kv?prefix={prefix}&page=1000");
-    let page = state.handle(0, "GET", &target, &Value::Null).body;
+    let page = store.handle(0, "GET", &target, &Value::Null).body;
     let pairs = values::list(&page, "pairs").iter();
-    let of = |item: &Value| {
+    let key_value_version = |item: &Value| {
         let data = get(item, "data").cloned().unwrap_or(Value::Null);
         (text(item, "path"), data, number(item, "stamp"))
     };
-    pairs.map(of).collect()
+    pairs.map(key_value_version).collect()
 }
 
-/// A new leader of this version reads the records.
-fn take_over(state: &mut InMemoryStore) -> Leader {
+/// Starts a new leader of this version, which reads the records.
+fn start_leader(store: &mut InMemoryStore) -> Leader {
     let types = vec![MachineType {
         name: "c4".into(),
         cpus: Amount(4.0),
@@ -167,66 +168,71 @@
         boot_s: Amount(30.0),
         zones: vec!["a".into()],
     }];
-    let holder = items(state, "lead/holder")[0].2;
-    let mut controller = Leader::new(Term(5), Version(holder), rules(), types, NOW);
-    controller.set_lease_valid_until(Time(u64::MAX));
-    for (_, data, version) in items(state, "live/") {
+    let leader_key_version = list_items(store, "lead/holder")[0].2;
+    let mut leader = Leader::new(Term(5), Version(leader_key_version), policy(), types, NOW);
+    leader.set_lease_valid_until(Time(u64::MAX));
+    for (_, data, version) in list_items(store, "live/") {
         let record: JobRecord = data.deserialized().expect("a description");
-        controller.on_job(record, Version(version));
+        leader.on_job(record, Version(version));
     }
-    for (key, data, version) in items(state, "run/") {
+    for (key, data, version) in list_items(store, "run/") {
         let id = records::parse_run_key(&key).expect("the key of a run record");
         let record: RunRecord = data.deserialized().expect("a run record");
-        controller.on_run_record(id, &record, Version(version), NOW);
+        leader.on_run_record(id, &record, Version(version), NOW);
     }
-    controller.on_loaded(NOW);
-    controller
+    leader.on_loaded(NOW);
+    leader
 }
 
-fn picture_of(controller: &Leader) -> Picture {
-    let job = &controller.cluster().jobs()[&JOB];
-    let mut picture = Picture::new();
-    for index in 0..TASKS {
+/// The attempts that a leader knows of.
+fn attempts_of_leader(leader: &Leader) -> TaskAttempts {
+    let job = &leader.cluster().jobs()[&JOB];
+    let mut attempts = TaskAttempts::new();
+    for index in 0..TASK_COUNT {
         let attempt = job.last_attempt(index).0;
-        let holds = |h: &&lichencrank::coordination::cluster::host::Host| {
-            h.allocations.contains_key(&TaskId { job: JOB, index })
+        let holds = |host: &&lichencrank::coordination::cluster::host::Host| {
+            host.allocations.contains_key(&TaskId { job: JOB, index })
         };
-        let host = controller.cluster().hosts().values().find(holds);
+        let host = leader.cluster().hosts().values().find(holds);
         if attempt > 0 {
-            picture.insert(index, (attempt, host.map(|h| h.name.to_string())));
+            attempts.insert(index, (attempt, host.map(|host| host.name.to_string())));
         }
     }
-    picture
+    attempts
 }
 
-/// What production would read: the description's size says which records are in force.
-fn picture_of_production(state: &mut InMemoryStore) -> Picture {
-    let description: JobRecord = items(state, "live/")[0].1.deserialized().expect("one");
-    let mut picture = Picture::new();
-    for (key, data, _) in items(state, "run/") {
+/// The attempts that a leader of the version in production would read: the number of tasks per record in the job's description
+/// says which records are in force.
+fn attempts_in_records(store: &mut InMemoryStore) -> TaskAttempts {
+    let description: JobRecord = list_items(store, "live/")[0]
+        .1
+        .deserialized()
+        .expect("a description");
+    let mut attempts = TaskAttempts::new();
+    for (key, data, _) in list_items(store, "run/") {
         let RunRecordId { number, .. } =
             records::parse_run_key(&key).expect("the key of a run record");
-        if number >= TASKS.div_ceil(description.tasks_per_record) {
+        if number >= TASK_COUNT.div_ceil(description.tasks_per_record) {
             continue;
         }
         let record: RunRecord = data.deserialized().expect("a run record");
         let first = number * description.tasks_per_record;
         for entry in record.attempted {
-            picture.insert(first + entry.offset, (entry.last_attempt.0, None));
+            attempts.insert(first + entry.offset, (entry.last_attempt.0, None));
         }
         for entry in record.allocations {
             let host = entry.host.to_string();
-            picture.insert(first + entry.offset, (entry.attempt.0, Some(host)));
+            attempts.insert(first + entry.offset, (entry.attempt.0, Some(host)));
         }
     }
-    picture
+    attempts
 }
 
-/// One task ends, so that its record has to be written.
-fn end_one(controller: &mut Leader) {
+/// The attempt at the first task fails, so that its record has to be written.
+fn report_failure_of_first_task(leader: &mut Leader) {
     let task = TaskId { job: JOB, index: 0 };
-    let report = WorkerHeartbeat {
-        host: host_of(0),
+    let heartbeat = WorkerHeartbeat {
+        host: host_name(0),
         address: "10.1.0.1:9000".into(),
         machine_type: "c4".into(),
         zone: "a".into(),
@@ -235,77 +241,89 @@
         sequence: SequenceNumber(100),
         fencing_token: Term(5),
         notice_s: None,
-        tasks: controller.cluster().hosts()[&host_of(0)]
+        tasks: leader.cluster().hosts()[&host_name(0)]
             .allocations
             .iter()
-            .map(|(t, b)| AttemptStatus {
-                task: *t,
-                attempt: b.attempt,
-                state: if *t == task {
+            .map(|(id, allocation)| AttemptStatus {
+                task: *id,
+                attempt: allocation.attempt,
+                state: if *id == task {
                     AttemptState::Ended
                 } else {
                     AttemptState::Running
                 },
-                end_reason: (*t == task).then_some(EndReason::Error),
+                end_reason: (*id == task).then_some(EndReason::Error),
             })
             .collect(),
     };
-    controller.on_heartbeat(&report, NOW).expect("it leads");
+    leader
+        .on_heartbeat(&heartbeat, NOW)
+        .expect("the leader still leads");
 }
 
-/// Writes the next batch, if there is one; nothing may ever be refused.
-fn step(controller: &mut Leader, state: &mut InMemoryStore) -> bool {
-    // A record that turns out too large is split from the next batch on.
-    let batch = controller.next_batch(5, true);
-    let batch = batch.or_else(|| controller.next_batch(5, true));
+/// Commits the leader's next batch; false if there is none. The store must not refuse any.
+fn commit_next_batch(leader: &mut Leader, store: &mut InMemoryStore) -> bool {
+    // A call that finds a record above the size limit may return no batch; the next one begins to split it.
+    let batch = leader.next_batch(5, true);
+    let batch = batch.or_else(|| leader.next_batch(5, true));
     let Some(txn) = batch else {
         return false;
     };
-    let response = state.transact(&value(&txn));
+    let response = store.transact(&value(&txn));
     assert_eq!(response.status, 200, "{response:?}");
     let revision = Version(number(&response.body, "ledgerRev"));
-    assert!(!controller.is_write_idle(), "a batch awaits its outcome");
+    assert!(!leader.is_write_idle(), "the batch awaits its outcome");
     let outcome = Outcome::Committed(revision);
-    controller.on_batch_outcome(outcome, NOW).expect("it leads");
+    leader
+        .on_batch_outcome(outcome, NOW)
+        .expect("the leader still leads");
     true
 }
 
 #[test]
-fn every_step_keeps_every_booking() {
-    let before = picture_of_production(&mut left_behind());
-    // The one that ended keeps its attempt; whether its end is written does not matter.
-    let same = |picture: &Picture| {
-        let but_first =
-            |p: &Picture| -> Picture { p.clone().into_iter().filter(|(i, _)| *i != 0).collect() };
-        assert_eq!(but_first(picture), but_first(&before));
-        assert_eq!(picture[&0].0, before[&0].0);
+fn every_step_of_a_split_keeps_all_allocations_and_attempts() {
+    let before = attempts_in_records(&mut store_with_oversized_records());
+    // The first task, which failed, keeps its attempt number; whether its failure is written already does not matter.
+    let assert_kept = |attempts: &TaskAttempts| {
+        let without_first_task = |attempts: &TaskAttempts| -> TaskAttempts {
+            attempts
+                .clone()
+                .into_iter()
+                .filter(|(index, _)| *index != 0)
+                .collect()
+        };
+        assert_eq!(without_first_task(attempts), without_first_task(&before));
+        assert_eq!(attempts[&0].0, before[&0].0);
     };
-    // Broken off after so many steps, and done anew by the next leader.
-    for steps in 0..8 {
-        let mut state = left_behind();
-        let mut controller = take_over(&mut state);
-        same(&picture_of(&controller));
-        end_one(&mut controller);
-        for _ in 0..steps {
-            step(&mut controller, &mut state);
-            same(&picture_of_production(&mut state));
-            same(&picture_of(&take_over(&mut state)));
+    // The split is interrupted after this number of steps, and the next leader begins it again.
+    for steps_of_first_leader in 0..8 {
+        let mut store = store_with_oversized_records();
+        let mut leader = start_leader(&mut store);
+        assert_kept(&attempts_of_leader(&leader));
+        report_failure_of_first_task(&mut leader);
+        for _ in 0..steps_of_first_leader {
+            commit_next_batch(&mut leader, &mut store);
+            assert_kept(&attempts_in_records(&mut store));
+            assert_kept(&attempts_of_leader(&start_leader(&mut store)));
         }
-        let mut next = take_over(&mut state);
-        end_one(&mut next);
-        let mut taken = 0;
-        while step(&mut next, &mut state) {
-            taken += 1;
-            assert!(taken < 30, "no end of steps");
-            same(&picture_of_production(&mut state));
+        let mut next_leader = start_leader(&mut store);
+        report_failure_of_first_task(&mut next_leader);
+        let mut step_count = 0;
+        while commit_next_batch(&mut next_leader, &mut store) {
+            step_count += 1;
+            assert!(step_count < 30, "the split does not end");
+            assert_kept(&attempts_in_records(&mut store));
         }
-        same(&picture_of(&next));
-        let description: JobRecord = items(&mut state, "live/")[0].1.deserialized().expect("one");
+        assert_kept(&attempts_of_leader(&next_leader));
+        let description: JobRecord = list_items(&mut store, "live/")[0]
+            .1
+            .deserialized()
+            .expect("a description");
         assert!(
-            description.tasks_per_record < OLD_CHUNK,
-            "after {steps} steps"
+            description.tasks_per_record < OLD_TASKS_PER_RECORD,
+            "after {steps_of_first_leader} steps"
         );
-        for (key, data, _) in items(&mut state, "run/") {
+        for (key, data, _) in list_items(&mut store, "run/") {
             assert!(records::json_size(&data) <= 2048, "{key}");
         }
     }
--- a/tests/size.rs
+++ b/tests/size.rs
@@ -1,5 +1,5 @@
-//! One job of as many tasks as the protocol allows: every record and transaction stays within the
-//! state service's limits, a new leader finishes what the old one began, and nothing is left over.
+//! A job with as many tasks as the protocol allows: every record and transaction stays within the state service's limits, a
+//! new leader completes what the one before began, and only the outcome is left in the store.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -20,12 +20,12 @@
 };
 use lichencrank_store::{Change, Item, Txn};
 
-const TASKS: u64 = 100_000;
-const VALUE_KB: f64 = 16.0;
-const TXN_OPS: usize = 16;
+const TASK_COUNT: u64 = 100_000;
+const MAX_VALUE_KIB: f64 = 16.0;
+const MAX_TXN_CHANGES: usize = 16;
 const JOB: JobId = JobId(7);
 
-fn types() -> Vec<MachineType> {
+fn machine_types() -> Vec<MachineType> {
     vec![MachineType {
         name: "wide".into(),
         cpus: Amount(64.0),
@@ -40,13 +40,13 @@
     }]
 }
 
-fn rules() -> Policy {
+fn policy() -> Policy {
     Policy {
         report: Duration::from_secs(3),
         lease: Duration::from_secs(16),
         cancel: Duration::from_secs(40),
         list_lag: Duration::from_secs(10),
-        tasks_per_record: records::tasks_per_record(VALUE_KB),
+        tasks_per_record: records::tasks_per_record(MAX_VALUE_KIB),
         probes: 10,
         commands: 100,
         records: 100,
@@ -63,14 +63,14 @@
             gpus_max: None,
         }],
         tuning: Tuning {
-            // The machines stay for the whole test.
+            // No host is returned as idle during the test.
             idle_return_s: 86_400.0,
             ..Tuning::default()
         },
     }
 }
 
-fn record() -> JobRecord {
+fn job_record() -> JobRecord {
     JobRecord {
         spec: JobSpec {
             id: JOB,
@@ -78,7 +78,7 @@
             team: "open".into(),
             kind: JobKind::Array,
             priority: Priority::BestEffort,
-            tasks: TASKS,
+            tasks: TASK_COUNT,
             cpus: Amount(0.25),
             gpus: Amount(0.0),
             memory_gb: Amount(0.5),
@@ -95,48 +95,50 @@
             deadline_s: None,
         },
         submitted_at_ms: 0,
-        tasks_per_record: records::tasks_per_record(VALUE_KB),
+        tasks_per_record: records::tasks_per_record(MAX_VALUE_KIB),
     }
 }
 
+/// A worker whose attempts end successfully.
 #[derive(Default)]
 struct Worker {
-    tick: u64,
-    tasks: BTreeMap<(TaskId, Attempt), bool>,
-    starts: u64,
+    last_sequence: u64,
+    /// The attempts that were started and not cleared, and whether each has ended.
+    attempts: BTreeMap<(TaskId, Attempt), bool>,
+    start_count: u64,
 }
 
 impl Worker {
-    fn obey(&mut self, orders: &[Command]) {
-        for order in orders {
-            match order {
+    fn execute(&mut self, commands: &[Command]) {
+        for command in commands {
+            match command {
                 Command::Run { task, attempt } => {
-                    self.tasks.entry((*task, *attempt)).or_insert_with(|| {
-                        self.starts += 1;
+                    self.attempts.entry((*task, *attempt)).or_insert_with(|| {
+                        self.start_count += 1;
                         false
                     });
                 }
                 Command::Stop { task, attempt, .. } | Command::Clear { task, attempt } => {
-                    self.tasks.remove(&(*task, *attempt));
+                    self.attempts.remove(&(*task, *attempt));
                 }
             }
         }
     }
 
-    fn report(&mut self, name: &HostName, token: Term) -> WorkerHeartbeat {
-        self.tick += 1;
+    fn heartbeat(&mut self, name: &HostName, fencing_token: Term) -> WorkerHeartbeat {
+        self.last_sequence += 1;
         let tasks = self
-            .tasks
+            .attempts
             .iter()
-            .map(|((task, attempt), ended)| AttemptStatus {
+            .map(|((task, attempt), has_ended)| AttemptStatus {
                 task: *task,
                 attempt: *attempt,
-                state: if *ended {
+                state: if *has_ended {
                     AttemptState::Ended
                 } else {
                     AttemptState::Running
                 },
-                end_reason: ended.then_some(EndReason::Done),
+                end_reason: has_ended.then_some(EndReason::Done),
             });
         WorkerHeartbeat {
             host: name.clone(),
@@ -145,33 +147,43 @@
             zone: "a".into(),
             spot: true,
             incarnation: Incarnation(1),
-            sequence: SequenceNumber(self.tick),
-            fencing_token: token,
+            sequence: SequenceNumber(self.last_sequence),
+            fencing_token,
             notice_s: None,
             tasks: tasks.collect(),
         }
     }
 }
 
-/// The state service's side: what is kept, and whether what comes is within its limits.
+/// A store that checks the conditions of transactions and the limits that production has.
 #[derive(Default)]
-struct Kept {
+struct LimitCheckingStore {
     revision: u64,
     items: BTreeMap<String, (Value, Version)>,
 }
 
-fn size(value: &impl serde::Serialize) -> usize {
-    serde_json::to_vec(value).expect("it has a form").len()
+fn json_size(value: &impl serde::Serialize) -> usize {
+    serde_json::to_vec(value)
+        .expect("it can be serialized")
+        .len()
 }
 
-impl Kept {
+impl LimitCheckingStore {
     fn apply(&mut self, txn: &Txn) -> Version {
-        assert!(size(txn) <= 64 * 1024, "{} bytes", size(txn));
-        assert!(txn.changes.len() <= TXN_OPS, "{}", txn.changes.len());
-        assert!(txn.conditions.len() <= 4 * TXN_OPS);
+        assert!(
+            json_size(txn) <= 64 * 1024,
+            "a transaction of {} bytes",
+            json_size(txn)
+        );
+        assert!(
+            txn.changes.len() <= MAX_TXN_CHANGES,
+            "{}",
+            txn.changes.len()
+        );
+        assert!(txn.conditions.len() <= 4 * MAX_TXN_CHANGES);
         for condition in &txn.conditions {
-            let there = self.items.get(&condition.key);
-            let version = there.map_or(Version(0), |(_, version)| *version);
+            let stored = self.items.get(&condition.key);
+            let version = stored.map_or(Version(0), |(_, version)| *version);
             assert_eq!(version, condition.version, "{}", condition.key);
         }
         self.revision += 1;
@@ -179,7 +191,10 @@
         for change in &txn.changes {
             match change {
                 Change::Put { key, value, .. } => {
-                    assert!(size(value) <= (VALUE_KB * 1024.0) as usize, "{key}");
+                    assert!(
+                        json_size(value) <= (MAX_VALUE_KIB * 1024.0) as usize,
+                        "{key}"
+                    );
                     self.items.insert(key.clone(), (value.clone(), version));
                 }
                 Change::Delete { key } => {
@@ -190,11 +205,12 @@
         version
     }
 
-    fn begin_leading(&mut self, term: Term, now: Time) -> Leader {
-        let holder = (Value::Null, Version(term.0));
-        self.items.insert(records::LEADER_KEY.to_owned(), holder);
-        let mut c = Leader::new(term, Version(term.0), rules(), types(), now);
-        c.set_lease_valid_until(Time(u64::MAX));
+    fn start_leader(&mut self, term: Term, now: Time) -> Leader {
+        let leader_item = (Value::Null, Version(term.0));
+        self.items
+            .insert(records::LEADER_KEY.to_owned(), leader_item);
+        let mut leader = Leader::new(term, Version(term.0), policy(), machine_types(), now);
+        leader.set_lease_valid_until(Time(u64::MAX));
         for (key, (value, version)) in &self.items {
             let (key, value, version) = (key.clone(), value.clone(), *version);
             let item = Item {
@@ -204,99 +220,109 @@
             };
             if records::parse_live_key(&item.key).is_some() {
                 assert!(records::unarchived_outcome(&item.value).is_none());
-                c.on_job(item.record().expect("a job"), version);
+                leader.on_job(item.record().expect("a job"), version);
             }
         }
         for (key, (value, version)) in &self.items {
             if let Some(id) = records::parse_run_key(key) {
                 let record = value.deserialized().expect("a run record");
-                c.on_run_record(id, &record, *version, now);
+                leader.on_run_record(id, &record, *version, now);
             }
         }
-        c.on_loaded(now);
-        c
+        leader.on_loaded(now);
+        leader
     }
 }
 
 #[test]
-fn a_job_of_the_largest_size_runs_once_and_leaves_nothing() {
-    let mut kept = Kept {
+fn a_job_of_the_largest_size_runs_each_task_once_and_leaves_only_its_outcome() {
+    let mut store = LimitCheckingStore {
         revision: 100,
-        ..Kept::default()
+        ..LimitCheckingStore::default()
     };
-    let live = kept.apply(&Txn {
+    let job_record_version = store.apply(&Txn {
         conditions: Vec::new(),
         changes: vec![Change::put(
             records::live_key(JOB),
-            lichencrank_store::value(&record()),
+            lichencrank_store::value(&job_record()),
         )],
     });
     let mut now = Time(0);
-    let mut c = kept.begin_leading(Term(3), now);
-    assert_eq!(c.cluster().jobs()[&JOB].record_version, live);
+    let mut leader = store.start_leader(Term(3), now);
+    assert_eq!(
+        leader.cluster().jobs()[&JOB].record_version,
+        job_record_version
+    );
     let mut workers: BTreeMap<HostName, Worker> = (0..40)
         .map(|n| (HostName::new(&format!("vm-{n:03}")), Worker::default()))
         .collect();
-    let mut largest_report = 0;
-    let mut rounds = 0;
-    let over = records::outcome_key(JOB);
-    while !kept.items.contains_key(&over) || !c.cluster().jobs().is_empty() {
-        rounds += 1;
+    let mut max_attempts_per_heartbeat = 0;
+    let mut round_count = 0;
+    let outcome_key = records::outcome_key(JOB);
+    while !store.items.contains_key(&outcome_key) || !leader.cluster().jobs().is_empty() {
+        round_count += 1;
         assert!(
-            rounds < 2000,
+            round_count < 2000,
             "{} tasks done",
-            c.cluster().jobs()[&JOB].done_count
+            leader.cluster().jobs()[&JOB].done_count
         );
         now = now.after(Duration::from_millis(500));
-        if rounds == 120 {
-            // The leader ends in the middle, whatever it had under way.
+        if round_count == 120 {
+            // The leader fails in the middle of the job, with whatever it had in flight.
             assert!(
-                c.cluster().jobs()[&JOB].done_count > 1000
-                    && c.cluster().jobs()[&JOB].allocated_count > 0
+                leader.cluster().jobs()[&JOB].done_count > 1000
+                    && leader.cluster().jobs()[&JOB].allocated_count > 0
             );
-            c = kept.begin_leading(Term(4), now);
+            leader = store.start_leader(Term(4), now);
         }
         for (name, worker) in &mut workers {
-            for ended in worker.tasks.values_mut() {
-                *ended = true;
+            for has_ended in worker.attempts.values_mut() {
+                *has_ended = true;
             }
-            let report = worker.report(name, c.term());
-            largest_report = largest_report.max(report.tasks.len());
-            let orders = c.on_heartbeat(&report, now).expect("its term");
-            worker.obey(&orders);
+            let heartbeat = worker.heartbeat(name, leader.term());
+            max_attempts_per_heartbeat = max_attempts_per_heartbeat.max(heartbeat.tasks.len());
+            let commands = leader
+                .on_heartbeat(&heartbeat, now)
+                .expect("the leader still leads");
+            worker.execute(&commands);
         }
-        c.tick(now, now.0);
+        leader.tick(now, now.0);
         for _ in 0..6 {
-            let Some(txn) = c.next_batch(TXN_OPS, true) else {
+            let Some(txn) = leader.next_batch(MAX_TXN_CHANGES, true) else {
                 break;
             };
-            let version = kept.apply(&txn);
-            c.on_batch_outcome(Outcome::Committed(version), now)
-                .expect("its term");
-            for action in c.take_actions() {
+            let version = store.apply(&txn);
+            leader
+                .on_batch_outcome(Outcome::Committed(version), now)
+                .expect("the leader still leads");
+            for action in leader.take_actions() {
                 let Action::SendCommands {
                     host,
-                    incarnation: session,
-                    commands: orders,
+                    incarnation,
+                    commands,
                     ..
                 } = action
                 else {
                     continue;
                 };
-                let worker = workers.get_mut(&host).expect("a machine of the test");
-                worker.obey(&orders);
-                let report = Box::new(worker.report(&host, c.term()));
-                let result = CommandResult::Heartbeat(report);
-                c.on_command_result(&host, session, &orders, result, now)
-                    .expect("its term");
+                let worker = workers.get_mut(&host).expect("a worker of the test");
+                worker.execute(&commands);
+                let heartbeat = Box::new(worker.heartbeat(&host, leader.term()));
+                let result = CommandResult::Heartbeat(heartbeat);
+                leader
+                    .on_command_result(&host, incarnation, &commands, result, now)
+                    .expect("the leader still leads");
             }
         }
-        c.take_actions();
+        leader.take_actions();
     }
-    let starts: u64 = workers.values().map(|w| w.starts).sum();
-    assert_eq!(starts, TASKS, "each task was started once");
-    // A report may have 64 KiB; one task takes less than 100 bytes of it.
-    assert!(largest_report < 600, "{largest_report} tasks in a report");
-    let left: Vec<&String> = kept.items.keys().collect();
-    assert_eq!(left, [records::LEADER_KEY, over.as_str()]);
+    let start_count: u64 = workers.values().map(|worker| worker.start_count).sum();
+    assert_eq!(start_count, TASK_COUNT, "each task has to be started once");
+    // A heartbeat may have 64 KiB; one attempt takes less than 100 bytes of it.
+    assert!(
+        max_attempts_per_heartbeat < 600,
+        "{max_attempts_per_heartbeat} attempts in a heartbeat"
+    );
+    let remaining_keys: Vec<&String> = store.items.keys().collect();
+    assert_eq!(remaining_keys, [records::LEADER_KEY, outcome_key.as_str()]);
 }
--- a/tests/store_contract.rs
+++ b/tests/store_contract.rs
@@ -1,5 +1,5 @@
-//! The store's contract, tested against every implementation of it: the store in memory, the blocking client
-//! over loopback, and the daemon's queue of requests.
+//! The contract of the key-value store, tested against every implementation: the store in memory, the blocking client over
+//! loopback, and the daemon's queue of requests over loopback.
 
 use std::net::SocketAddr;
 use std::sync::atomic::AtomicBool;
@@ -18,7 +18,7 @@
 use lichencrank_testkit::loopback::start_store;
 use lichencrank_testkit::{HttpResponse, Limits, SharedStore};
 
-/// How long responses are awaited, and leases last.
+/// The response timeout, and the duration of leases.
 const TIMEOUT: Duration = Duration::from_secs(10);
 const LIMITS: StoreLimits = StoreLimits {
     value_bytes: 16 * 1024,
@@ -27,24 +27,27 @@
     changes_per_second: 1000.0,
 };
 
-/// The daemon's queue of requests, each of which is sent and answered before the next one.
+/// The daemon's queue of requests. Each request is sent and answered before the next one.
 struct QueuedStore {
     queue: StoreClient,
     address: SocketAddr,
-    calls: u64,
+    request_count: u64,
 }
 
 impl ConditionalStore for QueuedStore {
     fn execute(&mut self, request: &Request) -> Outcome {
-        // A second for each request, so that the rate limits hold none back.
-        let now = Time(self.calls * 1000);
-        self.calls += 1;
-        let call_id = CallId(self.calls);
-        let enqueued = self
+        // The clock advances by a second for each request, so that the rate limits hold none back.
+        let now = Time(self.request_count * 1000);
+        self.request_count += 1;
+        let call_id = CallId(self.request_count);
+        let enqueued_id = self
             .queue
             .enqueue(now, RequestClass::User, request.clone(), TIMEOUT);
-        let next = self.queue.next_outgoing(now, true).expect("it is sent");
-        let outgoing = next.expect("it did not wait");
+        let next = self
+            .queue
+            .next_outgoing(now, true)
+            .expect("the rate limits allow the request");
+        let outgoing = next.expect("the request is not refused");
         self.queue.on_sent(outgoing.id, call_id);
         let response = call(
             self.address,
@@ -54,11 +57,11 @@
         );
         let response = response.expect("a response of the store");
         let response = Response::new(response.status, encode(&response.body));
-        let (answered, outcome) = self
+        let (answered_id, outcome) = self
             .queue
             .on_response(now, call_id, Ok(response))
             .expect("the response belongs to the request");
-        assert_eq!(answered, enqueued);
+        assert_eq!(answered_id, enqueued_id);
         outcome
     }
 }
@@ -67,7 +70,7 @@
     start_store(Arc::new(AtomicBool::new(false)))
 }
 
-/// Runs a test against every implementation, each with an empty store.
+/// Runs a test against every implementation, each with an empty store of its own.
 fn with_each_store(test: impl Fn(&mut dyn ConditionalStore)) {
     let limits = Limits {
         value_bytes: LIMITS.value_bytes,
@@ -78,11 +81,11 @@
     test(&mut QueuedStore {
         queue: StoreClient::new(LIMITS.requests_per_second, LIMITS.changes_per_second),
         address: start_store_on_loopback(),
-        calls: 0,
+        request_count: 0,
     });
 }
 
-/// A transaction whose conditions are these keys and versions.
+/// A transaction with the given changes, on condition that these keys have these versions.
 fn txn(conditions: &[(&str, Version)], changes: Vec<Change>) -> Txn {
     let mut txn = Txn::default();
     for (key, version) in conditions {
@@ -100,6 +103,7 @@
     Change::delete(key.to_owned())
 }
 
+/// Carries out a transaction that has to be committed. Returns the version of its changes.
 fn commit(store: &mut dyn ConditionalStore, txn: Txn) -> Version {
     match store.execute(&Request::Txn(txn)) {
         Outcome::Committed(version) => version,
@@ -227,7 +231,7 @@
 
 #[test]
 fn a_watch_after_a_compacted_revision_is_too_old() {
-    // More changes than are kept, in few transactions: beyond the limits of the others.
+    // More changes than the store keeps, in few transactions, which exceed the limits that the other tests use.
     let shared = SharedStore::new(Limits {
         value_bytes: 1024,
         changes: 1000,
@@ -246,7 +250,7 @@
     assert!(matches!(outcome, Outcome::TooOld), "{outcome:?}");
 }
 
-/// The check before a request is sent refuses exactly what the store refuses.
+/// The client's check before a request is sent refuses the same transactions as the store.
 #[test]
 fn the_limits_are_those_of_the_store() {
     let changes =
@@ -263,7 +267,7 @@
         txn
     };
     with_each_store(|store| {
-        // The value is a text: its JSON has two quotes besides.
+        // The value is a string, whose JSON has two more bytes for the quotes.
         let cases = [
             ("16 changes", txn(&[], changes(16)), true),
             ("17 changes", txn(&[], changes(17)), false),
@@ -290,16 +294,17 @@
     );
 }
 
-/// If nobody listens, nothing was sent. A fault of the store leaves open what became of the request.
+/// If nothing listens at the address, the request was not sent. After an error of the store, the outcome of the request is
+/// unknown.
 #[test]
-fn a_client_without_a_proper_response_knows_what_it_proves() {
+fn a_client_tells_a_refused_request_from_one_of_unknown_outcome() {
     let request = Request::Txn(txn(&[], vec![put("a", 1)]));
-    let faulty = serve(|_, _, _| HttpResponse::without_body(500));
-    let outcome = BlockingClient::new(faulty, TIMEOUT).execute(&request);
+    let faulty_store = serve(|_, _, _| HttpResponse::without_body(500));
+    let outcome = BlockingClient::new(faulty_store, TIMEOUT).execute(&request);
     assert!(matches!(outcome, Outcome::Unknown), "{outcome:?}");
-    let free = std::net::TcpListener::bind("127.0.0.1:0").expect("a free port");
-    let closed = free.local_addr().expect("its address");
-    drop(free);
-    let outcome = BlockingClient::new(closed, TIMEOUT).execute(&request);
+    let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a free port");
+    let closed_address = listener.local_addr().expect("its address");
+    drop(listener);
+    let outcome = BlockingClient::new(closed_address, TIMEOUT).execute(&request);
     assert!(matches!(outcome, Outcome::Refused), "{outcome:?}");
 }
