--- a/src/coordination/cluster/record_writer/batch.rs
+++ b/src/coordination/cluster/record_writer/batch.rs
@@ -217,8 +217,8 @@
     matches!(job.phase, JobPhase::Finishing | JobPhase::GarbageCollecting)
 }
 
-/// The numbers of the records to write when the record with that number has changed; `None` if it is not written now. The
-/// first record is always among them, if it can be written, as it counts the tasks of all other records.
+/// The numbers of the records to write when the record with that number has changed; `None` if it is not written now.
+/// The first record is always among them, if it can be written, as it counts the tasks of all other records.
 fn records_to_write(job: &Job, number: u32) -> Option<Vec<u32>> {
     let is_version_unknown = |number| job.chunk(number).map(|chunk| chunk.version_unknown);
     if deletes_all_records(job) || is_version_unknown(number) == Some(true) {
@@ -233,8 +233,8 @@
     })
 }
 
-/// Adds the changes that archive the job's outcome, if it is not archived yet. Returns false if the batch has no room for
-/// them.
+/// Adds the changes that archive the job's outcome, if it is not archived yet. Returns false if the batch has no room
+/// for them.
 fn add_archived_outcome(job: &Job, batch: &mut Batch) -> bool {
     let Some(outcome) = job.unarchived_outcome else {
         return true;
--- a/src/coordination/cluster/record_writer/mod.rs
+++ b/src/coordination/cluster/record_writer/mod.rs
@@ -1,6 +1,6 @@
-//! Group commit of the leader's records: changed records are collected and written in batches. Each batch is one transaction
-//! that is conditional on the leader's key and on the versions of the records that it replaces, and one batch is in flight
-//! at a time.
+//! Group commit of the leader's records: changed records are collected and written in batches. Each batch is one
+//! transaction that is conditional on the leader's key and on the versions of the records that it replaces, and one
+//! batch is in flight at a time.
 
 mod batch;
 mod outcomes;
@@ -71,13 +71,14 @@
     jobs_to_split: BTreeSet<JobId>,
     /// Jobs whose run records are being split.
     splitting_jobs: BTreeSet<JobId>,
-    /// Jobs that have a run record above the size limit and can't be split now. The record waits until it is small enough.
+    /// Jobs that have a run record above the size limit and can't be split now. The record waits until it is small
+    /// enough.
     unsplittable_jobs: BTreeSet<JobId>,
 }
 
 impl RecordWriter {
-    /// A writer without records to write. `leader_key_version` is the version of the leader's key, on which every write is
-    /// conditional; the limits are those of the state service.
+    /// A writer without records to write. `leader_key_version` is the version of the leader's key, on which every
+    /// write is conditional; the limits are those of the state service.
     pub(crate) fn new(
         leader_key_version: Version,
         max_value_bytes: usize,
@@ -119,8 +120,8 @@
         self.allowance_fences = fences;
     }
 
-    /// A run record has changed and has to be written. It is urgent if something waits for the write, such as the start of a
-    /// task.
+    /// A run record has changed and has to be written. It is urgent if something waits for the write, such as the
+    /// start of a task.
     pub(crate) fn mark_dirty(&mut self, id: RunRecordId, is_urgent: bool) {
         self.queue.push(QueuedRecord { id, is_urgent });
     }
@@ -196,8 +197,8 @@
         !matches!(self.in_flight, InFlight::Sent(_))
     }
 
-    /// The next transaction to send, with at most `max_changes` changes; `None` if there is nothing to write or a response
-    /// is awaited. Records that are not urgent are included only with `has_spare_budget`.
+    /// The next transaction to send, with at most `max_changes` changes; `None` if there is nothing to write or a
+    /// response is awaited. Records that are not urgent are included only with `has_spare_budget`.
     pub(crate) fn next_batch(
         &mut self,
         jobs: &mut Jobs,
--- a/src/coordination/cluster/record_writer/outcomes.rs
+++ b/src/coordination/cluster/record_writer/outcomes.rs
@@ -72,8 +72,8 @@
         }
     }
 
-    /// Conditions of the batch in flight failed: this request wrote nothing, though an earlier one of the same transaction,
-    /// whose response was lost, may have.
+    /// Conditions of the batch in flight failed: this request wrote nothing, though an earlier one of the same
+    /// transaction, whose response was lost, may have.
     pub(crate) fn on_conflict(&mut self, jobs: &mut Jobs, failed: &[String]) -> CommitResult {
         let Some(batch) = self.take_sent() else {
             return CommitResult::Retry;
@@ -101,8 +101,8 @@
         }
     }
 
-    /// A run record has another version than expected. Only the leader writes run records, so an earlier transaction, whose
-    /// response was lost, was committed.
+    /// A run record has another version than expected. Only the leader writes run records, so an earlier transaction,
+    /// whose response was lost, was committed.
     fn on_run_record_conflict(&mut self, jobs: &mut Jobs, id: RunRecordId) {
         let job = jobs.get_mut(&id.job);
         if let Some(chunk) = job.and_then(|job| job.chunk_mut(id.number)) {
@@ -146,8 +146,8 @@
         self.requeue(batch);
     }
 
-    /// The response to the batch in flight was lost. The transaction may still be committed at any time, so the same one has
-    /// to be sent again before any other.
+    /// The response to the batch in flight was lost. The transaction may still be committed at any time, so the same
+    /// one has to be sent again before any other.
     pub(crate) fn on_response_lost(&mut self) {
         if let Some(batch) = self.take_sent() {
             self.in_flight = InFlight::Resend(batch);
@@ -180,8 +180,8 @@
 /// The job's record was deleted or has changed. Returns the job if that means that it was cancelled.
 fn on_job_record_conflict(jobs: &mut Jobs, id: JobId, batch: &Batch) -> Option<JobId> {
     if batch.split_step.as_ref().is_some_and(|step| step.job == id) {
-        // Either the job was cancelled, or an earlier transaction, whose response was lost, was committed. The watch on the
-        // job's record shows which.
+        // Either the job was cancelled, or an earlier transaction, whose response was lost, was committed. The watch
+        // on the job's record shows which.
         return None;
     }
     if batch.archived_jobs.contains(&id) {
--- a/src/coordination/cluster/record_writer/queue.rs
+++ b/src/coordination/cluster/record_writer/queue.rs
@@ -14,13 +14,14 @@
     pub(super) is_urgent: bool,
 }
 
-/// Run records that wait to be written: urgent ones, and normal ones that are written while the rate limits have capacity to
-/// spare.
+/// Run records that wait to be written: urgent ones, and normal ones that are written while the rate limits have
+/// capacity to spare.
 #[derive(Default)]
 pub(super) struct WriteQueue {
     urgent: VecDeque<RunRecordId>,
     normal: VecDeque<RunRecordId>,
-    /// All records that wait, and whether they are urgent. A record that became urgent while it waited is in both queues.
+    /// All records that wait, and whether they are urgent. A record that became urgent while it waited is in both
+    /// queues.
     urgency_by_record: BTreeMap<RunRecordId, bool>,
 }
 
@@ -52,8 +53,8 @@
         }
     }
 
-    /// Sorts the urgent records by the priority of their jobs, as the start of tasks waits for them. The first record, which
-    /// has waited the longest, stays first, so that no record starves.
+    /// Sorts the urgent records by the priority of their jobs, as the start of tasks waits for them. The first
+    /// record, which has waited the longest, stays first, so that no record starves.
     pub(super) fn sort_urgent(&mut self, jobs: &Jobs) {
         let urgent = self.urgent.make_contiguous();
         if let Some((_, others)) = urgent.split_first_mut() {
--- a/src/coordination/cluster/record_writer/split.rs
+++ b/src/coordination/cluster/record_writer/split.rs
@@ -1,11 +1,12 @@
-//! Splitting a job's run records into smaller ones when a record exceeds the size limit of a value, such as after the limit
-//! was lowered.
+//! Splitting a job's run records into smaller ones when a record exceeds the size limit of a value, such as after the
+//! limit was lowered.
 //!
 //! The job's description says how many tasks each record holds, and thus which records are in force. New records with
-//! numbers beyond those of the old records are written first, in as many steps as needed; no leader reads them yet. The
-//! last step commits the split: in one transaction it writes the description with the new number of tasks per record, and
-//! all records whose numbers were in use before. If the split is interrupted before that, the old records stay in force
-//! with every allocation and attempt. Earlier versions of this program can read both the old and the new records.
+//! numbers beyond those of the old records are written first, in as many steps as needed; no leader reads them yet.
+//! The last step commits the split: in one transaction it writes the description with the new number of tasks per
+//! record, and all records whose numbers were in use before. If the split is interrupted before that, the old records
+//! stay in force with every allocation and attempt. Earlier versions of this program can read both the old and the
+//! new records.
 
 use lichencrank_store::{value, Change};
 
@@ -28,8 +29,9 @@
 }
 
 impl RecordWriter {
-    /// Begins to split the run records of a job that has one above the size limit. Returns false if the split does not fit
-    /// the limits of a transaction or can't begin now; then the record waits until enough of its tasks have ended.
+    /// Begins to split the run records of a job that has one above the size limit. Returns false if the split does
+    /// not fit the limits of a transaction or can't begin now; then the record waits until enough of its tasks have
+    /// ended.
     pub(crate) fn begin_split(&mut self, job: &mut Job) -> bool {
         let fitting_tasks = records::tasks_per_record(self.max_value_bytes as f64 / 1024.0);
         let tasks_per_record = if fitting_tasks < job.tasks_per_record {
@@ -76,8 +78,8 @@
         }
     }
 
-    /// A step of a split was committed at that revision. Returns the run records that are in force since then: none before the
-    /// last step.
+    /// A step of a split was committed at that revision. Returns the run records that are in force since then: none
+    /// before the last step.
     pub(super) fn on_split_step_written(
         &mut self,
         jobs: &mut Jobs,
@@ -101,8 +103,8 @@
         Vec::new()
     }
 
-    /// The split of the job's run records is committed: its last step was written at that version. Returns the run records
-    /// that are in force since then.
+    /// The split of the job's run records is committed: its last step was written at that version. Returns the run
+    /// records that are in force since then.
     pub(crate) fn on_split_committed(
         &mut self,
         job: &mut Job,
--- a/src/storage/records.rs
+++ b/src/storage/records.rs
@@ -250,8 +250,8 @@
     attempted_bytes: 14,
     finished_range_bytes: 12,
 };
-/// Upper bounds: numbers have up to 20 digits where their type allows it. Commas and brackets are included, names of hosts
-/// and teams are not.
+/// Upper bounds: numbers have up to 20 digits where their type allows it. Commas and brackets are included, names of
+/// hosts and teams are not.
 const MAX_SIZES: EntrySizes = EntrySizes {
     empty_record_bytes: 400,
     allocation_bytes: 60,
@@ -279,8 +279,8 @@
         self.size_from(&TYPICAL_SIZES)
     }
 
-    /// Whether an upper bound of the record's size in JSON is within the limit. If not, the record may still fit, but it
-    /// has to be serialized to find out.
+    /// Whether an upper bound of the record's size in JSON is within the limit. If not, the record may still fit, but
+    /// it has to be serialized to find out.
     pub fn fits_by_upper_bound(&self, max_bytes: usize) -> bool {
         let allocations = self.allocations.iter();
         let host_name_bytes: usize = allocations.map(|entry| entry.host.as_str().len()).sum();
--- a/src/storage/store.rs
+++ b/src/storage/store.rs
@@ -33,8 +33,8 @@
     request: StoreRequest,
     /// How long a response is awaited once the request is sent.
     response_timeout: Duration,
-    /// The request is refused if it is not sent by then.
-    send_deadline: Time,
+    /// The request is refused if it is not sent by this time.
+    send_by: Time,
 }
 
 /// A request that is to be sent now.
@@ -80,8 +80,8 @@
 const SPARE_BUDGET_FRACTION: f64 = 0.5;
 
 impl StoreClient {
-    /// A client without requests. `rps` and `write_rps` are this node's shares of the rate limits, in requests and changes a
-    /// second.
+    /// A client without requests. `rps` and `write_rps` are this node's shares of the rate limits, in requests and
+    /// changes a second.
     pub fn new(rps: f64, write_rps: f64) -> StoreClient {
         StoreClient {
             last_id: 0,
@@ -110,7 +110,8 @@
         self.write_rate_limit.set_rate(now, write_rps);
     }
 
-    /// Whether requests that can wait may be sent too: no other request waits and enough of the rate limit is available.
+    /// Whether requests that can wait may be sent too: no other request waits and enough of the rate limit is
+    /// available.
     pub fn has_spare_budget(&mut self, now: Time) -> bool {
         self.request_rate_limit.available_fraction(now) > SPARE_BUDGET_FRACTION
             && self.queues.values().all(VecDeque::is_empty)
@@ -127,12 +128,12 @@
     ) -> StoreRequestId {
         self.last_id += 1;
         let id = StoreRequestId(self.last_id);
-        let send_deadline = now.after(response_timeout);
+        let send_by = now.after(response_timeout);
         let queued = QueuedRequest {
             id,
             request,
             response_timeout,
-            send_deadline,
+            send_by,
         };
         self.queues.entry(class).or_default().push_back(queued);
         id
@@ -140,9 +141,10 @@
 
     /// Takes the next request that the rate limits allow; `Err` holds one that is refused since it waited too long.
     ///
-    /// Requests are taken in the order of their classes, but reads regularly have priority: otherwise a backlog of writes
-    /// would leave status queries unanswered as long as it lasts. `is_leader_lease_valid` says whether this node holds the
-    /// leader lease now; if not, transactions on the leader's records that were queued under it are refused.
+    /// Requests are taken in the order of their classes, but reads regularly have priority: otherwise a backlog of
+    /// writes would leave status queries unanswered as long as it lasts. `is_leader_lease_valid` says whether this
+    /// node holds the leader lease now; if not, transactions on the leader's records that were queued under it are
+    /// refused.
     pub fn next_outgoing(
         &mut self,
         now: Time,
@@ -152,7 +154,7 @@
             let must_be_refused = |first: &QueuedRequest| {
                 let is_records_txn = *class == RequestClass::Records
                     && matches!(first.request, StoreRequest::Txn(_));
-                now > first.send_deadline || is_records_txn && !is_leader_lease_valid
+                now > first.send_by || is_records_txn && !is_leader_lease_valid
             };
             if queue.front().is_some_and(must_be_refused) {
                 return queue.pop_front().map(|first| Err(first.id));
@@ -197,11 +199,7 @@
     /// How many requests the rate limits hold back, and how long the oldest has waited.
     pub fn request_backlog(&self, now: Time) -> (usize, Duration) {
         let queued = self.queues.values().flatten();
-        let ages = queued.map(|request| {
-            request
-                .response_timeout
-                .saturating_sub(request.send_deadline.since(now))
-        });
+        let ages = queued.map(|q| q.response_timeout.saturating_sub(q.send_by.since(now)));
         (
             self.queues.values().map(VecDeque::len).sum(),
             ages.max().unwrap_or_default(),
@@ -240,8 +238,8 @@
         self.request_by_call.contains_key(&call)
     }
 
-    /// Interprets the result of a call. Returns the request that was sent with the call, and its outcome; `None` if the call
-    /// carried no request to the state service.
+    /// Interprets the result of a call. Returns the request that was sent with the call, and its outcome; `None` if
+    /// the call carried no request to the state service.
     pub fn on_response(
         &mut self,
         now: Time,
@@ -258,9 +256,9 @@
         Some((id, outcome))
     }
 
-    /// Takes in how long a response took. A missing response counts as a slow one, unless the request was a transaction:
-    /// responses to transactions can be lost one by one while everything else is fast. The service holds watches open, so
-    /// they don't count.
+    /// Takes in how long a response took. A missing response counts as a slow one, unless the request was a
+    /// transaction: responses to transactions can be lost one by one while everything else is fast. The service holds
+    /// watches open, so they don't count.
     fn note_response_time(
         &mut self,
         response_time: Duration,
--- a/tests/budget.rs
+++ b/tests/budget.rs
@@ -1,5 +1,5 @@
-//! The queue of requests to the state service when the rate limits don't suffice: which requests are sent first, and that none
-//! waits without end.
+//! The queue of requests to the state service when the rate limits don't suffice: which requests are sent first, and
+//! that none waits without end.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -19,9 +19,9 @@
     StoreRequest::Txn(txn)
 }
 
-/// Runs the queue for ten seconds. Every 100 ms it gets one request of `observed_class`, and for each entry of `load` six
-/// transactions of that class and with that many changes. Returns how long each request of `observed_class` waited until it
-/// was sent, in milliseconds; `None` for each that was refused.
+/// Runs the queue for ten seconds. Every 100 ms it gets one request of `observed_class`, and for each entry of `load`
+/// six transactions of that class and with that many changes. Returns how long each request of `observed_class`
+/// waited until it was sent, in milliseconds; `None` for each that was refused.
 fn waits_under_load(
     store: &mut StoreClient,
     observed_class: RequestClass,
@@ -64,8 +64,8 @@
     waits_ms
 }
 
-/// A backlog of submissions and records of the leader, beyond both rate limits, used to leave status queries unanswered as
-/// long as it lasted, so that users took their jobs for lost.
+/// A backlog of submissions and records of the leader, beyond both rate limits, used to leave status queries
+/// unanswered as long as it lasted, and their jobs counted as lost.
 #[test]
 fn status_queries_are_sent_beside_a_backlog_of_writes() {
     let mut store = StoreClient::new(40.0, 12.0);
@@ -145,8 +145,9 @@
     );
 }
 
-/// Three nodes that each used half of a rate limit exceeded it together, and lease renewals were refused with everything else.
-/// The rates that nodes use settle within the limit, and a node that is the only one with demand gets all of it.
+/// Three nodes that each used half of a rate limit exceeded it together, and lease renewals were refused with
+/// everything else. The rates that nodes use settle within the limit, and a node that is the only one with demand
+/// gets all of it.
 #[test]
 fn nodes_share_a_rate_limit_by_their_demand() {
     let settled_rates = |demands_per_s: &[f64]| {
@@ -169,8 +170,8 @@
     assert!((mixed[0] - 70.0).abs() < 1e-6, "{mixed:?}");
 }
 
-/// While the state service was slow, every request used to time out before its response arrived. The timeout grows with the
-/// response times, but not if single transactions are lost while everything else is fast.
+/// While the state service was slow, every request used to time out before its response arrived. The timeout grows
+/// with the response times, but not if single transactions are lost while everything else is fast.
 #[test]
 fn the_response_timeout_follows_the_response_times() {
     let mut store = StoreClient::new(1000.0, 1000.0);
--- a/tests/record_split.rs
+++ b/tests/record_split.rs
@@ -1,5 +1,6 @@
-//! Run records that the version in production wrote under a larger size limit of values are split into smaller ones in several
-//! transactions. After each of them, a new leader of this version or the earlier one finds all allocations and attempts.
+//! Run records that the version in production wrote under a larger size limit of values are split into smaller ones
+//! in several transactions. After each of them, a new leader of this version or the earlier one finds all allocations
+//! and attempts.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -63,8 +64,8 @@
     map(vec![("set", key.into()), ("data", data)])
 }
 
-/// A store as the version in production leaves it, before the limits are lowered: two records of 256 tasks, of which most are
-/// allocated and some were attempted before; the other tasks were never allocated.
+/// A store as the version in production leaves it, before the limits are lowered: two records of 256 tasks, of which
+/// most are allocated and some were attempted before; the other tasks were never allocated.
 fn store_with_oversized_records() -> InMemoryStore {
     let mut store = InMemoryStore::new(Limits {
         value_bytes: 16 * 1024,
@@ -201,8 +202,8 @@
     attempts
 }
 
-/// The attempts that a leader of the version in production would read: the number of tasks per record in the job's description
-/// says which records are in force.
+/// The attempts that a leader of the version in production would read: the number of tasks per record in the job's
+/// description says which records are in force.
 fn attempts_in_records(store: &mut InMemoryStore) -> TaskAttempts {
     let description: JobRecord = list_items(store, "live/")[0]
         .1
--- a/tests/size.rs
+++ b/tests/size.rs
@@ -1,5 +1,5 @@
-//! A job with as many tasks as the protocol allows: every record and transaction stays within the state service's limits, a
-//! new leader completes what the one before began, and only the outcome is left in the store.
+//! A job with as many tasks as the protocol allows: every record and transaction stays within the state service's
+//! limits, a new leader completes what the one before began, and only the outcome is left in the store.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -155,7 +155,7 @@
     }
 }
 
-/// A store that checks the conditions of transactions and the limits that production has.
+/// A store that checks the conditions of transactions and the state service's limits.
 #[derive(Default)]
 struct LimitCheckingStore {
     revision: u64,
--- a/tests/store_contract.rs
+++ b/tests/store_contract.rs
@@ -1,5 +1,5 @@
-//! The contract of the key-value store, tested against every implementation: the store in memory, the blocking client over
-//! loopback, and the daemon's queue of requests over loopback.
+//! The contract of the key-value store, tested against every implementation: the store in memory, the blocking client
+//! over loopback, and the daemon's queue of requests over loopback.
 
 use std::net::SocketAddr;
 use std::sync::atomic::AtomicBool;
@@ -294,8 +294,8 @@
     );
 }
 
-/// If nothing listens at the address, the request was not sent. After an error of the store, the outcome of the request is
-/// unknown.
+/// If nothing listens at the address, the request was not sent. After an error of the store, the outcome of the
+/// request is unknown.
 #[test]
 fn a_client_tells_a_refused_request_from_one_of_unknown_outcome() {
     let request = Request::Txn(txn(&[], vec![put("a", 1)]));
