--- a/src/types.rs
+++ b/src/types.rs
@@ -21,7 +21,7 @@
     SequenceNumber
 );
 number_type!(
-    /// Number of an attempt at a task. It only grows.
+    /// Number of an attempt at a task. Later attempts have higher numbers.
     Attempt
 );
 
--- a/tests/budget.rs
+++ b/tests/budget.rs
@@ -10,7 +10,7 @@
 use lichencrank_store::rate_limit::node_share;
 use lichencrank_store::{Change, Txn};
 
-/// A transaction with that many changes.
+/// A transaction with the given number of changes.
 fn write_request(changes: usize) -> StoreRequest {
     let mut txn = Txn::default();
     for number in 0..changes {
@@ -20,7 +20,7 @@
 }
 
 /// Runs the queue for ten seconds. Every 100 ms it gets one request of `observed_class`, and for each entry of `load`
-/// six transactions of that class and with that many changes. Returns how long each request of `observed_class`
+/// six transactions of that class, each with the given number of changes. Returns how long each request of `observed_class`
 /// waited until it was sent, in milliseconds; `None` for each that was refused.
 fn waits_under_load(
     store: &mut StoreClient,
