--- a/src/coordination/leader/status.rs
+++ b/src/coordination/leader/status.rs
@@ -111,7 +111,7 @@
         ) {
             "the new leader is still reading records or awaiting heartbeats".to_owned()
         } else if job.fails_everywhere() || now < job.retry_not_before {
-            format!("its tasks failed {} times in a row", job.failure_count)
+            format!("its tasks failed {} times", job.failure_count)
         } else if self.view().tasks_within_team_quota(job) == 0 {
             format!("team {} has no quota left for another task", job.team)
         } else if self.cluster.record_writer().urgent_record_count()
