--- a/examples/scale.rs
+++ b/examples/scale.rs
@@ -45,11 +45,11 @@
         cpus: Amount(HOST_CPUS),
         gpus: Amount(0.0),
         memory_gb: Amount(32.0),
-        cache_gb: Amount(50.0),
-        fetch_gb_per_s: Amount(1.0),
-        on_demand_price: Amount(1.0),
-        spot_price: Amount(0.3),
-        boot_s: Amount(30.0),
+        image_cache_gb: Amount(50.0),
+        image_fetch_gb_per_s: Amount(1.0),
+        on_demand_price_per_hour: Amount(1.0),
+        spot_price_per_hour: Amount(0.3),
+        boot_time_s: Amount(30.0),
         zones: vec!["a".into(), PARTITIONED_ZONE.into()],
     }
 }
@@ -62,20 +62,20 @@
             team: "t".into(),
             kind: JobKind::Array,
             priority: Priority::Normal,
-            tasks: TASKS_PER_JOB,
+            task_count: TASKS_PER_JOB,
             cpus: Amount(TASK_CPUS),
             gpus: Amount(0.0),
             memory_gb: Amount(1.0),
             image: "img".into(),
             image_gb: Amount(0.5),
-            machine_types: None,
-            zone: None,
+            allowed_machine_types: None,
+            required_zone: None,
             same_zone: false,
             spread: false,
-            spot: true,
-            estimate_s: Amount(600.0),
-            checkpoint_s: Amount(0.0),
-            save_s: Amount(0.0),
+            allows_spot: true,
+            estimated_run_time_s: Amount(600.0),
+            checkpoint_interval_s: Amount(0.0),
+            save_time_s: Amount(0.0),
             deadline_s: None,
         },
         submitted_at_ms: 0,
@@ -104,12 +104,12 @@
         address: "127.0.0.1:9000".into(),
         machine_type: "c8".into(),
         zone: zone_of(host).into(),
-        spot: true,
+        is_spot: true,
         incarnation: Incarnation(1),
-        sequence: SequenceNumber(sequence),
+        sequence_number: SequenceNumber(sequence),
         fencing_token: TERM,
-        notice_s: None,
-        tasks: tasks.collect(),
+        reclaim_notice_s: None,
+        attempts: tasks.collect(),
     }
 }
 
@@ -139,7 +139,7 @@
 fn measure_partition(host_count: u64) -> PartitionMeasurement {
     let settings = Settings::parse(SETTINGS).expect("valid settings");
     let features = Features::parse("zones: {enabled: true}").expect("valid features");
-    let policy = Policy::new(&settings.settings, &Tuning::default(), &features);
+    let policy = Policy::new(&settings.shared, &Tuning::default(), &features);
     let mut now = Time(0);
     let mut leader = Leader::new(TERM, Version(1), policy, vec![machine_type()], now);
     leader.set_lease_valid_until(Time(u64::MAX));
@@ -208,7 +208,7 @@
 /// Measures a cluster that is filled with tasks in the second round of heartbeats.
 fn measure(host_count: u64) -> Measurement {
     let settings = Settings::parse(SETTINGS).expect("valid settings");
-    let policy = Policy::new(&settings.settings, &Tuning::default(), &Features::default());
+    let policy = Policy::new(&settings.shared, &Tuning::default(), &Features::default());
     let mut now = Time(0);
     let mut leader = Leader::new(TERM, Version(1), policy, vec![machine_type()], now);
     leader.set_lease_valid_until(Time(u64::MAX));
--- a/src/coordination/autoscaling/forecast.rs
+++ b/src/coordination/autoscaling/forecast.rs
@@ -64,8 +64,11 @@
         let suits = |timeline: &HostTimeline| {
             timeline.up_at_s <= demand.arrives_in_s + DEADLINE_MARGIN_S
                 && options.usable_types[timeline.type_index]
-                && (spec.spot || !timeline.spot)
-                && spec.zone.as_ref().is_none_or(|zone| *zone == timeline.zone)
+                && (spec.allows_spot || !timeline.spot)
+                && spec
+                    .required_zone
+                    .as_ref()
+                    .is_none_or(|zone| *zone == timeline.zone)
                 && need.fits(&timeline.free_for_services)
         };
         let mut started = 0;
@@ -310,7 +313,7 @@
             deadline_s: spec
                 .deadline_s
                 .map(|deadline_s| arrives_in_s + deadline_s.0),
-            task_count: (spec.tasks as f64 * window_share * recurring_share.max(0.0)).round()
+            task_count: (spec.task_count as f64 * window_share * recurring_share.max(0.0)).round()
                 as u64,
             arrives_in_s,
             is_predicted: true,
--- a/src/coordination/autoscaling/pools.rs
+++ b/src/coordination/autoscaling/pools.rs
@@ -106,7 +106,7 @@
         });
         // Best-effort tasks that may use spot hosts never get on-demand ones: they are to use cheap capacity.
         let is_above_best_effort = spec.priority != Priority::BestEffort;
-        let may_use_on_demand = !spec.spot
+        let on_demand_ok = !spec.allows_spot
             || (is_above_best_effort && !is_spot_available && task.start_s > ON_DEMAND_AFTER_S);
         let mut best: Option<(f64, CapacityPool)> = None;
         for (type_index, machine_type) in self.cluster.machine_types().iter().enumerate() {
@@ -114,7 +114,9 @@
                 continue;
             }
             let zones = machine_type.zones.iter();
-            for zone in zones.filter(|zone| spec.zone.as_ref().is_none_or(|only| only == *zone)) {
+            for zone in
+                zones.filter(|zone| spec.required_zone.as_ref().is_none_or(|only| only == *zone))
+            {
                 for spot in [true, false] {
                     let pool = CapacityPool {
                         type_index,
@@ -126,7 +128,7 @@
                         .pending_requests
                         .values()
                         .any(|pending| pending.pool == pool);
-                    let is_allowed = if spot { spec.spot } else { may_use_on_demand };
+                    let is_allowed = if spot { spec.allows_spot } else { on_demand_ok };
                     if self.is_pool_unavailable(&pool, now) || has_request || !is_allowed {
                         continue;
                     }
@@ -156,9 +158,9 @@
         let startup_delay_s = self.startup_delay_s(spec, type_index);
         let finish_s = startup_delay_s + task.run_s;
         let price = if spot {
-            machine_type.spot_price.0
+            machine_type.spot_price_per_hour.0
         } else {
-            machine_type.on_demand_price.0
+            machine_type.on_demand_price_per_hour.0
         };
         let host_cost = price * finish_s.max(MIN_BILLED_S);
         // Other tasks use what a service leaves free on the host; a short startup delay matters more to a service.
@@ -185,6 +187,6 @@
     /// Seconds until a task of the job could start on a host of the type requested now: boot and image fetch.
     fn startup_delay_s(&self, spec: &JobSpec, type_index: usize) -> f64 {
         let machine_type = &self.cluster.machine_types()[type_index];
-        machine_type.boot_s.0 + spec.image_gb.0 / machine_type.fetch_gb_per_s.0.max(0.01)
+        machine_type.boot_time_s.0 + spec.image_gb.0 / machine_type.image_fetch_gb_per_s.0.max(0.01)
     }
 }
--- a/src/coordination/autoscaling/provisioning.rs
+++ b/src/coordination/autoscaling/provisioning.rs
@@ -343,7 +343,7 @@
                 name: request_name.clone(),
                 machine_type: self.cluster.machine_types()[pool.type_index].name.clone(),
                 zone: pool.zone.clone(),
-                spot: pool.spot,
+                is_spot: pool.spot,
                 count: hosts_in_request,
             };
             let pending = PendingRequest {
--- a/src/coordination/autoscaling/scale_in.rs
+++ b/src/coordination/autoscaling/scale_in.rs
@@ -36,9 +36,9 @@
                     .filter(|index| scarce_types.get(*index) == Some(&is_scarce))?;
                 let machine_type = self.cluster.machine_types().get(type_index)?;
                 let price = if h.is_spot {
-                    machine_type.spot_price.0
+                    machine_type.spot_price_per_hour.0
                 } else {
-                    machine_type.on_demand_price.0
+                    machine_type.on_demand_price_per_hour.0
                 };
                 let cpus = machine_type.cpus.0.max(0.1);
                 // Other things being equal, hosts that are cordoned already stay cordoned.
@@ -104,7 +104,7 @@
     /// recent peak demand does not need are therefore cordoned, the most expensive first, and released once their tasks
     /// have ended. When demand rises they are uncordoned before any host is requested.
     pub(crate) fn cordon_surplus_hosts(&mut self, scarce_types: &[bool], now: Time) {
-        let window = duration_from_seconds(self.policy.tuning.idle_return_s);
+        let window = duration_from_seconds(self.policy.tuning.idle_release_s);
         let kept_on_demand = self.on_demand_hosts_to_keep(now);
         for is_scarce in [false, true] {
             let demand_cpus = self.view().demand_cpus(scarce_types, is_scarce);
@@ -113,7 +113,7 @@
                 demand_cpus,
                 window,
             );
-            let wanted_cpus = peak_cpus * (1.0 + self.policy.tuning.spare_share);
+            let wanted_cpus = peak_cpus * (1.0 + self.policy.tuning.spare_capacity_share);
             let candidates = self.view().scale_in_candidates(scarce_types, is_scarce);
             let mut kept_cpus = 0.0;
             for ScaleInCandidate { name, cpus, .. } in candidates {
--- a/src/coordination/autoscaling/services.rs
+++ b/src/coordination/autoscaling/services.rs
@@ -41,7 +41,7 @@
     /// have to start sooner than any host boots. This capacity is also kept for classes whose start objective is shorter
     /// than any boot time and of which no job has been seen, as nobody knows what they will need.
     fn standby_cpus(&self, now: Time) -> f64 {
-        let boot_times_s = self.cluster.machine_types().iter().map(|t| t.boot_s.0);
+        let boot_times_s = self.cluster.machine_types().iter().map(|t| t.boot_time_s.0);
         let min_boot_s = boot_times_s.fold(f64::INFINITY, f64::min);
         let is_unseen = |class: &str| !self.autoscaler.seen_classes.contains(class);
         let needs_standby =
@@ -130,7 +130,7 @@
                 .and_then(|index| self.cluster.machine_types().get(index));
             host.name != present_host.name
                 && self.accepts_tasks(host, now)
-                && (spec.spot || !host.is_spot)
+                && (spec.allows_spot || !host.is_spot)
                 && machine_type.is_some_and(|t| {
                     scoring::is_type_suitable(spec, t)
                         && need.fits(&capacity(t).saturating_sub(&host.allocated_resources))
@@ -146,7 +146,7 @@
     fn wanted_on_demand_cpus(&mut self, now: Time) -> f64 {
         let mut demand_cpus = 0.0;
         for job in self.cluster.jobs().values() {
-            let needs_on_demand = job.spec.as_ref().is_some_and(|spec| !spec.spot);
+            let needs_on_demand = job.spec.as_ref().is_some_and(|spec| !spec.allows_spot);
             if needs_on_demand && job.phase == JobPhase::Active {
                 let task_count =
                     f64::from(job.allocated_count) + f64::from(job.schedulable_count());
@@ -156,7 +156,7 @@
         for spec in self
             .autoscaler
             .recent_arrivals(now)
-            .filter(|spec| !spec.spot)
+            .filter(|spec| !spec.allows_spot)
         {
             let startup_delay_s = self
                 .view()
@@ -164,9 +164,9 @@
             let window_share = (startup_delay_s
                 / crate::coordination::autoscaling::provisioning::ARRIVAL_WINDOW.as_secs_f64())
             .min(1.0);
-            demand_cpus += spec.tasks as f64 * spec.cpus.0 * window_share;
+            demand_cpus += spec.task_count as f64 * spec.cpus.0 * window_share;
         }
-        let window = duration_from_seconds(self.policy.tuning.idle_return_s) * 2;
+        let window = duration_from_seconds(self.policy.tuning.idle_release_s) * 2;
         let peak_cpus = self
             .autoscaler
             .on_demand_only_cpus
@@ -191,8 +191,10 @@
                 .and_then(|index| self.cluster.machine_types().get(index))
             {
                 let cpus = machine_type.cpus.0.max(0.1);
-                let cost_per_cpu = machine_type.on_demand_price.0 / cpus
-                    * self.view().startup_delay_cost_factor(machine_type.boot_s.0);
+                let cost_per_cpu = machine_type.on_demand_price_per_hour.0 / cpus
+                    * self
+                        .view()
+                        .startup_delay_cost_factor(machine_type.boot_time_s.0);
                 let has_no_replicas = !self.view().holds_replicas(host);
                 candidates.push((
                     has_no_replicas,
@@ -229,8 +231,10 @@
             |type_index: usize| self.cluster.machine_types()[type_index].cpus.0.max(0.1);
         let cost_per_cpu = |type_index: &usize| {
             let machine_type = &self.cluster.machine_types()[*type_index];
-            machine_type.on_demand_price.0 / cpus_of_type(*type_index)
-                * self.view().startup_delay_cost_factor(machine_type.boot_s.0)
+            machine_type.on_demand_price_per_hour.0 / cpus_of_type(*type_index)
+                * self
+                    .view()
+                    .startup_delay_cost_factor(machine_type.boot_time_s.0)
         };
         let pools = (0..self.cluster.machine_types().len()).filter_map(|type_index| {
             let on_demand_pool = |zone: &String| CapacityPool {
@@ -282,8 +286,11 @@
                 && host.lifecycle == HostLifecycle::Up
                 && now.since(host.last_heartbeat_at) <= self.policy.heartbeat_interval * 2
                 && host.reachability == Reachability::Confirmed
-                && (spec.spot || !host.is_spot)
-                && spec.zone.as_ref().is_none_or(|zone| *zone == host.zone)
+                && (spec.allows_spot || !host.is_spot)
+                && spec
+                    .required_zone
+                    .as_ref()
+                    .is_none_or(|zone| *zone == host.zone)
                 && host_capacity.is_some_and(|total| {
                     job.task_resources
                         .fits(&total.saturating_sub(&host.allocated_resources))
--- a/src/coordination/autoscaling/timeline.rs
+++ b/src/coordination/autoscaling/timeline.rs
@@ -83,8 +83,11 @@
         let need = scoring::task_resources(spec);
         let suits = |timeline: &HostTimeline| {
             usable_types[timeline.type_index]
-                && (spec.spot || !timeline.spot)
-                && spec.zone.as_ref().is_none_or(|zone| *zone == timeline.zone)
+                && (spec.allows_spot || !timeline.spot)
+                && spec
+                    .required_zone
+                    .as_ref()
+                    .is_none_or(|zone| *zone == timeline.zone)
         };
         let suited = timelines
             .iter()
@@ -158,7 +161,7 @@
                 0.0
             }
             HostLifecycle::Expected => {
-                let boot_s = machine_type.boot_s.0;
+                let boot_s = machine_type.boot_time_s.0;
                 let age_s = now.since(host.provisioned_at).as_secs_f64();
                 if age_s > boot_s * MAX_BOOT_TIME_FACTOR {
                     return None;
@@ -201,7 +204,7 @@
             type_index: pool.type_index,
             zone: pool.zone,
             spot: pool.spot,
-            up_at_s: machine_type.boot_s.0,
+            up_at_s: machine_type.boot_time_s.0,
             free_for_services: capacity(machine_type),
             free: capacity(machine_type),
             expected_ends: Vec::new(),
--- a/src/coordination/cluster/commands.rs
+++ b/src/coordination/cluster/commands.rs
@@ -168,9 +168,9 @@
     fn grace_s(&self, task: TaskId, reason: StopReason) -> f64 {
         let spec = self.jobs.get(&task.job).and_then(|job| job.spec.as_ref());
         let may_save = reason != StopReason::Cancelled;
-        spec.filter(|spec| may_save && spec.checkpoint_s.0 > 0.0)
+        spec.filter(|spec| may_save && spec.checkpoint_interval_s.0 > 0.0)
             .map_or(0.0, |spec| {
-                spec.save_s.0 * SAVE_TIME_FACTOR + SAVE_TIME_MARGIN_S
+                spec.save_time_s.0 * SAVE_TIME_FACTOR + SAVE_TIME_MARGIN_S
             })
     }
 }
--- a/src/coordination/cluster/host.rs
+++ b/src/coordination/cluster/host.rs
@@ -209,7 +209,8 @@
 
     /// Whether the heartbeat is newer than every earlier one. Older ones are ignored.
     pub fn is_newer_heartbeat(&self, heartbeat: &WorkerHeartbeat) -> bool {
-        (heartbeat.incarnation, heartbeat.sequence) > (self.incarnation, self.newest_sequence)
+        (heartbeat.incarnation, heartbeat.sequence_number)
+            > (self.incarnation, self.newest_sequence)
     }
 
     /// Whether the image is likely in its cache.
--- a/src/coordination/cluster/hosts.rs
+++ b/src/coordination/cluster/hosts.rs
@@ -89,7 +89,7 @@
         host.type_index = host.type_index.or(type_index);
         if host.zone.is_empty() {
             host.zone.clone_from(&listed_host.zone);
-            host.is_spot = listed_host.spot;
+            host.is_spot = listed_host.is_spot;
         }
         host.was_listed = true;
         if host.address.is_none() {
--- a/src/coordination/cluster/job/mod.rs
+++ b/src/coordination/cluster/job/mod.rs
@@ -104,7 +104,7 @@
         } = record;
         let tasks_per_record = tasks_per_record.max(1);
         let id = spec.id;
-        let task_count = spec.tasks as u32;
+        let task_count = spec.task_count as u32;
         let chunk_count = task_count.div_ceil(tasks_per_record);
         let resources = Resources {
             cpus: spec.cpus.0,
@@ -362,9 +362,9 @@
 
     /// The owner's estimate of a task's run time, in seconds.
     pub fn estimated_run_s(&self) -> f64 {
-        self.spec
-            .as_ref()
-            .map_or(UNKNOWN_ESTIMATE_S, |spec| spec.estimate_s.0.max(1.0))
+        self.spec.as_ref().map_or(UNKNOWN_ESTIMATE_S, |spec| {
+            spec.estimated_run_time_s.0.max(1.0)
+        })
     }
 
     /// Its deadline as Unix time in milliseconds. A service has none.
--- a/src/coordination/cluster/jobs.rs
+++ b/src/coordination/cluster/jobs.rs
@@ -114,11 +114,11 @@
     tracing::debug!(
         "{}: new job: {} tasks, priority {:?}, {} CPUs, estimate {} s, checkpoint every {} s, deadline after {} s",
         spec.id,
-        spec.tasks,
+        spec.task_count,
         spec.priority,
         spec.cpus.0,
-        spec.estimate_s.0,
-        spec.checkpoint_s.0,
+        spec.estimated_run_time_s.0,
+        spec.checkpoint_interval_s.0,
         spec.deadline_s.map_or(f64::INFINITY, |deadline_s| deadline_s.0)
     );
 }
--- a/src/coordination/cluster/reconciliation.rs
+++ b/src/coordination/cluster/reconciliation.rs
@@ -69,7 +69,7 @@
             tracing::debug!(
                 "{name}: ignoring late heartbeat, incarnation {}, sequence number {}",
                 heartbeat.incarnation,
-                heartbeat.sequence
+                heartbeat.sequence_number
             );
         }
         self.cluster.hosts.insert(name, host);
@@ -86,7 +86,7 @@
         self.update_attributes(&mut host, heartbeat);
         let id = HeartbeatId {
             incarnation: heartbeat.incarnation,
-            sequence: heartbeat.sequence,
+            sequence: heartbeat.sequence_number,
         };
         if id > host.newest_unfenced_heartbeat {
             self.on_newer_unfenced(&mut host, id);
@@ -113,7 +113,7 @@
             host.type_index =
                 types.position(|machine_type| machine_type.name == heartbeat.machine_type);
             host.zone.clone_from(&heartbeat.zone);
-            host.is_spot = heartbeat.spot;
+            host.is_spot = heartbeat.is_spot;
         }
         host.address = heartbeat.address.parse().ok();
     }
@@ -135,13 +135,13 @@
         if heartbeat.incarnation > host.incarnation {
             self.on_new_incarnation(host, heartbeat.incarnation);
         }
-        host.newest_sequence = heartbeat.sequence;
+        host.newest_sequence = heartbeat.sequence_number;
         host.unrecorded_attempts.clear();
-        for status in &heartbeat.tasks {
+        for status in &heartbeat.attempts {
             self.reconcile_attempt(host, status);
         }
         self.reconcile_missing(host, heartbeat);
-        if let Some(notice) = heartbeat.notice_s {
+        if let Some(notice) = heartbeat.reclaim_notice_s {
             self.on_reclaim_notice(host, duration_from_seconds(notice.0));
         }
     }
@@ -248,22 +248,25 @@
             self.on_replica_ended(host, status, ran_for);
         }
         match end_reason {
-            Some(EndReason::Done) if is_service => {}
-            Some(EndReason::Done) => self.on_task_succeeded(host, task, started_at),
+            Some(EndReason::Completed) if is_service => {}
+            Some(EndReason::Completed) => self.on_task_succeeded(host, task, started_at),
             Some(EndReason::Stopped) => {}
             // A replica that ran for long before it failed says nothing about its host.
-            Some(EndReason::Error) if is_service && ran_for >= REPLICA_STABLE_AFTER => {}
-            Some(EndReason::Error) => self.on_task_failed(host, task),
+            Some(EndReason::Failed) if is_service && ran_for >= REPLICA_STABLE_AFTER => {}
+            Some(EndReason::Failed) => self.on_task_failed(host, task),
             _ => self.on_start_refused(host, status),
         }
         // A service has no end: a replica that ended is started again.
-        let is_done = end_reason == Some(EndReason::Done) && !is_service;
+        let is_done = end_reason == Some(EndReason::Completed) && !is_service;
         self.retain_ended_attempt(host, task, attempt, is_done);
         self.cluster.request_scheduling();
     }
 
     fn on_replica_ended(&mut self, host: &Host, status: &AttemptStatus, ran_for: Duration) {
-        if !matches!(status.end_reason, Some(EndReason::Done | EndReason::Error)) {
+        if !matches!(
+            status.end_reason,
+            Some(EndReason::Completed | EndReason::Failed)
+        ) {
             return;
         }
         if let Some(job) = self.cluster.jobs.get_mut(&status.task.job) {
@@ -379,7 +382,7 @@
             .type_index
             .and_then(|index| self.cluster.machine_types.get(index));
         if let (Some(spec), Some(machine_type)) = (spec, machine_type) {
-            host.cache_image(&spec.image, spec.image_gb.0, machine_type.cache_gb.0);
+            host.cache_image(&spec.image, spec.image_gb.0, machine_type.image_cache_gb.0);
         }
     }
 
@@ -425,7 +428,7 @@
 
     /// Frees the allocations whose attempts are missing from the heartbeat, where that proves that they ended.
     fn reconcile_missing(&mut self, host: &mut Host, heartbeat: &WorkerHeartbeat) {
-        let statuses = heartbeat.tasks.iter();
+        let statuses = heartbeat.attempts.iter();
         let reported: BTreeSet<(TaskId, Attempt)> = statuses
             .map(|status| (status.task, status.attempt))
             .collect();
@@ -441,7 +444,7 @@
         let is_overdue = |sent_in_response_to: SequenceNumber| {
             sent_by_worker
                 && sent_in_response_to != SequenceNumber(0)
-                && heartbeat.sequence > sent_in_response_to
+                && heartbeat.sequence_number > sent_in_response_to
         };
         let ignores_stop = |allocation: &Allocation| {
             allocation.is_running_despite_stop() && is_overdue(allocation.stop_sent_in_response_to)
@@ -479,7 +482,8 @@
         }
         let sent_in_response_to = allocation.run_sent_in_response_to;
         let has_processed_response = sent_in_response_to == SequenceNumber(0)
-            || self.source == HeartbeatSource::Worker && heartbeat.sequence > sent_in_response_to;
+            || self.source == HeartbeatSource::Worker
+                && heartbeat.sequence_number > sent_in_response_to;
         heartbeat.fencing_token == self.term
             && has_processed_response
             && !host.is_run_unacknowledged(task, allocation.attempt)
--- a/src/coordination/failure_detection/hosts.rs
+++ b/src/coordination/failure_detection/hosts.rs
@@ -185,9 +185,9 @@
         let machine_type = host
             .type_index
             .and_then(|index| self.cluster.machine_types().get(index));
-        let boot_s = machine_type.map_or(DEFAULT_BOOT_S, |machine_type| machine_type.boot_s.0);
+        let boot_s = machine_type.map_or(DEFAULT_BOOT_S, |machine_type| machine_type.boot_time_s.0);
         let is_boot_overdue = now.since(host.provisioned_at)
-            > duration_from_seconds(boot_s * self.policy.tuning.boot_patience);
+            > duration_from_seconds(boot_s * self.policy.tuning.boot_timeout_factor);
         let max_silence = self.max_silence(host);
         let is_listed_long_enough = host
             .listed_running_since
--- a/src/coordination/failure_detection/zones.rs
+++ b/src/coordination/failure_detection/zones.rs
@@ -180,7 +180,8 @@
             .jobs()
             .get(&task.job)
             .and_then(|job| job.spec.as_ref());
-        let checkpoint_interval_ms = spec.map_or(0.0, |spec| spec.checkpoint_s.0 * 1000.0) as u64;
+        let checkpoint_interval_ms =
+            spec.map_or(0.0, |spec| spec.checkpoint_interval_s.0 * 1000.0) as u64;
         if checkpoint_interval_ms > 0 {
             run_time_ms % checkpoint_interval_ms
         } else {
--- a/src/coordination/leader/heartbeats.rs
+++ b/src/coordination/leader/heartbeats.rs
@@ -25,7 +25,7 @@
         let context = self.command_context(now);
         Ok(self
             .cluster
-            .commands_in_response(&heartbeat.host, heartbeat.sequence, context))
+            .commands_in_response(&heartbeat.host, heartbeat.sequence_number, context))
     }
 
     /// While the records are being read, the fencing token in the response renews the worker's lease and with it all
--- a/src/coordination/leader/status.rs
+++ b/src/coordination/leader/status.rs
@@ -128,7 +128,7 @@
                     .and_then(|index| self.cluster.machine_types().get(index));
                 machine_type
                     .is_some_and(|machine_type| scoring::is_type_suitable(spec, machine_type))
-                    && (spec.spot || !host.is_spot)
+                    && (spec.allows_spot || !host.is_spot)
             };
             let count = |lifecycle| {
                 let hosts = self.cluster.hosts().values().filter(is_suitable);
--- a/src/coordination/policy.rs
+++ b/src/coordination/policy.rs
@@ -5,7 +5,7 @@
 
 use crate::coordination::quota_policy;
 use crate::features::Features;
-use crate::settings::{Service, Team, Tuning};
+use crate::settings::{SharedSettings, Team, Tuning};
 use crate::types::duration_from_seconds;
 
 /// The parameters of the leader's decisions.
@@ -47,29 +47,33 @@
 
 impl Policy {
     /// Derives the policy from settings, tuning and features.
-    pub fn new(service: &Service, tuning: &Tuning, features: &Features) -> Policy {
+    pub fn new(service: &SharedSettings, tuning: &Tuning, features: &Features) -> Policy {
         Policy {
-            heartbeat_interval: service.workers.report(),
+            heartbeat_interval: service.workers.heartbeat_interval(),
             worker_lease: service.workers.lease(),
-            cancellation_timeout: service.workers.cancel(),
+            cancellation_timeout: service.workers.cancellation_timeout(),
             max_host_list_lag: duration_from_seconds(service.cloud.list_lag_s) * 2,
-            tasks_per_record: crate::storage::records::tasks_per_record(service.state.value_kb),
-            max_probes_in_flight: (service.resources.sockets / 20).max(2),
-            max_commands_in_flight: (service.resources.sockets / 16).max(4),
-            max_value_bytes: (service.state.value_kb * 1024.0) as usize,
-            max_txn_changes: service.state.txn_ops,
-            max_queued_records_per_priority: (service.state.write_rps / 2.0).max(4.0) as usize,
+            tasks_per_record: crate::storage::records::tasks_per_record(
+                service.state_service.max_value_kib,
+            ),
+            max_probes_in_flight: (service.resources.max_sockets / 20).max(2),
+            max_commands_in_flight: (service.resources.max_sockets / 16).max(4),
+            max_value_bytes: (service.state_service.max_value_kib * 1024.0) as usize,
+            max_txn_changes: service.state_service.max_txn_changes,
+            max_queued_records_per_priority: (service.state_service.changes_per_s / 2.0).max(4.0)
+                as usize,
             teams: service.teams.clone(),
             quota: quota_policy(&service.teams, &features.quota),
             zones: features.zones.settings_if_enabled(),
-            wait_objectives_s: service.hurried(),
+            wait_objectives_s: service.wait_objectives(),
             tuning: tuning.clone(),
         }
     }
 
     /// The usual time without a heartbeat after which a host is given up.
     pub fn heartbeat_timeout(&self) -> Duration {
-        self.heartbeat_interval.mul_f64(self.tuning.silent_reports)
+        self.heartbeat_interval
+            .mul_f64(self.tuning.lost_after_heartbeat_intervals)
     }
 
     /// The team with the given name.
--- a/src/coordination/quota.rs
+++ b/src/coordination/quota.rs
@@ -26,8 +26,8 @@
 }
 
 fn limit(team: &Team) -> ResourceVector {
-    let cpus = team.cpus_max.unwrap_or(0.0);
-    let gpus = team.gpus_max.unwrap_or(0.0);
+    let cpus = team.max_cpus.unwrap_or(0.0);
+    let gpus = team.max_gpus.unwrap_or(0.0);
     ResourceVector::from_limit_settings(cpus, gpus)
 }
 
--- a/src/coordination/run_times.rs
+++ b/src/coordination/run_times.rs
@@ -41,7 +41,7 @@
     pub(crate) fn observe(&mut self, spec: &JobSpec, ran_for: Duration) {
         let class = self.by_class.entry(spec.class.clone()).or_default();
         class.actual_s = class.actual_s * DECAY_PER_RUN + ran_for.as_secs_f64();
-        class.estimated_s = class.estimated_s * DECAY_PER_RUN + spec.estimate_s.0;
+        class.estimated_s = class.estimated_s * DECAY_PER_RUN + spec.estimated_run_time_s.0;
     }
 
     /// How long a task of the job is likely to run, in seconds.
@@ -58,7 +58,7 @@
             return SERVICE_RUN_S;
         }
         let class = self.by_class.get(&spec.class).copied().unwrap_or_default();
-        let estimate_s = spec.estimate_s.0.max(1.0);
+        let estimate_s = spec.estimated_run_time_s.0.max(1.0);
         let prior_s = estimate_s * PRIOR_RUNS;
         let ratio = (class.actual_s + prior_s) / (class.estimated_s + prior_s);
         estimate_s * ratio.clamp(MIN_ESTIMATE_RATIO, MAX_ESTIMATE_RATIO)
--- a/src/coordination/scheduling/placement.rs
+++ b/src/coordination/scheduling/placement.rs
@@ -112,7 +112,7 @@
         let overflow_types = self.overflow_types(&spec, &usable_types, run_s, due_in_s);
         let profile = TaskProfile {
             resources: job.task_resources,
-            may_use_spot: spec.spot,
+            may_use_spot: spec.allows_spot,
             may_overflow: overflow_types.is_some(),
         };
         let is_unconstrained = is_unconstrained(&spec);
@@ -197,7 +197,7 @@
             let is_eligible = usable_types.get(candidate.type_index) == Some(&true)
                 && !candidate.is_reserved
                 && job.task_resources.fits(&candidate.free())
-                && (spec.spot || !candidate.is_spot)
+                && (spec.allows_spot || !candidate.is_spot)
                 && !(candidate.has_failed_jobs
                     && self.has_failed_recently(&candidate.name, job.id, pass.now));
             if is_eligible {
@@ -219,7 +219,7 @@
         };
         let machine_type = self.cluster.machine_type_of(host);
         let gb_per_s = machine_type.map_or(MIN_FETCH_GB_PER_S, |machine_type| {
-            machine_type.fetch_gb_per_s.0.max(MIN_FETCH_GB_PER_S)
+            machine_type.image_fetch_gb_per_s.0.max(MIN_FETCH_GB_PER_S)
         });
         1 + (spec.image_gb.0 / gb_per_s * FETCH_STEPS_PER_S) as u32
     }
@@ -388,7 +388,10 @@
 
 /// Whether the job has no constraint on machine types or zones.
 fn is_unconstrained(spec: &JobSpec) -> bool {
-    spec.machine_types.is_none() && spec.zone.is_none() && !spec.same_zone && !spec.spread
+    spec.allowed_machine_types.is_none()
+        && spec.required_zone.is_none()
+        && !spec.same_zone
+        && !spec.spread
 }
 
 /// Reserves the suitable host with the most free CPUs for a starving job that finds no room, since smaller tasks would
@@ -399,9 +402,9 @@
     let is_suitable = |candidate: &CandidateHost| {
         placement.usable_types.get(candidate.type_index) == Some(&true)
             && !candidate.is_reserved
-            && (spec.spot || !candidate.is_spot)
+            && (spec.allows_spot || !candidate.is_spot)
             && spec
-                .zone
+                .required_zone
                 .as_ref()
                 .is_none_or(|zone| *zone == candidate.zone)
             && placement.resources.fits(&candidate.capacity)
@@ -421,7 +424,11 @@
     zone: &str,
     siblings_by_zone: &BTreeMap<String, u64>,
 ) -> bool {
-    if spec.zone.as_ref().is_some_and(|required| required != zone) {
+    if spec
+        .required_zone
+        .as_ref()
+        .is_some_and(|required| required != zone)
+    {
         return false;
     }
     // A host whose zone is not known yet could be in any zone, so tasks on it count for every zone.
@@ -433,7 +440,7 @@
     if spec.spread {
         let in_zone = siblings_by_zone.get(zone).copied().unwrap_or(0);
         let new_count = in_zone + in_unknown_zone.unwrap_or(0) + 1;
-        if new_count > spec.tasks.div_ceil(2) {
+        if new_count > spec.task_count.div_ceil(2) {
             return false;
         }
     }
--- a/src/coordination/scheduling/preemption.rs
+++ b/src/coordination/scheduling/preemption.rs
@@ -97,15 +97,15 @@
             .started_at
             .map_or(0.0, |started_at| now.since(started_at).as_secs_f64());
         // A task that saves its progress when it is stopped loses only the time that saving takes.
-        let saves_progress = spec.checkpoint_s.0 > 0.0;
+        let saves_progress = spec.checkpoint_interval_s.0 > 0.0;
         let loss_s = if saves_progress {
-            spec.save_s.0.min(run_time_s)
+            spec.save_time_s.0.min(run_time_s)
         } else {
             run_time_s
         };
         let is_allowed = self.may_preempt(job, preemptor) && allocation.stop_reason.is_none();
         // The first tasks of a job that was starving have to stay, or it would starve again.
-        let starve_after = duration_from_seconds(self.policy.tuning.starve_after_s);
+        let starve_after = duration_from_seconds(self.policy.tuning.starvation_threshold_s);
         let waited =
             Duration::from_millis(self.clock.wall_clock_ms.saturating_sub(job.submitted_at_ms));
         let has_just_begun = run_time_s < PROTECTED_RUN_S
@@ -160,8 +160,9 @@
         let mut plans: Vec<PreemptionPlan> = Vec::new();
         for host in self.cluster.hosts().values() {
             let suits = host.type_index.is_some_and(|i| types.get(i) == Some(&true));
-            let is_usable =
-                suits && self.view().accepts_tasks(host, now) && (spec.spot || !host.is_spot);
+            let is_usable = suits
+                && self.view().accepts_tasks(host, now)
+                && (spec.allows_spot || !host.is_spot);
             if is_usable && is_zone_allowed(spec, &host.zone, &BTreeMap::new()) {
                 plans.extend(self.view().preemption_plan(host, job, spec, now));
             }
--- a/src/coordination/scheduling/ranking.rs
+++ b/src/coordination/scheduling/ranking.rs
@@ -73,7 +73,7 @@
     /// The ranks of all jobs with waiting tasks, in queue order.
     pub(crate) fn ranked_jobs(&self) -> Vec<JobRank> {
         let provisioned_cpus = self.provisioned_cpus();
-        let starve_after = duration_from_seconds(self.policy.tuning.starve_after_s);
+        let starve_after = duration_from_seconds(self.policy.tuning.starvation_threshold_s);
         let mut by_arrival: Vec<&Job> = self
             .cluster
             .jobs()
--- a/src/coordination/scheduling/scoring.rs
+++ b/src/coordination/scheduling/scoring.rs
@@ -47,11 +47,11 @@
 /// Whether the job's constraints allow hosts of the machine type, and one of its tasks fits an empty one.
 pub fn is_type_suitable(spec: &JobSpec, machine_type: &MachineType) -> bool {
     let is_allowed = spec
-        .machine_types
+        .allowed_machine_types
         .as_ref()
         .is_none_or(|names| names.contains(&machine_type.name));
     let is_in_zone = spec
-        .zone
+        .required_zone
         .as_ref()
         .is_none_or(|zone| machine_type.zones.contains(zone));
     is_allowed && is_in_zone && task_resources(spec).fits(&capacity(machine_type))
--- a/src/coordination/scheduling/type_eligibility.rs
+++ b/src/coordination/scheduling/type_eligibility.rs
@@ -89,7 +89,7 @@
             return None;
         }
         // Twice `starve_after_s`, as in the queue order, where late jobs no longer yield after that time.
-        let starve_after_ms = self.policy.tuning.starve_after_s * 2000.0;
+        let starve_after_ms = self.policy.tuning.starvation_threshold_s * 2000.0;
         let outranks_dependents = |type_index: usize| {
             let mut waiting_jobs = self
                 .cluster
--- a/src/logging.rs
+++ b/src/logging.rs
@@ -4,7 +4,7 @@
 
 /// Starts logging; an unknown level means `info`. Without a timestamp, as whoever runs the program
 /// stamps its lines.
-pub fn start(level: Option<&str>) {
+pub fn init(level: Option<&str>) {
     let level = level
         .and_then(|name| name.parse::<LevelFilter>().ok())
         .unwrap_or(LevelFilter::INFO);
--- a/src/main.rs
+++ b/src/main.rs
@@ -86,7 +86,7 @@
 
 fn main() -> ExitCode {
     let args = cli().get_matches();
-    logging::start(std::env::var("LOG_LEVEL").ok().as_deref());
+    logging::init(std::env::var("LOG_LEVEL").ok().as_deref());
     match run(&args) {
         Ok(()) => ExitCode::SUCCESS,
         Err(message) => {
--- a/src/node/api/mod.rs
+++ b/src/node/api/mod.rs
@@ -195,7 +195,7 @@
         if client.relayed {
             let relayed = RelayedResponse {
                 status: response.status,
-                retry_after: response.retry_after,
+                retry_after_s: response.retry_after,
                 body: response.body,
             };
             response = peer_messages::response(&relayed);
@@ -207,8 +207,8 @@
         encode(&JobStatus {
             id,
             state,
-            done,
-            running,
+            done_tasks: done,
+            running_tasks: running,
         })
     }
 
@@ -339,7 +339,7 @@
             }
             (Some(relayed), _) => Response {
                 status: relayed.status,
-                retry_after: relayed.retry_after,
+                retry_after: relayed.retry_after_s,
                 body: relayed.body,
                 close: false,
             },
--- a/src/node/api/requests.rs
+++ b/src/node/api/requests.rs
@@ -12,7 +12,7 @@
         at_ms: u64,
         now: Time,
     ) {
-        match users::read_submission(body) {
+        match users::parse_submission(body) {
             Submission::Unidentified(wrong) => self.respond(client, problem(400, &wrong)),
             Submission::Invalid(id, wrong) => {
                 let otherwise = problem(400, &wrong);
@@ -54,7 +54,7 @@
         let (cpus, gpus) = team.limits();
         // The replicas of a service all run at once.
         let at_once = if spec.is_service() {
-            spec.tasks as f64
+            spec.task_count as f64
         } else {
             1.0
         };
--- a/src/node/cancellations.rs
+++ b/src/node/cancellations.rs
@@ -88,7 +88,7 @@
         };
         let call = peer_messages::send(
             &mut self.net,
-            peer.addr,
+            peer.address,
             peers::CANCELLED_PATH,
             &message,
             ACKNOWLEDGE_TIMEOUT,
--- a/src/node/heartbeats.rs
+++ b/src/node/heartbeats.rs
@@ -90,18 +90,18 @@
     fn heartbeat(&self) -> PeerHeartbeat {
         let now = self.net.now();
         PeerHeartbeat {
-            from: self.settings.name.clone(),
+            sender: self.settings.name.clone(),
             term: self.leadership.highest_term.0,
             leader: self.leadership.known_leader.clone(),
-            store_reachable: self.state_answers(now),
+            is_store_reachable: self.state_answers(now),
             home_zone: self.locality.home.clone(),
-            reporting_workers: self.workers.len() as u32,
-            transferred_leadership: self.leadership.has_recently_resigned(now),
+            reporting_worker_count: self.workers.len() as u32,
+            has_transferred_leadership: self.leadership.has_recently_resigned(now),
             store_usage: StoreUsage {
                 requests_per_s: self.spends.0.ceil() as u32,
                 changes_per_s: self.spends.1.ceil() as u32,
             },
-            cancelled: self.recent_cancellations(),
+            recent_cancellations: self.recent_cancellations(),
         }
     }
 
@@ -154,8 +154,8 @@
     }
 
     fn learn_from_heartbeat(&mut self, heartbeat: &PeerHeartbeat) {
-        let longest = self.settings.settings.workers.cancel() * 2;
-        for cancelled in &heartbeat.cancelled {
+        let longest = self.settings.shared.workers.cancellation_timeout() * 2;
+        for cancelled in &heartbeat.recent_cancellations {
             let remaining = Duration::from_millis(u64::from(cancelled.remaining_ms));
             self.on_cancelled(JobId(cancelled.job), remaining.min(longest));
         }
@@ -200,10 +200,10 @@
             others.0 += f64::from(heartbeat.store_usage.requests_per_s);
             others.1 += f64::from(heartbeat.store_usage.changes_per_s);
         }
-        let state = &self.settings.settings.state;
+        let state = &self.settings.shared.state_service;
         let nodes = self.peers.len() + 1;
-        let rps = node_share(state.rps * HEADROOM, nodes, others.0);
-        let write_rps = node_share(state.write_rps * HEADROOM, nodes, others.1);
+        let rps = node_share(state.requests_per_s * HEADROOM, nodes, others.0);
+        let write_rps = node_share(state.changes_per_s * HEADROOM, nodes, others.1);
         self.store.set_rates(now, rps, write_rps);
     }
 }
--- a/src/node/leader_duties/cloud.rs
+++ b/src/node/leader_duties/cloud.rs
@@ -18,9 +18,9 @@
 
     pub(super) fn list_page(&mut self, net: &mut impl Network, after: &str, now: Time) {
         let target = if after.is_empty() {
-            format!("/hosts?page={LIST_PAGE}")
+            format!("/hosts?page={HOST_LIST_PAGE_SIZE}")
         } else {
-            format!("/hosts?after={after}&page={LIST_PAGE}")
+            format!("/hosts?after={after}&page={HOST_LIST_PAGE_SIZE}")
         };
         self.ask_cloud(net, "GET", &target, &[], LeaderCall::List, now);
     }
@@ -58,7 +58,7 @@
             self.list.busy = false;
             return;
         };
-        let more = page.truncated;
+        let more = page.has_more_pages;
         self.listing.extend(page.hosts);
         let last = self.listing.last().map(|h| h.name.clone());
         if let Some(last) = last.filter(|_| more) {
@@ -76,7 +76,7 @@
             return;
         }
         let types = MachineTypes {
-            types: self.controller.machine_types().to_vec(),
+            machine_types: self.controller.machine_types().to_vec(),
         };
         if records::json_size(&types) > self.controller.max_value_bytes() {
             // Nodes ask the cloud then.
--- a/src/node/leader_duties/mod.rs
+++ b/src/node/leader_duties/mod.rs
@@ -15,7 +15,7 @@
 use crate::coordination::autoscaling::provisioning::ProvisionResult;
 use crate::coordination::{Action, CommandResult, Leader, LeadershipLost};
 use crate::protocol::cloud::{
-    HostList, HostNames, ListedHost, MachineTypes, ProvisionRequest, LIST_PAGE,
+    HostList, HostNames, ListedHost, MachineTypes, ProvisionRequest, HOST_LIST_PAGE_SIZE,
 };
 use crate::protocol::workers::{Command, CommandRequest};
 use crate::protocol::{decode, encode};
@@ -358,7 +358,7 @@
                 self.types.busy = false;
                 let types = result.ok().filter(|r| r.status == 200);
                 if let Some(types) = types.and_then(|r| decode::<MachineTypes>(&r.body).ok()) {
-                    self.controller.on_machine_types(types.types);
+                    self.controller.on_machine_types(types.machine_types);
                     self.write_types();
                 }
             }
--- a/src/node/leader_locality.rs
+++ b/src/node/leader_locality.rs
@@ -133,7 +133,7 @@
 
     /// Whether this node is in the zone with the most machines, or there is but one zone.
     fn is_at_home(&self) -> bool {
-        let several = self.settings.settings.zones.len() > 1;
+        let several = self.settings.shared.zones.len() > 1;
         !several
             || self
                 .locality
@@ -144,7 +144,7 @@
 
     /// How long this node lets a free key lie before it takes it.
     fn campaign_delay(&self) -> Duration {
-        let several = self.settings.settings.zones.len() > 1;
+        let several = self.settings.shared.zones.len() > 1;
         let nothing_known = self.types.is_empty() && self.leadership.highest_term == Term(0);
         if several && nothing_known {
             CAMPAIGN_DELAY * 2
@@ -164,7 +164,7 @@
         peers.any(|(named, peer)| {
             let answers = peer
                 .recent_heartbeat(now)
-                .is_some_and(|h| h.store_reachable);
+                .is_some_and(|h| h.is_store_reachable);
             answers && Some(&named.zone) == self.locality.home.as_ref()
         })
     }
@@ -180,9 +180,9 @@
             let reachable_for = peer.reachable_for(now);
             let settled = reachable_for.is_some_and(|time| time >= settling_time);
             let hears_more = peer.recent_heartbeat(now).is_some_and(|h| {
-                h.store_reachable
-                    && !h.transferred_leadership
-                    && h.reporting_workers as usize > reach.reachable_hosts
+                h.is_store_reachable
+                    && !h.has_transferred_leadership
+                    && h.reporting_worker_count as usize > reach.reachable_hosts
             });
             settled && hears_more
         })
@@ -195,7 +195,7 @@
             named.zone == self.settings.zone
                 && peer
                     .last_heartbeat()
-                    .is_some_and(|h| h.transferred_leadership)
+                    .is_some_and(|h| h.has_transferred_leadership)
         })
     }
 
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -112,11 +112,11 @@
         tuning: Tuning,
         features: Features,
     ) -> Result<Node<Transport>, String> {
-        let sockets = settings.settings.resources.sockets;
+        let sockets = settings.shared.resources.max_sockets;
         let mut transport = Transport::new(sockets).map_err(|e| format!("event loop: {e}"))?;
         for (address, listener) in [
-            (settings.front, ListenerKind::Public),
-            (settings.internal, ListenerKind::Internal),
+            (settings.public_address, ListenerKind::Public),
+            (settings.internal_address, ListenerKind::Internal),
         ] {
             transport
                 .listen(address, listener)
@@ -148,25 +148,25 @@
 impl<N: Network> Node<N> {
     /// `incarnation` tells this process from others of the same name, before and after it.
     pub fn new(settings: Settings, tuning: Tuning, net: N, incarnation: u64) -> Node<N> {
-        let service = &settings.settings;
+        let service = &settings.shared;
         let store = new_store(&settings);
         let ttl = duration_from_seconds(tuning.leader_lease_s);
         let leadership = LeaderElection::new(&settings.name, ttl, incarnation);
         let api = ApiServer::new(
             service.teams.clone(),
-            service.state.value_kb,
-            service.state.txn_ops,
+            service.state_service.max_value_kib,
+            service.state_service.max_txn_changes,
         );
         let peers = settings
             .peers
             .iter()
-            .map(|p| PeerLink::new(p.addr))
+            .map(|p| PeerLink::new(p.address))
             .collect();
         tracing::info!(
             "{} in {} listens on {}",
             settings.name,
             settings.zone,
-            settings.front
+            settings.public_address
         );
         Node {
             net,
@@ -305,15 +305,15 @@
 
     fn begin_leading(&mut self, term: Term, version: Version, now: Time) {
         self.note_election_won(now);
-        let service = &self.settings.settings;
+        let service = &self.settings.shared;
         let rules = Policy::new(service, &self.tuning, &self.features);
         let controller = Leader::new(term, version, rules, self.types.clone(), now);
         self.duties = Some(LeaderDuties::new(
             controller,
-            self.settings.outside.cloud,
-            service.cloud.rps,
-            service.state.txn_ops,
-            duration_from_seconds(self.tuning.batch_interval_s),
+            self.settings.service_addresses.cloud,
+            service.cloud.calls_per_s,
+            service.state_service.max_txn_changes,
+            duration_from_seconds(self.tuning.min_batch_interval_s),
             now,
         ));
         if let Some(duties) = &mut self.duties {
@@ -333,13 +333,13 @@
 /// Before peers tell what they spend, each node takes half of the rate limits: the leader spends the
 /// most, but any node may lead, and users reach all of them.
 fn new_store(settings: &Settings) -> StoreClient {
-    let state = &settings.settings.state;
+    let state = &settings.shared.state_service;
     let share = if settings.peers.is_empty() {
         HEADROOM
     } else {
         HEADROOM * 0.5
     };
-    StoreClient::new(state.rps * share, state.write_rps * share)
+    StoreClient::new(state.requests_per_s * share, state.changes_per_s * share)
 }
 
 /// How long turns of the event loop take, in microseconds; kept at the debug level only.
--- a/src/node/periodic.rs
+++ b/src/node/periodic.rs
@@ -26,7 +26,7 @@
         self.log_peer_reachability(now);
         self.share_budgets(now);
         for job in self.api.take_cancelled() {
-            self.on_cancelled(job, self.settings.settings.workers.cancel() * 2);
+            self.on_cancelled(job, self.settings.shared.workers.cancellation_timeout() * 2);
         }
         self.cancelled.retain(|_, until| *until > now);
         self.api.expire(now);
@@ -103,7 +103,7 @@
             };
             match next {
                 Ok(out) => {
-                    let state = self.settings.outside.state;
+                    let state = self.settings.service_addresses.state_service;
                     let call = self.net.call(
                         state,
                         out.method,
--- a/src/node/replies.rs
+++ b/src/node/replies.rs
@@ -24,7 +24,7 @@
             self.types_call = None;
             let types = result.ok().filter(|r| r.status == 200);
             if let Some(types) = types.and_then(|r| decode::<MachineTypes>(&r.body).ok()) {
-                self.types = types.types;
+                self.types = types.machine_types;
             }
             return;
         }
@@ -83,7 +83,7 @@
             Some(Purpose::Types) => {
                 if let Outcome::Item(Some(item)) = outcome {
                     if let Some(types) = item.record::<MachineTypes>() {
-                        self.types = types.types;
+                        self.types = types.machine_types;
                     }
                 } else {
                     self.ask_cloud_for_types();
@@ -95,7 +95,7 @@
     /// Before any leader has kept the types, every node asks the cloud itself.
     pub(super) fn ask_cloud_for_types(&mut self) {
         if self.types_call.is_none() && self.types.is_empty() {
-            let cloud = self.settings.outside.cloud;
+            let cloud = self.settings.service_addresses.cloud;
             let limit = Duration::from_secs(4);
             self.types_call = Some(self.net.call(cloud, "GET", "/machine_types", &[], limit));
         }
--- a/src/node/requests.rs
+++ b/src/node/requests.rs
@@ -78,10 +78,10 @@
     /// Passes a user's request on to a node that the state service answers.
     pub(super) fn relay(&mut self, id: ApiRequestId, relay: &RelayedRequest) {
         let now = self.net.now();
-        let fit = self
-            .peers
-            .iter()
-            .find(|p| p.recent_heartbeat(now).is_some_and(|h| h.store_reachable));
+        let fit = self.peers.iter().find(|p| {
+            p.recent_heartbeat(now)
+                .is_some_and(|h| h.is_store_reachable)
+        });
         let Some(peer) = fit else {
             return self.api.on_relayed(id, None, now);
         };
@@ -98,7 +98,7 @@
     /// Notes that a worker reports here. Each holds a socket, so there are about as many as there may be
     /// sockets; those that changed their node within seconds are the rest.
     fn note_worker(&mut self, host: &HostName, now: Time) {
-        let most = MIN_WORKERS.max(self.settings.settings.resources.sockets * 2);
+        let most = MIN_WORKERS.max(self.settings.shared.resources.max_sockets * 2);
         if self.workers.len() < most || self.workers.contains_key(host) {
             self.workers.insert(host.clone(), now);
         } else {
--- a/src/node/zone_isolation.rs
+++ b/src/node/zone_isolation.rs
@@ -50,8 +50,10 @@
     /// sent on, so that it finds whoever can use it.
     pub(super) fn proxies_in_isolation(&self, report: &WorkerHeartbeat, now: Time) -> Option<Term> {
         let since = self.locality.zone_isolated_since?;
-        let workers = &self.settings.settings.workers;
-        let spare = workers.cancel().saturating_sub(workers.lease());
+        let workers = &self.settings.shared.workers;
+        let spare = workers
+            .cancellation_timeout()
+            .saturating_sub(workers.lease());
         let in_time = now.since(since) <= spare.mul_f64(ANSWERED_PART);
         let fenced =
             report.fencing_token > Term(0) && report.fencing_token <= self.leadership.highest_term;
@@ -70,6 +72,6 @@
     /// For how long a peer has to answer before the workers that it counts say where a leader hears the
     /// most: by then every healthy worker has tried this leader once.
     pub(super) fn settling_time(&self) -> Duration {
-        crate::coordination::max_heartbeat_delay(self.settings.settings.workers.report())
+        crate::coordination::max_heartbeat_delay(self.settings.shared.workers.heartbeat_interval())
     }
 }
--- a/src/protocol/cloud.rs
+++ b/src/protocol/cloud.rs
@@ -21,19 +21,19 @@
     pub memory_gb: Amount,
     /// Images that it keeps.
     #[serde(rename = "cacheGb", default)]
-    pub cache_gb: Amount,
+    pub image_cache_gb: Amount,
     /// How fast images are fetched, in GB a second.
     #[serde(rename = "pullGbPerS")]
-    pub fetch_gb_per_s: Amount,
+    pub image_fetch_gb_per_s: Amount,
     /// Price of an ordinary machine, an hour.
     #[serde(rename = "rate")]
-    pub on_demand_price: Amount,
+    pub on_demand_price_per_hour: Amount,
     /// Present price of a spot machine, an hour.
     #[serde(rename = "lowPrice")]
-    pub spot_price: Amount,
+    pub spot_price_per_hour: Amount,
     /// Usual boot time in seconds.
     #[serde(rename = "startupS")]
-    pub boot_s: Amount,
+    pub boot_time_s: Amount,
     /// Zones in which it is offered.
     #[serde(rename = "halls")]
     pub zones: Vec<String>,
@@ -44,7 +44,7 @@
 pub struct MachineTypes {
     /// All types.
     #[serde(rename = "hosttypes")]
-    pub types: Vec<MachineType>,
+    pub machine_types: Vec<MachineType>,
 }
 
 /// A request to rent machines.
@@ -61,7 +61,7 @@
     pub zone: String,
     /// Spot machines rather than ordinary ones.
     #[serde(rename = "loaners")]
-    pub spot: bool,
+    pub is_spot: bool,
     /// How many.
     #[serde(rename = "howMany")]
     pub count: u64,
@@ -72,7 +72,7 @@
 /// Machines that one release may name.
 pub const MAX_RELEASE_COUNT: usize = 100;
 /// The most machines one page of the list holds.
-pub const LIST_PAGE: usize = 500;
+pub const HOST_LIST_PAGE_SIZE: usize = 500;
 
 /// Names of machines, as rented or to be released.
 #[derive(Debug, Serialize, Deserialize)]
@@ -88,8 +88,8 @@
     #[serde(default, deserialize_with = "null_is_empty")]
     pub hosts: Vec<ListedHost>,
     /// More pages follow.
-    #[serde(default)]
-    pub truncated: bool,
+    #[serde(rename = "truncated", default)]
+    pub has_more_pages: bool,
 }
 
 /// A machine as the list shows it, some seconds ago.
@@ -109,7 +109,7 @@
     pub zone: String,
     /// Whether it is a spot machine.
     #[serde(rename = "loaners")]
-    pub spot: bool,
+    pub is_spot: bool,
     /// Its state.
     #[serde(rename = "status")]
     pub state: ListedHostState,
--- a/src/protocol/peers.rs
+++ b/src/protocol/peers.rs
@@ -18,24 +18,24 @@
 #[derive(Clone, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct PeerHeartbeat {
     /// Name of the sender.
-    pub from: String,
+    pub sender: String,
     /// The highest term that the sender has seen.
     pub term: u64,
     /// Who leads in that term, if the sender knows.
     pub leader: Option<String>,
     /// Whether the state service answers the sender.
-    pub store_reachable: bool,
+    pub is_store_reachable: bool,
     /// The zone that holds the most machines, as the leader said last.
     pub home_zone: Option<String>,
     /// How many workers reported to the sender lately, whether or not it leads.
-    pub reporting_workers: u32,
+    pub reporting_worker_count: u32,
     /// The sender transferred the leadership away a short while ago.
-    pub transferred_leadership: bool,
+    pub has_transferred_leadership: bool,
     /// What the sender spends of the state service's rate limits.
     pub store_usage: StoreUsage,
     /// Jobs that were confirmed as cancelled a short while ago. The state service may not answer the
     /// leader, which has to stop their tasks all the same.
-    pub cancelled: Vec<RecentCancellation>,
+    pub recent_cancellations: Vec<RecentCancellation>,
 }
 
 /// Use of the state service's rate limits, each a second.
@@ -73,7 +73,7 @@
     /// HTTP status.
     pub status: u16,
     /// Value of the `Retry-After` header, in seconds.
-    pub retry_after: Option<u32>,
+    pub retry_after_s: Option<u32>,
     /// Body of the response.
     pub body: Vec<u8>,
 }
--- a/src/protocol/users.rs
+++ b/src/protocol/users.rs
@@ -6,10 +6,10 @@
 use crate::types::JobId;
 
 /// Tasks that one job may have.
-pub const MAX_TASKS: u64 = 100_000;
+pub const MAX_TASKS_PER_JOB: u64 = 100_000;
 /// Names are kept with the job's record, whose size is limited.
-const MAX_NAME: usize = 200;
-const MAX_TYPES: usize = 64;
+const MAX_NAME_BYTES: usize = 200;
+const MAX_MACHINE_TYPES: usize = 64;
 
 /// Priority of a job, the highest first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -59,7 +59,7 @@
     pub priority: Priority,
     /// How many tasks.
     #[serde(rename = "pieces")]
-    pub tasks: u64,
+    pub task_count: u64,
     /// CPUs of each task.
     pub cpus: Amount,
     /// GPUs of each task.
@@ -76,10 +76,10 @@
     pub image_gb: Amount,
     /// Allowed machine types; `None`: any.
     #[serde(rename = "hosttypes", default, skip_serializing_if = "Option::is_none")]
-    pub machine_types: Option<Vec<String>>,
+    pub allowed_machine_types: Option<Vec<String>>,
     /// The only allowed zone, if there is one.
     #[serde(rename = "hall", default, skip_serializing_if = "Option::is_none")]
-    pub zone: Option<String>,
+    pub required_zone: Option<String>,
     /// All tasks have to be in the same zone.
     #[serde(rename = "samePlace")]
     pub same_zone: bool,
@@ -88,16 +88,16 @@
     pub spread: bool,
     /// It may use spot machines.
     #[serde(rename = "loaners")]
-    pub spot: bool,
+    pub allows_spot: bool,
     /// The owner's estimate of a task's run time, in seconds.
     #[serde(rename = "guessS")]
-    pub estimate_s: Amount,
+    pub estimated_run_time_s: Amount,
     /// Progress in seconds after which a task saves a checkpoint; 0: it never saves.
     #[serde(rename = "snapshotS")]
-    pub checkpoint_s: Amount,
+    pub checkpoint_interval_s: Amount,
     /// Seconds that a task needs to save when it is stopped.
     #[serde(rename = "stashS")]
-    pub save_s: Amount,
+    pub save_time_s: Amount,
     /// Seconds from submission until it should be complete.
     #[serde(rename = "dueS", default, skip_serializing_if = "Option::is_none")]
     pub deadline_s: Option<Amount>,
@@ -129,7 +129,7 @@
 }
 
 /// Reads and checks a submitted body.
-pub fn read_submission(body: &[u8]) -> Submission {
+pub fn parse_submission(body: &[u8]) -> Submission {
     let wrong = match decode::<JobSpec>(body) {
         Ok(spec) => match validate(&spec) {
             Ok(()) => return Submission::Valid(Box::new(spec)),
@@ -158,9 +158,9 @@
         ("cards", spec.gpus),
         ("ramGb", spec.memory_gb),
         ("imageGb", spec.image_gb),
-        ("guessS", spec.estimate_s),
-        ("snapshotS", spec.checkpoint_s),
-        ("stashS", spec.save_s),
+        ("guessS", spec.estimated_run_time_s),
+        ("snapshotS", spec.checkpoint_interval_s),
+        ("stashS", spec.save_time_s),
         ("dueS", spec.deadline_s.unwrap_or_default()),
     ];
     for (field, amount) in amounts {
@@ -168,11 +168,11 @@
             return Err(format!("{field} is {}", amount.0));
         }
     }
-    if spec.tasks == 0 || spec.tasks > MAX_TASKS {
-        return Err(format!("pieces is {}", spec.tasks));
+    if spec.task_count == 0 || spec.task_count > MAX_TASKS_PER_JOB {
+        return Err(format!("pieces is {}", spec.task_count));
     }
-    let types = spec.machine_types.as_deref().unwrap_or_default();
-    if types.len() > MAX_TYPES {
+    let types = spec.allowed_machine_types.as_deref().unwrap_or_default();
+    if types.len() > MAX_MACHINE_TYPES {
         return Err(format!("hosttypes names {} types", types.len()));
     }
     let names = [
@@ -181,9 +181,9 @@
         ("bundle", &spec.image),
     ];
     let types = types.iter().map(|name| ("hosttypes", name));
-    let zone = spec.zone.iter().map(|name| ("hall", name));
+    let zone = spec.required_zone.iter().map(|name| ("hall", name));
     for (field, name) in names.into_iter().chain(types).chain(zone) {
-        if name.len() > MAX_NAME {
+        if name.len() > MAX_NAME_BYTES {
             return Err(format!("{field} has a name of {} bytes", name.len()));
         }
     }
@@ -217,9 +217,11 @@
     #[serde(rename = "status")]
     pub state: JobState,
     /// Tasks that are done, for display.
-    pub done: u64,
+    #[serde(rename = "done")]
+    pub done_tasks: u64,
     /// Tasks that run, for display.
-    pub running: u64,
+    #[serde(rename = "running")]
+    pub running_tasks: u64,
 }
 
 /// Body of an answer that refuses a request.
--- a/src/protocol/workers.rs
+++ b/src/protocol/workers.rs
@@ -20,22 +20,22 @@
     pub zone: String,
     /// Whether it is a spot machine.
     #[serde(rename = "loaners")]
-    pub spot: bool,
+    pub is_spot: bool,
     /// Incarnation of the worker; a new one begins when its lease expires.
     #[serde(rename = "tenure")]
     pub incarnation: Incarnation,
     /// Orders messages within a incarnation.
     #[serde(rename = "tick")]
-    pub sequence: SequenceNumber,
+    pub sequence_number: SequenceNumber,
     /// Highest token that the worker has seen.
     #[serde(rename = "baton")]
     pub fencing_token: Term,
     /// Seconds until the cloud takes the machine away, if it gave notice.
     #[serde(rename = "warningS", default)]
-    pub notice_s: Option<Amount>,
+    pub reclaim_notice_s: Option<Amount>,
     /// All tasks on the machine, with ended ones that were not cleared.
     #[serde(rename = "pieces", default, deserialize_with = "null_is_empty")]
-    pub tasks: Vec<AttemptStatus>,
+    pub attempts: Vec<AttemptStatus>,
 }
 
 /// A task as its worker sees it.
@@ -80,22 +80,22 @@
 pub enum EndReason {
     /// It completed.
     #[serde(rename = "done")]
-    Done,
+    Completed,
     /// It was stopped by command.
     #[serde(rename = "halted")]
     Stopped,
     /// It failed.
     #[serde(rename = "error")]
-    Error,
+    Failed,
     /// Start refused: not enough free resources.
     #[serde(rename = "no_room")]
-    NoRoom,
+    InsufficientResources,
     /// Start refused: the task is here under another attempt.
     #[serde(rename = "in_use")]
-    InUse,
+    OtherAttemptPresent,
     /// Start refused: no such job or task.
     #[serde(rename = "no_such")]
-    NoSuch,
+    UnknownTask,
     /// Whatever a later protocol calls it, it is no success.
     #[serde(other)]
     Other,
@@ -176,7 +176,7 @@
 /// Stops for what a report shows of jobs that are `cancelled`.
 pub fn stop_commands(report: &WorkerHeartbeat, cancelled: impl Fn(JobId) -> bool) -> Vec<Command> {
     let there = report
-        .tasks
+        .attempts
         .iter()
         .filter(|t| t.state != AttemptState::Ended);
     there
--- a/src/quota_report.rs
+++ b/src/quota_report.rs
@@ -18,7 +18,7 @@
 
 /// Reads everything and puts it into lines. The error says what could not be read.
 pub fn report(settings: &Settings) -> Result<String, String> {
-    let mut store = BlockingClient::new(settings.outside.state, PATIENCE);
+    let mut store = BlockingClient::new(settings.service_addresses.state_service, PATIENCE);
     let mut ledger = Ledger::read(&mut store).map_err(|error| error.to_string())?;
     add_bookings(&mut store, &mut ledger)?;
     Ok(render(&ledger))
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -18,17 +18,20 @@
     #[serde(rename = "area")]
     pub zone: String,
     /// Address for users, workers and health checks.
-    pub front: SocketAddr,
+    #[serde(rename = "front")]
+    pub public_address: SocketAddr,
     /// Address for the other controllers.
     #[serde(rename = "internal_addr")]
-    pub internal: SocketAddr,
+    pub internal_address: SocketAddr,
     /// The other controllers.
     #[serde(rename = "others", default, deserialize_with = "null_is_empty")]
     pub peers: Vec<Peer>,
     /// Addresses of other services.
-    pub outside: Outside,
+    #[serde(rename = "outside")]
+    pub service_addresses: ServiceAddresses,
     /// What holds for all controllers.
-    pub settings: Service,
+    #[serde(rename = "settings")]
+    pub shared: SharedSettings,
 }
 
 /// Another controller.
@@ -41,33 +44,36 @@
     #[serde(rename = "area")]
     pub zone: String,
     /// Its address for controllers.
-    pub addr: SocketAddr,
+    #[serde(rename = "addr")]
+    pub address: SocketAddr,
 }
 
 /// Addresses of the services that the controller uses.
 #[derive(Clone, Debug, Deserialize)]
-pub struct Outside {
+pub struct ServiceAddresses {
     /// The cloud.
     pub cloud: SocketAddr,
     /// The state service.
-    pub state: SocketAddr,
+    #[serde(rename = "state")]
+    pub state_service: SocketAddr,
 }
 
 /// The settings that all controllers share.
 #[derive(Clone, Debug, Deserialize)]
-pub struct Service {
+pub struct SharedSettings {
     /// Zones of the deployment.
     pub zones: Vec<String>,
     /// Teams with their guarantees and limits.
     pub teams: Vec<Team>,
     /// Times of the workers.
-    pub workers: Workers,
+    pub workers: WorkerSettings,
     /// Limits of the state service.
-    pub state: State,
+    #[serde(rename = "state")]
+    pub state_service: StateServiceLimits,
     /// Limits of the cloud.
-    pub cloud: Cloud,
+    pub cloud: CloudLimits,
     /// Limits of this process.
-    pub resources: Resources,
+    pub resources: ProcessLimits,
     /// What is expected of classes of jobs.
     #[serde(default, deserialize_with = "null_is_empty")]
     pub objectives: Vec<Objective>,
@@ -79,19 +85,19 @@
     /// Kind of the objective, such as `wait`.
     pub kind: String,
     /// Class that it is about.
-    #[serde(default)]
-    pub class: Option<String>,
+    #[serde(rename = "class", default)]
+    pub job_class: Option<String>,
     /// Seconds within which its tasks are to begin.
-    #[serde(default)]
-    pub within_s: Option<f64>,
+    #[serde(rename = "within_s", default)]
+    pub start_within_s: Option<f64>,
 }
 
-impl Service {
+impl SharedSettings {
     /// Classes that are to begin within so many seconds.
-    pub fn hurried(&self) -> Vec<(String, f64)> {
+    pub fn wait_objectives(&self) -> Vec<(String, f64)> {
         let waits = self.objectives.iter().filter(|o| o.kind == "wait");
         waits
-            .filter_map(|o| Some((o.class.clone()?, o.within_s?)))
+            .filter_map(|o| Some((o.job_class.clone()?, o.start_within_s?)))
             .collect()
     }
 }
@@ -102,47 +108,52 @@
     /// Its name.
     pub name: String,
     /// Guaranteed CPUs.
-    #[serde(default)]
-    pub cpus: Option<f64>,
+    #[serde(rename = "cpus", default)]
+    pub guaranteed_cpus: Option<f64>,
     /// Most CPUs.
-    #[serde(default)]
-    pub cpus_max: Option<f64>,
+    #[serde(rename = "cpus_max", default)]
+    pub max_cpus: Option<f64>,
     /// Guaranteed GPUs.
-    #[serde(default)]
-    pub gpus: Option<f64>,
+    #[serde(rename = "gpus", default)]
+    pub guaranteed_gpus: Option<f64>,
     /// Most GPUs.
-    #[serde(default)]
-    pub gpus_max: Option<f64>,
+    #[serde(rename = "gpus_max", default)]
+    pub max_gpus: Option<f64>,
 }
 
 impl Team {
     /// Guaranteed CPUs and GPUs.
     pub fn guaranteed(&self) -> (f64, f64) {
-        (self.cpus.unwrap_or(0.0), self.gpus.unwrap_or(0.0))
+        (
+            self.guaranteed_cpus.unwrap_or(0.0),
+            self.guaranteed_gpus.unwrap_or(0.0),
+        )
     }
 
     /// Most CPUs and GPUs; infinite where there is no limit.
     pub fn limits(&self) -> (f64, f64) {
         let open = |limit: Option<f64>| limit.filter(|l| *l > 0.0).unwrap_or(f64::INFINITY);
-        (open(self.cpus_max), open(self.gpus_max))
+        (open(self.max_cpus), open(self.max_gpus))
     }
 }
 
 /// Times of the workers, in seconds.
 #[derive(Clone, Debug, Deserialize)]
-pub struct Workers {
+pub struct WorkerSettings {
     /// Interval of reports.
-    pub report_s: f64,
+    #[serde(rename = "report_s")]
+    pub heartbeat_interval_s: f64,
     /// How long a worker keeps its tasks without an answer.
     pub lease_s: f64,
     /// How long after its confirmation a cancelled job may have tasks.
-    pub cancel_s: f64,
+    #[serde(rename = "cancel_s")]
+    pub cancellation_timeout_s: f64,
 }
 
-impl Workers {
+impl WorkerSettings {
     /// Interval of reports.
-    pub fn report(&self) -> Duration {
-        duration_from_seconds(self.report_s)
+    pub fn heartbeat_interval(&self) -> Duration {
+        duration_from_seconds(self.heartbeat_interval_s)
     }
 
     /// Lease of a worker.
@@ -151,61 +162,74 @@
     }
 
     /// Time for cancellations.
-    pub fn cancel(&self) -> Duration {
-        duration_from_seconds(self.cancel_s)
+    pub fn cancellation_timeout(&self) -> Duration {
+        duration_from_seconds(self.cancellation_timeout_s)
     }
 }
 
 /// Limits of the state service.
 #[derive(Clone, Debug, Deserialize)]
-pub struct State {
+pub struct StateServiceLimits {
     /// Requests a second.
-    pub rps: f64,
+    #[serde(rename = "rps")]
+    pub requests_per_s: f64,
     /// Puts and deletes a second.
-    pub write_rps: f64,
+    #[serde(rename = "write_rps")]
+    pub changes_per_s: f64,
     /// Size of a value, in KiB of JSON.
-    pub value_kb: f64,
+    #[serde(rename = "value_kb")]
+    pub max_value_kib: f64,
     /// Changes of a transaction.
-    pub txn_ops: usize,
+    #[serde(rename = "txn_ops")]
+    pub max_txn_changes: usize,
     /// The limits from some moment on, of which nobody tells.
-    #[serde(default)]
-    pub next: Option<NextState>,
+    #[serde(rename = "next", default)]
+    pub future_limits: Option<FutureLimits>,
 }
 
 /// Each field that is missing stays as it is.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(default)]
-pub struct NextState {
+pub struct FutureLimits {
     /// Requests a second.
-    pub rps: Option<f64>,
+    #[serde(rename = "rps")]
+    pub requests_per_s: Option<f64>,
     /// Puts and deletes a second.
-    pub write_rps: Option<f64>,
+    #[serde(rename = "write_rps")]
+    pub changes_per_s: Option<f64>,
     /// Size of a value, in KiB of JSON.
-    pub value_kb: Option<f64>,
+    #[serde(rename = "value_kb")]
+    pub max_value_kib: Option<f64>,
     /// Changes of a transaction.
-    pub txn_ops: Option<usize>,
+    #[serde(rename = "txn_ops")]
+    pub max_txn_changes: Option<usize>,
 }
 
-impl State {
+impl StateServiceLimits {
     /// What holds now and later: the smaller of both limits, so that no moment matters.
-    fn within_next(&mut self) {
-        let next = self.next.clone().unwrap_or_default();
-        self.rps = next.rps.map_or(self.rps, |n| n.min(self.rps));
-        self.write_rps = next
-            .write_rps
-            .map_or(self.write_rps, |n| n.min(self.write_rps));
-        self.value_kb = next
-            .value_kb
-            .map_or(self.value_kb, |n| n.min(self.value_kb));
-        self.txn_ops = next.txn_ops.map_or(self.txn_ops, |n| n.min(self.txn_ops));
+    fn lower_to_future_limits(&mut self) {
+        let next = self.future_limits.clone().unwrap_or_default();
+        self.requests_per_s = next
+            .requests_per_s
+            .map_or(self.requests_per_s, |n| n.min(self.requests_per_s));
+        self.changes_per_s = next
+            .changes_per_s
+            .map_or(self.changes_per_s, |n| n.min(self.changes_per_s));
+        self.max_value_kib = next
+            .max_value_kib
+            .map_or(self.max_value_kib, |n| n.min(self.max_value_kib));
+        self.max_txn_changes = next
+            .max_txn_changes
+            .map_or(self.max_txn_changes, |n| n.min(self.max_txn_changes));
     }
 }
 
 /// Limits of the cloud.
 #[derive(Clone, Debug, Deserialize)]
-pub struct Cloud {
+pub struct CloudLimits {
     /// Calls a second.
-    pub rps: f64,
+    #[serde(rename = "rps")]
+    pub calls_per_s: f64,
     /// How far the list usually lags; at times twice that.
     #[serde(default)]
     pub list_lag_s: f64,
@@ -213,9 +237,10 @@
 
 /// Limits of this process.
 #[derive(Clone, Debug, Deserialize)]
-pub struct Resources {
+pub struct ProcessLimits {
     /// Open sockets.
-    pub sockets: usize,
+    #[serde(rename = "sockets")]
+    pub max_sockets: usize,
 }
 
 /// What the largest step that can't be split takes.
@@ -246,12 +271,12 @@
             serde_path_to_error::deserialize(&mut json).map_err(|e| e.to_string())?;
         json.end().map_err(|e| e.to_string())?;
         settings.check()?;
-        settings.settings.state.within_next();
+        settings.shared.state_service.lower_to_future_limits();
         Ok(settings)
     }
 
     fn check(&self) -> Result<(), String> {
-        let service = &self.settings;
+        let service = &self.shared;
         if self.name.is_empty() {
             return Err("host_name: is empty".into());
         }
@@ -262,11 +287,11 @@
             }
         }
         service.check_amounts()?;
-        service.state.check_txn_ops()?;
-        if service.workers.lease_s <= service.workers.report_s {
+        service.state_service.check_max_txn_changes()?;
+        if service.workers.lease_s <= service.workers.heartbeat_interval_s {
             return Err("settings.workers.lease_s: must be above report_s".into());
         }
-        if service.resources.sockets < LEAST_SOCKETS {
+        if service.resources.max_sockets < LEAST_SOCKETS {
             return Err(format!(
                 "settings.resources.sockets: at least {LEAST_SOCKETS} are needed"
             ));
@@ -284,21 +309,24 @@
     }
 }
 
-impl Service {
+impl SharedSettings {
     /// Amounts that have to be above zero, and the one that must not be below.
     fn check_amounts(&self) -> Result<(), String> {
-        let next = self.state.next.clone().unwrap_or_default();
+        let next = self.state_service.future_limits.clone().unwrap_or_default();
         let positive = [
-            ("workers.report_s", Some(self.workers.report_s)),
+            ("workers.report_s", Some(self.workers.heartbeat_interval_s)),
             ("workers.lease_s", Some(self.workers.lease_s)),
-            ("workers.cancel_s", Some(self.workers.cancel_s)),
-            ("state.rps", Some(self.state.rps)),
-            ("state.write_rps", Some(self.state.write_rps)),
-            ("state.value_kb", Some(self.state.value_kb)),
-            ("state.next.rps", next.rps),
-            ("state.next.write_rps", next.write_rps),
-            ("state.next.value_kb", next.value_kb),
-            ("cloud.rps", Some(self.cloud.rps)),
+            (
+                "workers.cancel_s",
+                Some(self.workers.cancellation_timeout_s),
+            ),
+            ("state.rps", Some(self.state_service.requests_per_s)),
+            ("state.write_rps", Some(self.state_service.changes_per_s)),
+            ("state.value_kb", Some(self.state_service.max_value_kib)),
+            ("state.next.rps", next.requests_per_s),
+            ("state.next.write_rps", next.changes_per_s),
+            ("state.next.value_kb", next.max_value_kib),
+            ("cloud.rps", Some(self.cloud.calls_per_s)),
         ];
         for (field, value) in positive {
             if let Some(value) = value.filter(|v| !(v.is_finite() && *v > 0.0)) {
@@ -315,10 +343,16 @@
     }
 }
 
-impl State {
-    fn check_txn_ops(&self) -> Result<(), String> {
-        let next = self.next.as_ref().and_then(|next| next.txn_ops);
-        for (field, ops) in [("txn_ops", Some(self.txn_ops)), ("next.txn_ops", next)] {
+impl StateServiceLimits {
+    fn check_max_txn_changes(&self) -> Result<(), String> {
+        let next = self
+            .future_limits
+            .as_ref()
+            .and_then(|next| next.max_txn_changes);
+        for (field, ops) in [
+            ("txn_ops", Some(self.max_txn_changes)),
+            ("next.txn_ops", next),
+        ] {
             if ops.is_some_and(|ops| ops < LEAST_OPS) {
                 return Err(format!(
                     "settings.state.{field}: at least {LEAST_OPS} are needed to finish a job"
@@ -331,7 +365,12 @@
 
 impl Team {
     fn check(&self) -> Result<(), String> {
-        let amounts = [self.cpus, self.cpus_max, self.gpus, self.gpus_max];
+        let amounts = [
+            self.guaranteed_cpus,
+            self.max_cpus,
+            self.guaranteed_gpus,
+            self.max_gpus,
+        ];
         let wrong = |amount: &f64| !(amount.is_finite() && *amount >= 0.0);
         if amounts.iter().flatten().any(wrong) {
             return Err(format!(
--- a/src/storage/records.rs
+++ b/src/storage/records.rs
@@ -91,7 +91,7 @@
         if json_size(self) <= max_value {
             return;
         }
-        if let Some(allowed) = &mut self.spec.machine_types {
+        if let Some(allowed) = &mut self.spec.allowed_machine_types {
             allowed.retain(|name| offered.iter().any(|offer| offer.name == *name));
         }
     }
--- a/src/tuning.rs
+++ b/src/tuning.rs
@@ -11,17 +11,23 @@
     /// How long the leader's lease lasts without a renewal.
     pub leader_lease_s: f64,
     /// The least time between two batches of records.
-    pub batch_interval_s: f64,
+    #[serde(rename = "batch_interval_s")]
+    pub min_batch_interval_s: f64,
     /// Machines that the peak demand of this long did not need are cordoned and returned.
-    pub idle_return_s: f64,
+    #[serde(rename = "idle_return_s")]
+    pub idle_release_s: f64,
     /// How much more than that peak is kept.
-    pub spare_share: f64,
+    #[serde(rename = "spare_share")]
+    pub spare_capacity_share: f64,
     /// A machine silent for this many report intervals is given up.
-    pub silent_reports: f64,
+    #[serde(rename = "silent_reports")]
+    pub lost_after_heartbeat_intervals: f64,
     /// A rented machine that is not up after this many times its boot time is replaced.
-    pub boot_patience: f64,
+    #[serde(rename = "boot_patience")]
+    pub boot_timeout_factor: f64,
     /// A job of which nothing has begun for this long goes before all others.
-    pub starve_after_s: f64,
+    #[serde(rename = "starve_after_s")]
+    pub starvation_threshold_s: f64,
     /// CPUs on ordinary machines that are kept ready for classes of which no job has come yet, if they
     /// are to begin sooner than a machine boots.
     pub standby_cpus: f64,
@@ -31,12 +37,12 @@
     fn default() -> Tuning {
         Tuning {
             leader_lease_s: 3.0,
-            batch_interval_s: 0.0,
-            idle_return_s: 25.0,
-            spare_share: 0.0,
-            silent_reports: 3.5,
-            boot_patience: 2.5,
-            starve_after_s: 100.0,
+            min_batch_interval_s: 0.0,
+            idle_release_s: 25.0,
+            spare_capacity_share: 0.0,
+            lost_after_heartbeat_intervals: 3.5,
+            boot_timeout_factor: 2.5,
+            starvation_threshold_s: 100.0,
             standby_cpus: 16.0,
         }
     }
@@ -56,12 +62,22 @@
         let tuning = tuning.unwrap_or_default();
         let ranges = [
             ("leader_lease_s", tuning.leader_lease_s, 1.0, 60.0),
-            ("batch_interval_s", tuning.batch_interval_s, 0.0, 10.0),
-            ("idle_return_s", tuning.idle_return_s, 0.0, 86_400.0),
-            ("spare_share", tuning.spare_share, 0.0, 10.0),
-            ("silent_reports", tuning.silent_reports, 2.0, 100.0),
-            ("boot_patience", tuning.boot_patience, 1.5, 100.0),
-            ("starve_after_s", tuning.starve_after_s, 1.0, 86_400.0),
+            ("batch_interval_s", tuning.min_batch_interval_s, 0.0, 10.0),
+            ("idle_return_s", tuning.idle_release_s, 0.0, 86_400.0),
+            ("spare_share", tuning.spare_capacity_share, 0.0, 10.0),
+            (
+                "silent_reports",
+                tuning.lost_after_heartbeat_intervals,
+                2.0,
+                100.0,
+            ),
+            ("boot_patience", tuning.boot_timeout_factor, 1.5, 100.0),
+            (
+                "starve_after_s",
+                tuning.starvation_threshold_s,
+                1.0,
+                86_400.0,
+            ),
             ("standby_cpus", tuning.standby_cpus, 0.0, 100_000.0),
         ];
         for (field, value, least, most) in ranges {
--- a/src/zones_report.rs
+++ b/src/zones_report.rs
@@ -14,7 +14,7 @@
 
 /// Reads the record and puts it into lines. The error says what could not be read.
 pub fn report(settings: &Settings) -> Result<String, String> {
-    let mut store = BlockingClient::new(settings.outside.state, PATIENCE);
+    let mut store = BlockingClient::new(settings.service_addresses.state_service, PATIENCE);
     match store.execute(&Request::Get(KEY.to_owned())) {
         Outcome::Item(None) => Ok(NO_RECORD.to_owned()),
         Outcome::Item(Some(item)) => Ok(render(item.record().as_ref(), day_ms())),
--- a/tests/api.rs
+++ b/tests/api.rs
@@ -38,11 +38,11 @@
         cpus: Amount(4.0),
         gpus: Amount(0.0),
         memory_gb: Amount(16.0),
-        cache_gb: Amount(50.0),
-        fetch_gb_per_s: Amount(1.0),
-        on_demand_price: Amount(0.3),
-        spot_price: Amount(0.1),
-        boot_s: Amount(30.0),
+        image_cache_gb: Amount(50.0),
+        image_fetch_gb_per_s: Amount(1.0),
+        on_demand_price_per_hour: Amount(0.3),
+        spot_price_per_hour: Amount(0.1),
+        boot_time_s: Amount(30.0),
         zones: vec!["a".into()],
     }]
 }
@@ -79,10 +79,10 @@
 fn open_team() -> Team {
     Team {
         name: "open".into(),
-        cpus: None,
-        cpus_max: None,
-        gpus: None,
-        gpus_max: None,
+        guaranteed_cpus: None,
+        max_cpus: None,
+        guaranteed_gpus: None,
+        max_gpus: None,
     }
 }
 
@@ -500,7 +500,10 @@
     };
     let record: JobRecord = value.deserialized().expect("a description");
     assert!(records::json_size(&record) <= 2048);
-    assert_eq!(record.spec.machine_types, Some(vec!["small".to_owned()]));
+    assert_eq!(
+        record.spec.allowed_machine_types,
+        Some(vec!["small".to_owned()])
+    );
     desk.reply(Outcome::Committed(Version(7)));
     assert_eq!(desk.answers[&client.conn.serial].0, 201);
 }
@@ -513,10 +516,10 @@
         let mut desk = Desk::new();
         let team = Team {
             name: "open".into(),
-            cpus: None,
-            cpus_max: Some(3.0),
-            gpus: None,
-            gpus_max: None,
+            guaranteed_cpus: None,
+            max_cpus: Some(3.0),
+            guaranteed_gpus: None,
+            max_gpus: None,
         };
         desk.api = ApiServer::new(vec![team], 32.0, 24);
         let mut body: Value = decode(&description(1)).expect("a map");
--- a/tests/placement.rs
+++ b/tests/placement.rs
@@ -23,11 +23,11 @@
         cpus: Amount(cpus),
         gpus: Amount(0.0),
         memory_gb: Amount(memory_gb),
-        cache_gb: Amount(50.0),
-        fetch_gb_per_s: Amount(1.0),
-        on_demand_price: Amount(cpus),
-        spot_price: Amount(cpus / 3.0),
-        boot_s: Amount(30.0),
+        image_cache_gb: Amount(50.0),
+        image_fetch_gb_per_s: Amount(1.0),
+        on_demand_price_per_hour: Amount(cpus),
+        spot_price_per_hour: Amount(cpus / 3.0),
+        boot_time_s: Amount(30.0),
         zones: vec!["a".into(), "b".into()],
     };
     vec![
@@ -62,10 +62,10 @@
         wait_objectives_s: Vec::new(),
         teams: vec![Team {
             name: "open".into(),
-            cpus: None,
-            cpus_max: None,
-            gpus: None,
-            gpus_max: None,
+            guaranteed_cpus: None,
+            max_cpus: None,
+            guaranteed_gpus: None,
+            max_gpus: None,
         }],
         tuning: Tuning::default(),
     }
@@ -78,22 +78,22 @@
         team: "open".into(),
         kind: JobKind::Array,
         priority: Priority::Normal,
-        tasks: random.u64(1..40),
+        task_count: random.u64(1..40),
         cpus: Amount(f64::from(random.u32(2..=16)) / 2.0),
         gpus: Amount(0.0),
         memory_gb: Amount(f64::from(random.u32(1..=32))),
         image: "img".into(),
         image_gb: Amount(1.0),
-        machine_types: random
+        allowed_machine_types: random
             .bool()
             .then(|| vec!["small".into(), "wide".into(), "deep".into()]),
-        zone: (random.u32(0..4) == 0).then(|| "b".into()),
+        required_zone: (random.u32(0..4) == 0).then(|| "b".into()),
         same_zone: false,
         spread: false,
-        spot: random.u32(0..4) > 0,
-        estimate_s: Amount(30.0),
-        checkpoint_s: Amount(0.0),
-        save_s: Amount(0.0),
+        allows_spot: random.u32(0..4) > 0,
+        estimated_run_time_s: Amount(30.0),
+        checkpoint_interval_s: Amount(0.0),
+        save_time_s: Amount(0.0),
         deadline_s: None,
     }
 }
@@ -113,10 +113,13 @@
     let mut best: Option<(bool, f64, &HostName)> = None;
     for (name, host) in hosts {
         let host_capacity = capacity(&machine_types[host.type_index]);
-        let is_in_zone = spec.zone.as_ref().is_none_or(|zone| zone == host.zone);
+        let is_in_zone = spec
+            .required_zone
+            .as_ref()
+            .is_none_or(|zone| zone == host.zone);
         if !task_resources.fits(&host_capacity.saturating_sub(&host.allocated))
             || !is_in_zone
-            || (host.is_spot && !spec.spot)
+            || (host.is_spot && !spec.allows_spot)
         {
             continue;
         }
@@ -152,12 +155,12 @@
                 address: "127.0.0.1:9000".into(),
                 machine_type: machine_types()[type_index].name.clone(),
                 zone: model.zone.into(),
-                spot: model.is_spot,
+                is_spot: model.is_spot,
                 incarnation: Incarnation(1),
-                sequence: SequenceNumber(1),
+                sequence_number: SequenceNumber(1),
                 fencing_token: TERM,
-                notice_s: None,
-                tasks: Vec::new(),
+                reclaim_notice_s: None,
+                attempts: Vec::new(),
             };
             leader
                 .on_heartbeat(&heartbeat, Time(5000))
@@ -182,7 +185,7 @@
         for record in records {
             let id = record.spec.id;
             let mut hosts_with_siblings = BTreeSet::new();
-            for index in 0..record.spec.tasks {
+            for index in 0..record.spec.task_count {
                 let expected_host = choose_by_full_scan(
                     &record.spec,
                     &machine_types(),
--- a/tests/quota_leader.rs
+++ b/tests/quota_leader.rs
@@ -36,11 +36,11 @@
         cpus: Amount(8.0),
         gpus: Amount(0.0),
         memory_gb: Amount(32.0),
-        cache_gb: Amount(50.0),
-        fetch_gb_per_s: Amount(1.0),
-        on_demand_price: Amount(1.0),
-        spot_price: Amount(0.3),
-        boot_s: Amount(30.0),
+        image_cache_gb: Amount(50.0),
+        image_fetch_gb_per_s: Amount(1.0),
+        on_demand_price_per_hour: Amount(1.0),
+        spot_price_per_hour: Amount(0.3),
+        boot_time_s: Amount(30.0),
         zones: vec!["a".into()],
     }
 }
@@ -53,20 +53,20 @@
             team: team.into(),
             kind: JobKind::Array,
             priority: Priority::Normal,
-            tasks,
+            task_count: tasks,
             cpus: Amount(2.0),
             gpus: Amount(0.0),
             memory_gb: Amount(1.0),
             image: "img".into(),
             image_gb: Amount(0.0),
-            machine_types: None,
-            zone: None,
+            allowed_machine_types: None,
+            required_zone: None,
             same_zone: false,
             spread: false,
-            spot: true,
-            estimate_s: Amount(600.0),
-            checkpoint_s: Amount(0.0),
-            save_s: Amount(0.0),
+            allows_spot: true,
+            estimated_run_time_s: Amount(600.0),
+            checkpoint_interval_s: Amount(0.0),
+            save_time_s: Amount(0.0),
             deadline_s: None,
         },
         submitted_at_ms: 0,
@@ -90,10 +90,10 @@
         let features = Features::parse("quota: {enabled: true}").expect("valid features");
         let tuning = Tuning {
             // Keeps the host for the whole test.
-            idle_return_s: 86_400.0,
+            idle_release_s: 86_400.0,
             ..Tuning::default()
         };
-        let policy = Policy::new(&settings.settings, &tuning, &features);
+        let policy = Policy::new(&settings.shared, &tuning, &features);
         let mut leader = Leader::new(TERM, Version(1), policy, vec![machine_type()], Time(0));
         leader.set_lease_valid_until(Time(u64::MAX));
         leader.on_loaded(Time(0));
@@ -135,12 +135,12 @@
             address: "127.0.0.1:9000".into(),
             machine_type: "c8".into(),
             zone: "a".into(),
-            spot: true,
+            is_spot: true,
             incarnation: Incarnation(1),
-            sequence: SequenceNumber(self.heartbeat_sequence),
+            sequence_number: SequenceNumber(self.heartbeat_sequence),
             fencing_token: TERM,
-            notice_s: None,
-            tasks: tasks.collect(),
+            reclaim_notice_s: None,
+            attempts: tasks.collect(),
         };
         let commands = self
             .leader
--- a/tests/record_split.rs
+++ b/tests/record_split.rs
@@ -41,20 +41,20 @@
         team: "open".into(),
         kind: JobKind::Array,
         priority: Priority::Normal,
-        tasks: u64::from(TASKS),
+        task_count: u64::from(TASKS),
         cpus: Amount(1.0),
         gpus: Amount(0.0),
         memory_gb: Amount(1.0),
         image: "img".into(),
         image_gb: Amount(1.0),
-        machine_types: None,
-        zone: None,
+        allowed_machine_types: None,
+        required_zone: None,
         same_zone: false,
         spread: false,
-        spot: true,
-        estimate_s: Amount(30.0),
-        checkpoint_s: Amount(0.0),
-        save_s: Amount(0.0),
+        allows_spot: true,
+        estimated_run_time_s: Amount(30.0),
+        checkpoint_interval_s: Amount(0.0),
+        save_time_s: Amount(0.0),
         deadline_s: None,
     }
 }
@@ -133,10 +133,10 @@
         max_queued_records_per_priority: 100,
         teams: vec![Team {
             name: "open".into(),
-            cpus: None,
-            cpus_max: None,
-            gpus: None,
-            gpus_max: None,
+            guaranteed_cpus: None,
+            max_cpus: None,
+            guaranteed_gpus: None,
+            max_gpus: None,
         }],
         tuning: Tuning::default(),
     }
@@ -160,11 +160,11 @@
         cpus: Amount(4.0),
         gpus: Amount(0.0),
         memory_gb: Amount(16.0),
-        cache_gb: Amount(50.0),
-        fetch_gb_per_s: Amount(1.0),
-        on_demand_price: Amount(0.3),
-        spot_price: Amount(0.1),
-        boot_s: Amount(30.0),
+        image_cache_gb: Amount(50.0),
+        image_fetch_gb_per_s: Amount(1.0),
+        on_demand_price_per_hour: Amount(0.3),
+        spot_price_per_hour: Amount(0.1),
+        boot_time_s: Amount(30.0),
         zones: vec!["a".into()],
     }];
     let holder = items(state, "lead/holder")[0].2;
@@ -230,12 +230,12 @@
         address: "10.1.0.1:9000".into(),
         machine_type: "c4".into(),
         zone: "a".into(),
-        spot: true,
+        is_spot: true,
         incarnation: Incarnation(1),
-        sequence: SequenceNumber(100),
+        sequence_number: SequenceNumber(100),
         fencing_token: Term(5),
-        notice_s: None,
-        tasks: controller.cluster().hosts()[&host_of(0)]
+        reclaim_notice_s: None,
+        attempts: controller.cluster().hosts()[&host_of(0)]
             .allocations
             .iter()
             .map(|(t, b)| AttemptStatus {
@@ -246,7 +246,7 @@
                 } else {
                     AttemptState::Running
                 },
-                end_reason: (*t == task).then_some(EndReason::Error),
+                end_reason: (*t == task).then_some(EndReason::Failed),
             })
             .collect(),
     };
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -26,7 +26,7 @@
     settings["others"] = Value::Null;
     let settings = Settings::parse(&settings.to_string()).expect("good settings");
     assert!(settings.peers.is_empty());
-    let team = &settings.settings.teams[0];
+    let team = &settings.shared.teams[0];
     // 0 is no limit and no guarantee: a team with both must be able to run.
     assert_eq!(team.limits(), (f64::INFINITY, f64::INFINITY));
     assert_eq!(team.guaranteed(), (0.0, 0.0));
@@ -115,8 +115,13 @@
         let mut settings = good();
         settings["settings"]["state"]["next"] = next;
         let settings = Settings::parse(&settings.to_string()).expect("good settings");
-        let state = settings.settings.state;
-        (state.rps, state.write_rps, state.value_kb, state.txn_ops)
+        let state = settings.shared.state_service;
+        (
+            state.requests_per_s,
+            state.changes_per_s,
+            state.max_value_kib,
+            state.max_txn_changes,
+        )
     };
     assert_eq!(limits(json!(null)), (150.0, 60.0, 32.0, 24));
     assert_eq!(limits(json!({})), (150.0, 60.0, 32.0, 24));
--- a/tests/simulated/runner.rs
+++ b/tests/simulated/runner.rs
@@ -73,5 +73,5 @@
 /// Starts the log of the controllers at the level in `LOG_LEVEL`; without it they log nothing.
 pub fn start_logging() {
     let level = std::env::var("LOG_LEVEL").ok();
-    lichencrank::logging::start(level.as_deref().or(Some("off")));
+    lichencrank::logging::init(level.as_deref().or(Some("off")));
 }
--- a/tests/size.rs
+++ b/tests/size.rs
@@ -31,11 +31,11 @@
         cpus: Amount(64.0),
         gpus: Amount(0.0),
         memory_gb: Amount(512.0),
-        cache_gb: Amount(50.0),
-        fetch_gb_per_s: Amount(1.0),
-        on_demand_price: Amount(1.0),
-        spot_price: Amount(0.3),
-        boot_s: Amount(30.0),
+        image_cache_gb: Amount(50.0),
+        image_fetch_gb_per_s: Amount(1.0),
+        on_demand_price_per_hour: Amount(1.0),
+        spot_price_per_hour: Amount(0.3),
+        boot_time_s: Amount(30.0),
         zones: vec!["a".into()],
     }]
 }
@@ -57,14 +57,14 @@
         wait_objectives_s: Vec::new(),
         teams: vec![Team {
             name: "open".into(),
-            cpus: None,
-            cpus_max: None,
-            gpus: None,
-            gpus_max: None,
+            guaranteed_cpus: None,
+            max_cpus: None,
+            guaranteed_gpus: None,
+            max_gpus: None,
         }],
         tuning: Tuning {
             // The machines stay for the whole test.
-            idle_return_s: 86_400.0,
+            idle_release_s: 86_400.0,
             ..Tuning::default()
         },
     }
@@ -78,20 +78,20 @@
             team: "open".into(),
             kind: JobKind::Array,
             priority: Priority::BestEffort,
-            tasks: TASKS,
+            task_count: TASKS,
             cpus: Amount(0.25),
             gpus: Amount(0.0),
             memory_gb: Amount(0.5),
             image: "img".into(),
             image_gb: Amount(0.5),
-            machine_types: None,
-            zone: None,
+            allowed_machine_types: None,
+            required_zone: None,
             same_zone: false,
             spread: false,
-            spot: true,
-            estimate_s: Amount(4.0),
-            checkpoint_s: Amount(0.0),
-            save_s: Amount(0.0),
+            allows_spot: true,
+            estimated_run_time_s: Amount(4.0),
+            checkpoint_interval_s: Amount(0.0),
+            save_time_s: Amount(0.0),
             deadline_s: None,
         },
         submitted_at_ms: 0,
@@ -136,19 +136,19 @@
                 } else {
                     AttemptState::Running
                 },
-                end_reason: ended.then_some(EndReason::Done),
+                end_reason: ended.then_some(EndReason::Completed),
             });
         WorkerHeartbeat {
             host: name.clone(),
             address: "127.0.0.1:9000".into(),
             machine_type: "wide".into(),
             zone: "a".into(),
-            spot: true,
+            is_spot: true,
             incarnation: Incarnation(1),
-            sequence: SequenceNumber(self.tick),
+            sequence_number: SequenceNumber(self.tick),
             fencing_token: token,
-            notice_s: None,
-            tasks: tasks.collect(),
+            reclaim_notice_s: None,
+            attempts: tasks.collect(),
         }
     }
 }
@@ -261,7 +261,7 @@
                 *ended = true;
             }
             let report = worker.report(name, c.term());
-            largest_report = largest_report.max(report.tasks.len());
+            largest_report = largest_report.max(report.attempts.len());
             let orders = c.on_heartbeat(&report, now).expect("its term");
             worker.obey(&orders);
         }
--- a/tests/traces.rs
+++ b/tests/traces.rs
@@ -37,11 +37,11 @@
         cpus: Amount(cpus),
         gpus: Amount(0.0),
         memory_gb: Amount(memory),
-        cache_gb: Amount(50.0),
-        fetch_gb_per_s: Amount(1.0),
-        on_demand_price: Amount(price),
-        spot_price: Amount(price / 3.0),
-        boot_s: Amount(30.0),
+        image_cache_gb: Amount(50.0),
+        image_fetch_gb_per_s: Amount(1.0),
+        on_demand_price_per_hour: Amount(price),
+        spot_price_per_hour: Amount(price / 3.0),
+        boot_time_s: Amount(30.0),
         zones: zones.iter().map(|z| (*z).to_owned()).collect(),
     }
 }
@@ -49,10 +49,10 @@
 fn team(name: &str, guaranteed: f64, limit: f64) -> Team {
     Team {
         name: name.into(),
-        cpus: Some(guaranteed),
-        cpus_max: Some(limit),
-        gpus: None,
-        gpus_max: None,
+        guaranteed_cpus: Some(guaranteed),
+        max_cpus: Some(limit),
+        guaranteed_gpus: None,
+        max_gpus: None,
     }
 }
 
@@ -166,7 +166,7 @@
                     self.commands.insert(host.to_string(), (session, orders));
                 }
                 Action::ScaleOut(r) => {
-                    let spot = if r.spot { "spot" } else { "ordinary" };
+                    let spot = if r.is_spot { "spot" } else { "ordinary" };
                     let (request, count) = (&r.name, r.count);
                     self.say(&format!(
                         "rent {request}: {count} {} in {}, {spot}",
@@ -214,20 +214,20 @@
                 Some("low") => Priority::BestEffort,
                 _ => Priority::Normal,
             },
-            tasks: number("tasks", 1.0) as u64,
+            task_count: number("tasks", 1.0) as u64,
             cpus: Amount(number("cpus", 2.0)),
             gpus: Amount(0.0),
             memory_gb: Amount(number("memory", 2.0)),
             image: "img".into(),
             image_gb: Amount(1.0),
-            machine_types: None,
-            zone: field("zone").map(str::to_owned),
+            allowed_machine_types: None,
+            required_zone: field("zone").map(str::to_owned),
             same_zone: words.contains(&"together"),
             spread: words.contains(&"apart"),
-            spot: !words.contains(&"ordinary"),
-            estimate_s: Amount(number("guess", 30.0)),
-            checkpoint_s: Amount(number("saves", 0.0)),
-            save_s: Amount(2.0),
+            allows_spot: !words.contains(&"ordinary"),
+            estimated_run_time_s: Amount(number("guess", 30.0)),
+            checkpoint_interval_s: Amount(number("saves", 0.0)),
+            save_time_s: Amount(2.0),
             deadline_s: field("due").map(|d| Amount(d.parse().expect("a number"))),
         };
         self.version += 1;
@@ -263,10 +263,10 @@
                 _ => AttemptState::Ended,
             };
             let cause = words.get(2).map(|c| match *c {
-                "done" => EndReason::Done,
+                "done" => EndReason::Completed,
                 "halted" => EndReason::Stopped,
-                "error" => EndReason::Error,
-                "no_room" => EndReason::NoRoom,
+                "error" => EndReason::Failed,
+                "no_room" => EndReason::InsufficientResources,
                 _ => EndReason::Other,
             });
             AttemptStatus {
@@ -281,12 +281,12 @@
             address: "127.0.0.1:9000".into(),
             machine_type: kind,
             zone,
-            spot,
+            is_spot: spot,
             incarnation: Incarnation(session.parse().expect("a session")),
-            sequence: SequenceNumber(tick.parse().expect("a tick")),
+            sequence_number: SequenceNumber(tick.parse().expect("a tick")),
             fencing_token: Term(after("token").unwrap_or(TERM.0 as f64) as u64),
-            notice_s: after("notice").map(Amount),
-            tasks: tasks.collect(),
+            reclaim_notice_s: after("notice").map(Amount),
+            attempts: tasks.collect(),
         }
     }
 
@@ -466,7 +466,7 @@
                     address: "127.0.0.1:9000".into(),
                     machine_type: "small".into(),
                     zone: "a".into(),
-                    spot: true,
+                    is_spot: true,
                     state: status,
                     age_s: Amount(words.get(4).map_or(0.0, |a| a.parse().expect("an age"))),
                 };
--- a/tests/versions.rs
+++ b/tests/versions.rs
@@ -44,18 +44,18 @@
 
 fn heartbeat() -> PeerHeartbeat {
     PeerHeartbeat {
-        from: "n1".into(),
+        sender: "n1".into(),
         term: 7,
         leader: Some("n0".into()),
-        store_reachable: true,
+        is_store_reachable: true,
         home_zone: None,
-        reporting_workers: 300,
-        transferred_leadership: false,
+        reporting_worker_count: 300,
+        has_transferred_leadership: false,
         store_usage: StoreUsage {
             requests_per_s: 20,
             changes_per_s: 5,
         },
-        cancelled: vec![RecentCancellation {
+        recent_cancellations: vec![RecentCancellation {
             job: 412,
             remaining_ms: 30_000,
         }],
@@ -88,7 +88,7 @@
     );
     let relayed = RelayedResponse {
         status: 503,
-        retry_after: Some(1),
+        retry_after_s: Some(1),
         body: vec![9],
     };
     assert_eq!(encoded(&relayed), b"\xf7\x01\x01\x01\0\0\0\x01\0\0\0\x09");
@@ -167,7 +167,7 @@
 fn records_of_production_are_read_and_written_back_whole() {
     let description: JobRecord = stored(DESCRIPTION).deserialized().expect("a description");
     assert_eq!(
-        (description.spec.tasks, description.tasks_per_record),
+        (description.spec.task_count, description.tasks_per_record),
         (600, 256)
     );
     let again: OldDescription = value(&description).deserialized().expect("an old one");
@@ -210,7 +210,7 @@
     let old = r#"{"hosttypes":[{"sku":"g8","cpus":96.0,"cards":8.0,"ramGb":768.0,"pullGbPerS":1.0,
         "rate":12.0,"lowPrice":4.5,"startupS":45.0,"halls":["a","b"]}]}"#;
     let types: MachineTypes = decode(&encode(&stored(old))).expect("machine types");
-    assert_eq!(types.types.len(), 1);
+    assert_eq!(types.machine_types.len(), 1);
 }
 
 // ---- bytes of earlier versions
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -2,7 +2,7 @@
 
 use ciborium::Value;
 use lichencrank::coordination::cluster::job::Job;
-use lichencrank::protocol::users::{read_submission, Submission};
+use lichencrank::protocol::users::{parse_submission, Submission};
 use lichencrank::protocol::{decode, encode, workers};
 use lichencrank::storage::records::JobRecord;
 use lichencrank::transport::http::{parse_request, parse_response};
@@ -21,8 +21,8 @@
         }
         bytes.truncate(random.usize(..=good.len()));
         // Whatever it is taken for, a job that is accepted keeps within the limits.
-        if let Submission::Valid(spec) = read_submission(&bytes) {
-            assert!(spec.tasks >= 1 && spec.tasks <= 100_000);
+        if let Submission::Valid(spec) = parse_submission(&bytes) {
+            assert!(spec.task_count >= 1 && spec.task_count <= 100_000);
             assert!(spec.cpus.0.is_finite() && spec.cpus.0 >= 0.0);
         }
         assert!(decode::<workers::WorkerHeartbeat>(&bytes).is_err());
@@ -61,7 +61,7 @@
 fn submission(change: impl FnOnce(&mut Vec<(Value, Value)>)) -> Submission {
     let mut fields = job_fields();
     change(&mut fields);
-    read_submission(&encode(&Value::Map(fields)))
+    parse_submission(&encode(&Value::Map(fields)))
 }
 
 fn set(name: &'static str, value: Value) -> impl FnOnce(&mut Vec<(Value, Value)>) {
@@ -144,7 +144,7 @@
     // Not even a job's name can be read.
     for body in [&b""[..], b"\xff", b"\x80", b"hello", b"\xa1\x63ref\x01"] {
         assert!(
-            matches!(read_submission(body), Submission::Unidentified(_)),
+            matches!(parse_submission(body), Submission::Unidentified(_)),
             "{body:?}"
         );
     }
@@ -178,7 +178,7 @@
     let mut body = vec![0x81; 60_000];
     body.push(0x01);
     assert!(matches!(
-        read_submission(&body),
+        parse_submission(&body),
         Submission::Unidentified(_)
     ));
 }
--- a/tests/zones_leader.rs
+++ b/tests/zones_leader.rs
@@ -35,11 +35,11 @@
         cpus: Amount(8.0),
         gpus: Amount(0.0),
         memory_gb: Amount(32.0),
-        cache_gb: Amount(50.0),
-        fetch_gb_per_s: Amount(1.0),
-        on_demand_price: Amount(1.0),
-        spot_price: Amount(0.3),
-        boot_s: Amount(30.0),
+        image_cache_gb: Amount(50.0),
+        image_fetch_gb_per_s: Amount(1.0),
+        on_demand_price_per_hour: Amount(1.0),
+        spot_price_per_hour: Amount(0.3),
+        boot_time_s: Amount(30.0),
         zones: vec!["a".into(), "b".into()],
     }
 }
@@ -52,20 +52,20 @@
             team: "team".into(),
             kind: JobKind::Array,
             priority,
-            tasks: 1,
+            task_count: 1,
             cpus: Amount(8.0),
             gpus: Amount(0.0),
             memory_gb: Amount(1.0),
             image: "img".into(),
             image_gb: Amount(0.0),
-            machine_types: None,
-            zone: zone.map(str::to_owned),
+            allowed_machine_types: None,
+            required_zone: zone.map(str::to_owned),
             same_zone: false,
             spread: false,
-            spot: true,
-            estimate_s: Amount(600.0),
-            checkpoint_s: Amount(0.0),
-            save_s: Amount(0.0),
+            allows_spot: true,
+            estimated_run_time_s: Amount(600.0),
+            checkpoint_interval_s: Amount(0.0),
+            save_time_s: Amount(0.0),
             deadline_s: None,
         },
         submitted_at_ms: 0,
@@ -97,10 +97,10 @@
         let settings = Settings::parse(SETTINGS).expect("the settings of the test are valid");
         let features = Features::parse(features).expect("the features of the test are valid");
         let tuning = Tuning {
-            idle_return_s: 86_400.0,
+            idle_release_s: 86_400.0,
             ..Tuning::default()
         };
-        let policy = Policy::new(&settings.settings, &tuning, &features);
+        let policy = Policy::new(&settings.shared, &tuning, &features);
         let mut leader = Leader::new(TERM, Version(1), policy, vec![machine_type()], Time(0));
         leader.set_lease_valid_until(Time(u64::MAX));
         leader.on_zones_record_read(None, Time(0));
@@ -175,12 +175,12 @@
             address: "127.0.0.1:9000".into(),
             machine_type: "c8".into(),
             zone: zone.into(),
-            spot: true,
+            is_spot: true,
             incarnation: Incarnation(1),
-            sequence: SequenceNumber(self.heartbeat_sequence),
+            sequence_number: SequenceNumber(self.heartbeat_sequence),
             fencing_token: TERM,
-            notice_s: None,
-            tasks: attempts.collect(),
+            reclaim_notice_s: None,
+            attempts: attempts.collect(),
         };
         self.leader
             .on_heartbeat(&heartbeat, self.now)
@@ -410,7 +410,7 @@
         address: "127.0.0.1:9000".into(),
         machine_type: "c8".into(),
         zone: "b".into(),
-        spot: true,
+        is_spot: true,
         state: ListedHostState::Running,
         age_s: Amount(300.0),
     };
