--- a/src/storage/records.rs
+++ b/src/storage/records.rs
@@ -95,7 +95,7 @@
         if json_size(self) <= max_value_bytes {
             return;
         }
-        if let Some(allowed) = &mut self.spec.machine_types {
+        if let Some(allowed) = &mut self.spec.allowed_machine_types {
             allowed.retain(|name| offered_types.iter().any(|offered| offered.name == *name));
         }
     }
--- a/tests/record_split.rs
+++ b/tests/record_split.rs
@@ -42,20 +42,20 @@
         team: "open".into(),
         kind: JobKind::Array,
         priority: Priority::Normal,
-        tasks: u64::from(TASK_COUNT),
+        task_count: u64::from(TASK_COUNT),
         cpus: Amount(1.0),
         gpus: Amount(0.0),
         memory_gb: Amount(1.0),
         image: "img".into(),
         image_gb: Amount(1.0),
-        machine_types: None,
-        zone: None,
+        allowed_machine_types: None,
+        required_zone: None,
         same_zone: false,
         spread: false,
-        spot: true,
-        estimate_s: Amount(30.0),
-        checkpoint_s: Amount(0.0),
-        save_s: Amount(0.0),
+        allows_spot: true,
+        estimated_run_time_s: Amount(30.0),
+        checkpoint_interval_s: Amount(0.0),
+        save_time_s: Amount(0.0),
         deadline_s: None,
     }
 }
@@ -135,10 +135,10 @@
         max_queued_records_per_priority: 100,
         teams: vec![Team {
             name: "open".into(),
-            cpus: None,
-            cpus_max: None,
-            gpus: None,
-            gpus_max: None,
+            guaranteed_cpus: None,
+            max_cpus: None,
+            guaranteed_gpus: None,
+            max_gpus: None,
         }],
         tuning: Tuning::default(),
     }
@@ -162,11 +162,11 @@
         cpus: Amount(4.0),
         gpus: Amount(0.0),
         memory_gb: Amount(16.0),
-        cache_gb: Amount(50.0),
-        fetch_gb_per_s: Amount(1.0),
-        on_demand_price: Amount(0.3),
-        spot_price: Amount(0.1),
-        boot_s: Amount(30.0),
+        image_cache_gb: Amount(50.0),
+        image_fetch_gb_per_s: Amount(1.0),
+        on_demand_price_per_hour: Amount(0.3),
+        spot_price_per_hour: Amount(0.1),
+        boot_time_s: Amount(30.0),
         zones: vec!["a".into()],
     }];
     let leader_key_version = list_items(store, "lead/holder")[0].2;
@@ -237,12 +237,12 @@
         address: "10.1.0.1:9000".into(),
         machine_type: "c4".into(),
         zone: "a".into(),
-        spot: true,
+        is_spot: true,
         incarnation: Incarnation(1),
-        sequence: SequenceNumber(100),
+        sequence_number: SequenceNumber(100),
         fencing_token: Term(5),
-        notice_s: None,
-        tasks: leader.cluster().hosts()[&host_name(0)]
+        reclaim_notice_s: None,
+        attempts: leader.cluster().hosts()[&host_name(0)]
             .allocations
             .iter()
             .map(|(id, allocation)| AttemptStatus {
@@ -253,7 +253,7 @@
                 } else {
                     AttemptState::Running
                 },
-                end_reason: (*id == task).then_some(EndReason::Error),
+                end_reason: (*id == task).then_some(EndReason::Failed),
             })
             .collect(),
     };
