--- a/crates/quota/examples/admissions/main.rs
+++ b/crates/quota/examples/admissions/main.rs
@@ -28,8 +28,8 @@
 /// A client ends work once it runs more than this part, in tenths, of what it wants to run.
 const ENDING_TENTHS: usize = 8;
 const STORE_LIMITS: StoreLimits = StoreLimits {
-    value_bytes: 16 * 1024,
-    changes: 16,
+    max_value_bytes: 16 * 1024,
+    max_changes: 16,
     requests_per_second: 1e9,
     changes_per_second: 1e9,
 };
@@ -65,8 +65,8 @@
 
 fn new_store() -> SharedStore {
     SharedStore::new(Limits {
-        value_bytes: STORE_LIMITS.value_bytes,
-        changes: STORE_LIMITS.changes,
+        value_bytes: STORE_LIMITS.max_value_bytes,
+        changes: STORE_LIMITS.max_changes,
     })
 }
 
--- a/crates/quota/examples/admissions/single_record.rs
+++ b/crates/quota/examples/admissions/single_record.rs
@@ -37,7 +37,7 @@
             self.read_sum(cost);
             return 0;
         };
-        let max_changes = STORE_LIMITS.changes - 1;
+        let max_changes = STORE_LIMITS.max_changes - 1;
         let is_nearly_full = self.running.len() * 10 > target * ENDING_TENTHS;
         let ends_work = is_nearly_full || sum.charged >= LIMIT;
         let end_count = if ends_work { ENDED_AT_ONCE } else { 0 };
--- a/crates/quota/src/audit/read.rs
+++ b/crates/quota/src/audit/read.rs
@@ -44,7 +44,7 @@
                 ledger.insert_item(item);
             }
             match page.items.last() {
-                Some(last) if page.more => after = last.key.clone(),
+                Some(last) if page.has_more => after = last.key.clone(),
                 _ => return Ok(ledger),
             }
         }
--- a/crates/quota/src/client/charging.rs
+++ b/crates/quota/src/client/charging.rs
@@ -56,7 +56,7 @@
         let version = self.cache.allowance(&allowance)?.version;
         let key = RecordKey::Allowance(allowance);
         batch.transaction.require(&key, version);
-        let max_changes = self.config.store_limits.changes;
+        let max_changes = self.config.store_limits.max_changes;
         let queue = self.team_mut(team).queue();
         let pending: Vec<AdmissionId> = queue.take(max_changes).cloned().collect();
         for id in pending {
@@ -83,8 +83,8 @@
         let limits = &self.config.store_limits;
         let changes = batch.transaction.change_count() + 1;
         let conditions = batch.transaction.condition_count() + CONDITIONS_PER_CHARGE;
-        changes <= limits.changes
-            && conditions <= limits.conditions()
+        changes <= limits.max_changes
+            && conditions <= limits.max_conditions()
             && changes * CHARGE_BYTES <= MAX_BATCH_BYTES
     }
 
@@ -147,7 +147,7 @@
             self.events.push(QuotaEvent::AlreadyCompleted(id.clone()));
             return Ok(true);
         }
-        let max_bytes = self.config.store_limits.value_bytes as f64 * MAX_COMPLETED_SHARE;
+        let max_bytes = self.config.store_limits.max_value_bytes as f64 * MAX_COMPLETED_SHARE;
         if json_size(completed) as f64 > max_bytes {
             self.reject(id.clone(), RejectReason::TooManySequenceGaps);
             return Ok(true);
--- a/crates/quota/src/client/outcome.rs
+++ b/crates/quota/src/client/outcome.rs
@@ -181,6 +181,6 @@
 
 /// The key behind which the next page begins, if there is one.
 fn next_key(page: &Page) -> Option<String> {
-    let last = page.items.last().filter(|_| page.more);
+    let last = page.items.last().filter(|_| page.has_more);
     last.map(|item| item.key.clone())
 }
--- a/crates/quota/src/client/release.rs
+++ b/crates/quota/src/client/release.rs
@@ -14,7 +14,7 @@
     /// Deletes charges and adds the admissions to the completed ones of their requesters, in the same
     /// transaction: so each charge is released once, whoever repeats the release.
     pub(super) fn plan_releases(&mut self) -> Result<Option<Operation>, CacheMiss> {
-        let max_changes = self.config.store_limits.changes;
+        let max_changes = self.config.store_limits.max_changes;
         let mut transaction = TransactionBuilder::default();
         let mut completed: BTreeMap<RequesterId, CompletedRecord> = BTreeMap::new();
         let mut released = Vec::new();
--- a/crates/quota/src/client/revocation.rs
+++ b/crates/quota/src/client/revocation.rs
@@ -28,7 +28,7 @@
         if let Some(operation) = self.revocation_sweep.next_page() {
             return Ok(Some(operation));
         }
-        let max_changes = self.config.store_limits.changes;
+        let max_changes = self.config.store_limits.max_changes;
         Ok(self.revocation_sweep.plan_marks(max_changes))
     }
 
--- a/crates/quota/tests/loopback.rs
+++ b/crates/quota/tests/loopback.rs
@@ -70,8 +70,8 @@
     let config = ClientConfig {
         name: ClientName::new(&format!("controller-{number}")),
         store_limits: StoreLimits {
-            value_bytes: limits().value_bytes,
-            changes: limits().changes,
+            max_value_bytes: limits().value_bytes,
+            max_changes: limits().changes,
             requests_per_second: 1e9,
             changes_per_second: 1e9,
         },
--- a/crates/quota/tests/support/mod.rs
+++ b/crates/quota/tests/support/mod.rs
@@ -17,8 +17,8 @@
 pub(crate) use cluster::Cluster;
 
 const STORE_LIMITS: StoreLimits = StoreLimits {
-    value_bytes: 16 * 1024,
-    changes: 16,
+    max_value_bytes: 16 * 1024,
+    max_changes: 16,
     requests_per_second: 1e9,
     changes_per_second: 1e9,
 };
@@ -28,8 +28,8 @@
 
 fn service_limits() -> Limits {
     Limits {
-        value_bytes: STORE_LIMITS.value_bytes,
-        changes: STORE_LIMITS.changes,
+        value_bytes: STORE_LIMITS.max_value_bytes,
+        changes: STORE_LIMITS.max_changes,
     }
 }
 
--- a/crates/store/src/client.rs
+++ b/crates/store/src/client.rs
@@ -103,17 +103,17 @@
 
 impl ConditionalStore for BlockingClient {
     fn execute(&mut self, request: &Request) -> Outcome {
-        let hold = match request {
-            Request::Watch { hold, .. } => *hold,
+        let max_wait = match request {
+            Request::Watch { max_wait, .. } => *max_wait,
             _ => Duration::ZERO,
         };
         let http = request.render();
-        match self.call(&http, self.response_timeout + hold) {
+        match self.call(&http, self.response_timeout + max_wait) {
             Ok(response) => Outcome::read(http.kind, response.status, &response.body),
             Err(error) => {
                 tracing::debug!("store: {} {}: {error}", http.method, http.target);
                 match error {
-                    CallError::NotSent(_) => Outcome::Refused,
+                    CallError::NotSent(_) => Outcome::Unavailable,
                     CallError::NoResponse(_) => Outcome::Unknown,
                 }
             }
--- a/crates/store/src/limits.rs
+++ b/crates/store/src/limits.rs
@@ -16,9 +16,9 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct StoreLimits {
     /// The largest value, in bytes.
-    pub value_bytes: usize,
+    pub max_value_bytes: usize,
     /// The most changes of a transaction.
-    pub changes: usize,
+    pub max_changes: usize,
     /// The most requests a second, of all clients together.
     pub requests_per_second: f64,
     /// The most changes a second, of all clients together.
@@ -64,7 +64,7 @@
     },
     /// A key is empty, too long or contains whitespace.
     #[error("{key:?} is no key: 1 to {max} bytes without spaces are allowed", max = MAX_KEY_BYTES)]
-    BadKey {
+    InvalidKey {
         /// The key.
         key: String,
     },
@@ -77,8 +77,8 @@
 
 impl StoreLimits {
     /// The most conditions of a transaction.
-    pub fn conditions(&self) -> usize {
-        self.changes.saturating_mul(CONDITIONS_PER_CHANGE)
+    pub fn max_conditions(&self) -> usize {
+        self.max_changes.saturating_mul(CONDITIONS_PER_CHANGE)
     }
 
     /// Checks whether the store would accept a transaction, apart from its conditions and rate limits.
@@ -87,12 +87,14 @@
     ///
     /// The first limit that it exceeds.
     pub fn check(&self, txn: &Txn) -> Result<(), LimitError> {
-        check_limit(txn.changes.len(), self.changes, |count, limit| {
+        check_limit(txn.changes.len(), self.max_changes, |count, limit| {
             LimitError::TooManyChanges { count, limit }
         })?;
-        check_limit(txn.conditions.len(), self.conditions(), |count, limit| {
-            LimitError::TooManyConditions { count, limit }
-        })?;
+        check_limit(
+            txn.conditions.len(),
+            self.max_conditions(),
+            |count, limit| LimitError::TooManyConditions { count, limit },
+        )?;
         let condition_keys = txn.conditions.iter().map(|condition| &condition.key);
         let changed_keys = txn.changes.iter().map(Change::key);
         for key in condition_keys.chain(changed_keys) {
@@ -110,7 +112,7 @@
         let Change::Put { key, value, .. } = change else {
             return Ok(());
         };
-        check_limit(json_size(value), self.value_bytes, |bytes, limit| {
+        check_limit(json_size(value), self.max_value_bytes, |bytes, limit| {
             LimitError::ValueTooLarge {
                 key: key.clone(),
                 bytes,
@@ -137,7 +139,7 @@
     if is_valid {
         return Ok(());
     }
-    Err(LimitError::BadKey {
+    Err(LimitError::InvalidKey {
         key: key.to_owned(),
     })
 }
--- a/crates/store/src/messages.rs
+++ b/crates/store/src/messages.rs
@@ -130,7 +130,7 @@
     pub items: Vec<Item>,
     /// Whether more pages follow.
     #[serde(rename = "truncated", default)]
-    pub more: bool,
+    pub has_more: bool,
     /// The store's revision at which the page was read.
     #[serde(rename = "ledgerRev")]
     pub revision: Version,
@@ -179,15 +179,15 @@
     pub events: Vec<Event>,
 }
 
-/// A change of one key. Either `put` or `delete` is set.
+/// A change of one key. Either `put_key` or `deleted_key` is set.
 #[derive(Debug, Deserialize)]
 pub struct Event {
     /// The key that was written.
     #[serde(rename = "set", default)]
-    pub put: Option<String>,
+    pub put_key: Option<String>,
     /// The key that was deleted.
     #[serde(rename = "remove", default)]
-    pub delete: Option<String>,
+    pub deleted_key: Option<String>,
     /// The value that was written.
     #[serde(rename = "data", default)]
     pub value: Option<Value>,
--- a/crates/store/src/outcome.rs
+++ b/crates/store/src/outcome.rs
@@ -22,18 +22,18 @@
     /// The conditions on these keys were not met; nothing was changed.
     Conflict(Vec<String>),
     /// The new lease.
-    Granted(LeaseId),
+    LeaseGranted(LeaseId),
     /// The lease was renewed or ended.
-    Extended,
+    LeaseUpdated,
     /// The lease has expired or was ended.
     LeaseGone,
     /// Changes that a watch brought.
-    News(WatchEvents),
+    WatchEvents(WatchEvents),
     /// The store no longer has the changes after the revision at which the watch begins: the state has to
     /// be read again.
-    TooOld,
+    RevisionTooOld,
     /// Not processed: the store, or the way to it, is out of order for now.
-    Refused,
+    Unavailable,
     /// Not processed, since the rate limit is used up: the store itself is healthy.
     RateLimited {
         /// How long to wait before it is repeated.
@@ -55,7 +55,7 @@
                     retry_after: RATE_LIMIT_PAUSE,
                 }
             }
-            503 => Outcome::Refused,
+            503 => Outcome::Unavailable,
             400 => {
                 tracing::warn!("store: 400 {}", String::from_utf8_lossy(body));
                 Outcome::Invalid
@@ -75,11 +75,13 @@
             (200, RequestKind::List) => Outcome::Page(decode(body)?),
             (200, RequestKind::Txn) => Outcome::Committed(decode::<CommitResponse>(body)?.revision),
             (409, RequestKind::Txn) => Outcome::Conflict(decode::<ConflictResponse>(body)?.keys),
-            (200, RequestKind::Grant) => Outcome::Granted(decode::<LeaseResponse>(body)?.lease),
-            (200, RequestKind::Lease) => Outcome::Extended,
-            (404, RequestKind::Lease) => Outcome::LeaseGone,
-            (200, RequestKind::Watch) => Outcome::News(decode(body)?),
-            (410, RequestKind::Watch) => Outcome::TooOld,
+            (200, RequestKind::GrantLease) => {
+                Outcome::LeaseGranted(decode::<LeaseResponse>(body)?.lease)
+            }
+            (200, RequestKind::UpdateLease) => Outcome::LeaseUpdated,
+            (404, RequestKind::UpdateLease) => Outcome::LeaseGone,
+            (200, RequestKind::Watch) => Outcome::WatchEvents(decode(body)?),
+            (410, RequestKind::Watch) => Outcome::RevisionTooOld,
             (status, _) => {
                 tracing::warn!("store: unexpected status {status}");
                 Outcome::Unknown
@@ -90,6 +92,6 @@
 
     /// Whether the store itself has answered, so that it is known to be reachable.
     pub fn is_answer(&self) -> bool {
-        !matches!(self, Outcome::Refused | Outcome::Unknown)
+        !matches!(self, Outcome::Unavailable | Outcome::Unknown)
     }
 }
--- a/crates/store/src/request.rs
+++ b/crates/store/src/request.rs
@@ -23,11 +23,11 @@
     /// Carries out a transaction.
     Txn(Txn),
     /// Asks for a lease that expires after that time without a renewal.
-    Grant(Duration),
+    GrantLease(Duration),
     /// Renews a lease.
-    Extend(LeaseId),
+    RenewLease(LeaseId),
     /// Ends a lease, and deletes the keys that are attached to it.
-    End(LeaseId),
+    EndLease(LeaseId),
     /// Waits for changes (long polling).
     Watch {
         /// Prefix of the keys.
@@ -35,7 +35,7 @@
         /// Changes after this revision are wanted.
         after: Version,
         /// How long to wait for the first one.
-        hold: Duration,
+        max_wait: Duration,
     },
 }
 
@@ -48,10 +48,10 @@
     List,
     /// [`Request::Txn`].
     Txn,
-    /// [`Request::Grant`].
-    Grant,
-    /// [`Request::Extend`] and [`Request::End`].
-    Lease,
+    /// [`Request::GrantLease`].
+    GrantLease,
+    /// [`Request::RenewLease`] and [`Request::EndLease`].
+    UpdateLease,
     /// [`Request::Watch`].
     Watch,
 }
@@ -89,25 +89,27 @@
                 HttpRequest::without_body(RequestKind::List, "GET", target)
             }
             Request::Txn(txn) => HttpRequest::post(RequestKind::Txn, "/txn", encode(txn)),
-            Request::Grant(ttl) => {
+            Request::GrantLease(ttl) => {
                 let ttl_ms = ttl.as_millis() as u64;
                 let body = encode(&LeaseRequest { ttl_ms });
-                HttpRequest::post(RequestKind::Grant, "/grants", body)
+                HttpRequest::post(RequestKind::GrantLease, "/grants", body)
             }
-            Request::Extend(lease) => {
+            Request::RenewLease(lease) => {
                 let target = format!("/grants/{lease}/extend");
-                HttpRequest::without_body(RequestKind::Lease, "POST", target)
-            }
-            Request::End(lease) => {
-                HttpRequest::without_body(RequestKind::Lease, "DELETE", format!("/grants/{lease}"))
+                HttpRequest::without_body(RequestKind::UpdateLease, "POST", target)
             }
+            Request::EndLease(lease) => HttpRequest::without_body(
+                RequestKind::UpdateLease,
+                "DELETE",
+                format!("/grants/{lease}"),
+            ),
             Request::Watch {
                 prefix,
                 after,
-                hold,
+                max_wait,
             } => {
-                let hold_ms = hold.as_millis();
-                let target = format!("/changes?prefix={prefix}&after={after}&holdMs={hold_ms}");
+                let max_wait_ms = max_wait.as_millis();
+                let target = format!("/changes?prefix={prefix}&after={after}&holdMs={max_wait_ms}");
                 HttpRequest::without_body(RequestKind::Watch, "GET", target)
             }
         }
--- a/src/coordination/election.rs
+++ b/src/coordination/election.rs
@@ -388,7 +388,7 @@
             (
                 ElectionStep::GrantLease,
                 Role::AwaitingLease { term, term_version },
-                Outcome::Granted(lease),
+                Outcome::LeaseGranted(lease),
             ) => {
                 let (term, term_version) = (*term, *term_version);
                 self.lease_valid_until = sent_at.after(self.lease_ttl.mul_f64(RELIABLE_LEASE_PART));
@@ -420,7 +420,7 @@
             {
                 self.is_renewing = false;
                 match outcome {
-                    Outcome::Extended => {
+                    Outcome::LeaseUpdated => {
                         self.lease_valid_until =
                             sent_at.after(self.lease_ttl.mul_f64(RELIABLE_LEASE_PART));
                         None
--- a/src/node/api/mod.rs
+++ b/src/node/api/mod.rs
@@ -17,7 +17,7 @@
 use crate::settings::Team;
 use crate::storage::records::{self, JobRecord, OutcomeRecord, RunRecord, RunRecordId};
 use crate::storage::store::{Outcome, RequestClass, StoreRequest};
-use crate::transport::{ConnId, Response};
+use crate::transport::{ConnectionId, Response};
 use crate::types::{JobId, Time, Version};
 use lichencrank_store::{value, Change, Item, Page, Txn};
 use status_queries::{Known, Listing};
@@ -44,7 +44,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Client {
     /// Connection that waits for the answer.
-    pub conn: ConnId,
+    pub conn: ConnectionId,
     /// Another controller asks on a user's behalf.
     pub relayed: bool,
 }
@@ -107,7 +107,7 @@
     /// Send a request to the state service.
     StoreRequest(RequestClass, StoreRequest, ApiStoreRequest),
     /// HeartbeatResponse a request.
-    Respond(ConnId, Response),
+    Respond(ConnectionId, Response),
     /// Pass a request on to another controller.
     Relay(ApiRequestId, RelayedRequest),
     /// A user is about to be told that the job is cancelled: see to it that the leader knows.
--- a/src/node/api/outcomes.rs
+++ b/src/node/api/outcomes.rs
@@ -164,7 +164,7 @@
             let record: Option<RunRecord> = item.record();
             record.is_none_or(|r| !r.allocations.is_empty())
         };
-        if page.more || page.items.iter().any(booked) {
+        if page.has_more || page.items.iter().any(booked) {
             self.finish(id, unavailable());
         } else {
             self.confirm_cancelled(id, job);
--- a/src/node/api/status_queries.rs
+++ b/src/node/api/status_queries.rs
@@ -105,7 +105,7 @@
                 }
             }
         }
-        if let Some(last) = page.items.last().filter(|_| page.more) {
+        if let Some(last) = page.items.last().filter(|_| page.has_more) {
             let after = last.key.clone();
             self.listing = Some(listing);
             return self.list_page(after);
--- a/src/node/leader_duties/loading.rs
+++ b/src/node/leader_duties/loading.rs
@@ -31,7 +31,7 @@
         let ask = StoreRequest::Watch {
             prefix,
             after: self.watch_from,
-            hold: WATCH_HOLD,
+            max_wait: WATCH_HOLD,
         };
         self.pending.push((
             RequestClass::Records,
@@ -101,7 +101,7 @@
         for item in &page.items {
             self.take_job(item);
         }
-        if let Some(last) = page.items.last().filter(|_| page.more) {
+        if let Some(last) = page.items.last().filter(|_| page.has_more) {
             self.read_live(last.key.clone());
             return;
         }
@@ -131,7 +131,7 @@
                     .on_run_record(id, &record, item.version, now);
             }
         }
-        if let Some(last) = page.items.last().filter(|_| page.more) {
+        if let Some(last) = page.items.last().filter(|_| page.has_more) {
             self.read_runs(last.key.clone());
             return;
         }
@@ -143,26 +143,28 @@
 
     pub(super) fn on_watch(&mut self, outcome: Outcome, now: Time) {
         match outcome {
-            Outcome::News(news) => {
+            Outcome::WatchEvents(news) => {
                 self.failed_watches = 0;
                 self.answered_meanwhile = false;
                 self.watch_from = self.watch_from.max(news.revision);
                 for event in news.events {
-                    if let (Some(key), Some(value)) = (event.put, event.value) {
+                    if let (Some(key), Some(value)) = (event.put_key, event.value) {
                         self.take_job(&Item {
                             key,
                             value,
                             version: event.version,
                         });
-                    } else if let Some(id) =
-                        event.delete.as_deref().and_then(records::parse_live_key)
+                    } else if let Some(id) = event
+                        .deleted_key
+                        .as_deref()
+                        .and_then(records::parse_live_key)
                     {
                         self.controller.on_job_deleted(id, now);
                     }
                 }
                 self.watch();
             }
-            Outcome::TooOld => self.read_live(String::new()),
+            Outcome::RevisionTooOld => self.read_live(String::new()),
             Outcome::Unknown => {
                 self.failed_watches += 1;
                 if self.failed_watches >= MAX_FAILED_WATCHES && self.answered_meanwhile {
--- a/src/node/leader_duties/mod.rs
+++ b/src/node/leader_duties/mod.rs
@@ -202,7 +202,7 @@
     pub(super) fn turn(&mut self, net: &mut impl Network, writes: &mut RateLimit, now: Time) {
         let _term = self.span.clone().entered();
         if now >= self.decide_at {
-            self.controller.tick(now, net.time_of_day());
+            self.controller.tick(now, net.wall_clock_ms());
             // However much there is to decide, reports and users get most of the time.
             let end = net.now();
             self.decide_at = end.after((end.since(now) * 3).min(LONGEST_PAUSE));
--- a/src/node/leader_duties/quota.rs
+++ b/src/node/leader_duties/quota.rs
@@ -76,7 +76,7 @@
         for item in &page.items {
             self.controller.on_quota_item(item);
         }
-        if let Some(last) = page.items.last().filter(|_| page.more) {
+        if let Some(last) = page.items.last().filter(|_| page.has_more) {
             return self.read_quota(prefix, last.key.clone());
         }
         if prefix + 1 < PREFIXES.len() {
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -28,7 +28,7 @@
 use crate::storage::records::{self, LeaderRecord, TermRecord};
 use crate::storage::store::{Outcome, RequestClass, StoreClient, StoreRequest, StoreRequestId};
 use crate::transport::{
-    CallId, ConnId, ListenerKind, Network, Request, Response, Transport, TransportEvent,
+    CallId, ConnectionId, ListenerKind, Network, Request, Response, Transport, TransportEvent,
 };
 use crate::types::{duration_from_seconds, HostName, JobId, Term, Time, Version};
 use api::{ApiAction, ApiRequestId, ApiServer, ApiStoreRequest, Client, View};
@@ -216,10 +216,10 @@
         self.detect_pause();
         match event {
             TransportEvent::Request {
-                conn,
+                connection,
                 listener,
                 request,
-            } => self.on_request(conn, listener, request),
+            } => self.on_request(connection, listener, request),
             TransportEvent::Reply { call, result } => self.on_reply(call, result),
         }
     }
@@ -278,15 +278,19 @@
                     },
                 )
             }
-            ElectionAction::GrantLease(ttl) => (ElectionStep::GrantLease, StoreRequest::Grant(ttl)),
+            ElectionAction::GrantLease(ttl) => {
+                (ElectionStep::GrantLease, StoreRequest::GrantLease(ttl))
+            }
             ElectionAction::Claim(txn) => (ElectionStep::Claim, StoreRequest::Txn(txn)),
             ElectionAction::Renew(lease) => {
-                (ElectionStep::Renew(lease), StoreRequest::Extend(lease))
+                (ElectionStep::Renew(lease), StoreRequest::RenewLease(lease))
+            }
+            ElectionAction::EndLease(lease) => {
+                (ElectionStep::EndLease, StoreRequest::EndLease(lease))
             }
-            ElectionAction::EndLease(lease) => (ElectionStep::EndLease, StoreRequest::End(lease)),
             ElectionAction::Resign(lease) => {
                 self.duties = None;
-                (ElectionStep::EndLease, StoreRequest::End(lease))
+                (ElectionStep::EndLease, StoreRequest::EndLease(lease))
             }
             ElectionAction::BeginLeading {
                 term,
--- a/src/node/requests.rs
+++ b/src/node/requests.rs
@@ -3,7 +3,12 @@
 use super::*;
 
 impl<N: Network> Node<N> {
-    pub(super) fn on_request(&mut self, conn: ConnId, listener: ListenerKind, request: Request) {
+    pub(super) fn on_request(
+        &mut self,
+        conn: ConnectionId,
+        listener: ListenerKind,
+        request: Request,
+    ) {
         let now = self.net.now();
         let path = request.target.split('?').next().unwrap_or("");
         let method = request.method.as_str();
@@ -35,7 +40,7 @@
                     client,
                     &request.body,
                     &self.types,
-                    self.net.time_of_day(),
+                    self.net.wall_clock_ms(),
                     now,
                 );
             }
@@ -51,7 +56,13 @@
         }
     }
 
-    pub(super) fn on_peer_request(&mut self, conn: ConnId, method: &str, path: &str, body: &[u8]) {
+    pub(super) fn on_peer_request(
+        &mut self,
+        conn: ConnectionId,
+        method: &str,
+        path: &str,
+        body: &[u8],
+    ) {
         let now = self.net.now();
         let client = Client {
             conn,
@@ -63,7 +74,7 @@
             ("POST", peers::RELAY_PATH) => match peers::decode(body) {
                 Ok(RelayedRequest::Submit(job)) => {
                     self.api
-                        .submit(client, &job, &self.types, self.net.time_of_day(), now);
+                        .submit(client, &job, &self.types, self.net.wall_clock_ms(), now);
                     return;
                 }
                 Ok(RelayedRequest::Status(id)) => return self.api.poll(client, &id, now),
--- a/src/quota_report.rs
+++ b/src/quota_report.rs
@@ -47,7 +47,7 @@
             *ledger.external_charges.entry(allowance).or_default() += usage;
         }
         match page.items.last() {
-            Some(last) if page.more => after = last.key.clone(),
+            Some(last) if page.has_more => after = last.key.clone(),
             _ => return Ok(()),
         }
     }
--- a/src/storage/store.rs
+++ b/src/storage/store.rs
@@ -198,7 +198,7 @@
 
     fn render(&mut self, waiting: QueuedRequest, now: Time) -> OutgoingRequest {
         let held = match &waiting.ask {
-            StoreRequest::Watch { hold, .. } => *hold,
+            StoreRequest::Watch { max_wait, .. } => *max_wait,
             _ => Duration::ZERO,
         };
         let HttpRequest {
@@ -272,7 +272,7 @@
     ) -> Outcome {
         let outcome = match result {
             Ok(response) => Outcome::read(kind, response.status, &response.body),
-            Err(CallError::NotSent | CallError::NoSocket) => Outcome::Refused,
+            Err(CallError::NotSent | CallError::NoSocket) => Outcome::Unavailable,
             Err(CallError::Lost) => Outcome::Unknown,
         };
         if let Outcome::RateLimited { retry_after } = &outcome {
--- a/src/transport/event.rs
+++ b/src/transport/event.rs
@@ -10,7 +10,7 @@
     /// A client sent a request. It is answered with [`respond`](super::Network::respond).
     Request {
         /// Connection that waits for the response.
-        conn: ConnId,
+        connection: ConnectionId,
         /// Listener that accepted the connection.
         listener: ListenerKind,
         /// The request.
@@ -36,7 +36,7 @@
 
 /// Identifies an accepted connection. No two connections of a process have the same id.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct ConnId {
+pub struct ConnectionId {
     /// Slot of the connection in the table of sockets; reused after the connection is closed.
     pub slot: usize,
     /// Tells apart the connections that use a slot one after the other.
--- a/src/transport/event_loop/accept.rs
+++ b/src/transport/event_loop/accept.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use super::{Timer, Transport};
-use crate::transport::event::{ConnId, ListenerKind};
+use crate::transport::event::{ConnectionId, ListenerKind};
 use crate::transport::server_connection::{ServerConnection, TRANSFER_TIMEOUT};
 use crate::transport::sockets::{Listener, Socket};
 use crate::transport::Network;
@@ -64,12 +64,12 @@
         let now = self.now();
         let serial = self.next_id();
         let inserted = self.sockets.insert(|slot| {
-            let id = ConnId { slot, serial };
+            let id = ConnectionId { slot, serial };
             Socket::Server(Box::new(ServerConnection::new(stream, id, listener, now)))
         });
         match inserted {
             Ok(slot) => {
-                let id = ConnId { slot, serial };
+                let id = ConnectionId { slot, serial };
                 let due = now.after(TRANSFER_TIMEOUT);
                 self.timers.schedule(due, Timer::ConnectionDeadline(id));
             }
--- a/src/transport/event_loop/mod.rs
+++ b/src/transport/event_loop/mod.rs
@@ -13,7 +13,7 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-use super::event::{CallId, ConnId, TransportEvent};
+use super::event::{CallId, ConnectionId, TransportEvent};
 use super::http::Response;
 use super::idle_pool::IdlePool;
 use super::sockets::{Readiness, Socket, SocketTable};
@@ -27,7 +27,7 @@
     /// A call has to have its response, on the connection in that slot.
     CallDeadline(CallId, usize),
     /// An accepted connection may have been silent for too long.
-    ConnectionDeadline(ConnId),
+    ConnectionDeadline(ConnectionId),
     /// Accepting failed on the listener in that slot and is to be tried again: the poller doesn't report
     /// connections that were waiting then.
     AcceptRetry(usize),
@@ -150,14 +150,14 @@
         Time(self.started.elapsed().as_millis() as u64)
     }
 
-    fn time_of_day(&self) -> u64 {
+    fn wall_clock_ms(&self) -> u64 {
         SystemTime::now()
             .duration_since(UNIX_EPOCH)
             .map_or(0, |since_epoch| since_epoch.as_millis() as u64)
     }
 
-    fn respond(&mut self, conn: ConnId, response: &Response) {
-        self.send_response(conn, response);
+    fn respond(&mut self, connection: ConnectionId, response: &Response) {
+        self.send_response(connection, response);
     }
 
     fn call(
--- a/src/transport/event_loop/requests.rs
+++ b/src/transport/event_loop/requests.rs
@@ -1,7 +1,7 @@
 //! Accepted connections: their requests, responses and deadlines.
 
 use super::{Timer, Transport};
-use crate::transport::event::{ConnId, TransportEvent};
+use crate::transport::event::{ConnectionId, TransportEvent};
 use crate::transport::http::{Request, Response};
 use crate::transport::server_connection::DeadlineCheck;
 use crate::transport::sockets::Readiness;
@@ -24,7 +24,7 @@
         self.after_server_progress(readiness.slot, request);
     }
 
-    pub(super) fn send_response(&mut self, id: ConnId, response: &Response) {
+    pub(super) fn send_response(&mut self, id: ConnectionId, response: &Response) {
         let now = self.now();
         let Some(connection) = self.sockets.server(id.slot) else {
             return;
@@ -35,7 +35,7 @@
         }
     }
 
-    pub(super) fn on_connection_deadline(&mut self, id: ConnId, now: Time) {
+    pub(super) fn on_connection_deadline(&mut self, id: ConnectionId, now: Time) {
         let Some(connection) = self.sockets.server(id.slot) else {
             return;
         };
@@ -57,7 +57,7 @@
         };
         if let Some(request) = request {
             self.events.push_back(TransportEvent::Request {
-                conn: connection.id(),
+                connection: connection.id(),
                 listener: connection.listener(),
                 request,
             });
--- a/src/transport/mod.rs
+++ b/src/transport/mod.rs
@@ -22,7 +22,7 @@
 mod timers;
 
 use crate::types::Time;
-pub use event::{CallError, CallId, ConnId, ListenerKind, TransportEvent};
+pub use event::{CallError, CallId, ConnectionId, ListenerKind, TransportEvent};
 pub use event_loop::Transport;
 pub use http::{Request, Response};
 
@@ -32,10 +32,10 @@
     /// The monotonic clock, in milliseconds since the process started.
     fn now(&self) -> Time;
     /// The wall clock, in milliseconds since the Unix epoch.
-    fn time_of_day(&self) -> u64;
+    fn wall_clock_ms(&self) -> u64;
     /// Sends the response to the request that came on that connection. Without effect if the connection
     /// is closed by now, or waits for no response.
-    fn respond(&mut self, conn: ConnId, response: &Response);
+    fn respond(&mut self, connection: ConnectionId, response: &Response);
     /// Sends a request to a server. The result comes as a [`TransportEvent::Reply`] with the returned
     /// id, after `limit` at the latest.
     fn call(
--- a/src/transport/server_connection.rs
+++ b/src/transport/server_connection.rs
@@ -4,7 +4,7 @@
 use std::net::Shutdown;
 use std::time::Duration;
 
-use super::event::{ConnId, ListenerKind};
+use super::event::{ConnectionId, ListenerKind};
 use super::http::{self, Parsed, Request, Response};
 use super::nonblocking::{self, OutputBuffer, ReadProgress, WriteProgress, READ_CHUNK_BYTES};
 use crate::types::Time;
@@ -48,7 +48,7 @@
 /// An accepted connection.
 pub(super) struct ServerConnection {
     stream: TcpStream,
-    id: ConnId,
+    id: ConnectionId,
     listener: ListenerKind,
     phase: Phase,
     /// Received bytes that are not part of a request yet.
@@ -67,7 +67,7 @@
 impl ServerConnection {
     pub(super) fn new(
         stream: TcpStream,
-        id: ConnId,
+        id: ConnectionId,
         listener: ListenerKind,
         now: Time,
     ) -> ServerConnection {
@@ -90,7 +90,7 @@
         &mut self.stream
     }
 
-    pub(super) fn id(&self) -> ConnId {
+    pub(super) fn id(&self) -> ConnectionId {
         self.id
     }
 
--- a/tests/api.rs
+++ b/tests/api.rs
@@ -13,7 +13,7 @@
     self, AllocationEntry, JobRecord, OutcomeRecord, RunRecord, UnarchivedOutcome,
 };
 use lichencrank::storage::store::{Outcome, StoreRequest};
-use lichencrank::transport::ConnId;
+use lichencrank::transport::ConnectionId;
 use lichencrank::types::{Attempt, HostName, Incarnation, JobId, Time, Version};
 use lichencrank_store::outcome::RATE_LIMIT_PAUSE;
 use lichencrank_store::{value, Change, Item, Page};
@@ -103,7 +103,7 @@
 
     fn client(&mut self) -> Client {
         self.next += 1;
-        let conn = ConnId {
+        let conn = ConnectionId {
             slot: 0,
             serial: self.next,
         };
@@ -224,10 +224,10 @@
         value,
         version: Version(7),
     };
-    let page = |items: Vec<Item>, more: bool| {
+    let page = |items: Vec<Item>, has_more: bool| {
         Outcome::Page(Page {
             items,
-            more,
+            has_more,
             revision: Version(9),
         })
     };
@@ -344,7 +344,7 @@
     let user = desk.poll(1);
     desk.reply(Outcome::Committed(Version(9)));
     assert!(matches!(&desk.asked[0].0, StoreRequest::Get(key) if key == "run/job-000001/00000"));
-    desk.reply(Outcome::Refused);
+    desk.reply(Outcome::Unavailable);
     assert_eq!(desk.answers[&user], (200, "queued".into()));
 }
 
@@ -407,7 +407,7 @@
         }];
         Outcome::Page(Page {
             items,
-            more: false,
+            has_more: false,
             revision: Version(9),
         })
     };
--- a/tests/budget.rs
+++ b/tests/budget.rs
@@ -36,7 +36,7 @@
                 }
             }
             let ask = match watched {
-                RequestClass::Lease => StoreRequest::Extend(LeaseId(1)),
+                RequestClass::Lease => StoreRequest::RenewLease(LeaseId(1)),
                 _ => StoreRequest::Get("live/job-000001".into()),
             };
             asked.insert(store.enqueue(Time(now), watched, ask, limit), now);
--- a/tests/leadership.rs
+++ b/tests/leadership.rs
@@ -44,7 +44,7 @@
         election.on_records_read(records_without_leader(3), now, now),
         Some(ElectionAction::GrantLease(LEASE_TTL))
     );
-    let granted = Outcome::Granted(LeaseId(9));
+    let granted = Outcome::LeaseGranted(LeaseId(9));
     assert!(matches!(
         election.on_outcome(ElectionStep::GrantLease, granted, now, now),
         Some(ElectionAction::Claim(_))
@@ -72,7 +72,7 @@
     election.on_records_read(records_without_leader(3), Time(0), Time(0));
     let action = election.on_outcome(
         ElectionStep::GrantLease,
-        Outcome::Granted(LeaseId(9)),
+        Outcome::LeaseGranted(LeaseId(9)),
         Time(0),
         Time(0),
     );
@@ -98,7 +98,7 @@
     );
     election.on_outcome(
         ElectionStep::Renew(LeaseId(9)),
-        Outcome::Extended,
+        Outcome::LeaseUpdated,
         Time(1000),
         Time(2500),
     );
@@ -115,7 +115,12 @@
     for second in 1..60 {
         let now = Time(second * 1000);
         election.tick(now);
-        election.on_outcome(ElectionStep::Renew(LeaseId(9)), Outcome::Refused, now, now);
+        election.on_outcome(
+            ElectionStep::Renew(LeaseId(9)),
+            Outcome::Unavailable,
+            now,
+            now,
+        );
     }
     assert!(election.is_leading() && !election.is_lease_valid(Time(60_000)));
     assert_eq!(election.observe_term(Term(4), None), None);
@@ -161,7 +166,7 @@
         election.on_records_read(records_without_leader(3), Time(0), Time(0)),
         Some(ElectionAction::GrantLease(LEASE_TTL))
     );
-    let granted = Outcome::Granted(LeaseId(9));
+    let granted = Outcome::LeaseGranted(LeaseId(9));
     election.on_outcome(ElectionStep::GrantLease, granted, Time(0), Time(5));
     let conflict = Outcome::Conflict(vec!["lead/holder".into()]);
     let action = election.on_outcome(ElectionStep::Claim, conflict, Time(5), Time(10));
@@ -185,7 +190,7 @@
     election.on_records_read(records_without_leader(3), Time(0), Time(0));
     let action = election.on_outcome(
         ElectionStep::GrantLease,
-        Outcome::Granted(LeaseId(7)),
+        Outcome::LeaseGranted(LeaseId(7)),
         Time(0),
         Time(0),
     );
@@ -287,7 +292,7 @@
     assert!(election.next_wakeup() > wakeup_at);
     election.on_outcome(
         ElectionStep::GrantLease,
-        Outcome::Granted(LeaseId(9)),
+        Outcome::LeaseGranted(LeaseId(9)),
         wakeup_at,
         wakeup_at,
     );
@@ -328,7 +333,7 @@
         election.tick(Time(1210)),
         Some(ElectionAction::Renew(LeaseId(9)))
     );
-    election.on_outcome(renewal, Outcome::Extended, Time(1210), Time(1220));
+    election.on_outcome(renewal, Outcome::LeaseUpdated, Time(1210), Time(1220));
     assert!(election.is_lease_valid(Time(4000)));
 }
 
@@ -339,7 +344,7 @@
     let mut election = leader();
     election.tick(Time(1000));
     let renewal = ElectionStep::Renew(LeaseId(9));
-    election.on_outcome(renewal, Outcome::Extended, Time(1000), Time(1010));
+    election.on_outcome(renewal, Outcome::LeaseUpdated, Time(1000), Time(1010));
     assert!(election.resign(Time(1100)).is_some());
     assert!(!election.is_lease_valid(Time(1100)));
     let mut later_leader = leader();
--- a/tests/quota_service.rs
+++ b/tests/quota_service.rs
@@ -22,8 +22,8 @@
     let config = ClientConfig {
         name: ClientName::new("depot-tool"),
         store_limits: StoreLimits {
-            value_bytes: 16 * 1024,
-            changes: 16,
+            max_value_bytes: 16 * 1024,
+            max_changes: 16,
             requests_per_second: 500.0,
             changes_per_second: 300.0,
         },
--- a/tests/simulated/embedder.rs
+++ b/tests/simulated/embedder.rs
@@ -44,8 +44,8 @@
         let config = ClientConfig {
             name: ClientName::new("depot-tool"),
             store_limits: StoreLimits {
-                value_bytes: 16 * 1024,
-                changes: 16,
+                max_value_bytes: 16 * 1024,
+                max_changes: 16,
                 requests_per_second: 100.0,
                 changes_per_second: 100.0,
             },
@@ -116,7 +116,7 @@
         };
         let http = request.render();
         let outcome = match store {
-            None => Outcome::Refused,
+            None => Outcome::Unavailable,
             Some(store) => {
                 let body = decode(&http.body).unwrap_or(ciborium::Value::Null);
                 let answer = store.handle(now.as_millis(), http.method, &http.target, &body);
--- a/tests/simulated/fingerprint.rs
+++ b/tests/simulated/fingerprint.rs
@@ -27,11 +27,16 @@
         ("received", now.as_millis(), node.0).hash(&mut self.hasher);
         match event {
             TransportEvent::Request {
-                conn,
+                connection,
                 listener,
                 request,
             } => {
-                ("request", conn.serial, *listener == ListenerKind::Public).hash(&mut self.hasher);
+                (
+                    "request",
+                    connection.serial,
+                    *listener == ListenerKind::Public,
+                )
+                    .hash(&mut self.hasher);
                 self.add_request(request);
             }
             TransportEvent::Reply { call, result } => {
--- a/tests/simulated/simulation/routing.rs
+++ b/tests/simulated/simulation/routing.rs
@@ -4,7 +4,9 @@
 
 use ciborium::Value;
 use lichencrank::protocol::{decode, encode};
-use lichencrank::transport::{CallError, ConnId, ListenerKind, Request, Response, TransportEvent};
+use lichencrank::transport::{
+    CallError, ConnectionId, ListenerKind, Request, Response, TransportEvent,
+};
 
 use super::Simulation;
 use crate::simulated::deployment::{CLOUD_ADDRESS, STORE_ADDRESS};
@@ -71,14 +73,14 @@
         let process = self.controllers.last_process(node);
         self.network.open_request(process, serial, requester);
         let event = TransportEvent::Request {
-            conn: ConnId { slot: 0, serial },
+            connection: ConnectionId { slot: 0, serial },
             listener,
             request,
         };
         self.run_controller(node, event);
     }
 
-    fn send_response(&mut self, process: ProcessId, connection: ConnId, response: Response) {
+    fn send_response(&mut self, process: ProcessId, connection: ConnectionId, response: Response) {
         let Some(requester) = self.network.close_request(process, connection.serial) else {
             return;
         };
--- a/tests/simulated/transport.rs
+++ b/tests/simulated/transport.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use lichencrank::transport::{CallId, ConnId, Network, Request, Response, SocketUsage};
+use lichencrank::transport::{CallId, ConnectionId, Network, Request, Response, SocketUsage};
 use lichencrank::types::Time;
 
 use super::clock::{SimClock, SimTime};
@@ -46,7 +46,7 @@
     /// The response to a request.
     Response {
         /// The connection on which the request came.
-        connection: ConnId,
+        connection: ConnectionId,
         /// The response.
         response: Response,
     },
@@ -114,7 +114,7 @@
     }
 
     /// Sends the response to a request.
-    pub fn send_response(&mut self, connection: ConnId, response: Response) {
+    pub fn send_response(&mut self, connection: ConnectionId, response: Response) {
         self.outbox.push(Outgoing::Response {
             connection,
             response,
@@ -141,11 +141,11 @@
         Time(self.uptime_ms())
     }
 
-    fn time_of_day(&self) -> u64 {
+    fn wall_clock_ms(&self) -> u64 {
         self.time_of_day_ms()
     }
 
-    fn respond(&mut self, conn: ConnId, response: &Response) {
+    fn respond(&mut self, conn: ConnectionId, response: &Response) {
         self.send_response(conn, response.clone());
     }
 
--- a/tests/store_contract.rs
+++ b/tests/store_contract.rs
@@ -21,8 +21,8 @@
 /// How long responses are awaited, and leases last.
 const TIMEOUT: Duration = Duration::from_secs(10);
 const LIMITS: StoreLimits = StoreLimits {
-    value_bytes: 16 * 1024,
-    changes: 16,
+    max_value_bytes: 16 * 1024,
+    max_changes: 16,
     requests_per_second: 1000.0,
     changes_per_second: 1000.0,
 };
@@ -70,8 +70,8 @@
 /// Runs a test against every implementation, each with an empty store.
 fn with_each_store(test: impl Fn(&mut dyn ConditionalStore)) {
     let limits = Limits {
-        value_bytes: LIMITS.value_bytes,
-        changes: LIMITS.changes,
+        value_bytes: LIMITS.max_value_bytes,
+        changes: LIMITS.max_changes,
     };
     test(&mut SharedStore::new(limits).client(0));
     test(&mut BlockingClient::new(start_store_on_loopback(), TIMEOUT));
@@ -163,7 +163,7 @@
                 other => panic!("no page: {other:?}"),
             };
             keys.extend(page.items.into_iter().map(|item| item.key));
-            if !page.more {
+            if !page.has_more {
                 break;
             }
             after = keys.last().cloned().unwrap_or_default();
@@ -175,8 +175,8 @@
 #[test]
 fn keys_are_deleted_with_their_lease() {
     with_each_store(|store| {
-        let lease = match store.execute(&Request::Grant(TIMEOUT)) {
-            Outcome::Granted(lease) => lease,
+        let lease = match store.execute(&Request::GrantLease(TIMEOUT)) {
+            Outcome::LeaseGranted(lease) => lease,
             other => panic!("no lease: {other:?}"),
         };
         let attached = |lease: LeaseId| {
@@ -188,15 +188,15 @@
             txn(&[], vec![change])
         };
         commit(store, attached(lease));
-        for request in [Request::Extend(lease), Request::End(lease)] {
+        for request in [Request::RenewLease(lease), Request::EndLease(lease)] {
             let outcome = store.execute(&request);
             assert!(
-                matches!(outcome, Outcome::Extended),
+                matches!(outcome, Outcome::LeaseUpdated),
                 "{request:?}: {outcome:?}"
             );
         }
         assert_eq!(read(store, "attached"), None);
-        let renewed = store.execute(&Request::Extend(lease));
+        let renewed = store.execute(&Request::RenewLease(lease));
         assert!(matches!(renewed, Outcome::LeaseGone), "{renewed:?}");
         let late = store.execute(&Request::Txn(attached(lease)));
         assert!(matches!(late, Outcome::Invalid), "{late:?}");
@@ -212,15 +212,15 @@
         let watch = Request::Watch {
             prefix: "w/".to_owned(),
             after: first,
-            hold: Duration::ZERO,
+            max_wait: Duration::ZERO,
         };
         let response = match store.execute(&watch) {
-            Outcome::News(events) => events,
+            Outcome::WatchEvents(events) => events,
             other => panic!("no events: {other:?}"),
         };
         assert_eq!(response.revision, last);
         let events = response.events.into_iter();
-        let deleted: Vec<Option<String>> = events.map(|event| event.delete).collect();
+        let deleted: Vec<Option<String>> = events.map(|event| event.deleted_key).collect();
         assert_eq!(deleted, [Some("w/1".to_owned())]);
     });
 }
@@ -240,10 +240,10 @@
     let watch = Request::Watch {
         prefix: "k/".to_owned(),
         after: Version(1),
-        hold: Duration::ZERO,
+        max_wait: Duration::ZERO,
     };
     let outcome = store.execute(&watch);
-    assert!(matches!(outcome, Outcome::TooOld), "{outcome:?}");
+    assert!(matches!(outcome, Outcome::RevisionTooOld), "{outcome:?}");
 }
 
 /// The check before a request is sent refuses exactly what the store refuses.
@@ -285,7 +285,7 @@
     });
     let checked = LIMITS.check(&txn(&[], vec![put("a key", 1)]));
     assert!(
-        matches!(checked, Err(LimitError::BadKey { .. })),
+        matches!(checked, Err(LimitError::InvalidKey { .. })),
         "{checked:?}"
     );
 }
@@ -301,5 +301,5 @@
     let closed = free.local_addr().expect("its address");
     drop(free);
     let outcome = BlockingClient::new(closed, TIMEOUT).execute(&request);
-    assert!(matches!(outcome, Outcome::Refused), "{outcome:?}");
+    assert!(matches!(outcome, Outcome::Unavailable), "{outcome:?}");
 }
--- a/tests/traces.rs
+++ b/tests/traces.rs
@@ -327,7 +327,7 @@
                 Outcome::Committed(Version(self.version))
             }
             ["lost"] => Outcome::Unknown,
-            ["refused"] => Outcome::Refused,
+            ["refused"] => Outcome::Unavailable,
             ["conflict", keys @ ..] => {
                 Outcome::Conflict(keys.iter().map(|k| (*k).to_owned()).collect())
             }
--- a/tests/transport.rs
+++ b/tests/transport.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use lichencrank::transport::{
-    CallError, CallId, ConnId, ListenerKind, Network, Response, Transport, TransportEvent,
+    CallError, CallId, ConnectionId, ListenerKind, Network, Response, Transport, TransportEvent,
 };
 
 /// Descriptors given to the transport.
@@ -54,9 +54,13 @@
 }
 
 /// The connection and target of the next request.
-fn next_request(transport: &mut Transport) -> (ConnId, String) {
+fn next_request(transport: &mut Transport) -> (ConnectionId, String) {
     match next_event(transport) {
-        TransportEvent::Request { conn, request, .. } => (conn, request.target),
+        TransportEvent::Request {
+            connection,
+            request,
+            ..
+        } => (connection, request.target),
         other => panic!("no request: {other:?}"),
     }
 }
@@ -149,25 +153,25 @@
         poll_once(&mut transport);
     }
     for expected in ["/first", "/second"] {
-        let (conn, target) = next_request(&mut transport);
+        let (connection, target) = next_request(&mut transport);
         assert_eq!(target, expected);
         poll_once(&mut transport);
         assert!(
             transport.next_event().is_none(),
             "a request before the response to {expected}"
         );
-        transport.respond(conn, &Response::new(200, expected.into()));
+        transport.respond(connection, &Response::new(200, expected.into()));
     }
     peer.write_all(b"\r\n").expect("writing");
-    let (conn, target) = next_request(&mut transport);
+    let (connection, target) = next_request(&mut transport);
     assert_eq!(target, "/third");
-    transport.respond(conn, &Response::new(201, Vec::new()));
+    transport.respond(connection, &Response::new(201, Vec::new()));
     let received = read_to_end(&mut peer);
     let statuses: Vec<&str> = received.matches("HTTP/1.1 20").collect();
     assert_eq!(statuses.len(), 3, "{received}");
     assert!(received.contains("Connection: close"), "{received}");
     // A response that nobody waits for any more has no effect.
-    transport.respond(conn, &Response::new(500, Vec::new()));
+    transport.respond(connection, &Response::new(500, Vec::new()));
     drop(peer);
     poll_once(&mut transport);
 }
--- a/tests/upgrade/tests/rollout.rs
+++ b/tests/upgrade/tests/rollout.rs
@@ -38,7 +38,7 @@
                 }
 
                 fn respond(&mut self, conn: earlier::ConnId, response: &earlier::Response) {
-                    let conn = current::ConnId {
+                    let conn = current::ConnectionId {
                         slot: conn.slot,
                         serial: conn.serial,
                     };
@@ -76,13 +76,13 @@
             fn translated(event: current::TransportEvent) -> earlier::Happening {
                 match event {
                     current::TransportEvent::Request {
-                        conn,
+                        connection,
                         listener,
                         request,
                     } => earlier::Happening::Request {
                         conn: earlier::ConnId {
-                            slot: conn.slot,
-                            serial: conn.serial,
+                            slot: connection.slot,
+                            serial: connection.serial,
                         },
                         door: match listener {
                             current::ListenerKind::Public => earlier::Door::Front,
--- a/tests/versions.rs
+++ b/tests/versions.rs
@@ -14,7 +14,7 @@
 use lichencrank::storage::records::{self, AllocationEntry, JobRecord, RunRecord, RunRecordId};
 use lichencrank::storage::records::{LeaderRecord, OutcomeRecord, TermRecord, UnarchivedOutcome};
 use lichencrank::transport::{
-    CallId, ConnId, ListenerKind, Network, Request, Response, SocketUsage, TransportEvent,
+    CallId, ConnectionId, ListenerKind, Network, Request, Response, SocketUsage, TransportEvent,
 };
 use lichencrank::types::{Attempt, HostName, Incarnation, JobId, Time};
 use lichencrank_store::value;
@@ -406,11 +406,11 @@
         Time(self.0.borrow().now)
     }
 
-    fn time_of_day(&self) -> u64 {
+    fn wall_clock_ms(&self) -> u64 {
         1_700_000_000_000
     }
 
-    fn respond(&mut self, conn: ConnId, response: &Response) {
+    fn respond(&mut self, conn: ConnectionId, response: &Response) {
         let answered = (conn.serial, response.status);
         self.0.borrow_mut().responses.push(answered);
     }
@@ -471,7 +471,7 @@
         body: &[u8],
     ) -> u16 {
         self.requests += 1;
-        let conn = ConnId {
+        let connection = ConnectionId {
             slot: 0,
             serial: self.requests,
         };
@@ -482,7 +482,7 @@
             close: false,
         };
         self.node.handle_event(TransportEvent::Request {
-            conn,
+            connection,
             listener,
             request,
         });
