--- a/src/storage/store.rs
+++ b/src/storage/store.rs
@@ -209,7 +209,7 @@
     /// Puts a request into its form in HTTP, and notes that it awaits a response.
     fn render(&mut self, queued: QueuedRequest, now: Time) -> OutgoingRequest {
         let hold_time = match &queued.request {
-            StoreRequest::Watch { hold, .. } => *hold,
+            StoreRequest::Watch { max_wait, .. } => *max_wait,
             _ => Duration::ZERO,
         };
         let HttpRequest {
@@ -292,7 +292,7 @@
     ) -> Outcome {
         let outcome = match result {
             Ok(response) => Outcome::read(kind, response.status, &response.body),
-            Err(CallError::NotSent | CallError::NoSocket) => Outcome::Refused,
+            Err(CallError::NotSent | CallError::NoSocket) => Outcome::Unavailable,
             Err(CallError::Lost) => Outcome::Unknown,
         };
         if let Outcome::RateLimited { retry_after } = &outcome {
--- a/tests/budget.rs
+++ b/tests/budget.rs
@@ -43,7 +43,7 @@
                 }
             }
             let request = match observed_class {
-                RequestClass::Lease => StoreRequest::Extend(LeaseId(1)),
+                RequestClass::Lease => StoreRequest::RenewLease(LeaseId(1)),
                 _ => StoreRequest::Get("live/job-000001".into()),
             };
             enqueued_at_ms.insert(
