--- a/src/main.rs
+++ b/src/main.rs
@@ -74,7 +74,7 @@
     }
     let mut node = Node::open(settings, tuning, features)?;
     loop {
-        node.turn()?;
+        node.run_once()?;
     }
 }
 
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -128,7 +128,7 @@
     }
 
     /// Waits for something to happen, and does all that is due.
-    pub fn turn(&mut self) -> Result<(), String> {
+    pub fn run_once(&mut self) -> Result<(), String> {
         let until = self.next_wake();
         self.net
             .wait_for_events(until)
