--- a/src/node/api/mod.rs
+++ b/src/node/api/mod.rs
@@ -46,7 +46,7 @@
     /// Connection that waits for the answer.
     pub conn: ConnId,
     /// Another controller asks on a user's behalf.
-    pub relayed: bool,
+    pub is_relayed: bool,
 }
 
 /// What the user wants of a job.
@@ -91,21 +91,21 @@
 
 /// Which request to the state service an outcome answers.
 #[derive(Clone, Debug)]
-pub enum ApiStoreRequest {
+pub enum StoreRequestPurpose {
     /// The outcome is for one request.
-    One(ApiRequestId),
+    Single(ApiRequestId),
     /// Submissions that share a transaction.
-    Batch(Vec<ApiRequestId>),
+    SubmissionBatch(Vec<ApiRequestId>),
     /// Status queries that share a comparison.
-    Comparison(Vec<ApiRequestId>),
+    VersionCheck(Vec<ApiRequestId>),
     /// A page of all jobs that are not over.
-    Listing,
+    JobListing,
 }
 
 /// What the front needs done.
 pub enum ApiAction {
     /// Send a request to the state service.
-    StoreRequest(RequestClass, StoreRequest, ApiStoreRequest),
+    SendStoreRequest(RequestClass, StoreRequest, StoreRequestPurpose),
     /// HeartbeatResponse a request.
     Respond(ConnId, Response),
     /// Pass a request on to another controller.
@@ -115,13 +115,13 @@
 }
 
 /// What the node knows beside the answers to the front's own requests.
-pub struct View<'a> {
+pub struct NodeView<'a> {
     /// What the leader knows of a job's tasks, if this is it: finished and booked.
-    pub counts: &'a dyn Fn(JobId) -> Option<(u64, u64)>,
+    pub leader_task_counts: &'a dyn Fn(JobId) -> Option<(u64, u64)>,
     /// The budget allows to look closer than has to be.
-    pub spare: bool,
+    pub has_spare_store_budget: bool,
     /// The state service has answered this node lately.
-    pub answers: bool,
+    pub is_store_reachable: bool,
 }
 
 /// Serves the users' requests of one controller.
@@ -182,17 +182,17 @@
     }
 
     /// Takes the jobs that were cancelled through this controller.
-    pub fn take_cancelled(&mut self) -> Vec<JobId> {
+    pub fn take_cancelled_jobs(&mut self) -> Vec<JobId> {
         std::mem::take(&mut self.cancelled)
     }
 
     /// Takes what is to be done outside.
-    pub fn take_acts(&mut self) -> Vec<ApiAction> {
+    pub fn take_actions(&mut self) -> Vec<ApiAction> {
         std::mem::take(&mut self.acts)
     }
 
     fn respond(&mut self, client: Client, mut response: Response) {
-        if client.relayed {
+        if client.is_relayed {
             let relayed = RelayedResponse {
                 status: response.status,
                 retry_after: response.retry_after,
@@ -270,21 +270,21 @@
             }
             Stage::Cancelling | Stage::Relaying => return,
         };
-        self.acts.push(ApiAction::StoreRequest(
+        self.acts.push(ApiAction::SendStoreRequest(
             class,
             ask,
-            ApiStoreRequest::One(id),
+            StoreRequestPurpose::Single(id),
         ));
     }
 
     /// The state service did not do what it was asked. Where the budget did not suffice, and once
     /// where an answer was lost that others got, the same is asked again; else perhaps another node
     /// has more luck.
-    fn unanswered(&mut self, id: ApiRequestId, outcome: &Outcome, view: &View, now: Time) {
+    fn unanswered(&mut self, id: ApiRequestId, outcome: &Outcome, view: &NodeView, now: Time) {
         let Some(open) = self.open.get_mut(&id) else {
             return;
         };
-        let lost = matches!(outcome, Outcome::Unknown) && view.answers && !open.repeated;
+        let lost = matches!(outcome, Outcome::Unknown) && view.is_store_reachable && !open.repeated;
         open.repeated |= lost;
         if lost || matches!(outcome, Outcome::RateLimited { .. }) {
             self.again(id, now);
@@ -314,7 +314,7 @@
         let Some(open) = self.open.get(&id) else {
             return;
         };
-        if open.client.relayed || open.stage == Stage::Relaying {
+        if open.client.is_relayed || open.stage == Stage::Relaying {
             return self.finish(id, unavailable());
         }
         let relay = match &open.intent {
@@ -327,7 +327,12 @@
     }
 
     /// What the other node said; `None` if it could not be asked, or did not answer.
-    pub fn on_relayed(&mut self, id: ApiRequestId, relayed: Option<RelayedResponse>, now: Time) {
+    pub fn on_relay_response(
+        &mut self,
+        id: ApiRequestId,
+        relayed: Option<RelayedResponse>,
+        now: Time,
+    ) {
         let Some(open) = self.open.get(&id) else {
             return;
         };
@@ -370,7 +375,7 @@
     // ---- the shared transactions
 
     /// Sends what waits, once the transaction before is answered.
-    pub fn pump(&mut self) {
+    pub fn send_shared_transactions(&mut self) {
         self.submit_all();
         self.compare_all();
     }
@@ -412,10 +417,10 @@
         if !ids.is_empty() {
             self.in_flight = true;
             let ask = StoreRequest::Txn(txn);
-            self.acts.push(ApiAction::StoreRequest(
+            self.acts.push(ApiAction::SendStoreRequest(
                 RequestClass::User,
                 ask,
-                ApiStoreRequest::Batch(ids),
+                StoreRequestPurpose::SubmissionBatch(ids),
             ));
         }
     }
@@ -430,7 +435,7 @@
     }
 
     /// Requests whose time is up get their answer while their users still wait for it.
-    pub fn expire(&mut self, now: Time) {
+    pub fn expire_requests(&mut self, now: Time) {
         let late: Vec<ApiRequestId> = self
             .open
             .iter()
--- a/src/node/api/outcomes.rs
+++ b/src/node/api/outcomes.rs
@@ -4,12 +4,20 @@
 
 impl ApiServer {
     /// Takes in the outcome of a request to the state service.
-    pub fn on_outcome(&mut self, ask: ApiStoreRequest, outcome: Outcome, view: &View, now: Time) {
+    pub fn on_outcome(
+        &mut self,
+        ask: StoreRequestPurpose,
+        outcome: Outcome,
+        view: &NodeView,
+        now: Time,
+    ) {
         // What lay here while this process stood still is an old answer; nobody gets it any more.
         let asked = match &ask {
-            ApiStoreRequest::Batch(ids) | ApiStoreRequest::Comparison(ids) => &ids[..],
-            ApiStoreRequest::One(id) => std::slice::from_ref(id),
-            ApiStoreRequest::Listing => &[],
+            StoreRequestPurpose::SubmissionBatch(ids) | StoreRequestPurpose::VersionCheck(ids) => {
+                &ids[..]
+            }
+            StoreRequestPurpose::Single(id) => std::slice::from_ref(id),
+            StoreRequestPurpose::JobListing => &[],
         };
         for id in asked {
             if self.open.get(id).is_some_and(|open| now >= open.until) {
@@ -17,10 +25,10 @@
             }
         }
         match ask {
-            ApiStoreRequest::Batch(ids) => self.on_batch(ids, outcome, view, now),
-            ApiStoreRequest::One(id) => self.on_one(id, outcome, view, now),
-            ApiStoreRequest::Comparison(ids) => self.on_comparison(ids, outcome, view, now),
-            ApiStoreRequest::Listing => self.on_listing(outcome, view, now),
+            StoreRequestPurpose::SubmissionBatch(ids) => self.on_batch(ids, outcome, view, now),
+            StoreRequestPurpose::Single(id) => self.on_one(id, outcome, view, now),
+            StoreRequestPurpose::VersionCheck(ids) => self.on_comparison(ids, outcome, view, now),
+            StoreRequestPurpose::JobListing => self.on_listing(outcome, view, now),
         }
     }
 
@@ -28,7 +36,7 @@
         &mut self,
         ids: Vec<ApiRequestId>,
         outcome: Outcome,
-        view: &View,
+        view: &NodeView,
         now: Time,
     ) {
         self.in_flight = false;
@@ -60,7 +68,13 @@
         }
     }
 
-    pub(super) fn on_one(&mut self, id: ApiRequestId, outcome: Outcome, view: &View, now: Time) {
+    pub(super) fn on_one(
+        &mut self,
+        id: ApiRequestId,
+        outcome: Outcome,
+        view: &NodeView,
+        now: Time,
+    ) {
         let Some(open) = self.open.get(&id) else {
             return;
         };
@@ -103,7 +117,7 @@
         id: ApiRequestId,
         job: JobId,
         item: &Item,
-        view: &View,
+        view: &NodeView,
     ) {
         if let Some(over) = records::unarchived_outcome(&item.value) {
             self.remember(job, over);
@@ -113,7 +127,7 @@
         self.know(job, item.version);
         if self.cancels(id) {
             self.send_cancellation(id, job, item.version);
-        } else if let Some((done, running)) = (view.counts)(job) {
+        } else if let Some((done, running)) = (view.leader_task_counts)(job) {
             self.answer_progress(id, job, done, running);
         } else {
             self.enter(id, Stage::ReadingCounts);
@@ -172,7 +186,7 @@
     }
 
     /// The leader's word on a cancellation: whether it has it in hand.
-    pub fn on_leader_answer(&mut self, job: JobId, acknowledged: bool, now: Time) {
+    pub fn on_leader_response(&mut self, job: JobId, acknowledged: bool, now: Time) {
         let waiting = self.open.iter();
         let waiting = waiting.filter(|(_, o)| o.job == job && o.stage == Stage::AwaitingLeader);
         for id in waiting.map(|(id, _)| *id).collect::<Vec<_>>() {
@@ -206,10 +220,10 @@
             .push(Change::put(records::outcome_key(job), value(&over)));
         self.enter(id, Stage::Cancelling);
         let ask = StoreRequest::Txn(txn);
-        self.acts.push(ApiAction::StoreRequest(
+        self.acts.push(ApiAction::SendStoreRequest(
             RequestClass::User,
             ask,
-            ApiStoreRequest::One(id),
+            StoreRequestPurpose::Single(id),
         ));
     }
 
--- a/src/node/api/requests.rs
+++ b/src/node/api/requests.rs
@@ -72,7 +72,7 @@
     }
 
     /// Takes in a status query.
-    pub fn poll(&mut self, client: Client, id: &str, now: Time) {
+    pub fn query_status(&mut self, client: Client, id: &str, now: Time) {
         match JobId::parse(id) {
             Some(id) => self.begin(client, id, Intent::Poll, now),
             None => self.respond(client, problem(404, "no such job")),
--- a/src/node/api/status_queries.rs
+++ b/src/node/api/status_queries.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeSet, HashMap};
 use std::time::Duration;
 
-use super::{ApiAction, ApiRequestId, ApiServer, ApiStoreRequest, Stage, View};
+use super::{ApiAction, ApiRequestId, ApiServer, NodeView, Stage, StoreRequestPurpose};
 use crate::storage::records::{self, parse_live_key, OutcomeRecord};
 use crate::storage::store::{Outcome, RequestClass, StoreRequest};
 use crate::types::{JobId, Time, Version};
@@ -79,14 +79,14 @@
             after,
             limit: LIST_PAGE,
         };
-        self.acts.push(ApiAction::StoreRequest(
+        self.acts.push(ApiAction::SendStoreRequest(
             RequestClass::Read,
             ask,
-            ApiStoreRequest::Listing,
+            StoreRequestPurpose::JobListing,
         ));
     }
 
-    pub(super) fn on_listing(&mut self, outcome: Outcome, view: &View, now: Time) {
+    pub(super) fn on_listing(&mut self, outcome: Outcome, view: &NodeView, now: Time) {
         let Some(mut listing) = self.listing.take() else {
             return;
         };
@@ -159,10 +159,10 @@
         self.list_all(unknown);
         if !ids.is_empty() {
             self.comparing = true;
-            self.acts.push(ApiAction::StoreRequest(
+            self.acts.push(ApiAction::SendStoreRequest(
                 RequestClass::Read,
                 StoreRequest::Txn(txn),
-                ApiStoreRequest::Comparison(ids),
+                StoreRequestPurpose::VersionCheck(ids),
             ));
         }
     }
@@ -171,7 +171,7 @@
         &mut self,
         ids: Vec<ApiRequestId>,
         outcome: Outcome,
-        view: &View,
+        view: &NodeView,
         now: Time,
     ) {
         self.comparing = false;
@@ -200,15 +200,15 @@
     }
 
     /// The job's record was there a moment ago; what remains is how its tasks stand.
-    fn still_live(&mut self, id: ApiRequestId, job: JobId, view: &View, now: Time) {
+    fn still_live(&mut self, id: ApiRequestId, job: JobId, view: &NodeView, now: Time) {
         if self.finals.contains_key(&job) {
             return self.answer_progress(id, job, 0, 0);
         }
         let known = self.known.get(&job);
         let shown = known.map(|k| (k.counts, now.since(k.counted) < COUNTS_FOR));
-        match ((view.counts)(job), shown) {
+        match ((view.leader_task_counts)(job), shown) {
             (Some((done, running)), _) => self.answer_progress(id, job, done, running),
-            (None, Some(((done, running), fresh))) if fresh || !view.spare => {
+            (None, Some(((done, running), fresh))) if fresh || !view.has_spare_store_budget => {
                 self.answer_progress(id, job, done, running);
             }
             _ => self.enter(id, Stage::ReadingCounts),
--- a/src/node/cancellations.rs
+++ b/src/node/cancellations.rs
@@ -58,7 +58,7 @@
         if self.duties.is_some() {
             let acknowledged = self.acknowledges(job);
             let now = self.net.now();
-            return self.api.on_leader_answer(job, acknowledged, now);
+            return self.api.on_leader_response(job, acknowledged, now);
         }
         self.to_acknowledge.insert(job);
         self.send_cancelled_to_leader();
@@ -102,7 +102,7 @@
     fn none_acknowledged(&mut self, jobs: Vec<JobId>) {
         let now = self.net.now();
         for job in jobs {
-            self.api.on_leader_answer(job, false, now);
+            self.api.on_leader_response(job, false, now);
         }
     }
 
@@ -115,7 +115,7 @@
         let acknowledged = answer.map_or(Vec::new(), |a| a.jobs);
         for job in jobs {
             let known = acknowledged.contains(&job.0);
-            self.api.on_leader_answer(job, known, now);
+            self.api.on_leader_response(job, known, now);
         }
         self.send_cancelled_to_leader();
     }
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -31,7 +31,7 @@
     CallId, ConnId, ListenerKind, Network, Request, Response, Transport, TransportEvent,
 };
 use crate::types::{duration_from_seconds, HostName, JobId, Term, Time, Version};
-use api::{ApiAction, ApiRequestId, ApiServer, ApiStoreRequest, Client, View};
+use api::{ApiAction, ApiRequestId, ApiServer, Client, NodeView, StoreRequestPurpose};
 use heartbeats::PeerLink;
 use leader_duties::{LeaderDuties, LeaderRequest};
 use leader_locality::Locality;
@@ -41,7 +41,7 @@
 enum Purpose {
     Lead(ElectionStep, Time),
     LeaderDuties(Term, LeaderRequest),
-    ApiServer(ApiStoreRequest),
+    ApiServer(StoreRequestPurpose),
     Types,
 }
 
--- a/src/node/periodic.rs
+++ b/src/node/periodic.rs
@@ -25,11 +25,11 @@
         }
         self.log_peer_reachability(now);
         self.share_budgets(now);
-        for job in self.api.take_cancelled() {
+        for job in self.api.take_cancelled_jobs() {
             self.on_cancelled(job, self.settings.settings.workers.cancel() * 2);
         }
         self.cancelled.retain(|_, until| *until > now);
-        self.api.expire(now);
+        self.api.expire_requests(now);
         let answers = self.state_answers(now);
         if answers != self.state_ok {
             self.state_ok = answers;
@@ -128,9 +128,9 @@
 
     /// Does what the front wants, until it wants nothing more.
     pub(super) fn flush_front(&mut self, now: Time) {
-        self.api.pump();
+        self.api.send_shared_transactions();
         loop {
-            let acts = self.api.take_acts();
+            let acts = self.api.take_actions();
             if acts.is_empty() {
                 return;
             }
@@ -139,7 +139,7 @@
                     ApiAction::Relay(id, relay) => self.relay(id, &relay),
                     ApiAction::InformLeader(job) => self.inform_leader(job),
                     ApiAction::Respond(conn, response) => self.net.respond(conn, &response),
-                    ApiAction::StoreRequest(class, ask, what) => {
+                    ApiAction::SendStoreRequest(class, ask, what) => {
                         // Where nothing is answered another node is asked without much ado.
                         let limit = if self.state_answers(now) {
                             self.store.response_timeout()
--- a/src/node/replies.rs
+++ b/src/node/replies.rs
@@ -17,7 +17,7 @@
         }
         if let Some(id) = self.relays.remove(&call) {
             let relayed = peer_messages::answer(peers::RELAY_PATH, result);
-            self.api.on_relayed(id, relayed, now);
+            self.api.on_relay_response(id, relayed, now);
             return;
         }
         if self.types_call == Some(call) {
@@ -73,10 +73,10 @@
                 let certain = self.leadership.is_lease_valid(now);
                 let duties = self.duties.as_ref().filter(|_| certain);
                 let counts = |job| duties.and_then(|o| o.counts(job));
-                let view = View {
-                    counts: &counts,
-                    spare: self.store.has_spare_budget(now),
-                    answers: self.state_answers(now),
+                let view = NodeView {
+                    leader_task_counts: &counts,
+                    has_spare_store_budget: self.store.has_spare_budget(now),
+                    is_store_reachable: self.state_answers(now),
                 };
                 self.api.on_outcome(ask, outcome, &view, now);
             }
--- a/src/node/requests.rs
+++ b/src/node/requests.rs
@@ -12,7 +12,7 @@
         }
         let client = Client {
             conn,
-            relayed: false,
+            is_relayed: false,
         };
         let job = path.strip_prefix("/api/jobs/");
         let cancelled = job.and_then(|j| j.strip_suffix("/withdraw"));
@@ -40,7 +40,9 @@
                 );
             }
             ("POST", _, _, Some(id)) => self.api.cancel(client, id, now),
-            ("GET", _, Some(id), None) if !id.contains('/') => self.api.poll(client, id, now),
+            ("GET", _, Some(id), None) if !id.contains('/') => {
+                self.api.query_status(client, id, now)
+            }
             (_, "/healthz" | "/agent/beat" | "/api/jobs", ..) | (_, _, _, Some(_)) => {
                 self.net.respond(conn, &Response::new(405, Vec::new()));
             }
@@ -55,7 +57,7 @@
         let now = self.net.now();
         let client = Client {
             conn,
-            relayed: true,
+            is_relayed: true,
         };
         let response = match (method, path) {
             ("POST", peers::HEARTBEAT_PATH) => self.on_heartbeat(body),
@@ -66,7 +68,7 @@
                         .submit(client, &job, &self.types, self.net.time_of_day(), now);
                     return;
                 }
-                Ok(RelayedRequest::Status(id)) => return self.api.poll(client, &id, now),
+                Ok(RelayedRequest::Status(id)) => return self.api.query_status(client, &id, now),
                 Ok(RelayedRequest::Cancel(id)) => return self.api.cancel(client, &id, now),
                 Err(error) => peer_messages::refusal(path, &error),
             },
@@ -83,7 +85,7 @@
             .iter()
             .find(|p| p.recent_heartbeat(now).is_some_and(|h| h.store_reachable));
         let Some(peer) = fit else {
-            return self.api.on_relayed(id, None, now);
+            return self.api.on_relay_response(id, None, now);
         };
         let to = peer.addr;
         let call = peer_messages::send(&mut self.net, to, peers::RELAY_PATH, relay, RELAY_TIMEOUT);
@@ -91,7 +93,7 @@
             Some(call) => {
                 self.relays.insert(call, id);
             }
-            None => self.api.on_relayed(id, None, now),
+            None => self.api.on_relay_response(id, None, now),
         }
     }
 
--- a/tests/api.rs
+++ b/tests/api.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use ciborium::Value;
-use lichencrank::node::api::{ApiAction, ApiServer, ApiStoreRequest, Client, View};
+use lichencrank::node::api::{ApiAction, ApiServer, Client, NodeView, StoreRequestPurpose};
 use lichencrank::protocol::cloud::MachineType;
 use lichencrank::protocol::users::JobState;
 use lichencrank::protocol::{decode, encode, Amount};
@@ -22,7 +22,7 @@
 struct Desk {
     api: ApiServer,
     next: u64,
-    asked: Vec<(StoreRequest, ApiStoreRequest)>,
+    asked: Vec<(StoreRequest, StoreRequestPurpose)>,
     answers: BTreeMap<u64, (u16, String)>,
     relays: usize,
     /// Cancelled jobs that the leader is asked to take in hand.
@@ -107,15 +107,15 @@
             slot: 0,
             serial: self.next,
         };
-        let relayed = false;
-        Client { conn, relayed }
+        let is_relayed = false;
+        Client { conn, is_relayed }
     }
 
     fn pump(&mut self) {
-        self.api.pump();
-        for act in self.api.take_acts() {
+        self.api.send_shared_transactions();
+        for act in self.api.take_actions() {
             match act {
-                ApiAction::StoreRequest(_, ask, what) => self.asked.push((ask, what)),
+                ApiAction::SendStoreRequest(_, ask, what) => self.asked.push((ask, what)),
                 ApiAction::Respond(conn, response) => {
                     let fields: BTreeMap<String, Value> =
                         decode(&response.body).unwrap_or_default();
@@ -135,10 +135,10 @@
     /// The state service answers the oldest open request, if it asks as expected.
     fn reply(&mut self, outcome: Outcome) {
         let (_, what) = self.asked.remove(0);
-        let view = View {
-            counts: &|_| None,
-            spare: self.spare,
-            answers: self.answering,
+        let view = NodeView {
+            leader_task_counts: &|_| None,
+            has_spare_store_budget: self.spare,
+            is_store_reachable: self.answering,
         };
         self.api.on_outcome(what, outcome, &view, self.now);
         self.pump();
@@ -146,7 +146,7 @@
 
     fn poll(&mut self, job: u64) -> u64 {
         let client = self.client();
-        self.api.poll(client, &name(job), self.now);
+        self.api.query_status(client, &name(job), self.now);
         self.pump();
         client.conn.serial
     }
@@ -214,7 +214,7 @@
     let asked: Vec<u64> = (1..31)
         .map(|job| {
             let client = desk.client();
-            desk.api.poll(client, &name(job), desk.now);
+            desk.api.query_status(client, &name(job), desk.now);
             client.conn.serial
         })
         .collect();
@@ -365,7 +365,7 @@
 
     fn leader_says(&mut self, job: u64, acknowledged: bool) {
         self.api
-            .on_leader_answer(JobId(job), acknowledged, self.now);
+            .on_leader_response(JobId(job), acknowledged, self.now);
         self.pump();
     }
 }
@@ -378,7 +378,7 @@
     let mut desk = Desk::new();
     desk.accept(1..2, 7);
     let user = desk.cancel(1);
-    assert_eq!(desk.api.take_cancelled(), [JobId(1)]);
+    assert_eq!(desk.api.take_cancelled_jobs(), [JobId(1)]);
     assert_eq!(desk.acknowledged, [JobId(1)]);
     assert!(!desk.answers.contains_key(&user));
     desk.leader_says(1, true);
