--- a/src/node/requests.rs
+++ b/src/node/requests.rs
@@ -17,7 +17,7 @@
         }
         let client = Client {
             conn,
-            relayed: false,
+            is_relayed: false,
         };
         let job = path.strip_prefix("/api/jobs/");
         let cancelled = job.and_then(|j| j.strip_suffix("/withdraw"));
@@ -45,7 +45,9 @@
                 );
             }
             ("POST", _, _, Some(id)) => self.api.cancel(client, id, now),
-            ("GET", _, Some(id), None) if !id.contains('/') => self.api.poll(client, id, now),
+            ("GET", _, Some(id), None) if !id.contains('/') => {
+                self.api.query_status(client, id, now)
+            }
             (_, "/healthz" | "/agent/beat" | "/api/jobs", ..) | (_, _, _, Some(_)) => {
                 self.net.respond(conn, &Response::new(405, Vec::new()));
             }
@@ -66,7 +68,7 @@
         let now = self.net.now();
         let client = Client {
             conn,
-            relayed: true,
+            is_relayed: true,
         };
         let response = match (method, path) {
             ("POST", peers::HEARTBEAT_PATH) => self.on_heartbeat(body),
@@ -77,7 +79,7 @@
                         .submit(client, &job, &self.types, self.net.wall_clock_ms(), now);
                     return;
                 }
-                Ok(RelayedRequest::Status(id)) => return self.api.poll(client, &id, now),
+                Ok(RelayedRequest::Status(id)) => return self.api.query_status(client, &id, now),
                 Ok(RelayedRequest::Cancel(id)) => return self.api.cancel(client, &id, now),
                 Err(error) => peer_messages::refusal(path, &error),
             },
@@ -94,7 +96,7 @@
                 .is_some_and(|h| h.is_store_reachable)
         });
         let Some(peer) = fit else {
-            return self.api.on_relayed(id, None, now);
+            return self.api.on_relay_response(id, None, now);
         };
         let to = peer.addr;
         let call = peer_messages::send(&mut self.net, to, peers::RELAY_PATH, relay, RELAY_TIMEOUT);
@@ -102,7 +104,7 @@
             Some(call) => {
                 self.relays.insert(call, id);
             }
-            None => self.api.on_relayed(id, None, now),
+            None => self.api.on_relay_response(id, None, now),
         }
     }
 
