--- a/crates/quota/examples/admissions/main.rs
+++ b/crates/quota/examples/admissions/main.rs
@@ -65,8 +65,8 @@
 
 fn new_store() -> SharedStore {
     SharedStore::new(Limits {
-        value_bytes: STORE_LIMITS.value_bytes,
-        changes: STORE_LIMITS.changes,
+        max_value_bytes: STORE_LIMITS.value_bytes,
+        max_changes: STORE_LIMITS.changes,
     })
 }
 
--- a/crates/quota/tests/loopback.rs
+++ b/crates/quota/tests/loopback.rs
@@ -61,8 +61,8 @@
 
 fn limits() -> Limits {
     Limits {
-        value_bytes: 16 * 1024,
-        changes: 16,
+        max_value_bytes: 16 * 1024,
+        max_changes: 16,
     }
 }
 
@@ -70,8 +70,8 @@
     let config = ClientConfig {
         name: ClientName::new(&format!("controller-{number}")),
         store_limits: StoreLimits {
-            value_bytes: limits().value_bytes,
-            changes: limits().changes,
+            value_bytes: limits().max_value_bytes,
+            changes: limits().max_changes,
             requests_per_second: 1e9,
             changes_per_second: 1e9,
         },
--- a/crates/quota/tests/support/mod.rs
+++ b/crates/quota/tests/support/mod.rs
@@ -28,8 +28,8 @@
 
 fn service_limits() -> Limits {
     Limits {
-        value_bytes: STORE_LIMITS.value_bytes,
-        changes: STORE_LIMITS.changes,
+        max_value_bytes: STORE_LIMITS.value_bytes,
+        max_changes: STORE_LIMITS.changes,
     }
 }
 
--- a/crates/testkit/src/loopback.rs
+++ b/crates/testkit/src/loopback.rs
@@ -14,8 +14,8 @@
 
 /// The limits of a store that a test does not care about.
 const LIMITS: Limits = Limits {
-    value_bytes: 16 * 1024,
-    changes: 16,
+    max_value_bytes: 16 * 1024,
+    max_changes: 16,
 };
 /// How often a watch looks for changes.
 const WATCH_INTERVAL: Duration = Duration::from_millis(10);
--- a/crates/testkit/src/store/mod.rs
+++ b/crates/testkit/src/store/mod.rs
@@ -23,9 +23,9 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
     /// The largest value, in bytes of JSON.
-    pub value_bytes: usize,
+    pub max_value_bytes: usize,
     /// The most changes of a transaction.
-    pub changes: usize,
+    pub max_changes: usize,
 }
 
 /// The most keys on a page.
--- a/crates/testkit/src/store/transaction.rs
+++ b/crates/testkit/src/store/transaction.rs
@@ -51,11 +51,11 @@
     fn exceeds_limits(&self, body: &Value) -> bool {
         let changes = list(body, "apply");
         let value_bytes = |change| get(change, "data").map_or(0, json_bytes);
-        list(body, "if").len() > self.limits.changes * CONDITIONS_PER_CHANGE
-            || changes.len() > self.limits.changes
+        list(body, "if").len() > self.limits.max_changes * CONDITIONS_PER_CHANGE
+            || changes.len() > self.limits.max_changes
             || changes
                 .iter()
-                .any(|change| value_bytes(change) > self.limits.value_bytes)
+                .any(|change| value_bytes(change) > self.limits.max_value_bytes)
             || json_bytes(body) > MAX_TRANSACTION_BYTES
     }
 
--- a/crates/zones/src/damping.rs
+++ b/crates/zones/src/damping.rs
@@ -13,7 +13,7 @@
     /// The penalty as of `updated_at`.
     penalty: f64,
     updated_at: Time,
-    suppressed: bool,
+    is_suppressed: bool,
 }
 
 impl FlapDamping {
@@ -21,7 +21,7 @@
     /// above the ceiling as the ceiling.
     pub fn restore(
         penalty: f64,
-        suppressed: bool,
+        is_suppressed: bool,
         age: Duration,
         now: Time,
         settings: &DampingSettings,
@@ -31,7 +31,7 @@
         FlapDamping {
             penalty: decayed(penalty, age, settings),
             updated_at: now,
-            suppressed,
+            is_suppressed,
         }
     }
 
@@ -40,13 +40,13 @@
         let penalty = self.penalty(now, settings) + settings.penalty_per_loss;
         self.penalty = penalty.min(settings.ceiling);
         self.updated_at = now;
-        self.suppressed |= self.penalty >= settings.suppress_threshold;
+        self.is_suppressed |= self.penalty >= settings.suppress_threshold;
     }
 
     /// Ends the suppression once the penalty is below the reuse threshold.
     pub fn update(&mut self, now: Time, settings: &DampingSettings) {
-        if self.suppressed && self.penalty(now, settings) < settings.reuse_threshold {
-            self.suppressed = false;
+        if self.is_suppressed && self.penalty(now, settings) < settings.reuse_threshold {
+            self.is_suppressed = false;
         }
     }
 
@@ -57,7 +57,7 @@
 
     /// Whether the zone is suppressed, as of the last [`FlapDamping::update`]: it takes no new work.
     pub fn is_suppressed(&self) -> bool {
-        self.suppressed
+        self.is_suppressed
     }
 }
 
--- a/crates/zones/src/displacement.rs
+++ b/crates/zones/src/displacement.rs
@@ -7,9 +7,9 @@
     /// Rank of its priority, 0 for the highest.
     pub priority: u8,
     /// Whether its team uses more than its guarantee.
-    pub over_guarantee: bool,
+    pub is_over_guarantee: bool,
     /// When it is due, in milliseconds since the Unix epoch; `u64::MAX` without a deadline.
-    pub due_ms: u64,
+    pub deadline_ms: u64,
     /// Work that is lost if its machine is given up, in milliseconds.
     pub work_lost_ms: u64,
 }
@@ -18,8 +18,8 @@
     /// Of a machine without work, which goes last.
     pub const IDLE: Urgency = Urgency {
         priority: u8::MAX,
-        over_guarantee: true,
-        due_ms: u64::MAX,
+        is_over_guarantee: true,
+        deadline_ms: u64::MAX,
         work_lost_ms: u64::MAX,
     };
 }
@@ -28,7 +28,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Candidate<M> {
     /// Id of the machine.
-    pub machine: M,
+    pub host: M,
     /// Name of its zone.
     pub zone: String,
     /// How urgent the most urgent work on it is.
@@ -40,6 +40,6 @@
 pub(crate) fn sort_by_urgency<M: Ord>(candidates: &mut [Candidate<M>]) {
     candidates.sort_by(|a, b| {
         let by_urgency = a.urgency.cmp(&b.urgency);
-        by_urgency.then_with(|| a.machine.cmp(&b.machine))
+        by_urgency.then_with(|| a.host.cmp(&b.host))
     });
 }
--- a/crates/zones/src/lib.rs
+++ b/crates/zones/src/lib.rs
@@ -26,7 +26,7 @@
 
 pub use damping::FlapDamping;
 pub use displacement::{Candidate, Urgency};
-pub use observation::{ControllerReach, MachineObservation, ZoneObservation};
+pub use observation::{ControllerReach, HostObservation, ZoneObservation};
 pub use record::ZonesRecord;
 pub use settings::{DampingSettings, SettingsError, ZoneSettings};
 pub use state::{ZoneState, ZoneTransition};
--- a/crates/zones/src/record.rs
+++ b/crates/zones/src/record.rs
@@ -31,16 +31,17 @@
     /// Its penalty at that time.
     pub penalty: f64,
     /// Whether it was suppressed.
-    pub suppressed: bool,
+    #[serde(rename = "suppressed")]
+    pub is_suppressed: bool,
     /// Its machines when the record was written.
-    #[serde(default)]
-    pub machines: u64,
+    #[serde(rename = "machines", default)]
+    pub hosts: u64,
     /// How many of them were silent.
-    #[serde(default)]
-    pub silent: u64,
+    #[serde(rename = "silent", default)]
+    pub silent_hosts: u64,
     /// How many silent machines waited for the displacement budget.
-    #[serde(default)]
-    pub waiting: u64,
+    #[serde(rename = "waiting", default)]
+    pub waiting_hosts: u64,
 }
 
 impl ZonesRecord {
@@ -50,7 +51,7 @@
     }
 
     /// Whether both records list the same zones in the same states.
-    pub(crate) fn has_states_of(&self, other: &ZonesRecord) -> bool {
+    pub(crate) fn has_same_states(&self, other: &ZonesRecord) -> bool {
         fn name_and_state(zone: &ZoneRecord) -> (&str, ZoneState) {
             (&zone.zone, zone.state)
         }
--- a/crates/zones/src/return_ramp.rs
+++ b/crates/zones/src/return_ramp.rs
@@ -13,13 +13,13 @@
 /// The limits on new tasks in a zone of that many machines that has been returning for that long. What
 /// is not used is saved for one second at the most.
 pub(crate) fn limits(
-    machines: usize,
+    host_count: usize,
     returning_for: Duration,
     settings: &ZoneSettings,
 ) -> BucketLimits {
     let doublings = returning_for.as_secs_f64() / settings.return_doubling_s;
     let growth = doublings.min(MAX_DOUBLINGS).exp2();
-    let rate = machines as f64 * settings.return_initial_share * growth;
+    let rate = host_count as f64 * settings.return_initial_share * growth;
     let rate = rate.max(MIN_TASKS_PER_SECOND);
     BucketLimits {
         burst: rate,
--- a/crates/zones/src/state.rs
+++ b/crates/zones/src/state.rs
@@ -91,11 +91,11 @@
     }
 
     /// The state that follows from an observation, if it is another one than the present.
-    /// `observer_isolated` says that the observer finds all zones disrupted.
+    /// `is_observer_isolated` says that the observer finds all zones disrupted.
     pub(crate) fn next(
         &self,
         observation: &ZoneObservation,
-        observer_isolated: bool,
+        is_observer_isolated: bool,
         now: Time,
         settings: &ZoneSettings,
     ) -> Option<ZoneState> {
@@ -105,14 +105,14 @@
             ZoneState::Healthy => disrupted.then_some(ZoneState::Suspected),
             ZoneState::Suspected if !disrupted => Some(ZoneState::Healthy),
             ZoneState::Suspected => {
-                let lost = !observer_isolated && has_lasted(settings.lost_after());
+                let lost = !is_observer_isolated && has_lasted(settings.lost_after());
                 lost.then_some(ZoneState::Lost)
             }
             ZoneState::Lost => {
                 // No machine is left that could respond: new ones show whether the zone is back.
                 let retry_emptied =
-                    observation.machines == 0 && has_lasted(settings.isolation_timeout());
-                let returning = observation.most_machines_respond()
+                    observation.hosts == 0 && has_lasted(settings.isolation_timeout());
+                let returning = observation.most_hosts_respond()
                     || observation.is_empty_and_reachable()
                     || retry_emptied;
                 returning.then_some(ZoneState::Returning)
@@ -121,8 +121,8 @@
             ZoneState::Returning => {
                 // Machines that stay silent then have failed by themselves. While there are many, they are
                 // still given up within the zone's budget.
-                let healthy = observation.nearly_all_machines_respond()
-                    && has_lasted(settings.return_window());
+                let healthy =
+                    observation.nearly_all_hosts_respond() && has_lasted(settings.return_window());
                 healthy.then_some(ZoneState::Healthy)
             }
         }
--- a/crates/zones/src/token_bucket.rs
+++ b/crates/zones/src/token_bucket.rs
@@ -44,11 +44,15 @@
 
 impl BucketLimits {
     /// Limits that are shares of a number of machines: `burst` at once and `per_minute` in a minute.
-    pub(crate) fn of_machines(machines: usize, burst: f64, per_minute: f64) -> BucketLimits {
-        let machines = machines as f64;
+    pub(crate) fn for_hosts(
+        host_count: usize,
+        burst_share: f64,
+        per_minute_share: f64,
+    ) -> BucketLimits {
+        let host_count = host_count as f64;
         BucketLimits {
-            burst: (machines * burst).max(MIN_BURST),
-            rate: RefillRate::PerMinute((machines * per_minute).max(MIN_PER_MINUTE)),
+            burst: (host_count * burst_share).max(MIN_BURST),
+            rate: RefillRate::PerMinute((host_count * per_minute_share).max(MIN_PER_MINUTE)),
         }
     }
 }
--- a/crates/zones/src/tracker.rs
+++ b/crates/zones/src/tracker.rs
@@ -23,9 +23,9 @@
     /// Its present penalty.
     pub penalty: f64,
     /// Whether it takes no new work because of its penalty.
-    pub suppressed: bool,
+    pub is_suppressed: bool,
     /// Silent machines that wait for the displacement budget.
-    pub waiting: usize,
+    pub waiting_hosts: usize,
 }
 
 /// Decides for all zones.
@@ -38,7 +38,7 @@
     /// Since when all zones with machines have been disrupted.
     isolated_since: Option<Time>,
     /// Whether states have changed since the record was last written.
-    record_outdated: bool,
+    is_record_outdated: bool,
 }
 
 impl ZoneTracker {
@@ -49,7 +49,7 @@
             zones: BTreeMap::new(),
             provisioning_budget: TokenBucket::full(now),
             isolated_since: None,
-            record_outdated: false,
+            is_record_outdated: false,
         }
     }
 
@@ -72,7 +72,7 @@
             zone.observe(name, observation, isolated, now, settings)
         });
         let transitions: Vec<ZoneTransition> = transitions.collect();
-        self.record_outdated |= !transitions.is_empty();
+        self.is_record_outdated |= !transitions.is_empty();
         transitions
     }
 
@@ -83,12 +83,12 @@
         observations: &BTreeMap<String, ZoneObservation>,
         now: Time,
     ) -> bool {
-        let mut with_machines = observations
+        let mut zones_with_hosts = observations
             .values()
-            .filter(|zone| zone.machines > 0)
+            .filter(|zone| zone.hosts > 0)
             .peekable();
-        let all_disrupted =
-            with_machines.peek().is_some() && with_machines.all(ZoneObservation::is_disrupted);
+        let all_disrupted = zones_with_hosts.peek().is_some()
+            && zones_with_hosts.all(ZoneObservation::is_disrupted);
         if !all_disrupted {
             self.isolated_since = None;
             return false;
@@ -136,7 +136,7 @@
         let chosen = candidates.into_iter().filter_map(|candidate| {
             let zone = self.zones.get_mut(&candidate.zone)?;
             let may_displace = zone.try_displace(now, &self.settings);
-            may_displace.then_some(candidate.machine)
+            may_displace.then_some(candidate.host)
         });
         chosen.collect()
     }
@@ -153,9 +153,9 @@
         if !zones.any(|zone| zone.state() == ZoneState::Lost) {
             return None;
         }
-        let machines = self.zones.values().map(Zone::peak_machines).sum();
-        let limits = BucketLimits::of_machines(
-            machines,
+        let host_count = self.zones.values().map(Zone::peak_host_count).sum();
+        let limits = BucketLimits::for_hosts(
+            host_count,
             self.settings.provisioning_burst,
             self.settings.provisioning_per_minute,
         );
@@ -201,7 +201,7 @@
     /// [`ZoneTracker::on_record_written`] confirms the write it stays due. `wall_clock_ms` is `now` in
     /// milliseconds since the Unix epoch.
     pub fn record_due(&self, now: Time, wall_clock_ms: u64) -> Option<ZonesRecord> {
-        self.record_outdated
+        self.is_record_outdated
             .then(|| self.record(now, wall_clock_ms))
     }
 
@@ -221,7 +221,7 @@
     /// That record was written. States that have changed since make the next one due.
     pub fn on_record_written(&mut self, written: &ZonesRecord, now: Time, wall_clock_ms: u64) {
         let present = self.record(now, wall_clock_ms);
-        self.record_outdated = !written.has_states_of(&present);
+        self.is_record_outdated = !written.has_same_states(&present);
     }
 
     /// Continues with what an earlier leader recorded, except for zones that were observed already. A
--- a/crates/zones/src/zone.rs
+++ b/crates/zones/src/zone.rs
@@ -22,13 +22,13 @@
     observation: ZoneObservation,
     /// The most machines observed since the zone was last healthy: the budget doesn't shrink as the zone
     /// is emptied.
-    peak_machines: usize,
+    peak_host_count: usize,
     /// Machines that may be given up.
     displacement_budget: TokenBucket,
     /// New tasks that the zone takes while it returns.
     return_budget: TokenBucket,
     /// Silent machines that waited for the displacement budget in the last pass.
-    waiting: usize,
+    waiting_hosts: usize,
 }
 
 impl Zone {
@@ -38,10 +38,10 @@
             state_machine: ZoneStateMachine::default(),
             damping: FlapDamping::default(),
             observation: ZoneObservation::default(),
-            peak_machines: 0,
+            peak_host_count: 0,
             displacement_budget: TokenBucket::full(now),
             return_budget: TokenBucket::default(),
-            waiting: 0,
+            waiting_hosts: 0,
         }
     }
 
@@ -59,12 +59,12 @@
             state_machine: ZoneStateMachine::restore(record.state, since),
             damping: FlapDamping::restore(
                 record.penalty,
-                record.suppressed,
+                record.is_suppressed,
                 Duration::from_millis(age_ms),
                 now,
                 &settings.damping,
             ),
-            peak_machines: record.machines as usize,
+            peak_host_count: record.hosts as usize,
             return_budget: TokenBucket::empty(now),
             ..Zone::new(now)
         }
@@ -80,8 +80,8 @@
     }
 
     /// The most machines observed since the zone was last healthy.
-    pub(crate) fn peak_machines(&self) -> usize {
-        self.peak_machines
+    pub(crate) fn peak_host_count(&self) -> usize {
+        self.peak_host_count
     }
 
     /// Takes in an observation. Returns the change of state that follows, if any.
@@ -89,20 +89,20 @@
         &mut self,
         name: &str,
         observation: ZoneObservation,
-        observer_isolated: bool,
+        is_observer_isolated: bool,
         now: Time,
         settings: &ZoneSettings,
     ) -> Option<ZoneTransition> {
         self.observation = observation;
         self.damping.update(now, &settings.damping);
         if self.state() == ZoneState::Healthy {
-            self.peak_machines = 0;
+            self.peak_host_count = 0;
         }
-        self.peak_machines = self.peak_machines.max(observation.machines);
+        self.peak_host_count = self.peak_host_count.max(observation.hosts);
         let from = self.state();
         let to = self
             .state_machine
-            .next(&observation, observer_isolated, now, settings)?;
+            .next(&observation, is_observer_isolated, now, settings)?;
         self.enter(to, now, settings);
         Some(ZoneTransition {
             zone: name.to_owned(),
@@ -124,7 +124,7 @@
 
     /// A new pass of displacement begins.
     pub(crate) fn begin_displacement(&mut self) {
-        self.waiting = 0;
+        self.waiting_hosts = 0;
     }
 
     /// Whether one more silent machine may be given up now; if so it is charged to the budget, if not it
@@ -133,13 +133,13 @@
         if self.state() == ZoneState::Suspected {
             return false;
         }
-        let limits = BucketLimits::of_machines(
-            self.peak_machines,
+        let limits = BucketLimits::for_hosts(
+            self.peak_host_count,
             settings.displacement_burst,
             settings.displacement_per_minute,
         );
         if self.displacement_budget.available(now, limits) == 0 {
-            self.waiting += 1;
+            self.waiting_hosts += 1;
             return false;
         }
         self.displacement_budget.take(1);
@@ -160,7 +160,7 @@
             return None;
         }
         let returning_for = self.time_in_state(now);
-        let limits = return_ramp::limits(self.observation.machines, returning_for, settings);
+        let limits = return_ramp::limits(self.observation.hosts, returning_for, settings);
         Some(self.return_budget.available(now, limits))
     }
 
@@ -174,8 +174,8 @@
             state: self.state(),
             since: self.state_machine.since(),
             penalty: self.damping.penalty(now, &settings.damping),
-            suppressed: self.damping.is_suppressed(),
-            waiting: self.waiting,
+            is_suppressed: self.damping.is_suppressed(),
+            waiting_hosts: self.waiting_hosts,
         }
     }
 
@@ -194,10 +194,10 @@
             state: self.state(),
             since_ms: wall_clock_ms.saturating_sub(time_in_state_ms),
             penalty: self.damping.penalty(since, &settings.damping),
-            suppressed: self.damping.is_suppressed(),
-            machines: self.observation.machines as u64,
-            silent: self.observation.silent as u64,
-            waiting: self.waiting as u64,
+            is_suppressed: self.damping.is_suppressed(),
+            hosts: self.observation.hosts as u64,
+            silent_hosts: self.observation.silent_hosts as u64,
+            waiting_hosts: self.waiting_hosts as u64,
         }
     }
 }
--- a/crates/zones/tests/displacement.rs
+++ b/crates/zones/tests/displacement.rs
@@ -8,11 +8,11 @@
 use support::{idle_candidate, reachable, unreachable, urgency, Harness};
 
 /// Zone `b` of that many machines is lost.
-fn lost_zone(machines: usize) -> Harness {
+fn lost_zone(hosts: usize) -> Harness {
     let mut harness = Harness::new();
     harness
-        .observe("a", reachable(machines, 0))
-        .observe("b", unreachable(machines, machines));
+        .observe("a", reachable(hosts, 0))
+        .observe("b", unreachable(hosts, hosts));
     harness.advance_s(10);
     assert_eq!(harness.state("b"), ZoneState::Lost);
     harness
@@ -21,9 +21,9 @@
 /// Offers a machine of zone `b` for each of these; returns the indexes of those that are given up.
 fn displace(harness: &mut Harness, urgencies: &[Urgency]) -> Vec<usize> {
     let candidates = urgencies.iter().enumerate();
-    let candidates = candidates.map(|(machine, urgency)| Candidate {
+    let candidates = candidates.map(|(host, urgency)| Candidate {
         urgency: *urgency,
-        ..idle_candidate(machine, "b")
+        ..idle_candidate(host, "b")
     });
     harness.tracker.displace(candidates.collect(), harness.now)
 }
@@ -34,7 +34,7 @@
 fn urgent_work_is_displaced_first() {
     let mut harness = lost_zone(60);
     let over_guarantee = Urgency {
-        over_guarantee: true,
+        is_over_guarantee: true,
         ..urgency(1, 10)
     };
     let loses_more_work = Urgency {
@@ -53,7 +53,10 @@
     let order = displace(&mut harness, &urgencies);
     // The budget of 60 machines is 6 at once: the idle one waits.
     assert_eq!(order, [6, 5, 4, 3, 2, 1]);
-    assert_eq!(harness.status("b").map(|status| status.waiting), Some(1));
+    assert_eq!(
+        harness.status("b").map(|status| status.waiting_hosts),
+        Some(1)
+    );
 }
 
 #[test]
--- a/crates/zones/tests/states.rs
+++ b/crates/zones/tests/states.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use lichencrank_zones::{ControllerReach, MachineObservation, ZoneState};
+use lichencrank_zones::{ControllerReach, HostObservation, ZoneState};
 use support::{observation, reachable, unreachable, Harness};
 
 #[test]
@@ -67,15 +67,15 @@
 fn spot_machines_that_are_reclaimed_together_do_not_disrupt_a_zone() {
     let mut zone = reachable(0, 0);
     for _ in 0..9 {
-        zone.add(MachineObservation {
-            silent: true,
-            spot: true,
+        zone.add(HostObservation {
+            is_silent: true,
+            is_spot: true,
         });
     }
     for _ in 0..3 {
-        zone.add(MachineObservation {
-            silent: false,
-            spot: false,
+        zone.add(HostObservation {
+            is_silent: false,
+            is_spot: false,
         });
     }
     assert!(!zone.is_disrupted());
--- a/crates/zones/tests/support/mod.rs
+++ b/crates/zones/tests/support/mod.rs
@@ -27,42 +27,42 @@
 
 /// A zone of on-demand machines.
 pub fn observation(
-    machines: usize,
-    silent: usize,
+    hosts: usize,
+    silent_hosts: usize,
     controllers: ControllerReach,
 ) -> ZoneObservation {
     ZoneObservation {
-        machines,
-        silent,
-        on_demand: machines,
-        silent_on_demand: silent,
+        hosts,
+        silent_hosts,
+        on_demand_hosts: hosts,
+        silent_on_demand_hosts: silent_hosts,
         controllers,
     }
 }
 
 /// A zone whose controllers answer.
-pub fn reachable(machines: usize, silent: usize) -> ZoneObservation {
-    observation(machines, silent, ControllerReach::Reachable)
+pub fn reachable(hosts: usize, silent_hosts: usize) -> ZoneObservation {
+    observation(hosts, silent_hosts, ControllerReach::Reachable)
 }
 
 /// A zone whose controllers don't answer.
-pub fn unreachable(machines: usize, silent: usize) -> ZoneObservation {
-    observation(machines, silent, ControllerReach::Unreachable)
+pub fn unreachable(hosts: usize, silent_hosts: usize) -> ZoneObservation {
+    observation(hosts, silent_hosts, ControllerReach::Unreachable)
 }
 
-pub fn urgency(priority: u8, due_ms: u64) -> Urgency {
+pub fn urgency(priority: u8, deadline_ms: u64) -> Urgency {
     Urgency {
         priority,
-        over_guarantee: false,
-        due_ms,
+        is_over_guarantee: false,
+        deadline_ms,
         work_lost_ms: 0,
     }
 }
 
 /// An idle machine that may be given up.
-pub fn idle_candidate(machine: usize, zone: &str) -> Candidate<usize> {
+pub fn idle_candidate(host: usize, zone: &str) -> Candidate<usize> {
     Candidate {
-        machine,
+        host,
         zone: zone.to_owned(),
         urgency: Urgency::IDLE,
     }
@@ -132,13 +132,13 @@
     }
 
     pub fn is_suppressed(&self, zone: &str) -> bool {
-        self.status(zone).is_some_and(|status| status.suppressed)
+        self.status(zone).is_some_and(|status| status.is_suppressed)
     }
 
     /// Offers one idle machine of each of these zones; returns the numbers of those that are given up.
     pub fn displace(&mut self, zones: &[&str]) -> Vec<usize> {
         let candidates = zones.iter().enumerate();
-        let candidates = candidates.map(|(machine, zone)| idle_candidate(machine, zone));
+        let candidates = candidates.map(|(host, zone)| idle_candidate(host, zone));
         self.tracker.displace(candidates.collect(), self.now)
     }
 
--- a/src/coordination/failure_detection/zones.rs
+++ b/src/coordination/failure_detection/zones.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use lichencrank_zones::{
-    Candidate, MachineObservation, Urgency, ZoneObservation, ZoneState, ZoneTracker, ZonesRecord,
+    Candidate, HostObservation, Urgency, ZoneObservation, ZoneState, ZoneTracker, ZonesRecord,
 };
 
 use crate::coordination::cluster::host::{Allocation, Host, HostLifecycle, Reachability};
@@ -63,11 +63,11 @@
                 continue;
             }
             let is_half_open = matches!(host.reachability, Reachability::HalfOpen { .. });
-            let silent = is_half_open || now.since(host.last_heartbeat_at) > max_heartbeat_age;
+            let is_silent = is_half_open || now.since(host.last_heartbeat_at) > max_heartbeat_age;
             let observation = observations.entry(host.zone.clone()).or_default();
-            observation.add(MachineObservation {
-                silent,
-                spot: host.is_spot,
+            observation.add(HostObservation {
+                is_silent,
+                is_spot: host.is_spot,
             });
         }
         observations
@@ -151,8 +151,10 @@
         let job = self.cluster.jobs().get(&task.job)?;
         Some(Urgency {
             priority: job.priority() as u8,
-            over_guarantee: self.is_team_over_guarantee(&job.team),
-            due_ms: job.deadline_ms().map_or(u64::MAX, |due_ms| due_ms as u64),
+            is_over_guarantee: self.is_team_over_guarantee(&job.team),
+            deadline_ms: job
+                .deadline_ms()
+                .map_or(u64::MAX, |deadline_ms| deadline_ms as u64),
             work_lost_ms: self.work_lost_ms(task, allocation, now),
         })
     }
@@ -257,10 +259,10 @@
                 transition.zone,
                 transition.from,
                 transition.to,
-                observation.silent,
-                observation.machines,
-                observation.silent_on_demand,
-                observation.on_demand,
+                observation.silent_hosts,
+                observation.hosts,
+                observation.silent_on_demand_hosts,
+                observation.on_demand_hosts,
                 observation.controllers
             );
             self.cluster.request_scheduling();
@@ -279,7 +281,7 @@
         let overdue_hosts = self.cluster.hosts().values().filter(is_candidate);
         let candidates: Vec<Candidate<HostName>> = overdue_hosts
             .map(|host| Candidate {
-                machine: host.name.clone(),
+                host: host.name.clone(),
                 zone: host.zone.clone(),
                 urgency: self.view().host_urgency(host, now),
             })
--- a/src/zones_report.rs
+++ b/src/zones_report.rs
@@ -43,7 +43,7 @@
 
 fn render_zone(out: &mut String, zone: &ZoneRecord, day_ms: u64) {
     let since_s = day_ms.saturating_sub(zone.since_ms) / 1000;
-    let suppressed = if zone.suppressed {
+    let suppressed = if zone.is_suppressed {
         ", takes no new work"
     } else {
         ""
@@ -56,6 +56,6 @@
     let _ = writeln!(
         out,
         "  at that change: {} of {} machines silent, penalty {:.0}, {} waited for the budget",
-        zone.silent, zone.machines, zone.penalty, zone.waiting
+        zone.silent_hosts, zone.hosts, zone.penalty, zone.waiting_hosts
     );
 }
--- a/tests/record_split.rs
+++ b/tests/record_split.rs
@@ -66,8 +66,8 @@
 /// What production left: two records of 256 tasks, most of them booked, some tried; the rest untouched.
 fn left_behind() -> InMemoryStore {
     let mut state = InMemoryStore::new(Limits {
-        value_bytes: 16 * 1024,
-        changes: 16,
+        max_value_bytes: 16 * 1024,
+        max_changes: 16,
     });
     let description = JobRecord {
         spec: spec(),
@@ -110,8 +110,8 @@
     let response = state.transact(&map(vec![("apply", Value::Array(changes))]));
     assert_eq!(response.status, 200, "{response:?}");
     state.set_limits(Limits {
-        value_bytes: 2048,
-        changes: 5,
+        max_value_bytes: 2048,
+        max_changes: 5,
     });
     state
 }
--- a/tests/simulated/store.rs
+++ b/tests/simulated/store.rs
@@ -117,8 +117,8 @@
 
 fn service_limits(value_kilobytes: f64, transaction_operations: usize) -> Limits {
     Limits {
-        value_bytes: (value_kilobytes * BYTES_IN_A_KILOBYTE) as usize,
-        changes: transaction_operations,
+        max_value_bytes: (value_kilobytes * BYTES_IN_A_KILOBYTE) as usize,
+        max_changes: transaction_operations,
     }
 }
 
--- a/tests/store_contract.rs
+++ b/tests/store_contract.rs
@@ -70,8 +70,8 @@
 /// Runs a test against every implementation, each with an empty store.
 fn with_each_store(test: impl Fn(&mut dyn ConditionalStore)) {
     let limits = Limits {
-        value_bytes: LIMITS.value_bytes,
-        changes: LIMITS.changes,
+        max_value_bytes: LIMITS.value_bytes,
+        max_changes: LIMITS.changes,
     };
     test(&mut SharedStore::new(limits).client(0));
     test(&mut BlockingClient::new(start_store_on_loopback(), TIMEOUT));
@@ -229,8 +229,8 @@
 fn a_watch_after_a_compacted_revision_is_too_old() {
     // More changes than are kept, in few transactions: beyond the limits of the others.
     let shared = SharedStore::new(Limits {
-        value_bytes: 1024,
-        changes: 1000,
+        max_value_bytes: 1024,
+        max_changes: 1000,
     });
     let store = &mut shared.client(0);
     for round in 0..21 {
--- a/tests/zones_report.rs
+++ b/tests/zones_report.rs
@@ -21,10 +21,10 @@
             state: ZoneState::Lost,
             since_ms: DAY_MS - 42_000,
             penalty: 1616.2,
-            suppressed: true,
-            machines: 20,
-            silent: 19,
-            waiting: 3,
+            is_suppressed: true,
+            hosts: 20,
+            silent_hosts: 19,
+            waiting_hosts: 3,
         }],
     }
 }
