--- a/tests/record_split.rs
+++ b/tests/record_split.rs
@@ -68,8 +68,8 @@
 /// most are allocated and some were attempted before; the other tasks were never allocated.
 fn store_with_oversized_records() -> InMemoryStore {
     let mut store = InMemoryStore::new(Limits {
-        value_bytes: 16 * 1024,
-        changes: 16,
+        max_value_bytes: 16 * 1024,
+        max_changes: 16,
     });
     let description = JobRecord {
         spec: spec(),
@@ -112,8 +112,8 @@
     let response = store.transact(&map(vec![("apply", Value::Array(changes))]));
     assert_eq!(response.status, 200, "{response:?}");
     store.set_limits(Limits {
-        value_bytes: 2048,
-        changes: 5,
+        max_value_bytes: 2048,
+        max_changes: 5,
     });
     store
 }
