--- a/src/node/api/mod.rs
+++ b/src/node/api/mod.rs
@@ -1,5 +1,5 @@
-//! Users' requests. Every node answers them from the state service: submissions and cancellations
-//! are conditional writes, answers are consistent reads, so no node gives an older answer.
+//! The API for users. Every controller serves it from the state service: submissions and cancellations are conditional
+//! writes and responses are based on consistent reads, so that no controller responds with an outdated state.
 
 mod outcomes;
 mod requests;
@@ -20,175 +20,192 @@
 use crate::transport::{ConnId, Response};
 use crate::types::{JobId, Time, Version};
 use lichencrank_store::{value, Change, Item, Page, Txn};
-use status_queries::{Known, Listing};
-
-/// How long users wait for an answer, less the way back.
-const SUBMIT_LIMIT: Duration = Duration::from_millis(4200);
-const POLL_LIMIT: Duration = Duration::from_millis(1700);
-/// More at once than this are told to come back.
-const MAX_OPEN: usize = 400;
-/// A request is asked again, as the budget did not suffice, only with so much time left for it.
-const WORTH_ASKING: Duration = Duration::from_millis(100);
-/// Run records read at once, to see whether anything of a cancelled job is booked.
-const BOOKINGS_PAGE: u32 = 400;
-/// Final states kept in memory.
-const MAX_CACHED: usize = 20_000;
-/// The most bytes of submissions in one transaction.
-const MAX_BATCH: usize = 40 * 1024;
+use status_queries::{JobListing, KnownJob};
+
+/// Within this time a submission or a cancellation is answered: how long users wait, less the time that the response
+/// takes to reach them.
+const SUBMISSION_TIMEOUT: Duration = Duration::from_millis(4200);
+/// The same for a status query.
+const STATUS_QUERY_TIMEOUT: Duration = Duration::from_millis(1700);
+/// Requests beyond this number of open ones are answered 503 with a Retry-After header.
+const MAX_OPEN_REQUESTS: usize = 400;
+/// A request to the state service is repeated only if at least this much time is left until the user's deadline.
+const MIN_RETRY_TIME: Duration = Duration::from_millis(100);
+/// Most run records that are read to find out whether any task of a cancelled job is allocated.
+const RUN_RECORD_PAGE_SIZE: u32 = 400;
+/// Outcomes of jobs that are kept in memory.
+const MAX_CACHED_OUTCOMES: usize = 20_000;
+/// Most bytes of job records in one transaction, unless it holds a single one.
+const MAX_BATCH_BYTES: usize = 40 * 1024;
 
 /// Identifies a request of a user.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ApiRequestId(u64);
 
-/// Who asked: a user, or another node on a user's behalf.
+/// The sender of a request: a user, or another controller that relays a user's request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Client {
-    /// Connection that waits for the answer.
+    /// Connection that waits for the response.
     pub conn: ConnId,
-    /// Another controller asks on a user's behalf.
+    /// Whether another controller relays a user's request.
     pub is_relayed: bool,
 }
 
-/// What the user wants of a job.
+/// What a request is to do with its job.
 #[derive(Clone, Debug)]
-enum Intent {
+enum Operation {
     Submit(Box<JobRecord>),
-    /// A submission that can't be accepted, unless the job is known already.
-    Repeat {
-        otherwise: Response,
+    /// A submission that cannot be accepted. If its job was accepted earlier, it is a repetition and answered with the
+    /// status of the job; otherwise it gets the rejection.
+    RejectUnlessKnown {
+        rejection: Response,
     },
-    Poll,
+    QueryStatus,
     Cancel,
 }
 
+/// What an open request waits for.
 #[derive(Clone, Debug, PartialEq)]
 enum Stage {
-    /// Waits for the next shared transaction, or is in one.
-    Queued,
-    /// Waits for the next shared comparison, or is in one.
-    Comparing,
-    ReadingLive,
-    ReadingCounts,
-    ReadingOver,
+    /// The next batch of submissions, or the outcome of the one in flight.
+    Batching,
+    /// The next shared version check, or the outcome of the one in flight.
+    CheckingVersion,
+    /// The job's record under `live/`.
+    ReadingJobRecord,
+    /// The job's first run record, which holds the task counts.
+    ReadingTaskCounts,
+    /// The job's outcome under `over/`.
+    ReadingOutcome,
+    /// The outcome of the transaction that cancels the job.
     Cancelling,
-    /// It is cancelled in the records; the leader has to know before the user does.
+    /// The job is cancelled in the records. The leader has to acknowledge that before the user is told.
     AwaitingLeader,
-    /// The leader can't be asked, or does not have it in hand: perhaps nothing is booked any more.
-    ReadingBookings,
-    /// Another node, which the state service answers, has been asked.
+    /// The leader could not be asked or did not acknowledge the cancellation. It is confirmed if the run records show
+    /// that no task of the job is allocated any more.
+    ReadingAllocations,
+    /// The response of another controller, which can reach the state service.
     Relaying,
 }
 
-struct Open {
+/// A request that has not been answered yet.
+struct OpenRequest {
     client: Client,
     job: JobId,
-    intent: Intent,
+    operation: Operation,
     stage: Stage,
-    until: Time,
-    /// An answer of the state service was lost on the way, and it was asked again.
-    repeated: bool,
+    /// When the user gets a response at the latest.
+    deadline: Time,
+    /// Whether a request to the state service was repeated because its response was lost.
+    has_repeated_lost: bool,
 }
 
-/// Which request to the state service an outcome answers.
+/// What a request to the state service was sent for.
 #[derive(Clone, Debug)]
 pub enum StoreRequestPurpose {
-    /// The outcome is for one request.
+    /// One request of a user.
     Single(ApiRequestId),
-    /// Submissions that share a transaction.
+    /// Submissions that share one transaction.
     SubmissionBatch(Vec<ApiRequestId>),
-    /// Status queries that share a comparison.
+    /// Status queries that share one check of the versions of job records.
     VersionCheck(Vec<ApiRequestId>),
-    /// A page of all jobs that are not over.
+    /// A page of the records of all unfinished jobs.
     JobListing,
 }
 
-/// What the front needs done.
+/// What the API server asks the node to do.
 pub enum ApiAction {
     /// Send a request to the state service.
     SendStoreRequest(RequestClass, StoreRequest, StoreRequestPurpose),
-    /// HeartbeatResponse a request.
+    /// Send the response to a request.
     Respond(ConnId, Response),
-    /// Pass a request on to another controller.
+    /// Relay a request to another controller.
     Relay(ApiRequestId, RelayedRequest),
-    /// A user is about to be told that the job is cancelled: see to it that the leader knows.
+    /// Ask the leader to acknowledge that the job is cancelled, before its user is told so.
     InformLeader(JobId),
 }
 
-/// What the node knows beside the answers to the front's own requests.
+/// What the node knows apart from the outcomes of the API server's own requests.
 pub struct NodeView<'a> {
-    /// What the leader knows of a job's tasks, if this is it: finished and booked.
+    /// The number of finished and the number of allocated tasks of a job, if this controller is the leader and knows
+    /// it.
     pub leader_task_counts: &'a dyn Fn(JobId) -> Option<(u64, u64)>,
-    /// The budget allows to look closer than has to be.
+    /// Whether the rate limit of the state service leaves room for requests that are not strictly needed.
     pub has_spare_store_budget: bool,
-    /// The state service has answered this node lately.
+    /// Whether the state service has responded to this controller recently.
     pub is_store_reachable: bool,
 }
 
-/// Serves the users' requests of one controller.
+/// Serves the requests that users send to one controller.
 pub struct ApiServer {
-    next: u64,
-    open: BTreeMap<ApiRequestId, Open>,
-    queue: VecDeque<ApiRequestId>,
-    in_flight: bool,
-    /// Polls that wait for the next comparison, and whether one is under way.
-    comparisons: VecDeque<ApiRequestId>,
-    comparing: bool,
-    listing: Option<Listing>,
-    known: HashMap<JobId, Known>,
-    finals: HashMap<JobId, OutcomeRecord>,
-    finals_order: VecDeque<JobId>,
+    last_request_number: u64,
+    open_requests: BTreeMap<ApiRequestId, OpenRequest>,
+    /// Submissions that wait for the next batch.
+    submission_queue: VecDeque<ApiRequestId>,
+    is_batch_in_flight: bool,
+    /// Status queries that wait for the next version check.
+    version_check_queue: VecDeque<ApiRequestId>,
+    is_version_check_in_flight: bool,
+    /// The listing of all unfinished jobs that is in flight, if one is.
+    job_listing: Option<JobListing>,
+    /// Jobs that were unfinished when this controller last read their records.
+    known_jobs: HashMap<JobId, KnownJob>,
+    cached_outcomes: HashMap<JobId, OutcomeRecord>,
+    /// The jobs of the cached outcomes, the oldest entry first.
+    cached_outcome_order: VecDeque<JobId>,
     tasks_per_record: u32,
-    max_value: usize,
-    max_jobs: usize,
-    max_compared: usize,
+    max_value_bytes: usize,
+    max_batch_jobs: usize,
+    max_version_checks: usize,
     teams: Vec<Team>,
-    acts: Vec<ApiAction>,
-    /// Jobs that users were told are cancelled, for the other nodes to know.
-    cancelled: Vec<JobId>,
+    actions: Vec<ApiAction>,
+    /// Jobs that were cancelled through this controller, which the other controllers have to learn of.
+    cancelled_jobs: Vec<JobId>,
 }
 
-fn problem(status: u16, error: &str) -> Response {
+fn error_response(status: u16, error: &str) -> Response {
     Response::new(status, encode(&ErrorBody { error }))
 }
 
-/// The service can't say now; the user is told at once when to come back.
-fn unavailable() -> Response {
+/// The response if the request cannot be served now; it tells the user when to retry.
+fn unavailable_response() -> Response {
     Response::retry_later(503, 1)
 }
 
 impl ApiServer {
-    /// A server within these limits of the state service.
+    /// A server without open requests. `value_kb` and `txn_ops` are the state service's limits for the size of a value
+    /// and for the number of changes in a transaction.
     pub fn new(teams: Vec<Team>, value_kb: f64, txn_ops: usize) -> ApiServer {
         ApiServer {
-            next: 0,
-            open: BTreeMap::new(),
-            queue: VecDeque::new(),
-            in_flight: false,
-            comparisons: VecDeque::new(),
-            comparing: false,
-            listing: None,
-            known: HashMap::new(),
-            finals: HashMap::new(),
-            finals_order: VecDeque::new(),
+            last_request_number: 0,
+            open_requests: BTreeMap::new(),
+            submission_queue: VecDeque::new(),
+            is_batch_in_flight: false,
+            version_check_queue: VecDeque::new(),
+            is_version_check_in_flight: false,
+            job_listing: None,
+            known_jobs: HashMap::new(),
+            cached_outcomes: HashMap::new(),
+            cached_outcome_order: VecDeque::new(),
             tasks_per_record: records::tasks_per_record(value_kb),
-            max_value: (value_kb * 1024.0) as usize,
-            max_jobs: txn_ops.min(8),
-            // Conditions may be four times as many as changes.
-            max_compared: (txn_ops * 4).min(256),
+            max_value_bytes: (value_kb * 1024.0) as usize,
+            max_batch_jobs: txn_ops.min(8),
+            // A transaction may have four times as many conditions as changes.
+            max_version_checks: (txn_ops * 4).min(256),
             teams,
-            acts: Vec::new(),
-            cancelled: Vec::new(),
+            actions: Vec::new(),
+            cancelled_jobs: Vec::new(),
         }
     }
 
-    /// Takes the jobs that were cancelled through this controller.
+    /// Takes the jobs that were cancelled through this controller since the last call.
     pub fn take_cancelled_jobs(&mut self) -> Vec<JobId> {
-        std::mem::take(&mut self.cancelled)
+        std::mem::take(&mut self.cancelled_jobs)
     }
 
-    /// Takes what is to be done outside.
+    /// Takes the actions that the node is to carry out.
     pub fn take_actions(&mut self) -> Vec<ApiAction> {
-        std::mem::take(&mut self.acts)
+        std::mem::take(&mut self.actions)
     }
 
     fn respond(&mut self, client: Client, mut response: Response) {
@@ -200,148 +217,162 @@
             };
             response = peer_messages::response(&relayed);
         }
-        self.acts.push(ApiAction::Respond(client.conn, response));
+        self.actions.push(ApiAction::Respond(client.conn, response));
     }
 
-    fn status(state: JobState, id: JobId, done: u64, running: u64) -> Vec<u8> {
+    fn status_body(state: JobState, job: JobId, done: u64, running: u64) -> Vec<u8> {
         encode(&JobStatus {
-            id,
+            id: job,
             state,
             done,
             running,
         })
     }
 
-    fn final_answer(id: JobId, over: OutcomeRecord) -> Response {
-        let done = if over.state == JobState::Done {
-            over.tasks
+    fn outcome_response(job: JobId, outcome: OutcomeRecord) -> Response {
+        let done = if outcome.state == JobState::Done {
+            outcome.tasks
         } else {
             0
         };
-        Response::new(200, Self::status(over.state, id, done, 0))
+        Response::new(200, Self::status_body(outcome.state, job, done, 0))
     }
 
-    fn remember(&mut self, id: JobId, over: OutcomeRecord) {
-        self.known.remove(&id);
-        if self.finals.insert(id, over).is_none() {
-            self.finals_order.push_back(id);
+    fn cache_outcome(&mut self, job: JobId, outcome: OutcomeRecord) {
+        self.known_jobs.remove(&job);
+        if self.cached_outcomes.insert(job, outcome).is_none() {
+            self.cached_outcome_order.push_back(job);
         }
-        if self.finals_order.len() > MAX_CACHED {
-            if let Some(oldest) = self.finals_order.pop_front() {
-                self.finals.remove(&oldest);
+        if self.cached_outcome_order.len() > MAX_CACHED_OUTCOMES {
+            if let Some(oldest) = self.cached_outcome_order.pop_front() {
+                self.cached_outcomes.remove(&oldest);
             }
         }
     }
 
-    /// The one place where a request changes its stage; each reading stage sends its read.
-    fn enter(&mut self, id: ApiRequestId, stage: Stage) {
-        let Some(open) = self.open.get_mut(&id) else {
+    /// Changes the stage of a request. Nothing else does. Stages that read send their request to the state service
+    /// here.
+    fn enter_stage(&mut self, id: ApiRequestId, stage: Stage) {
+        let Some(request) = self.open_requests.get_mut(&id) else {
             return;
         };
-        let job = open.job;
-        open.stage = stage;
-        let class = if matches!(open.intent, Intent::Poll) {
+        let job = request.job;
+        request.stage = stage;
+        let class = if matches!(request.operation, Operation::QueryStatus) {
             RequestClass::Read
         } else {
             RequestClass::User
         };
-        let ask = match &open.stage {
-            Stage::ReadingLive => StoreRequest::Get(records::live_key(job)),
-            Stage::ReadingCounts => {
+        let store_request = match &request.stage {
+            Stage::ReadingJobRecord => StoreRequest::Get(records::live_key(job)),
+            Stage::ReadingTaskCounts => {
                 StoreRequest::Get(records::run_key(RunRecordId { job, number: 0 }))
             }
-            Stage::ReadingOver => StoreRequest::Get(records::outcome_key(job)),
-            Stage::ReadingBookings => StoreRequest::List {
+            Stage::ReadingOutcome => StoreRequest::Get(records::outcome_key(job)),
+            Stage::ReadingAllocations => StoreRequest::List {
                 prefix: records::run_prefix(job),
                 after: String::new(),
-                limit: BOOKINGS_PAGE,
+                limit: RUN_RECORD_PAGE_SIZE,
             },
             Stage::AwaitingLeader => {
-                self.acts.push(ApiAction::InformLeader(job));
+                self.actions.push(ApiAction::InformLeader(job));
                 return;
             }
-            Stage::Queued => {
-                self.queue.push_back(id);
+            Stage::Batching => {
+                self.submission_queue.push_back(id);
                 return;
             }
-            Stage::Comparing => {
-                self.comparisons.push_back(id);
+            Stage::CheckingVersion => {
+                self.version_check_queue.push_back(id);
                 return;
             }
             Stage::Cancelling | Stage::Relaying => return,
         };
-        self.acts.push(ApiAction::SendStoreRequest(
+        self.actions.push(ApiAction::SendStoreRequest(
             class,
-            ask,
+            store_request,
             StoreRequestPurpose::Single(id),
         ));
     }
 
-    /// The state service did not do what it was asked. Where the budget did not suffice, and once
-    /// where an answer was lost that others got, the same is asked again; else perhaps another node
-    /// has more luck.
-    fn unanswered(&mut self, id: ApiRequestId, outcome: &Outcome, view: &NodeView, now: Time) {
-        let Some(open) = self.open.get_mut(&id) else {
+    /// A request to the state service was not processed, or its response was lost. It is repeated if the rate limit
+    /// refused it, and once if only its response was lost while others arrive. Otherwise the user's request is relayed
+    /// to another controller, which may be able to reach the state service.
+    fn on_failed_store_request(
+        &mut self,
+        id: ApiRequestId,
+        outcome: &Outcome,
+        view: &NodeView,
+        now: Time,
+    ) {
+        let Some(request) = self.open_requests.get_mut(&id) else {
             return;
         };
-        let lost = matches!(outcome, Outcome::Unknown) && view.is_store_reachable && !open.repeated;
-        open.repeated |= lost;
-        if lost || matches!(outcome, Outcome::RateLimited { .. }) {
-            self.again(id, now);
+        let repeats_lost = matches!(outcome, Outcome::Unknown)
+            && view.is_store_reachable
+            && !request.has_repeated_lost;
+        request.has_repeated_lost |= repeats_lost;
+        if repeats_lost || matches!(outcome, Outcome::RateLimited { .. }) {
+            self.retry(id, now);
         } else {
             self.relay(id);
         }
     }
 
-    /// The same again, while there is time.
-    fn again(&mut self, id: ApiRequestId, now: Time) {
-        let Some(open) = self.open.get(&id) else {
+    /// Repeats the current stage if enough time is left until the deadline.
+    fn retry(&mut self, id: ApiRequestId, now: Time) {
+        let Some(request) = self.open_requests.get(&id) else {
             return;
         };
-        if open.until.since(now) < WORTH_ASKING {
-            return self.finish(id, unavailable());
+        if request.deadline.since(now) < MIN_RETRY_TIME {
+            return self.finish(id, unavailable_response());
         }
-        let stage = match open.stage {
-            // What was cancelled needs the version of its record.
-            Stage::Cancelling => Stage::ReadingLive,
-            ref other => other.clone(),
+        let stage = match request.stage {
+            // The cancellation needs the current version of the job's record.
+            Stage::Cancelling => Stage::ReadingJobRecord,
+            ref stage => stage.clone(),
         };
-        self.enter(id, stage);
+        self.enter_stage(id, stage);
     }
 
-    /// The state service does not answer this node; perhaps it answers another.
+    /// Relays the request to another controller, which may be able to reach the state service. A request that was
+    /// relayed to this controller is answered 503 instead.
     fn relay(&mut self, id: ApiRequestId) {
-        let Some(open) = self.open.get(&id) else {
+        let Some(request) = self.open_requests.get(&id) else {
             return;
         };
-        if open.client.is_relayed || open.stage == Stage::Relaying {
-            return self.finish(id, unavailable());
+        if request.client.is_relayed || request.stage == Stage::Relaying {
+            return self.finish(id, unavailable_response());
         }
-        let relay = match &open.intent {
-            Intent::Submit(record) => RelayedRequest::Submit(encode(&record.spec)),
-            Intent::Repeat { .. } | Intent::Poll => RelayedRequest::Status(open.job.to_string()),
-            Intent::Cancel => RelayedRequest::Cancel(open.job.to_string()),
+        let relayed_request = match &request.operation {
+            Operation::Submit(record) => RelayedRequest::Submit(encode(&record.spec)),
+            Operation::RejectUnlessKnown { .. } | Operation::QueryStatus => {
+                RelayedRequest::Status(request.job.to_string())
+            }
+            Operation::Cancel => RelayedRequest::Cancel(request.job.to_string()),
         };
-        self.enter(id, Stage::Relaying);
-        self.acts.push(ApiAction::Relay(id, relay));
+        self.enter_stage(id, Stage::Relaying);
+        self.actions.push(ApiAction::Relay(id, relayed_request));
     }
 
-    /// What the other node said; `None` if it could not be asked, or did not answer.
+    /// Handles the response of another controller to a relayed request; `None` if the request could not be sent or got
+    /// no response.
     pub fn on_relay_response(
         &mut self,
         id: ApiRequestId,
-        relayed: Option<RelayedResponse>,
+        relayed_response: Option<RelayedResponse>,
         now: Time,
     ) {
-        let Some(open) = self.open.get(&id) else {
+        let Some(request) = self.open_requests.get(&id) else {
             return;
         };
-        let relayed = relayed.filter(|_| now < open.until);
-        let response = match (relayed, &open.intent) {
-            (None, _) => unavailable(),
-            (Some(RelayedResponse { status: 404, .. }), Intent::Repeat { otherwise }) => {
-                otherwise.clone()
-            }
+        let timely_response = relayed_response.filter(|_| now < request.deadline);
+        let response = match (timely_response, &request.operation) {
+            (None, _) => unavailable_response(),
+            (
+                Some(RelayedResponse { status: 404, .. }),
+                Operation::RejectUnlessKnown { rejection },
+            ) => rejection.clone(),
             (Some(relayed), _) => Response {
                 status: relayed.status,
                 retry_after: relayed.retry_after,
@@ -353,97 +384,99 @@
     }
 
     fn finish(&mut self, id: ApiRequestId, response: Response) {
-        if let Some(open) = self.open.remove(&id) {
-            self.respond(open.client, response);
+        if let Some(request) = self.open_requests.remove(&id) {
+            self.respond(request.client, response);
         }
     }
 
-    /// How a job stands that was read as not over. What was read may be older than what this node has
-    /// told another user meanwhile; nobody gets an older answer after that.
-    fn standing(&self, job: JobId, done: u64, running: u64) -> Response {
-        match self.finals.get(&job) {
-            Some(over) => Self::final_answer(job, *over),
-            None => Self::progress(job, done, running),
+    /// The status of a job that was read as unfinished. If this controller has told another user of the job's outcome
+    /// since the read, the response is that outcome, so that no user gets an older state afterwards.
+    fn status_response(&self, job: JobId, done: u64, running: u64) -> Response {
+        match self.cached_outcomes.get(&job) {
+            Some(outcome) => Self::outcome_response(job, *outcome),
+            None => Self::progress_response(job, done, running),
         }
     }
 
-    fn answer_progress(&mut self, id: ApiRequestId, job: JobId, done: u64, running: u64) {
-        let response = self.standing(job, done, running);
+    fn finish_with_status(&mut self, id: ApiRequestId, job: JobId, done: u64, running: u64) {
+        let response = self.status_response(job, done, running);
         self.finish(id, response);
     }
 
-    // ---- the shared transactions
+    // ---- transactions that several requests share
 
-    /// Sends what waits, once the transaction before is answered.
+    /// Sends the queued submissions and status queries, unless their previous transaction is still in flight.
     pub fn send_shared_transactions(&mut self) {
-        self.submit_all();
-        self.compare_all();
+        self.send_submission_batch();
+        self.send_version_check();
     }
 
-    fn submit_all(&mut self) {
-        if self.in_flight || self.queue.is_empty() {
+    fn send_submission_batch(&mut self) {
+        if self.is_batch_in_flight || self.submission_queue.is_empty() {
             return;
         }
         let mut txn = Txn::default();
-        let mut ids = Vec::new();
-        let mut bytes = 0;
-        let mut later = VecDeque::new();
-        while let Some(id) = self.queue.pop_front() {
-            let Some(open) = self.open.get(&id) else {
+        let mut request_ids = Vec::new();
+        let mut batch_bytes = 0;
+        let mut remaining_queue = VecDeque::new();
+        while let Some(id) = self.submission_queue.pop_front() {
+            let Some(request) = self.open_requests.get(&id) else {
                 continue;
             };
-            let Intent::Submit(record) = &open.intent else {
+            let Operation::Submit(record) = &request.operation else {
                 continue;
             };
-            let size = serde_json::to_vec(record).map_or(usize::MAX, |v| v.len());
-            if size > self.max_value {
-                self.finish(id, problem(400, "the description is too long"));
+            let record_bytes = serde_json::to_vec(record).map_or(usize::MAX, |json| json.len());
+            if record_bytes > self.max_value_bytes {
+                self.finish(id, error_response(400, "the description is too long"));
                 continue;
             }
-            let key = records::live_key(open.job);
-            let twice = txn.conditions.iter().any(|c| c.key == key);
-            if twice || ids.len() >= self.max_jobs || (bytes + size > MAX_BATCH && !ids.is_empty())
+            let key = records::live_key(request.job);
+            let is_job_in_batch = txn.conditions.iter().any(|c| c.key == key);
+            if is_job_in_batch
+                || request_ids.len() >= self.max_batch_jobs
+                || (batch_bytes + record_bytes > MAX_BATCH_BYTES && !request_ids.is_empty())
             {
-                later.push_back(id);
+                remaining_queue.push_back(id);
                 continue;
             }
-            bytes += size;
+            batch_bytes += record_bytes;
             txn.require(key.clone(), Version(0));
-            txn.require(records::outcome_key(open.job), Version(0));
+            txn.require(records::outcome_key(request.job), Version(0));
             txn.changes.push(Change::put(key, value(record)));
-            ids.push(id);
+            request_ids.push(id);
         }
-        self.queue = later;
-        if !ids.is_empty() {
-            self.in_flight = true;
-            let ask = StoreRequest::Txn(txn);
-            self.acts.push(ApiAction::SendStoreRequest(
+        self.submission_queue = remaining_queue;
+        if !request_ids.is_empty() {
+            self.is_batch_in_flight = true;
+            let store_request = StoreRequest::Txn(txn);
+            self.actions.push(ApiAction::SendStoreRequest(
                 RequestClass::User,
-                ask,
-                StoreRequestPurpose::SubmissionBatch(ids),
+                store_request,
+                StoreRequestPurpose::SubmissionBatch(request_ids),
             ));
         }
     }
 
-    fn progress(job: JobId, done: u64, running: u64) -> Response {
+    fn progress_response(job: JobId, done: u64, running: u64) -> Response {
         let state = if running > 0 {
             JobState::Running
         } else {
             JobState::Queued
         };
-        Response::new(200, Self::status(state, job, done, running))
+        Response::new(200, Self::status_body(state, job, done, running))
     }
 
-    /// Requests whose time is up get their answer while their users still wait for it.
+    /// Answers the requests whose deadline has passed, while their users still wait for a response.
     pub fn expire_requests(&mut self, now: Time) {
-        let late: Vec<ApiRequestId> = self
-            .open
+        let expired: Vec<ApiRequestId> = self
+            .open_requests
             .iter()
-            .filter(|(_, open)| now >= open.until)
+            .filter(|(_, request)| now >= request.deadline)
             .map(|(id, _)| *id)
             .collect();
-        for id in late {
-            self.finish(id, unavailable());
+        for id in expired {
+            self.finish(id, unavailable_response());
         }
     }
 }
--- a/src/node/api/requests.rs
+++ b/src/node/api/requests.rs
@@ -1,128 +1,141 @@
-//! The requests of users: submissions, status queries and cancellations.
+//! Requests of users as they arrive: submissions, status queries and cancellations.
 
 use super::*;
 
 impl ApiServer {
-    /// Takes in a submission; `at_ms` is the time of day.
+    /// Handles a submission. `wall_clock_ms` is the time in milliseconds since the Unix epoch.
     pub fn submit(
         &mut self,
         client: Client,
         body: &[u8],
-        types: &[MachineType],
-        at_ms: u64,
+        machine_types: &[MachineType],
+        wall_clock_ms: u64,
         now: Time,
     ) {
         match users::read_submission(body) {
-            Submission::Unidentified(wrong) => self.respond(client, problem(400, &wrong)),
-            Submission::Invalid(id, wrong) => {
-                let otherwise = problem(400, &wrong);
-                self.begin(client, id, Intent::Repeat { otherwise }, now);
+            Submission::Unidentified(error) => self.respond(client, error_response(400, &error)),
+            Submission::Invalid(job, error) => {
+                let rejection = error_response(400, &error);
+                self.open_request(client, job, Operation::RejectUnlessKnown { rejection }, now);
             }
             Submission::Valid(spec) => {
-                let id = spec.id;
-                let intent = match self.can_ever_run(&spec, types) {
+                let job = spec.id;
+                let operation = match self.check_feasibility(&spec, machine_types) {
                     Some(Ok(())) => {
                         let mut record = JobRecord {
                             spec: *spec,
-                            submitted_at_ms: at_ms,
+                            submitted_at_ms: wall_clock_ms,
                             tasks_per_record: self.tasks_per_record,
                         };
-                        record.remove_unavailable_machine_types(self.max_value, types);
-                        Intent::Submit(Box::new(record))
+                        record
+                            .remove_unavailable_machine_types(self.max_value_bytes, machine_types);
+                        Operation::Submit(Box::new(record))
                     }
-                    Some(Err(why)) => Intent::Repeat {
-                        otherwise: problem(422, why),
+                    Some(Err(reason)) => Operation::RejectUnlessKnown {
+                        rejection: error_response(422, reason),
                     },
-                    None => Intent::Repeat {
-                        otherwise: unavailable(),
+                    None => Operation::RejectUnlessKnown {
+                        rejection: unavailable_response(),
                     },
                 };
-                self.begin(client, id, intent, now);
+                self.open_request(client, job, operation, now);
             }
         }
     }
 
-    /// `None` while that can't be told, as the machine types are not known.
-    pub(super) fn can_ever_run(
+    /// Checks whether the team's limit and some machine type allow the job to run at all. `None` if the machine types
+    /// are not known yet.
+    pub(super) fn check_feasibility(
         &self,
         spec: &JobSpec,
-        types: &[MachineType],
+        machine_types: &[MachineType],
     ) -> Option<Result<(), &'static str>> {
         let Some(team) = self.teams.iter().find(|t| t.name == spec.team) else {
             return Some(Err("unknown team"));
         };
-        let (cpus, gpus) = team.limits();
+        let (cpu_limit, gpu_limit) = team.limits();
         // The replicas of a service all run at once.
-        let at_once = if spec.is_service() {
+        let concurrent_tasks = if spec.is_service() {
             spec.tasks as f64
         } else {
             1.0
         };
-        if spec.cpus.0 * at_once > cpus || spec.gpus.0 * at_once > gpus {
+        if spec.cpus.0 * concurrent_tasks > cpu_limit || spec.gpus.0 * concurrent_tasks > gpu_limit
+        {
             return Some(Err("it needs more than the team's limit"));
         }
-        if types.is_empty() {
+        if machine_types.is_empty() {
             return None;
         }
-        if types.iter().any(|t| scoring::is_type_suitable(spec, t)) {
+        if machine_types
+            .iter()
+            .any(|machine_type| scoring::is_type_suitable(spec, machine_type))
+        {
             Some(Ok(()))
         } else {
             Some(Err("a task fits no allowed machine type"))
         }
     }
 
-    /// Takes in a status query.
+    /// Handles a status query.
     pub fn query_status(&mut self, client: Client, id: &str, now: Time) {
         match JobId::parse(id) {
-            Some(id) => self.begin(client, id, Intent::Poll, now),
-            None => self.respond(client, problem(404, "no such job")),
+            Some(job) => self.open_request(client, job, Operation::QueryStatus, now),
+            None => self.respond(client, error_response(404, "no such job")),
         }
     }
 
-    /// Takes in a cancellation.
+    /// Handles a cancellation.
     pub fn cancel(&mut self, client: Client, id: &str, now: Time) {
         match JobId::parse(id) {
-            Some(id) => self.begin(client, id, Intent::Cancel, now),
-            None => self.respond(client, problem(404, "no such job")),
+            Some(job) => self.open_request(client, job, Operation::Cancel, now),
+            None => self.respond(client, error_response(404, "no such job")),
         }
     }
 
-    pub(super) fn begin(&mut self, client: Client, job: JobId, intent: Intent, now: Time) {
-        if let Some(over) = self.finals.get(&job).copied() {
-            self.respond(client, Self::final_answer(job, over));
+    /// Opens a request and sends what its operation needs first. A job whose outcome is cached is answered at once.
+    pub(super) fn open_request(
+        &mut self,
+        client: Client,
+        job: JobId,
+        operation: Operation,
+        now: Time,
+    ) {
+        if let Some(outcome) = self.cached_outcomes.get(&job).copied() {
+            self.respond(client, Self::outcome_response(job, outcome));
             return;
         }
-        if self.open.len() >= MAX_OPEN {
+        if self.open_requests.len() >= MAX_OPEN_REQUESTS {
             self.respond(client, Response::retry_later(503, 2));
             return;
         }
-        self.next += 1;
-        let id = ApiRequestId(self.next);
-        let submits = matches!(intent, Intent::Submit(_));
-        let limit = if matches!(intent, Intent::Poll) {
-            POLL_LIMIT
+        self.last_request_number += 1;
+        let id = ApiRequestId(self.last_request_number);
+        let is_submission = matches!(operation, Operation::Submit(_));
+        let timeout = if matches!(operation, Operation::QueryStatus) {
+            STATUS_QUERY_TIMEOUT
         } else {
-            SUBMIT_LIMIT
+            SUBMISSION_TIMEOUT
         };
-        let until = now.after(limit);
-        self.open.insert(
+        let deadline = now.after(timeout);
+        self.open_requests.insert(
             id,
-            Open {
+            OpenRequest {
                 client,
                 job,
-                intent,
-                stage: Stage::Queued,
-                until,
-                repeated: false,
+                operation,
+                stage: Stage::Batching,
+                deadline,
+                has_repeated_lost: false,
             },
         );
-        let stage = if submits {
-            Stage::Queued
-        } else if limit == POLL_LIMIT {
-            Stage::Comparing
+        let stage = if is_submission {
+            Stage::Batching
+        } else if timeout == STATUS_QUERY_TIMEOUT {
+            Stage::CheckingVersion
         } else {
-            Stage::ReadingLive
+            Stage::ReadingJobRecord
         };
-        self.enter(id, stage);
+        self.enter_stage(id, stage);
     }
 }
--- a/src/node/api/status_queries.rs
+++ b/src/node/api/status_queries.rs
@@ -1,5 +1,6 @@
-//! Questions about jobs: what is shared between them, so that many cost hardly more than a few. Nothing
-//! here is an answer by itself but what the state service says after the question arrived.
+//! Status queries. They share requests to the state service, so that many queries cost hardly more than a few. What
+//! this controller remembers of a job is never a response by itself: the state service has to confirm it after the
+//! query has arrived.
 
 use std::collections::{BTreeSet, HashMap};
 use std::time::Duration;
@@ -10,208 +11,221 @@
 use crate::types::{JobId, Time, Version};
 use lichencrank_store::{Condition, Txn};
 
-/// So many polls about jobs that this node does not know are answered by one read of all jobs.
-const WORTH_LISTING: usize = 8;
-const LIST_PAGE: u32 = 500;
-/// Counts are shown for so long before they are read again, if the budget has some to spare.
-const COUNTS_FOR: Duration = Duration::from_millis(2500);
-/// Jobs that are not over whose versions are kept in memory.
-const MAX_KNOWN: usize = 10_000;
+/// From this number of queries for unknown jobs on, all unfinished jobs are listed instead of reading each job.
+const MIN_QUERIES_FOR_LISTING: usize = 8;
+const LISTING_PAGE_SIZE: u32 = 500;
+/// Task counts are read again when they are older than this, if the rate limit leaves room for it.
+const TASK_COUNTS_VALIDITY: Duration = Duration::from_millis(2500);
+/// Unfinished jobs whose record versions are kept in memory.
+const MAX_KNOWN_JOBS: usize = 10_000;
 
-/// What this node last read of a job that was not over. That alone is no answer, as it grows old;
-/// but one comparison shows of many jobs at once whether they still stand as they were read.
-pub(super) struct Known {
-    live: Version,
-    /// Finished and running tasks, for display.
-    pub(super) counts: (u64, u64),
-    pub(super) counted: Time,
+/// What this controller last read of an unfinished job. It may be outdated, so it is no response by itself; but one
+/// transaction can check for many jobs at once whether their records are unchanged.
+pub(super) struct KnownJob {
+    record_version: Version,
+    /// Numbers of finished and of running tasks, for display.
+    pub(super) task_counts: (u64, u64),
+    /// When the task counts were read.
+    pub(super) counted_at: Time,
 }
 
-/// A read of all jobs that are not over, for polls about jobs that this node does not know: after a
-/// controller ended, its users come to the others all at once.
+/// A listing of all unfinished jobs, for queries for jobs that this controller does not know: when a controller stops,
+/// all its users turn to the others at once.
 #[derive(Default)]
-pub(super) struct Listing {
-    asked: Vec<ApiRequestId>,
-    /// What the pages so far held; with the final state of those that got done.
-    seen: HashMap<JobId, Option<OutcomeRecord>>,
+pub(super) struct JobListing {
+    request_ids: Vec<ApiRequestId>,
+    /// The jobs on the pages read so far, with their outcome if their record holds one.
+    listed_jobs: HashMap<JobId, Option<OutcomeRecord>>,
 }
 
 impl ApiServer {
-    /// A job that was not over at that version of its record.
-    pub(super) fn know(&mut self, id: JobId, live: Version) {
-        let counts = (0, 0);
-        let counted = Time::default();
-        if self.known.len() >= MAX_KNOWN && !self.known.contains_key(&id) {
-            // Whichever goes is read anew when it is asked about.
-            if let Some(other) = self.known.keys().next().copied() {
-                self.known.remove(&other);
+    /// Remembers that the job was unfinished at that version of its record.
+    pub(super) fn note_unfinished_job(&mut self, job: JobId, record_version: Version) {
+        let task_counts = (0, 0);
+        let counted_at = Time::default();
+        if self.known_jobs.len() >= MAX_KNOWN_JOBS && !self.known_jobs.contains_key(&job) {
+            // Any entry may be evicted: its job is read again at the next query.
+            if let Some(evicted) = self.known_jobs.keys().next().copied() {
+                self.known_jobs.remove(&evicted);
             }
         }
-        let known = self.known.entry(id).or_insert(Known {
-            live,
-            counts,
-            counted,
+        let known_job = self.known_jobs.entry(job).or_insert(KnownJob {
+            record_version,
+            task_counts,
+            counted_at,
         });
-        known.live = live;
+        known_job.record_version = record_version;
     }
 
-    /// Polls about jobs that this node does not know: a few are read one by one.
-    fn list_all(&mut self, unknown: Vec<ApiRequestId>) {
-        if unknown.len() < WORTH_LISTING && self.listing.is_none() {
-            for id in unknown {
-                self.enter(id, Stage::ReadingLive);
+    /// Reads the jobs of these queries, which this controller does not know: a few one by one, many by a listing.
+    fn read_unknown_jobs(&mut self, request_ids: Vec<ApiRequestId>) {
+        if request_ids.len() < MIN_QUERIES_FOR_LISTING && self.job_listing.is_none() {
+            for id in request_ids {
+                self.enter_stage(id, Stage::ReadingJobRecord);
             }
-        } else if self.listing.is_none() {
-            self.listing = Some(Listing {
-                asked: unknown,
-                ..Listing::default()
+        } else if self.job_listing.is_none() {
+            self.job_listing = Some(JobListing {
+                request_ids,
+                ..JobListing::default()
             });
-            self.list_page(String::new());
+            self.request_listing_page(String::new());
         } else {
-            // The listing under way may have passed them before they were asked about.
-            self.comparisons.extend(unknown);
+            // The listing in flight may have read past these jobs before their queries arrived.
+            self.version_check_queue.extend(request_ids);
         }
     }
 
-    fn list_page(&mut self, after: String) {
-        let ask = StoreRequest::List {
+    fn request_listing_page(&mut self, after: String) {
+        let store_request = StoreRequest::List {
             prefix: records::LIVE_PREFIX.to_owned(),
             after,
-            limit: LIST_PAGE,
+            limit: LISTING_PAGE_SIZE,
         };
-        self.acts.push(ApiAction::SendStoreRequest(
+        self.actions.push(ApiAction::SendStoreRequest(
             RequestClass::Read,
-            ask,
+            store_request,
             StoreRequestPurpose::JobListing,
         ));
     }
 
-    pub(super) fn on_listing(&mut self, outcome: Outcome, view: &NodeView, now: Time) {
-        let Some(mut listing) = self.listing.take() else {
+    pub(super) fn on_listing_page(&mut self, outcome: Outcome, view: &NodeView, now: Time) {
+        let Some(mut listing) = self.job_listing.take() else {
             return;
         };
         let Outcome::Page(page) = outcome else {
-            for id in listing.asked {
-                self.unanswered(id, &outcome, view, now);
+            for id in listing.request_ids {
+                self.on_failed_store_request(id, &outcome, view, now);
             }
             return;
         };
         for item in &page.items {
             if let Some(job) = parse_live_key(&item.key) {
-                let over = records::unarchived_outcome(&item.value);
-                listing.seen.insert(job, over);
-                if over.is_none() {
-                    self.know(job, item.version);
+                let outcome = records::unarchived_outcome(&item.value);
+                listing.listed_jobs.insert(job, outcome);
+                if outcome.is_none() {
+                    self.note_unfinished_job(job, item.version);
                 }
             }
         }
         if let Some(last) = page.items.last().filter(|_| page.more) {
             let after = last.key.clone();
-            self.listing = Some(listing);
-            return self.list_page(after);
+            self.job_listing = Some(listing);
+            return self.request_listing_page(after);
         }
-        for id in listing.asked {
-            let Some(open) = self.open.get(&id) else {
+        for id in listing.request_ids {
+            let Some(request) = self.open_requests.get(&id) else {
                 continue;
             };
-            let job = open.job;
-            match listing.seen.get(&job).copied() {
-                Some(Some(over)) => {
-                    self.remember(job, over);
-                    self.finish(id, Self::final_answer(job, over));
+            let job = request.job;
+            match listing.listed_jobs.get(&job).copied() {
+                Some(Some(outcome)) => {
+                    self.cache_outcome(job, outcome);
+                    self.finish(id, Self::outcome_response(job, outcome));
                 }
-                Some(None) => self.still_live(id, job, view, now),
-                None => self.enter(id, Stage::ReadingOver),
+                Some(None) => self.respond_unfinished(id, job, view, now),
+                None => self.enter_stage(id, Stage::ReadingOutcome),
             }
         }
     }
 
-    /// One transaction that changes nothing tells of many jobs whether they stand as they were read.
-    /// It begins after the questions arrived, so no answer is older than it may be.
-    pub(super) fn compare_all(&mut self) {
-        if self.comparing || self.comparisons.is_empty() {
+    /// Checks with one transaction without changes whether the records of many jobs still have the versions that this
+    /// controller knows. It is sent after the queries have arrived, so no response is older than its query.
+    pub(super) fn send_version_check(&mut self) {
+        if self.is_version_check_in_flight || self.version_check_queue.is_empty() {
             return;
         }
         let mut txn = Txn::default();
-        let mut compared = BTreeSet::new();
-        let mut ids = Vec::new();
-        let mut unknown = Vec::new();
-        for id in std::mem::take(&mut self.comparisons) {
-            let Some(open) = self.open.get(&id) else {
+        let mut checked_jobs = BTreeSet::new();
+        let mut request_ids = Vec::new();
+        let mut unknown_ids = Vec::new();
+        for id in std::mem::take(&mut self.version_check_queue) {
+            let Some(request) = self.open_requests.get(&id) else {
                 continue;
             };
-            let job = open.job;
-            let Some(known) = self.known.get(&job) else {
-                unknown.push(id);
+            let job = request.job;
+            let Some(known_job) = self.known_jobs.get(&job) else {
+                unknown_ids.push(id);
                 continue;
             };
-            if !compared.contains(&job) {
-                if compared.len() >= self.max_compared {
-                    self.comparisons.push_back(id);
+            if !checked_jobs.contains(&job) {
+                if checked_jobs.len() >= self.max_version_checks {
+                    self.version_check_queue.push_back(id);
                     continue;
                 }
-                compared.insert(job);
-                let (key, version) = (records::live_key(job), known.live);
+                checked_jobs.insert(job);
+                let (key, version) = (records::live_key(job), known_job.record_version);
                 txn.conditions.push(Condition { key, version });
             }
-            ids.push(id);
+            request_ids.push(id);
         }
-        self.list_all(unknown);
-        if !ids.is_empty() {
-            self.comparing = true;
-            self.acts.push(ApiAction::SendStoreRequest(
+        self.read_unknown_jobs(unknown_ids);
+        if !request_ids.is_empty() {
+            self.is_version_check_in_flight = true;
+            self.actions.push(ApiAction::SendStoreRequest(
                 RequestClass::Read,
                 StoreRequest::Txn(txn),
-                StoreRequestPurpose::VersionCheck(ids),
+                StoreRequestPurpose::VersionCheck(request_ids),
             ));
         }
     }
 
-    pub(super) fn on_comparison(
+    pub(super) fn on_version_check(
         &mut self,
-        ids: Vec<ApiRequestId>,
+        request_ids: Vec<ApiRequestId>,
         outcome: Outcome,
         view: &NodeView,
         now: Time,
     ) {
-        self.comparing = false;
-        let changed = match &outcome {
-            Outcome::Conflict(failed) => failed.iter().filter_map(|k| parse_live_key(k)).collect(),
+        self.is_version_check_in_flight = false;
+        let changed_jobs = match &outcome {
+            Outcome::Conflict(failed) => failed
+                .iter()
+                .filter_map(|key| parse_live_key(key))
+                .collect(),
             _ => BTreeSet::new(),
         };
-        for id in ids {
-            let Some(open) = self.open.get(&id) else {
+        for id in request_ids {
+            let Some(request) = self.open_requests.get(&id) else {
                 continue;
             };
-            let job = open.job;
+            let job = request.job;
             match &outcome {
-                Outcome::Committed(_) => self.still_live(id, job, view, now),
-                // Those that are not named need not be the others: they are compared again.
-                Outcome::Conflict(_) if !changed.is_empty() && !changed.contains(&job) => {
-                    self.enter(id, Stage::Comparing);
+                Outcome::Committed(_) => self.respond_unfinished(id, job, view, now),
+                // The conflict need not name every changed job, so the jobs that it does not name are checked again.
+                Outcome::Conflict(_)
+                    if !changed_jobs.is_empty() && !changed_jobs.contains(&job) =>
+                {
+                    self.enter_stage(id, Stage::CheckingVersion);
                 }
                 Outcome::Conflict(_) => {
-                    self.known.remove(&job);
-                    self.enter(id, Stage::ReadingLive);
+                    self.known_jobs.remove(&job);
+                    self.enter_stage(id, Stage::ReadingJobRecord);
                 }
-                _ => self.unanswered(id, &outcome, view, now),
+                _ => self.on_failed_store_request(id, &outcome, view, now),
             }
         }
     }
 
-    /// The job's record was there a moment ago; what remains is how its tasks stand.
-    fn still_live(&mut self, id: ApiRequestId, job: JobId, view: &NodeView, now: Time) {
-        if self.finals.contains_key(&job) {
-            return self.answer_progress(id, job, 0, 0);
+    /// Answers a query for a job that is still unfinished, after reading its task counts if necessary.
+    fn respond_unfinished(&mut self, id: ApiRequestId, job: JobId, view: &NodeView, now: Time) {
+        if self.cached_outcomes.contains_key(&job) {
+            return self.finish_with_status(id, job, 0, 0);
         }
-        let known = self.known.get(&job);
-        let shown = known.map(|k| (k.counts, now.since(k.counted) < COUNTS_FOR));
-        match ((view.leader_task_counts)(job), shown) {
-            (Some((done, running)), _) => self.answer_progress(id, job, done, running),
-            (None, Some(((done, running), fresh))) if fresh || !view.has_spare_store_budget => {
-                self.answer_progress(id, job, done, running);
+        let known_job = self.known_jobs.get(&job);
+        let known_counts = known_job.map(|known_job| {
+            (
+                known_job.task_counts,
+                now.since(known_job.counted_at) < TASK_COUNTS_VALIDITY,
+            )
+        });
+        match ((view.leader_task_counts)(job), known_counts) {
+            (Some((done, running)), _) => self.finish_with_status(id, job, done, running),
+            (None, Some(((done, running), are_recent)))
+                if are_recent || !view.has_spare_store_budget =>
+            {
+                self.finish_with_status(id, job, done, running);
             }
-            _ => self.enter(id, Stage::ReadingCounts),
+            _ => self.enter_stage(id, Stage::ReadingTaskCounts),
         }
     }
 }
