--- a/tests/loopback/cloud.rs
+++ b/tests/loopback/cloud.rs
@@ -1,4 +1,4 @@
-//! A cloud whose machines are up at once.
+//! A cloud whose hosts boot without delay.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -12,53 +12,54 @@
 
 use super::worker::{self, StartLog};
 
-struct Machine {
+struct Host {
     name: String,
-    released: Arc<AtomicBool>,
+    is_released: Arc<AtomicBool>,
 }
 
 struct Cloud {
     controllers: Vec<SocketAddr>,
-    starts: StartLog,
-    machines: Vec<Machine>,
-    /// The answers to provisioning requests, by their names.
-    provisioned: BTreeMap<String, Value>,
+    start_log: StartLog,
+    hosts: Vec<Host>,
+    /// Responses to provisioning requests by the names of the requests: a repetition gets the same hosts.
+    provision_responses: BTreeMap<String, Value>,
 }
 
 impl Cloud {
     fn provision(&mut self, request: &Value) -> HttpResponse {
-        let name = text(request, "ask");
-        if let Some(answer) = self.provisioned.get(&name) {
-            return HttpResponse::ok(answer.clone());
+        let request_name = text(request, "ask");
+        if let Some(response) = self.provision_responses.get(&request_name) {
+            return HttpResponse::ok(response.clone());
         }
         let count = number(request, "howMany");
-        let names = (0..count).map(|_| Value::from(self.start_machine()));
-        let answer = map(vec![("hosts", Value::Array(names.collect()))]);
-        self.provisioned.insert(name, answer.clone());
-        HttpResponse::ok(answer)
+        let host_names = (0..count).map(|_| Value::from(self.start_host()));
+        let response = map(vec![("hosts", Value::Array(host_names.collect()))]);
+        self.provision_responses
+            .insert(request_name, response.clone());
+        HttpResponse::ok(response)
     }
 
-    fn start_machine(&mut self) -> String {
-        let name = format!("vm-{:06}", self.machines.len());
-        let released = Arc::new(AtomicBool::new(false));
+    fn start_host(&mut self) -> String {
+        let name = format!("vm-{:06}", self.hosts.len());
+        let is_released = Arc::new(AtomicBool::new(false));
         worker::start(
             name.clone(),
             self.controllers.clone(),
-            self.starts.clone(),
-            released.clone(),
+            self.start_log.clone(),
+            is_released.clone(),
         );
-        self.machines.push(Machine {
+        self.hosts.push(Host {
             name: name.clone(),
-            released,
+            is_released,
         });
         name
     }
 
     fn release(&mut self, request: &Value) -> HttpResponse {
         for name in list(request, "hosts").iter().filter_map(Value::as_text) {
-            let mut machines = self.machines.iter();
-            if let Some(machine) = machines.find(|machine| machine.name == name) {
-                machine.released.store(true, Ordering::SeqCst);
+            let mut hosts = self.hosts.iter();
+            if let Some(host) = hosts.find(|host| host.name == name) {
+                host.is_released.store(true, Ordering::SeqCst);
             }
         }
         HttpResponse::ok(map(vec![]))
@@ -88,13 +89,13 @@
     ])
 }
 
-/// Starts a cloud whose machines report to these controllers.
-pub fn start(controllers: Vec<SocketAddr>, starts: StartLog) -> SocketAddr {
+/// Starts a cloud whose hosts send heartbeats to these controllers.
+pub fn start(controllers: Vec<SocketAddr>, start_log: StartLog) -> SocketAddr {
     let cloud = Mutex::new(Cloud {
         controllers,
-        starts,
-        machines: Vec::new(),
-        provisioned: BTreeMap::new(),
+        start_log,
+        hosts: Vec::new(),
+        provision_responses: BTreeMap::new(),
     });
     serve(move |method, target, body| {
         let path = target.split('?').next().unwrap_or("");
--- a/tests/loopback/controller.rs
+++ b/tests/loopback/controller.rs
@@ -12,12 +12,12 @@
 
 use super::ClusterConfig;
 
-/// How often a process that ends by itself is started.
-const MAX_STARTS: usize = 50;
+/// How many times a process is started that exits by itself.
+const MAX_START_ATTEMPTS: usize = 50;
 const RESTART_PAUSE: Duration = Duration::from_millis(50);
 const HEALTH_POLL_INTERVAL: Duration = Duration::from_millis(2);
 
-/// Where a controller listens.
+/// The addresses on which a controller listens.
 #[derive(Clone, Copy, Debug)]
 pub struct ControllerAddresses {
     /// For users and workers.
@@ -27,7 +27,7 @@
 }
 
 impl ControllerAddresses {
-    /// Addresses that are free now.
+    /// Two addresses that are free now.
     pub fn free() -> ControllerAddresses {
         ControllerAddresses {
             public: free_address(),
@@ -36,17 +36,22 @@
     }
 }
 
-/// An address that is free. Each has a loopback host of its own: on 127.0.0.1 a port that is free now may be given to
-/// a server of another test before the controller listens on it.
+/// An address that is free now. Each has a loopback IP address of its own: on 127.0.0.1, the port may be assigned to a
+/// server of another test before the controller listens on it.
 fn free_address() -> SocketAddr {
-    static NEXT: AtomicU8 = AtomicU8::new(1);
-    let (pid, next) = (std::process::id(), NEXT.fetch_add(1, Ordering::SeqCst));
-    let host = [127, 1 + (pid % 250) as u8, (pid / 250 % 250) as u8, next];
-    let listener = TcpListener::bind((Ipv4Addr::from(host), 0)).expect("a free port");
+    static NEXT_HOST: AtomicU8 = AtomicU8::new(1);
+    let (pid, host_number) = (std::process::id(), NEXT_HOST.fetch_add(1, Ordering::SeqCst));
+    let ip = [
+        127,
+        1 + (pid % 250) as u8,
+        (pid / 250 % 250) as u8,
+        host_number,
+    ];
+    let listener = TcpListener::bind((Ipv4Addr::from(ip), 0)).expect("a free port");
     listener.local_addr().expect("its address")
 }
 
-/// The settings of the controller of that index.
+/// The settings of the controller with that index.
 pub fn settings(
     index: usize,
     addresses: &[ControllerAddresses],
@@ -55,15 +60,13 @@
     config: ClusterConfig,
 ) -> Value {
     let name = |index: usize| format!("node-{index}");
-    let others = (0..addresses.len()).filter(|other| *other != index);
-    let others: Vec<Value> = others
-        .map(|other| {
-            json!({"host_name": name(other), "area": "a", "addr": addresses[other].internal})
-        })
+    let peers = (0..addresses.len()).filter(|peer| *peer != index);
+    let peers: Vec<Value> = peers
+        .map(|peer| json!({"host_name": name(peer), "area": "a", "addr": addresses[peer].internal}))
         .collect();
     json!({
         "host_name": name(index), "area": "a", "front": addresses[index].public,
-        "internal_addr": addresses[index].internal, "others": others,
+        "internal_addr": addresses[index].internal, "others": peers,
         "outside": {"cloud": cloud, "state": store},
         "settings": {
             "zones": ["a"],
@@ -76,12 +79,12 @@
     })
 }
 
-/// A controller process, which ends with this value.
+/// A controller process, which is killed when this value is dropped.
 pub struct Controller {
     /// Its public address.
     pub address: SocketAddr,
-    settings: PathBuf,
-    features: Option<PathBuf>,
+    settings_file: PathBuf,
+    features_file: Option<PathBuf>,
     process: Option<Child>,
 }
 
@@ -89,42 +92,42 @@
     /// A controller that does not run yet.
     pub fn new(
         addresses: ControllerAddresses,
-        settings: PathBuf,
-        features: Option<PathBuf>,
+        settings_file: PathBuf,
+        features_file: Option<PathBuf>,
     ) -> Controller {
         Controller {
             address: addresses.public,
-            settings,
-            features,
+            settings_file,
+            features_file,
             process: None,
         }
     }
 
-    /// Its settings file.
+    /// Path of its settings file.
     pub fn settings_file(&self) -> &Path {
-        &self.settings
+        &self.settings_file
     }
 
-    /// Starts the process and waits until it answers. One that ends by itself is started again, as the platform does:
-    /// while another test's child is between its fork and its program, it still holds the socket that found this
-    /// address to be free, and the address is in use.
+    /// Starts the process and waits until it responds. A process that exits by itself is started again, as the platform
+    /// does: its address may still be in use, since a child process of another test holds the socket that determined
+    /// the free address from its fork until it executes its program.
     pub fn start(&mut self) {
-        for _ in 0..MAX_STARTS {
+        for _ in 0..MAX_START_ATTEMPTS {
             let mut process = self.spawn();
-            if self.waits_for_answer(&mut process) {
+            if self.responds_before_exit(&mut process) {
                 self.process = Some(process);
                 return;
             }
             thread::sleep(RESTART_PAUSE);
         }
-        panic!("{} does not stay up", self.address);
+        panic!("the controller at {} exits at every start", self.address);
     }
 
     fn spawn(&self) -> Child {
         let mut command = Command::new(env!("CARGO_BIN_EXE_lichencrank"));
-        command.arg("--config").arg(&self.settings);
-        if let Some(features) = &self.features {
-            command.arg("--features").arg(features);
+        command.arg("--config").arg(&self.settings_file);
+        if let Some(features_file) = &self.features_file {
+            command.arg("--features").arg(features_file);
         }
         let child = command
             .env("LOG_LEVEL", "info")
@@ -133,8 +136,8 @@
         child.expect("the binary starts")
     }
 
-    /// Whether the process answers before it ends.
-    fn waits_for_answer(&self, process: &mut Child) -> bool {
+    /// Waits until the process responds, or returns false if it exits first.
+    fn responds_before_exit(&self, process: &mut Child) -> bool {
         loop {
             if call(self.address, "GET", "/healthz", &[]).is_some() {
                 return true;
@@ -146,7 +149,7 @@
         }
     }
 
-    /// Kills the process without a warning.
+    /// Kills the process; it gets no signal that it could handle.
     pub fn kill(&mut self) {
         if let Some(mut process) = self.process.take() {
             let _ = process.kill();
@@ -164,6 +167,6 @@
 impl Drop for Controller {
     fn drop(&mut self) {
         self.kill();
-        let _ = std::fs::remove_file(&self.settings);
+        let _ = std::fs::remove_file(&self.settings_file);
     }
 }
--- a/tests/loopback/mod.rs
+++ b/tests/loopback/mod.rs
@@ -1,6 +1,6 @@
-//! Three real controller processes on loopback, with just enough of a key-value store, a cloud and workers around them.
+//! Three real controller processes on loopback, with a minimal state service, cloud and workers around them.
 
-#![allow(dead_code, reason = "each test uses its part")]
+#![allow(dead_code, reason = "each test file uses only a part")]
 
 mod cloud;
 mod controller;
@@ -22,8 +22,8 @@
 use worker::StartLog;
 pub use worker::TaskStart;
 
-const CONTROLLERS: usize = 3;
-/// How long a test waits for what has to come; it hangs rather than judges how fast it came.
+const CONTROLLER_COUNT: usize = 3;
+/// How long a test waits for a condition. It only ends a test that hangs: how fast the condition is met is not judged.
 const TIMEOUT: Duration = Duration::from_secs(120);
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
@@ -32,41 +32,42 @@
 pub struct ClusterConfig {
     /// Most CPUs of the only team, `vision`; 0 means no limit.
     pub team_limit_cpus: f64,
-    /// The features file.
+    /// Content of the features file, if there is one.
     pub features: Option<&'static str>,
 }
 
-/// Controllers with all that is around them.
+/// Controllers and the services around them.
 pub struct Cluster {
+    /// The controller processes.
     pub controllers: Vec<Controller>,
-    starts: StartLog,
-    store_unavailable: Arc<AtomicBool>,
-    /// Address of the store.
+    start_log: StartLog,
+    is_store_unavailable: Arc<AtomicBool>,
+    /// Address of the state service.
     pub store: SocketAddr,
 }
 
 impl Cluster {
-    /// A cluster without a team limit or features. The name is that of the test.
+    /// Starts a cluster without a team limit or features. `name` has to differ between tests.
     pub fn start(name: &str) -> Cluster {
         Cluster::start_with(name, ClusterConfig::default())
     }
 
-    /// A cluster with that configuration. The name is that of the test.
+    /// Starts a cluster with that configuration. `name` has to differ between tests.
     pub fn start_with(name: &str, config: ClusterConfig) -> Cluster {
         let features = config.features.map(|text| {
             let file = temporary_file(&format!("{name}.yaml"));
             std::fs::write(&file, text).expect("writing the features file");
             file
         });
-        let starts = StartLog::default();
-        let store_unavailable = Arc::new(AtomicBool::new(false));
-        let store = start_store(store_unavailable.clone());
-        let addresses: Vec<ControllerAddresses> = (0..CONTROLLERS)
+        let start_log = StartLog::default();
+        let is_store_unavailable = Arc::new(AtomicBool::new(false));
+        let store = start_store(is_store_unavailable.clone());
+        let addresses: Vec<ControllerAddresses> = (0..CONTROLLER_COUNT)
             .map(|_| ControllerAddresses::free())
             .collect();
-        let public = addresses.iter().map(|address| address.public).collect();
-        let cloud = cloud::start(public, starts.clone());
-        let controllers = (0..CONTROLLERS).map(|index| {
+        let public_addresses = addresses.iter().map(|address| address.public).collect();
+        let cloud = cloud::start(public_addresses, start_log.clone());
+        let controllers = (0..CONTROLLER_COUNT).map(|index| {
             let settings = controller::settings(index, &addresses, cloud, store, config);
             let file = temporary_file(&format!("{name}-{index}.json"));
             std::fs::write(&file, settings.to_string()).expect("writing the settings file");
@@ -76,8 +77,8 @@
         });
         Cluster {
             controllers: controllers.collect(),
-            starts,
-            store_unavailable,
+            start_log,
+            is_store_unavailable,
             store,
         }
     }
@@ -90,12 +91,13 @@
 
     /// Every start of a task so far.
     pub fn task_starts(&self) -> MutexGuard<'_, Vec<TaskStart>> {
-        lock(&self.starts)
+        lock(&self.start_log)
     }
 
-    /// Begins or ends an outage of the store.
-    pub fn set_store_unavailable(&self, unavailable: bool) {
-        self.store_unavailable.store(unavailable, Ordering::SeqCst);
+    /// Begins or ends an outage of the state service.
+    pub fn set_store_unavailable(&self, is_unavailable: bool) {
+        self.is_store_unavailable
+            .store(is_unavailable, Ordering::SeqCst);
     }
 }
 
@@ -103,14 +105,14 @@
     std::env::temp_dir().join(format!("lichencrank-{}-{name}", std::process::id()))
 }
 
-/// Waits for something that has to come.
-pub fn eventually<T>(what: &str, mut check: impl FnMut() -> Option<T>) -> T {
+/// Waits until `check` returns a value. `expected` says what it waits for.
+pub fn wait_for<T>(expected: &str, mut check: impl FnMut() -> Option<T>) -> T {
     let deadline = Instant::now() + TIMEOUT;
     while Instant::now() < deadline {
-        if let Some(found) = check() {
-            return found;
+        if let Some(value) = check() {
+            return value;
         }
         thread::sleep(POLL_INTERVAL);
     }
-    panic!("not within {TIMEOUT:?}: {what}");
+    panic!("not within {TIMEOUT:?}: {expected}");
 }
--- a/tests/loopback/users.rs
+++ b/tests/loopback/users.rs
@@ -7,9 +7,9 @@
 use lichencrank_testkit::http::call;
 use lichencrank_testkit::values::{map, text};
 
-use super::eventually;
+use super::wait_for;
 
-/// The answer to a status query.
+/// The response to a status query.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct JobStatus {
     /// HTTP status.
@@ -19,13 +19,14 @@
 }
 
 impl JobStatus {
-    /// Whether the controller could answer.
-    pub fn is_answer(&self) -> bool {
+    /// Whether the controller could serve the query.
+    pub fn is_served(&self) -> bool {
         self.http_status != 503
     }
 }
 
-/// The body of a submission of team `vision`: so many tasks of one CPU, due at once if `deadline_s` is given.
+/// The body of a submission of team `vision`: an array of tasks with one CPU each, due `deadline_s` seconds after its
+/// submission if that is given.
 pub fn job_body(id: &str, tasks: u64, deadline_s: Option<f64>) -> Vec<u8> {
     encode(&map(vec![
         ("ref", id.into()),
@@ -50,17 +51,17 @@
     ]))
 }
 
-/// Submits a job as users do: again until an answer comes. Returns its HTTP status.
-pub fn submit(to: SocketAddr, body: &[u8]) -> u16 {
-    eventually("a submission is answered", || {
-        let status = call(to, "POST", "/api/jobs", body)?.status;
+/// Submits a job as users do: the request is repeated until it is served. Returns the HTTP status.
+pub fn submit(controller: SocketAddr, body: &[u8]) -> u16 {
+    wait_for("a response to a submission", || {
+        let status = call(controller, "POST", "/api/jobs", body)?.status;
         (status != 503).then_some(status)
     })
 }
 
-/// Asks for the status of a job once.
-pub fn poll(to: SocketAddr, id: &str) -> Option<JobStatus> {
-    let response = call(to, "GET", &format!("/api/jobs/{id}"), &[])?;
+/// Queries the status of a job once.
+pub fn query_status(controller: SocketAddr, id: &str) -> Option<JobStatus> {
+    let response = call(controller, "GET", &format!("/api/jobs/{id}"), &[])?;
     Some(JobStatus {
         http_status: response.status,
         state: text(&response.body, "status"),
--- a/tests/loopback/worker.rs
+++ b/tests/loopback/worker.rs
@@ -1,4 +1,4 @@
-//! Workers: each reports to one controller at a time and pretends to run tasks.
+//! Workers that send heartbeats to one controller at a time and simulate the execution of tasks.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -12,8 +12,8 @@
 use lichencrank_testkit::sync::lock;
 use lichencrank_testkit::values::{list, map, number, text};
 
-/// How long a task runs.
-const TASK_TIME: Duration = Duration::from_millis(700);
+/// Run time of each task.
+const TASK_RUN_TIME: Duration = Duration::from_millis(700);
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(200);
 
 /// The start of a task.
@@ -21,13 +21,13 @@
 pub struct TaskStart {
     /// Name of the task, such as `job-000412/3`.
     pub task: String,
-    /// Which attempt it was.
+    /// Number of the attempt.
     pub attempt: u64,
-    /// Name of the machine.
+    /// Name of the host.
     pub host: String,
 }
 
-/// Every start of a task, for the tests to judge.
+/// Every start of a task on any worker.
 pub type StartLog = Arc<Mutex<Vec<TaskStart>>>;
 
 /// An attempt at a task on a worker.
@@ -35,23 +35,24 @@
     task: String,
     number: u64,
     ends_at: Instant,
-    /// Why it ended, in the words of the protocol.
+    /// Why it ended, as the protocol names the reason; `None` while it runs.
     end_reason: Option<&'static str>,
 }
 
-/// A worker as its machine knows it.
+/// The state of a worker.
 struct Worker {
     name: String,
     address: String,
-    sequence: u64,
+    sequence_number: u64,
+    /// The highest fencing token that the worker has seen.
     fencing_token: u64,
     attempts: Vec<Attempt>,
-    starts: StartLog,
+    start_log: StartLog,
 }
 
 impl Worker {
     fn heartbeat(&mut self) -> Value {
-        self.sequence += 1;
+        self.sequence_number += 1;
         let now = Instant::now();
         for attempt in &mut self.attempts {
             if attempt.ends_at <= now {
@@ -66,13 +67,13 @@
             ("hall", "a".into()),
             ("loaners", false.into()),
             ("tenure", 1.into()),
-            ("tick", self.sequence.into()),
+            ("tick", self.sequence_number.into()),
             ("baton", self.fencing_token.into()),
             ("pieces", Value::Array(attempts.collect())),
         ])
     }
 
-    /// Executes commands whose fencing token is not below the highest seen. Returns whether it did.
+    /// Executes the commands of a message unless its fencing token is below the highest seen. Returns whether it did.
     fn execute(&mut self, message: &Value) -> bool {
         let fencing_token = number(message, "baton");
         if fencing_token < self.fencing_token || fencing_token == 0 {
@@ -88,8 +89,9 @@
     fn execute_command(&mut self, command: &Value) {
         let (task, number) = (text(command, "piece"), number(command, "try"));
         let mut attempts = self.attempts.iter();
-        let known = attempts.position(|a| a.task == task && a.number == number);
-        match (text(command, "verb").as_str(), known) {
+        let attempt_index =
+            attempts.position(|attempt| attempt.task == task && attempt.number == number);
+        match (text(command, "verb").as_str(), attempt_index) {
             ("run", None) => self.run(task, number),
             ("stop", Some(index)) => {
                 let end_reason = &mut self.attempts[index].end_reason;
@@ -103,7 +105,7 @@
     }
 
     fn run(&mut self, task: String, number: u64) {
-        lock(&self.starts).push(TaskStart {
+        lock(&self.start_log).push(TaskStart {
             task: task.clone(),
             attempt: number,
             host: self.name.clone(),
@@ -111,7 +113,7 @@
         self.attempts.push(Attempt {
             task,
             number,
-            ends_at: Instant::now() + TASK_TIME,
+            ends_at: Instant::now() + TASK_RUN_TIME,
             end_reason: None,
         });
     }
@@ -133,27 +135,27 @@
     }
 }
 
-/// Starts a worker that reports to the controllers until `released` is set.
+/// Starts a worker that sends heartbeats to the controllers until `is_released` is set.
 pub fn start(
     name: String,
     controllers: Vec<SocketAddr>,
-    starts: StartLog,
-    released: Arc<AtomicBool>,
+    start_log: StartLog,
+    is_released: Arc<AtomicBool>,
 ) {
     let worker = Arc::new(Mutex::new(Worker {
         name,
         address: String::new(),
-        sequence: 0,
+        sequence_number: 0,
         fencing_token: 0,
         attempts: Vec::new(),
-        starts,
+        start_log,
     }));
-    let (commanded, is_released) = (worker.clone(), released.clone());
+    let (commanded_worker, is_host_released) = (worker.clone(), is_released.clone());
     let address = serve(move |_, _, body| {
-        if is_released.load(Ordering::SeqCst) {
+        if is_host_released.load(Ordering::SeqCst) {
             return HttpResponse::without_body(500);
         }
-        let mut worker = lock(&commanded);
+        let mut worker = lock(&commanded_worker);
         let status = if worker.execute(body) { 200 } else { 409 };
         HttpResponse {
             status,
@@ -162,43 +164,47 @@
     });
     lock(&worker).address = address.to_string();
     thread::spawn(move || {
-        let mut controller = 0;
-        while !released.load(Ordering::SeqCst) {
-            controller = match report(&worker, controllers[controller % controllers.len()]) {
-                Answer::Accepted => controller,
-                Answer::Redirected { leader } => leader,
-                Answer::Failed => controller + 1,
-            };
+        let mut controller_index = 0;
+        while !is_released.load(Ordering::SeqCst) {
+            controller_index =
+                match send_heartbeat(&worker, controllers[controller_index % controllers.len()]) {
+                    HeartbeatResult::Accepted => controller_index,
+                    HeartbeatResult::Redirected { leader_index } => leader_index,
+                    HeartbeatResult::Failed => controller_index + 1,
+                };
             thread::sleep(HEARTBEAT_INTERVAL);
         }
     });
 }
 
-/// What a controller said to a heartbeat.
-enum Answer {
+/// How a controller responded to a heartbeat.
+enum HeartbeatResult {
     Accepted,
-    /// That controller leads.
+    /// Another controller leads.
     Redirected {
-        leader: usize,
+        leader_index: usize,
     },
+    /// There was no response, or none that the worker can use.
     Failed,
 }
 
-fn report(worker: &Mutex<Worker>, controller: SocketAddr) -> Answer {
+fn send_heartbeat(worker: &Mutex<Worker>, controller: SocketAddr) -> HeartbeatResult {
     let heartbeat = encode(&lock(worker).heartbeat());
     let Some(response) = call(controller, "POST", "/agent/beat", &heartbeat) else {
-        return Answer::Failed;
+        return HeartbeatResult::Failed;
     };
     match response.status {
         200 => {
             lock(worker).execute(&response.body);
-            Answer::Accepted
+            HeartbeatResult::Accepted
         }
         421 => {
             let leader = text(&response.body, "foreman");
             let index = leader.strip_prefix("node-").and_then(|n| n.parse().ok());
-            index.map_or(Answer::Failed, |leader| Answer::Redirected { leader })
+            index.map_or(HeartbeatResult::Failed, |leader_index| {
+                HeartbeatResult::Redirected { leader_index }
+            })
         }
-        _ => Answer::Failed,
+        _ => HeartbeatResult::Failed,
     }
 }
--- a/tests/quota_service.rs
+++ b/tests/quota_service.rs
@@ -1,5 +1,5 @@
-//! The real binary with team limits in allowances: three controllers on loopback, beside a program that embeds the quota
-//! package.
+//! Tests of the real binary with the quota feature: three controller processes on loopback, beside a program that
+//! embeds the quota crate.
 
 mod loopback;
 
@@ -12,13 +12,15 @@
 };
 use lichencrank_store::{BlockingClient, StoreLimits};
 use lichencrank_testkit::http::call;
-use loopback::users::{job_body, poll};
-use loopback::{eventually, Cluster, ClusterConfig};
+use loopback::users::{job_body, query_status};
+use loopback::{wait_for, Cluster, ClusterConfig};
 
 const STORE_TIMEOUT: Duration = Duration::from_secs(10);
-const LIMIT: u64 = 8;
+/// CPUs that team `vision` may use at most.
+const TEAM_LIMIT_CPUS: u64 = 8;
 
-fn embedder(cluster: &Cluster) -> BlockingQuotaClient<BlockingClient> {
+/// The quota client of the embedding program.
+fn new_quota_client(cluster: &Cluster) -> BlockingQuotaClient<BlockingClient> {
     let config = ClientConfig {
         name: ClientName::new("depot-tool"),
         store_limits: StoreLimits {
@@ -35,7 +37,8 @@
     BlockingQuotaClient::new(config, BlockingClient::new(cluster.store, STORE_TIMEOUT))
 }
 
-fn admission(sequence: u32) -> AdmissionRequest {
+/// An admission request of the embedding program, for two CPUs.
+fn admission_request(sequence: u32) -> AdmissionRequest {
     AdmissionRequest {
         id: AdmissionId {
             team: TeamName::new("vision"),
@@ -47,19 +50,21 @@
     }
 }
 
-/// What is lent to all together, once a leader has brought the team's record in.
-fn lent(cluster: &Cluster) -> Option<ResourceVector> {
+/// What is granted to all clients together, which must not exceed the team's limit. `None` until a leader has created
+/// the team's record.
+fn check_total_granted(cluster: &Cluster) -> Option<ResourceVector> {
     let mut store = BlockingClient::new(cluster.store, STORE_TIMEOUT);
     let ledger = Ledger::read(&mut store).ok()?;
     let team = ledger.teams.get(&TeamName::new("vision"))?;
     assert!(
-        team.total_granted().cpus <= ResourceVector::from_cpus(LIMIT).cpus,
+        team.total_granted().cpus <= ResourceVector::from_cpus(TEAM_LIMIT_CPUS).cpus,
         "{team:?}"
     );
     Some(team.total_granted())
 }
 
-fn report(cluster: &Cluster) -> String {
+/// The output of the subcommand `quota`.
+fn quota_report(cluster: &Cluster) -> String {
     let output = Command::new(env!("CARGO_BIN_EXE_lichencrank"))
         .args(["quota", "--config"])
         .arg(cluster.controllers[0].settings_file())
@@ -70,54 +75,57 @@
 }
 
 fn submit(cluster: &Cluster, id: &str, tasks: u64) {
-    eventually("a submission is answered", || {
+    wait_for("a response to a submission", || {
         let body = job_body(id, tasks, None);
         let mut controllers = cluster.addresses().into_iter();
-        let answer = controllers.find_map(|to| call(to, "POST", "/api/jobs", &body));
-        answer.filter(|answer| matches!(answer.status, 200 | 201))
+        let response =
+            controllers.find_map(|controller| call(controller, "POST", "/api/jobs", &body));
+        response.filter(|response| matches!(response.status, 200 | 201))
     });
 }
 
-fn wait_for_done(cluster: &Cluster, id: &str) {
-    eventually("the job is done", || {
-        lent(cluster);
-        let status = poll(cluster.addresses()[1], id)?;
+fn wait_until_done(cluster: &Cluster, id: &str) {
+    wait_for("the job is done", || {
+        check_total_granted(cluster);
+        let status = query_status(cluster.addresses()[1], id)?;
         (status.state == "done").then_some(())
     });
 }
 
-/// The daemon's jobs and the admissions of an embedding program share a team's limit; the leader ends in
-/// between; the report shows both, and that all totals agree.
+/// The jobs of the daemon and the admissions of an embedding program share a team's limit, while a controller, which
+/// may be the leader, is killed and restarted. The quota report shows both, and that all totals agree.
 #[test]
-fn the_daemon_and_an_embedding_program_share_a_limit() {
+fn daemon_and_embedding_program_share_a_limit() {
     let config = ClusterConfig {
-        team_limit_cpus: LIMIT as f64,
+        team_limit_cpus: TEAM_LIMIT_CPUS as f64,
         features: Some("quota: {enabled: true}"),
     };
     let mut cluster = Cluster::start_with("quota", config);
     submit(&cluster, "job-000001", 24);
-    eventually("a leader has brought the limit in", || lent(&cluster));
-    let mut quota = embedder(&cluster);
+    wait_for("a leader has created the quota record of the team", || {
+        check_total_granted(&cluster)
+    });
+    let mut quota = new_quota_client(&cluster);
     for sequence in 0..2 {
-        quota.request(admission(sequence));
+        quota.request(admission_request(sequence));
     }
     let mut admitted = Vec::new();
     while admitted.len() < 2 {
-        lent(&cluster);
+        check_total_granted(&cluster);
         for event in quota.step() {
             if let QuotaEvent::Admitted(id) = event {
                 admitted.push(id);
             }
         }
     }
-    let shown = report(&cluster);
-    assert!(shown.contains("team vision: uses"), "{shown}");
+    let report = quota_report(&cluster);
+    assert!(report.contains("team vision: uses"), "{report}");
     assert!(
-        shown.contains("depot-tool: 4 CPUs charged of 4 CPUs"),
-        "{shown}"
+        report.contains("depot-tool: 4 CPUs charged of 4 CPUs"),
+        "{report}"
     );
     cluster.controllers[0].restart();
-    wait_for_done(&cluster, "job-000001");
+    wait_until_done(&cluster, "job-000001");
     for id in admitted {
         quota.release(id);
     }
@@ -126,11 +134,11 @@
         let events = quota.step();
         released += events
             .iter()
-            .filter(|d| matches!(d, QuotaEvent::Released(_)))
+            .filter(|event| matches!(event, QuotaEvent::Released(_)))
             .count();
     }
     submit(&cluster, "job-000002", 12);
-    wait_for_done(&cluster, "job-000002");
-    let shown = report(&cluster);
-    assert!(shown.contains("audit: all totals agree"), "{shown}");
+    wait_until_done(&cluster, "job-000002");
+    let report = quota_report(&cluster);
+    assert!(report.contains("audit: all totals agree"), "{report}");
 }
