--- a/src/node/cancellations.rs
+++ b/src/node/cancellations.rs
@@ -1,79 +1,86 @@
-//! A cancellation is told to a user only once it can't be undone by whatever happens next: either no
-//! task of the job is booked any more, or the leader knows of it and is the only one whom the
-//! workers that hold its tasks still obey. Whoever leads later reads it from the records.
+//! Acknowledgement of cancellations by the leader, and their distribution to the other nodes.
 //!
-//! Without that, a node could confirm a cancellation and end before it told anybody; the leader, whom
-//! the state service alone did not answer, would keep the tasks going all through an outage.
+//! A user gets the confirmation of a cancellation only once it is final: either no task of the job is allocated any
+//! more, or the leader knows of the cancellation and is the only one whose commands the workers with the job's tasks
+//! still accept. Later leaders read the cancellation from the records.
+//!
+//! Otherwise a node could confirm a cancellation and crash before it informed any other node. A leader that does not
+//! reach the state service would then keep the job's tasks running throughout the outage.
 
 use std::time::Duration;
 
-use super::{peer_messages, Node, MAX_CANCELLATIONS};
+use super::{peer_messages, Node, MAX_CANCELLATIONS_PER_HEARTBEAT};
 use crate::protocol::peers::{self, AcknowledgedJobs, CancelledJobs, RecentCancellation};
 use crate::protocol::workers::{stop_commands, Command, WorkerHeartbeat};
 use crate::transport::{CallError, Network, Response};
 use crate::types::JobId;
 
-/// Users wait for it; who can't be told by then is told to come back.
-const ACKNOWLEDGE_TIMEOUT: Duration = Duration::from_millis(900);
-/// Cancellations in one question to the leader.
-const MAX_SECURED: usize = 500;
+/// Timeout of a request for acknowledgement, for which users wait. Without an acknowledgement, a user is asked to retry
+/// unless no task of the job is allocated any more.
+const ACKNOWLEDGEMENT_TIMEOUT: Duration = Duration::from_millis(900);
+/// Most jobs in one request for acknowledgement.
+const MAX_JOBS_PER_ACKNOWLEDGEMENT: usize = 500;
 
 impl<N: Network> Node<N> {
-    /// The latest cancellations, with what is left of their time: it only gets less on its way from
-    /// node to node, so that none goes round for ever.
+    /// The latest cancellations for a heartbeat, with the time that remains until they expire. It only decreases from
+    /// node to node, so that no cancellation circulates forever.
     pub(super) fn recent_cancellations(&self) -> Vec<RecentCancellation> {
-        let now = self.net.now();
+        let now = self.network.now();
         let recent = self
-            .cancelled
+            .cancelled_jobs
             .iter()
-            .map(|(job, until)| RecentCancellation {
+            .map(|(job, expires_at)| RecentCancellation {
                 job: job.0,
-                remaining_ms: until.since(now).as_millis() as u32,
+                remaining_ms: expires_at.since(now).as_millis() as u32,
             });
         let mut latest: Vec<RecentCancellation> = recent.collect();
         latest.sort_by_key(|cancelled| std::cmp::Reverse(cancelled.remaining_ms));
-        if latest.len() > MAX_CANCELLATIONS {
+        if latest.len() > MAX_CANCELLATIONS_PER_HEARTBEAT {
             tracing::warn!(
-                "{} cancellations are recent, a heartbeat tells of the last {MAX_CANCELLATIONS}",
+                "{} recent cancellations: a heartbeat reports only the latest {MAX_CANCELLATIONS_PER_HEARTBEAT}",
                 latest.len()
             );
         }
-        latest.truncate(MAX_CANCELLATIONS);
+        latest.truncate(MAX_CANCELLATIONS_PER_HEARTBEAT);
         latest
     }
 
-    /// Notes that a job is cancelled; its tasks are stopped if this node leads.
-    pub(super) fn on_cancelled(&mut self, job: JobId, left: Duration) {
-        let now = self.net.now();
-        let until = now.after(left);
-        let known = self.cancelled.entry(job).or_insert(until);
-        *known = until.max(*known);
+    /// Records a job's cancellation for the heartbeats, until `remaining` has passed, and stops the job's tasks if
+    /// this node leads.
+    pub(super) fn on_job_cancelled(&mut self, job: JobId, remaining: Duration) {
+        let now = self.network.now();
+        let expires_at = now.after(remaining);
+        let recorded = self.cancelled_jobs.entry(job).or_insert(expires_at);
+        *recorded = expires_at.max(*recorded);
         if let Some(duties) = &mut self.duties {
-            duties.controller.on_cancellation(job, now);
+            duties.leader.on_cancellation(job, now);
         }
     }
 
-    /// Asks the leader whether it has the cancellation in hand.
+    /// Asks the leader to acknowledge the job's cancellation.
     pub(super) fn inform_leader(&mut self, job: JobId) {
         if self.duties.is_some() {
-            let acknowledged = self.acknowledges(job);
-            let now = self.net.now();
+            let acknowledged = self.acknowledge_cancellation(job);
+            let now = self.network.now();
             return self.api.on_leader_answer(job, acknowledged, now);
         }
-        self.to_acknowledge.insert(job);
-        self.send_cancelled_to_leader();
+        self.unacknowledged_jobs.insert(job);
+        self.send_cancellations_to_leader();
     }
 
-    fn send_cancelled_to_leader(&mut self) {
-        if self.acknowledging.is_some() || self.to_acknowledge.is_empty() {
+    /// Sends the jobs without an acknowledgement to the leader, unless a request is in flight.
+    fn send_cancellations_to_leader(&mut self) {
+        if self.acknowledgement_call.is_some() || self.unacknowledged_jobs.is_empty() {
             return;
         }
-        let mut jobs = std::mem::take(&mut self.to_acknowledge);
-        if jobs.len() > MAX_SECURED {
-            let middle = jobs.iter().nth(MAX_SECURED).copied();
-            self.to_acknowledge = middle.map(|m| jobs.split_off(&m)).unwrap_or_default();
+        let mut jobs = std::mem::take(&mut self.unacknowledged_jobs);
+        if jobs.len() > MAX_JOBS_PER_ACKNOWLEDGEMENT {
+            let first_deferred = jobs.iter().nth(MAX_JOBS_PER_ACKNOWLEDGEMENT).copied();
+            self.unacknowledged_jobs = first_deferred
+                .map(|job| jobs.split_off(&job))
+                .unwrap_or_default();
         }
-        let leader = self.leadership.known_leader.as_deref();
+        let leader = self.election.known_leader.as_deref();
         let jobs: Vec<JobId> = jobs.into_iter().collect();
         let peer = self
             .settings
@@ -81,70 +88,76 @@
             .iter()
             .find(|p| Some(p.name.as_str()) == leader);
         let Some(peer) = peer else {
-            return self.none_acknowledged(jobs);
+            return self.report_unacknowledged(jobs);
         };
         let message = CancelledJobs {
             jobs: jobs.iter().map(|j| j.0).collect(),
         };
         let call = peer_messages::send(
-            &mut self.net,
+            &mut self.network,
             peer.addr,
             peers::CANCELLED_PATH,
             &message,
-            ACKNOWLEDGE_TIMEOUT,
+            ACKNOWLEDGEMENT_TIMEOUT,
         );
         match call {
-            Some(call) => self.acknowledging = Some((call, jobs)),
-            None => self.none_acknowledged(jobs),
+            Some(call) => self.acknowledgement_call = Some((call, jobs)),
+            None => self.report_unacknowledged(jobs),
         }
     }
 
-    fn none_acknowledged(&mut self, jobs: Vec<JobId>) {
-        let now = self.net.now();
+    /// Tells the API that the leader has not acknowledged the cancellations of these jobs.
+    fn report_unacknowledged(&mut self, jobs: Vec<JobId>) {
+        let now = self.network.now();
         for job in jobs {
             self.api.on_leader_answer(job, false, now);
         }
     }
 
-    pub(super) fn on_leader_answer(&mut self, result: Result<Response, CallError>) {
-        let Some((_, jobs)) = self.acknowledging.take() else {
+    /// Handles the leader's response to the request for acknowledgement.
+    pub(super) fn on_acknowledgement(&mut self, result: Result<Response, CallError>) {
+        let Some((_, jobs)) = self.acknowledgement_call.take() else {
             return;
         };
-        let now = self.net.now();
-        let answer = peer_messages::answer::<AcknowledgedJobs>(peers::CANCELLED_PATH, result);
-        let acknowledged = answer.map_or(Vec::new(), |a| a.jobs);
+        let now = self.network.now();
+        let response =
+            peer_messages::decode_response::<AcknowledgedJobs>(peers::CANCELLED_PATH, result);
+        let acknowledged_jobs = response.map_or(Vec::new(), |r| r.jobs);
         for job in jobs {
-            let known = acknowledged.contains(&job.0);
-            self.api.on_leader_answer(job, known, now);
+            let acknowledged = acknowledged_jobs.contains(&job.0);
+            self.api.on_leader_answer(job, acknowledged, now);
         }
-        self.send_cancelled_to_leader();
+        self.send_cancellations_to_leader();
     }
 
-    /// Another node has found these jobs cancelled in the records.
-    pub(super) fn on_cancelled_by_peer(&mut self, body: &[u8]) -> Response {
-        let told: CancelledJobs = match peers::decode(body) {
-            Ok(told) => told,
+    /// Handles a peer's request to acknowledge cancellations that it has found in the records. The response lists the
+    /// jobs whose cancellation this node acknowledges.
+    pub(super) fn on_peer_cancellations(&mut self, body: &[u8]) -> Response {
+        let message: CancelledJobs = match peers::decode(body) {
+            Ok(message) => message,
             Err(error) => return peer_messages::refusal(peers::CANCELLED_PATH, &error),
         };
-        let jobs = told.jobs.into_iter();
-        let jobs = jobs.filter(|job| self.acknowledges(JobId(*job))).collect();
+        let jobs = message.jobs.into_iter();
+        let jobs = jobs
+            .filter(|job| self.acknowledge_cancellation(JobId(*job)))
+            .collect();
         peer_messages::response(&AcknowledgedJobs { jobs })
     }
 
-    /// Whether this node leads, surely so at this moment, and what it says of the cancelled job's tasks
-    /// is all that is said to their workers. They are stopped in any case.
-    fn acknowledges(&mut self, job: JobId) -> bool {
-        let now = self.net.now();
-        let certain = self.leadership.is_lease_valid(now);
+    /// Stops the tasks of the cancelled job if this node leads. Returns whether its lease is certainly valid at this
+    /// moment and the workers with the job's tasks accept commands from no other leader.
+    fn acknowledge_cancellation(&mut self, job: JobId) -> bool {
+        let now = self.network.now();
+        let has_valid_lease = self.election.is_lease_valid(now);
         let Some(duties) = &mut self.duties else {
             return false;
         };
-        duties.controller.on_cancellation(job, now);
-        certain && duties.has_loaded() && duties.controller.is_sole_commander(job)
+        duties.leader.on_cancellation(job, now);
+        has_valid_lease && duties.has_loaded() && duties.leader.is_sole_commander(job)
     }
 
-    /// Stops for what the report shows of jobs that are known to be cancelled.
-    pub(super) fn stops_of_cancelled(&self, report: &WorkerHeartbeat) -> Vec<Command> {
-        stop_commands(report, |job| self.cancelled.contains_key(&job))
+    /// Commands that stop the reported tasks of jobs that are known to be cancelled.
+    pub(super) fn stop_cancelled_commands(&self, heartbeat: &WorkerHeartbeat) -> Vec<Command> {
+        stop_commands(heartbeat, |job| self.cancelled_jobs.contains_key(&job))
     }
 }
--- a/src/node/heartbeats.rs
+++ b/src/node/heartbeats.rs
@@ -1,9 +1,9 @@
-//! Heartbeats: what the controllers tell each other once a second, and what each makes of it.
+//! Heartbeats between controllers, sent once a second, and what a node learns from them.
 
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use super::{peer_messages, Node, HEADROOM};
+use super::{peer_messages, Node, USABLE_BUDGET_FRACTION};
 use crate::protocol::peers::{self, PeerHeartbeat, StoreUsage};
 use crate::transport::{CallError, CallId, Network, Response};
 use crate::types::{JobId, Term, Time};
@@ -11,22 +11,23 @@
 
 const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(1);
 const HEARTBEAT_TIMEOUT: Duration = Duration::from_millis(1500);
-/// A peer that has not answered for longer is unreachable.
-const REACHABLE_FOR: Duration = Duration::from_secs(3);
+/// A peer is unreachable once the last heartbeat that it answered was sent this long ago.
+const PEER_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// What this controller knows of one of its peers.
+/// The heartbeats to one peer, and what they show about it.
 pub(super) struct PeerLink {
     pub(super) addr: SocketAddr,
-    /// The heartbeat under way.
-    call: Option<CallId>,
-    due: Time,
-    sent_at: Time,
-    /// When the last heartbeat that it answered was sent, whatever the answer said.
-    reached_at: Option<Time>,
-    /// Since when its answers have come without a break.
+    /// The heartbeat in flight.
+    heartbeat_call: Option<CallId>,
+    heartbeat_due_at: Time,
+    heartbeat_sent_at: Time,
+    /// When the last heartbeat that the peer answered was sent, whatever the response was.
+    answered_heartbeat_sent_at: Option<Time>,
+    /// Since when the peer has been reachable without interruption.
     reachable_since: Time,
-    /// The last answer that was understood, and when the heartbeat before it was sent.
-    heartbeat: Option<(Time, PeerHeartbeat)>,
+    /// The last response that could be decoded, and when the heartbeat that it answers was sent.
+    last_response: Option<(Time, PeerHeartbeat)>,
+    /// Whether the peer was reachable when that was last logged.
     logged_reachable: bool,
 }
 
@@ -34,89 +35,92 @@
     pub(super) fn new(addr: SocketAddr) -> PeerLink {
         PeerLink {
             addr,
-            call: None,
-            due: Time::default(),
-            sent_at: Time::default(),
-            reached_at: None,
+            heartbeat_call: None,
+            heartbeat_due_at: Time::default(),
+            heartbeat_sent_at: Time::default(),
+            answered_heartbeat_sent_at: None,
             reachable_since: Time::default(),
-            heartbeat: None,
+            last_response: None,
             logged_reachable: true,
         }
     }
 
-    /// Whether that call is the heartbeat under way.
-    pub(super) fn awaits(&self, call: CallId) -> bool {
-        self.call == Some(call)
+    /// Whether the call is the heartbeat in flight.
+    pub(super) fn is_awaiting(&self, call: CallId) -> bool {
+        self.heartbeat_call == Some(call)
     }
 
-    /// The next heartbeat leaves at once.
-    pub(super) fn hurry(&mut self, now: Time) {
-        self.due = now;
+    /// Makes the next heartbeat due at `now`.
+    pub(super) fn schedule_heartbeat_now(&mut self, now: Time) {
+        self.heartbeat_due_at = now;
     }
 
-    /// It answered lately. An answer that is not understood, such as one of another version, shows
-    /// as well as any other that the peer is there.
+    /// Whether the peer has recently answered a heartbeat. A response that can't be decoded, such as one of another
+    /// version, counts too, as it also shows that the peer is up.
     pub(super) fn is_reachable(&self, now: Time) -> bool {
-        self.reached_at
-            .is_some_and(|at| now.since(at) < REACHABLE_FOR)
+        self.answered_heartbeat_sent_at
+            .is_some_and(|at| now.since(at) < PEER_TIMEOUT)
     }
 
-    /// For how long it has been reachable.
+    /// How long the peer has been reachable without interruption; `None` if it is unreachable.
     pub(super) fn reachable_for(&self, now: Time) -> Option<Duration> {
         self.is_reachable(now)
             .then(|| now.since(self.reachable_since))
     }
 
-    fn answered_heartbeat(&mut self, now: Time) {
+    /// Records that the heartbeat in flight was answered.
+    fn on_heartbeat_answered(&mut self, now: Time) {
         if !self.is_reachable(now) {
             self.reachable_since = now;
         }
-        self.reached_at = Some(self.sent_at);
+        self.answered_heartbeat_sent_at = Some(self.heartbeat_sent_at);
     }
 
-    /// What it said last, if that is not too long ago.
+    /// The peer's last heartbeat, if it is recent.
     pub(super) fn recent_heartbeat(&self, now: Time) -> Option<&PeerHeartbeat> {
-        let (at, heartbeat) = self.heartbeat.as_ref()?;
-        (now.since(*at) < REACHABLE_FOR).then_some(heartbeat)
+        let (sent_at, heartbeat) = self.last_response.as_ref()?;
+        (now.since(*sent_at) < PEER_TIMEOUT).then_some(heartbeat)
     }
 
-    /// What it said last, however long ago.
+    /// The peer's last heartbeat, however old.
     pub(super) fn last_heartbeat(&self) -> Option<&PeerHeartbeat> {
-        self.heartbeat.as_ref().map(|(_, heartbeat)| heartbeat)
+        self.last_response.as_ref().map(|(_, heartbeat)| heartbeat)
     }
 }
 
 impl<N: Network> Node<N> {
-    fn heartbeat(&self) -> PeerHeartbeat {
-        let now = self.net.now();
+    /// The heartbeat that describes this node.
+    fn own_heartbeat(&self) -> PeerHeartbeat {
+        let now = self.network.now();
         PeerHeartbeat {
             from: self.settings.name.clone(),
-            term: self.leadership.highest_term.0,
-            leader: self.leadership.known_leader.clone(),
-            store_reachable: self.state_answers(now),
-            home_zone: self.locality.home.clone(),
-            reporting_workers: self.workers.len() as u32,
-            transferred_leadership: self.leadership.has_recently_resigned(now),
+            term: self.election.highest_term.0,
+            leader: self.election.known_leader.clone(),
+            store_reachable: self.is_store_reachable(now),
+            home_zone: self.locality.home_zone.clone(),
+            reporting_workers: self.worker_heartbeats.len() as u32,
+            transferred_leadership: self.election.has_recently_resigned(now),
             store_usage: StoreUsage {
-                requests_per_s: self.spends.0.ceil() as u32,
-                changes_per_s: self.spends.1.ceil() as u32,
+                requests_per_s: self.store_usage_per_s.0.ceil() as u32,
+                changes_per_s: self.store_usage_per_s.1.ceil() as u32,
             },
             cancelled: self.recent_cancellations(),
         }
     }
 
-    /// Sends a heartbeat to each peer to which one is due.
+    /// Sends a heartbeat to each peer for which one is due.
     pub(super) fn send_heartbeats(&mut self, now: Time) {
-        let is_due = |peer: &PeerLink| peer.call.is_none() && now >= peer.due;
+        let is_due =
+            |peer: &PeerLink| peer.heartbeat_call.is_none() && now >= peer.heartbeat_due_at;
         if !self.peers.iter().any(is_due) {
             return;
         }
-        let heartbeat = self.heartbeat();
+        let heartbeat = self.own_heartbeat();
         for peer in self.peers.iter_mut().filter(|peer| is_due(peer)) {
-            peer.due = now.after(HEARTBEAT_INTERVAL);
-            peer.sent_at = now;
-            peer.call = peer_messages::send(
-                &mut self.net,
+            peer.heartbeat_due_at = now.after(HEARTBEAT_INTERVAL);
+            peer.heartbeat_sent_at = now;
+            peer.heartbeat_call = peer_messages::send(
+                &mut self.network,
                 peer.addr,
                 peers::HEARTBEAT_PATH,
                 &heartbeat,
@@ -125,85 +129,103 @@
         }
     }
 
-    /// A peer's heartbeat may be a late copy: of it only the term and the cancellations count, which
-    /// never go back. That a peer is reachable shows in its answers to our own.
-    pub(super) fn on_heartbeat(&mut self, body: &[u8]) -> Response {
+    /// Handles a peer's heartbeat. It may be a delayed duplicate, so only the term and the cancellations are applied,
+    /// which are never undone. The peer's reachability is derived from its responses to this node's heartbeats
+    /// instead.
+    pub(super) fn on_peer_heartbeat(&mut self, body: &[u8]) -> Response {
         match peers::decode(body) {
             Ok(heartbeat) => {
-                self.learn_from_heartbeat(&heartbeat);
-                peer_messages::response(&self.heartbeat())
+                self.apply_peer_heartbeat(&heartbeat);
+                peer_messages::response(&self.own_heartbeat())
             }
             Err(error) => peer_messages::refusal(peers::HEARTBEAT_PATH, &error),
         }
     }
 
-    /// The answer to the heartbeat that was sent to this peer. It tells how things were at some time
-    /// after that heartbeat left.
-    pub(super) fn on_heartbeat_answer(&mut self, peer: usize, result: Result<Response, CallError>) {
-        let now = self.net.now();
-        let peer = &mut self.peers[peer];
-        peer.call = None;
+    /// Handles the result of the heartbeat that was sent to a peer. A response describes the peer's state at some
+    /// time after that heartbeat was sent.
+    pub(super) fn on_heartbeat_response(
+        &mut self,
+        peer_index: usize,
+        result: Result<Response, CallError>,
+    ) {
+        let now = self.network.now();
+        let peer = &mut self.peers[peer_index];
+        peer.heartbeat_call = None;
         if result.is_ok() {
-            peer.answered_heartbeat(now);
+            peer.on_heartbeat_answered(now);
         }
-        let answer: Option<PeerHeartbeat> = peer_messages::answer(peers::HEARTBEAT_PATH, result);
-        if let Some(heartbeat) = answer {
-            peer.heartbeat = Some((peer.sent_at, heartbeat.clone()));
-            self.learn_from_heartbeat(&heartbeat);
+        let response: Option<PeerHeartbeat> =
+            peer_messages::decode_response(peers::HEARTBEAT_PATH, result);
+        if let Some(heartbeat) = response {
+            peer.last_response = Some((peer.heartbeat_sent_at, heartbeat.clone()));
+            self.apply_peer_heartbeat(&heartbeat);
         }
     }
 
-    fn learn_from_heartbeat(&mut self, heartbeat: &PeerHeartbeat) {
-        let longest = self.settings.settings.workers.cancel() * 2;
+    /// Applies the cancellations and the term of a peer's heartbeat.
+    fn apply_peer_heartbeat(&mut self, heartbeat: &PeerHeartbeat) {
+        let max_remaining = self.settings.settings.workers.cancel() * 2;
         for cancelled in &heartbeat.cancelled {
             let remaining = Duration::from_millis(u64::from(cancelled.remaining_ms));
-            self.on_cancelled(JobId(cancelled.job), remaining.min(longest));
+            self.on_job_cancelled(JobId(cancelled.job), remaining.min(max_remaining));
         }
         let term = Term(heartbeat.term);
         let action = self
-            .leadership
+            .election
             .observe_term(term, heartbeat.leader.as_deref());
-        self.grant(action);
+        self.execute_election_action(action);
     }
 
-    /// A controller that falls silent shows in the logs of the others.
+    /// Logs peers that became unreachable or reachable.
     pub(super) fn log_peer_reachability(&mut self, now: Time) {
-        for (named, peer) in self.settings.peers.iter().zip(&mut self.peers) {
-            let reachable = peer.is_reachable(now);
-            // At the start all are given the time to answer.
-            let started = now >= Time::default().after(REACHABLE_FOR);
-            if started && reachable != peer.logged_reachable {
-                peer.logged_reachable = reachable;
-                let how = if reachable {
-                    "heard again"
+        for (peer_settings, peer) in self.settings.peers.iter().zip(&mut self.peers) {
+            let is_reachable = peer.is_reachable(now);
+            // After the start, the peers first get the time to answer.
+            let is_startup_over = now >= Time::default().after(PEER_TIMEOUT);
+            if is_startup_over && is_reachable != peer.logged_reachable {
+                peer.logged_reachable = is_reachable;
+                let status = if is_reachable {
+                    "answers heartbeats again"
                 } else {
-                    "not heard"
+                    "does not answer heartbeats"
                 };
-                tracing::info!("{}: {how}", named.name);
+                tracing::info!("{}: {status}", peer_settings.name);
             }
         }
     }
 
-    /// The nodes share the state service's budgets: each spends what the others leave.
-    pub(super) fn share_budgets(&mut self, now: Time) {
-        let passed = now.since(self.spent_at);
-        if passed < HEARTBEAT_INTERVAL {
+    /// Updates this node's share of the state service's rate limits to what the other nodes leave of them.
+    pub(super) fn update_store_rates(&mut self, now: Time) {
+        let elapsed = now.since(self.store_usage_measured_at);
+        if elapsed < HEARTBEAT_INTERVAL {
             return;
         }
-        self.spent_at = now;
-        let spent = self.store.total_spent();
-        let rate = |now: f64, before: f64| (now - before) / passed.as_secs_f64();
-        self.spends = (rate(spent.0, self.spent.0), rate(spent.1, self.spent.1));
-        self.spent = spent;
-        let mut others = (0.0, 0.0);
+        self.store_usage_measured_at = now;
+        let total_usage = self.store.total_spent();
+        let rate_per_s = |current: f64, previous: f64| (current - previous) / elapsed.as_secs_f64();
+        self.store_usage_per_s = (
+            rate_per_s(total_usage.0, self.store_usage_total.0),
+            rate_per_s(total_usage.1, self.store_usage_total.1),
+        );
+        self.store_usage_total = total_usage;
+        let mut peer_usage_per_s = (0.0, 0.0);
         for heartbeat in self.peers.iter().filter_map(|p| p.recent_heartbeat(now)) {
-            others.0 += f64::from(heartbeat.store_usage.requests_per_s);
-            others.1 += f64::from(heartbeat.store_usage.changes_per_s);
+            peer_usage_per_s.0 += f64::from(heartbeat.store_usage.requests_per_s);
+            peer_usage_per_s.1 += f64::from(heartbeat.store_usage.changes_per_s);
         }
         let state = &self.settings.settings.state;
-        let nodes = self.peers.len() + 1;
-        let rps = node_share(state.rps * HEADROOM, nodes, others.0);
-        let write_rps = node_share(state.write_rps * HEADROOM, nodes, others.1);
+        let node_count = self.peers.len() + 1;
+        let rps = node_share(
+            state.rps * USABLE_BUDGET_FRACTION,
+            node_count,
+            peer_usage_per_s.0,
+        );
+        let write_rps = node_share(
+            state.write_rps * USABLE_BUDGET_FRACTION,
+            node_count,
+            peer_usage_per_s.1,
+        );
         self.store.set_rates(now, rps, write_rps);
     }
 }
--- a/src/node/leader_duties/cloud.rs
+++ b/src/node/leader_duties/cloud.rs
@@ -1,52 +1,71 @@
-//! Calls to the cloud: machine types, the list of machines, renting and returning.
+//! Calls to the cloud: machine types, the list of hosts, provisioning and releases.
 
 use super::*;
 
 impl LeaderDuties {
-    pub(super) fn run_periodic_tasks(&mut self, net: &mut impl Network, now: Time) {
-        if self.cloud_budget.available(now) < 2.0 {
+    /// Reads the machine types and the list of hosts if they are due, unless the rate limit is nearly exhausted.
+    pub(super) fn poll_cloud(&mut self, network: &mut impl Network, now: Time) {
+        if self.cloud_rate_limit.available(now) < 2.0 {
             return;
         }
-        if self.types.starts(now) {
-            self.ask_cloud(net, "GET", "/machine_types", &[], LeaderCall::Types, now);
+        if self.machine_types.start_if_due(now) {
+            self.call_cloud(
+                network,
+                "GET",
+                "/machine_types",
+                &[],
+                Call::ListMachineTypes,
+                now,
+            );
         }
-        if self.list.starts(now) {
-            self.listing.clear();
-            self.list_page(net, "", now);
+        if self.host_list.start_if_due(now) {
+            self.listed_hosts.clear();
+            self.request_host_page(network, "", now);
         }
     }
 
-    pub(super) fn list_page(&mut self, net: &mut impl Network, after: &str, now: Time) {
+    /// Requests the page of the list of hosts after the given name.
+    pub(super) fn request_host_page(&mut self, network: &mut impl Network, after: &str, now: Time) {
         let target = if after.is_empty() {
             format!("/hosts?page={LIST_PAGE}")
         } else {
             format!("/hosts?after={after}&page={LIST_PAGE}")
         };
-        self.ask_cloud(net, "GET", &target, &[], LeaderCall::List, now);
+        self.call_cloud(network, "GET", &target, &[], Call::ListHosts, now);
     }
 
-    pub(super) fn ask_cloud(
+    /// Calls the cloud, charged to its rate limit.
+    pub(super) fn call_cloud(
         &mut self,
-        net: &mut impl Network,
+        network: &mut impl Network,
         method: &str,
         target: &str,
         body: &[u8],
-        what: LeaderCall,
+        leader_call: Call,
         now: Time,
     ) {
-        self.cloud_budget.spend(now, 1.0);
-        let call = net.call(self.cloud, method, target, body, CLOUD_LIMIT);
-        self.calls.insert(call, what);
+        self.cloud_rate_limit.spend(now, 1.0);
+        let call = network.call(self.cloud_address, method, target, body, CLOUD_TIMEOUT);
+        self.calls.insert(call, leader_call);
     }
 
-    pub(super) fn may_ask_cloud(&mut self, net: &impl Network, action: &Action, now: Time) -> bool {
-        let pressing = matches!(action, Action::ForceRelease(_));
-        self.cloud_budget.available(now) >= 1.0 && (pressing || self.may_act(net))
+    /// Whether the rate limit and the leader's lease permit to carry out the action. Forced releases need no valid
+    /// lease.
+    pub(super) fn can_call_cloud(
+        &mut self,
+        network: &impl Network,
+        action: &Action,
+        now: Time,
+    ) -> bool {
+        let is_forced = matches!(action, Action::ForceRelease(_));
+        self.cloud_rate_limit.available(now) >= 1.0 && (is_forced || self.has_valid_lease(network))
     }
 
-    pub(super) fn on_list(
+    /// Handles a page of the list of hosts. The leader gets the whole list after the last page; if a page can't be
+    /// read, the list is discarded.
+    pub(super) fn on_host_list_page(
         &mut self,
-        net: &mut impl Network,
+        network: &mut impl Network,
         result: Result<Response, CallError>,
         now: Time,
     ) {
@@ -55,71 +74,75 @@
             .filter(|r| r.status == 200)
             .and_then(|r| decode::<HostList>(&r.body).ok());
         let Some(page) = page else {
-            self.list.busy = false;
+            self.host_list.is_running = false;
             return;
         };
-        let more = page.truncated;
-        self.listing.extend(page.hosts);
-        let last = self.listing.last().map(|h| h.name.clone());
-        if let Some(last) = last.filter(|_| more) {
-            self.list_page(net, last.as_str(), now);
+        let has_more = page.truncated;
+        self.listed_hosts.extend(page.hosts);
+        let last = self.listed_hosts.last().map(|h| h.name.clone());
+        if let Some(last) = last.filter(|_| has_more) {
+            self.request_host_page(network, last.as_str(), now);
             return;
         }
-        self.list.busy = false;
-        let listed = std::mem::take(&mut self.listing);
-        self.controller.on_host_list(&listed, now);
+        self.host_list.is_running = false;
+        let listed_hosts = std::mem::take(&mut self.listed_hosts);
+        self.leader.on_host_list(&listed_hosts, now);
     }
 
-    /// Keeps the types for restarts during an outage of the cloud, once a term.
-    pub(super) fn write_types(&mut self) {
-        if self.types_written || self.controller.machine_types().is_empty() {
+    /// Stores the machine types in the state service, once a term, for restarts during an outage of the cloud.
+    pub(super) fn write_machine_types(&mut self) {
+        if self.machine_types_written || self.leader.machine_types().is_empty() {
             return;
         }
         let types = MachineTypes {
-            types: self.controller.machine_types().to_vec(),
+            types: self.leader.machine_types().to_vec(),
         };
-        if records::json_size(&types) > self.controller.max_value_bytes() {
-            // Nodes ask the cloud then.
-            tracing::info!("the machine types are too large to be kept");
-            self.types_written = true;
+        if records::json_size(&types) > self.leader.max_value_bytes() {
+            // Nodes then read them from the cloud.
+            tracing::info!(
+                "machine types not stored: they exceed the maximum value size of the state service"
+            );
+            self.machine_types_written = true;
             return;
         }
         let mut txn = Txn::default();
         txn.require(
             records::LEADER_KEY.to_owned(),
-            self.controller.leader_key_version(),
+            self.leader.leader_key_version(),
         );
         txn.changes.push(Change::put(
             records::MACHINE_TYPES_KEY.to_owned(),
             value(&types),
         ));
-        self.pending.push((
+        self.queued_requests.push((
             RequestClass::Records,
             StoreRequest::Txn(txn),
-            BATCH_LIMIT,
-            LeaderRequest::Types,
+            RECORD_REQUEST_TIMEOUT,
+            LeaderRequest::WriteMachineTypes,
         ));
     }
 }
 
-pub(super) fn rental_result(result: Result<Response, CallError>) -> ProvisionResult {
+/// What the response to a provisioning request says about the hosts.
+pub(super) fn provision_result(result: Result<Response, CallError>) -> ProvisionResult {
     match result {
         Ok(r) if r.status == 200 => match decode::<HostNames>(&r.body) {
             Ok(names) => ProvisionResult::Provisioned(names.hosts),
             Err(_) => ProvisionResult::Unknown,
         },
-        Ok(r) if r.status == 503 && !is_trouble(&r.body) => ProvisionResult::NoCapacity,
+        Ok(r) if r.status == 503 && !is_cloud_failure(&r.body) => ProvisionResult::NoCapacity,
         Ok(r) if matches!(r.status, 400 | 429 | 503) => ProvisionResult::Refused,
         Ok(_) | Err(CallError::Lost) => ProvisionResult::Unknown,
         Err(CallError::NotSent | CallError::NoSocket) => ProvisionResult::Refused,
     }
 }
 
-/// An outage also answers 503, with another word.
-pub(super) fn is_trouble(body: &[u8]) -> bool {
+/// Whether a response with status 503 is due to a failure of the cloud. A lack of capacity has the same status, with
+/// another error.
+pub(super) fn is_cloud_failure(body: &[u8]) -> bool {
     #[derive(serde::Deserialize)]
-    struct Why {
+    struct ErrorBody {
         error: String,
     }
-    decode::<Why>(body).map_or(true, |w| w.error != "no capacity")
+    decode::<ErrorBody>(body).map_or(true, |body| body.error != "no capacity")
 }
--- a/src/node/leader_duties/loading.rs
+++ b/src/node/leader_duties/loading.rs
@@ -1,155 +1,177 @@
-//! Reading the records after an election, and following their changes.
+//! Reading of the job and run records at the start of a term, and the watch for changes of the job records.
 
 use super::*;
 
 impl LeaderDuties {
-    pub(super) fn read_live(&mut self, after: String) {
-        self.read_page(records::LIVE_PREFIX, after, |after| LeaderRequest::Live {
-            after,
+    /// Reads the next page of the job records.
+    pub(super) fn read_jobs(&mut self, after: String) {
+        self.read_page(records::LIVE_PREFIX, after, |after| {
+            LeaderRequest::ReadJobs { after }
         });
     }
 
-    fn read_runs(&mut self, after: String) {
-        self.read_page(records::RUN_PREFIX, after, |after| LeaderRequest::Runs {
-            after,
+    /// Reads the next page of the run records.
+    fn read_run_records(&mut self, after: String) {
+        self.read_page(records::RUN_PREFIX, after, |after| {
+            LeaderRequest::ReadRunRecords { after }
         });
     }
 
-    /// Reads the next page of all records below a prefix.
-    fn read_page(&mut self, prefix: &str, after: String, what: fn(String) -> LeaderRequest) {
-        let ask = StoreRequest::List {
+    /// Reads the next page of the records below a prefix.
+    fn read_page(
+        &mut self,
+        prefix: &str,
+        after: String,
+        leader_request: fn(String) -> LeaderRequest,
+    ) {
+        let request = StoreRequest::List {
             prefix: prefix.to_owned(),
             after: after.clone(),
-            limit: LOAD_PAGE,
+            limit: LOAD_PAGE_SIZE,
         };
-        self.pending
-            .push((RequestClass::Records, ask, LOAD_LIMIT, what(after)));
+        self.queued_requests.push((
+            RequestClass::Records,
+            request,
+            LOAD_TIMEOUT,
+            leader_request(after),
+        ));
     }
 
+    /// Waits for changes of the job records since the last known revision.
     pub(super) fn watch(&mut self) {
         let prefix = records::LIVE_PREFIX.to_owned();
-        let ask = StoreRequest::Watch {
+        let request = StoreRequest::Watch {
             prefix,
-            after: self.watch_from,
-            hold: WATCH_HOLD,
+            after: self.watch_revision,
+            hold: WATCH_HOLD_TIME,
         };
-        self.pending.push((
+        self.queued_requests.push((
             RequestClass::Records,
-            ask,
-            WATCH_SLACK,
-            LeaderRequest::Watch,
+            request,
+            WATCH_RESPONSE_MARGIN,
+            LeaderRequest::WatchJobs,
         ));
     }
 
+    /// Handles the outcome of a request to the state service.
     pub(in crate::node) fn on_outcome(
         &mut self,
-        ask: LeaderRequest,
+        request: LeaderRequest,
         outcome: Outcome,
         now: Time,
     ) -> Result<(), LeadershipLost> {
-        let _term = self.span.clone().entered();
-        self.answered_meanwhile |= outcome.is_answer();
-        match ask {
-            LeaderRequest::Live { after } => match outcome {
-                Outcome::Page(page) => self.on_live_page(after.is_empty(), page, now),
-                _ => self.read_live(after),
+        let _span = self.span.clone().entered();
+        self.store_answered_since_watch |= outcome.is_answer();
+        match request {
+            LeaderRequest::ReadJobs { after } => match outcome {
+                Outcome::Page(page) => self.on_jobs_page(after.is_empty(), page, now),
+                _ => self.read_jobs(after),
             },
-            LeaderRequest::Runs { after } => match outcome {
-                Outcome::Page(page) => self.on_run_page(page, now),
-                _ => self.read_runs(after),
+            LeaderRequest::ReadRunRecords { after } => match outcome {
+                Outcome::Page(page) => self.on_run_records_page(page, now),
+                _ => self.read_run_records(after),
             },
-            LeaderRequest::Watch => self.on_watch(outcome, now),
-            LeaderRequest::Batch => return self.controller.on_batch_outcome(outcome, now),
-            LeaderRequest::RunRecordVersion(id) => {
+            LeaderRequest::WatchJobs => self.on_watch_outcome(outcome, now),
+            LeaderRequest::WriteBatch => return self.leader.on_batch_outcome(outcome, now),
+            LeaderRequest::ReadRunRecordVersion(id) => {
                 let version = match outcome {
                     Outcome::Item(item) => Some(item.map_or(Version(0), |i| i.version)),
                     _ => None,
                 };
-                self.controller.on_run_record_version(id, version);
+                self.leader.on_run_record_version(id, version);
             }
-            LeaderRequest::Quota { prefix, after } => {
-                self.on_quota_page(prefix, after, outcome, now)
+            LeaderRequest::ReadQuota {
+                prefix_index,
+                after,
+            } => self.on_quota_page(prefix_index, after, outcome, now),
+            LeaderRequest::WriteQuota => return self.on_quota_txn(outcome),
+            LeaderRequest::ReadZonesRecord => self.on_zones_record(outcome, now),
+            LeaderRequest::WriteZonesRecord => return self.on_zones_txn(outcome, now),
+            LeaderRequest::WriteMachineTypes => {
+                self.machine_types_written = matches!(outcome, Outcome::Committed(_))
             }
-            LeaderRequest::QuotaTxn => return self.on_quota_txn(outcome),
-            LeaderRequest::ZonesRecord => self.on_zones_record(outcome, now),
-            LeaderRequest::ZonesTxn => return self.on_zones_txn(outcome, now),
-            LeaderRequest::Types => self.types_written = matches!(outcome, Outcome::Committed(_)),
         }
         Ok(())
     }
 
-    pub(super) fn take_job(&mut self, item: &Item) {
+    /// Passes a job record to the leader: the job, or its outcome that is not archived yet.
+    pub(super) fn apply_job_record(&mut self, item: &Item) {
         let Some(id) = records::parse_live_key(&item.key) else {
             return;
         };
-        if let Some(seen) = &mut self.seen {
-            seen.insert(id);
+        if let Some(jobs_read) = &mut self.jobs_read {
+            jobs_read.insert(id);
         }
-        if let Some(over) = records::unarchived_outcome(&item.value) {
-            self.controller.on_outcome_record(id, over, item.version);
+        if let Some(outcome) = records::unarchived_outcome(&item.value) {
+            self.leader.on_outcome_record(id, outcome, item.version);
         } else if let Some(record) = item.record() {
-            self.controller.on_job(record, item.version);
+            self.leader.on_job(record, item.version);
         }
     }
 
-    pub(super) fn on_live_page(&mut self, first: bool, page: Page, now: Time) {
-        if first {
-            // Whatever changes from here on is news; the later pages may show some of it already.
-            self.watch_from = page.revision;
-            self.seen = Some(BTreeSet::new());
+    /// Handles a page of the job records. After the last one, reads the run records at the start of the term; later,
+    /// removes the jobs that are gone and watches for changes again.
+    pub(super) fn on_jobs_page(&mut self, is_first: bool, page: Page, now: Time) {
+        if is_first {
+            // The watch begins at the revision of the first page. Later pages may already show some of the changes
+            // that it then reports.
+            self.watch_revision = page.revision;
+            self.jobs_read = Some(BTreeSet::new());
         }
         for item in &page.items {
-            self.take_job(item);
+            self.apply_job_record(item);
         }
         if let Some(last) = page.items.last().filter(|_| page.more) {
-            self.read_live(last.key.clone());
+            self.read_jobs(last.key.clone());
             return;
         }
-        let seen = self.seen.take().unwrap_or_default();
-        if self.loaded {
-            let gone: Vec<JobId> = self
-                .controller
+        let jobs_read = self.jobs_read.take().unwrap_or_default();
+        if self.is_loaded {
+            let deleted_jobs: Vec<JobId> = self
+                .leader
                 .job_ids()
-                .filter(|id| !seen.contains(id))
+                .filter(|id| !jobs_read.contains(id))
                 .collect();
-            for id in gone {
-                self.controller.on_job_deleted(id, now);
+            for id in deleted_jobs {
+                self.leader.on_job_deleted(id, now);
             }
             self.watch();
         } else {
-            self.read_runs(String::new());
+            self.read_run_records(String::new());
         }
     }
 
-    pub(super) fn on_run_page(&mut self, page: Page, now: Time) {
+    /// Handles a page of the run records. After the last one, the leader begins its work and the watch starts.
+    pub(super) fn on_run_records_page(&mut self, page: Page, now: Time) {
         for item in &page.items {
             let Some(id) = records::parse_run_key(&item.key) else {
                 continue;
             };
             if let Some(record) = item.record() {
-                self.controller
-                    .on_run_record(id, &record, item.version, now);
+                self.leader.on_run_record(id, &record, item.version, now);
             }
         }
         if let Some(last) = page.items.last().filter(|_| page.more) {
-            self.read_runs(last.key.clone());
+            self.read_run_records(last.key.clone());
             return;
         }
-        self.loaded = true;
-        self.controller.on_loaded(now);
-        tracing::info!("records read: {}", self.controller.summary());
+        self.is_loaded = true;
+        self.leader.on_loaded(now);
+        tracing::info!("records read: {}", self.leader.summary());
         self.watch();
     }
 
-    pub(super) fn on_watch(&mut self, outcome: Outcome, now: Time) {
+    /// Handles the outcome of a watch, and watches again. Reads all jobs instead if the state service no longer holds
+    /// the changes since the last known revision, or if watches fail repeatedly.
+    pub(super) fn on_watch_outcome(&mut self, outcome: Outcome, now: Time) {
         match outcome {
-            Outcome::News(news) => {
+            Outcome::News(changes) => {
                 self.failed_watches = 0;
-                self.answered_meanwhile = false;
-                self.watch_from = self.watch_from.max(news.revision);
-                for event in news.events {
+                self.store_answered_since_watch = false;
+                self.watch_revision = self.watch_revision.max(changes.revision);
+                for event in changes.events {
                     if let (Some(key), Some(value)) = (event.put, event.value) {
-                        self.take_job(&Item {
+                        self.apply_job_record(&Item {
                             key,
                             value,
                             version: event.version,
@@ -157,17 +179,19 @@
                     } else if let Some(id) =
                         event.delete.as_deref().and_then(records::parse_live_key)
                     {
-                        self.controller.on_job_deleted(id, now);
+                        self.leader.on_job_deleted(id, now);
                     }
                 }
                 self.watch();
             }
-            Outcome::TooOld => self.read_live(String::new()),
+            Outcome::TooOld => self.read_jobs(String::new()),
             Outcome::Unknown => {
                 self.failed_watches += 1;
-                if self.failed_watches >= MAX_FAILED_WATCHES && self.answered_meanwhile {
+                if self.failed_watches >= MAX_CONSECUTIVE_WATCH_FAILURES
+                    && self.store_answered_since_watch
+                {
                     self.failed_watches = 0;
-                    self.read_live(String::new());
+                    self.read_jobs(String::new());
                 } else {
                     self.watch();
                 }
--- a/src/node/leader_duties/mod.rs
+++ b/src/node/leader_duties/mod.rs
@@ -1,12 +1,12 @@
-//! The leader's duties towards the outside: reading the records, watching for jobs, writing
-//! batches, and talking to the cloud and to workers.
+//! The input and output of the leader: reads records, watches for jobs, writes batches of records, and calls the
+//! cloud and the workers.
 
 mod cloud;
 mod loading;
 mod quota;
 mod zones;
 
-use cloud::rental_result;
+use cloud::provision_result;
 
 use std::collections::{BTreeSet, HashMap};
 use std::net::SocketAddr;
@@ -26,244 +26,274 @@
 use lichencrank_store::rate_limit::RateLimit;
 use lichencrank_store::{value, Change, Item, Page, Txn};
 
-/// Which request to the state service an outcome answers.
+/// What the leader has requested from the state service.
 #[derive(Clone, Debug)]
 pub(super) enum LeaderRequest {
-    Live {
-        after: String,
-    },
-    Runs {
-        after: String,
-    },
-    Watch,
-    Batch,
-    RunRecordVersion(RunRecordId),
-    Types,
-    /// Reading the records of the accounts: which prefix, behind which key.
-    Quota {
-        prefix: usize,
-        after: String,
-    },
-    QuotaTxn,
-    /// Reading the record of the zones, and writing it.
-    ZonesRecord,
-    ZonesTxn,
+    /// Reads a page of the job records after a key.
+    ReadJobs { after: String },
+    /// Reads a page of the run records after a key.
+    ReadRunRecords { after: String },
+    /// Watches the job records for changes.
+    WatchJobs,
+    /// Writes a batch of records.
+    WriteBatch,
+    /// Reads the version of a run record.
+    ReadRunRecordVersion(RunRecordId),
+    /// Writes the machine types.
+    WriteMachineTypes,
+    /// Reads a page of the quota records after a key, below the prefix with this index.
+    ReadQuota { prefix_index: usize, after: String },
+    /// Writes changed quota records.
+    WriteQuota,
+    /// Reads the zones record.
+    ReadZonesRecord,
+    /// Writes the zones record.
+    WriteZonesRecord,
 }
 
-/// Which call to a worker or the cloud a reply answers.
+/// What the leader has requested from a worker or from the cloud.
 #[derive(Debug)]
-enum LeaderCall {
+enum Call {
     SendCommands {
         host: HostName,
         incarnation: Incarnation,
         commands: Vec<Command>,
     },
-    Rent(ProvisionRequest),
+    Provision(ProvisionRequest),
     Release(Vec<HostName>),
-    List,
-    Types,
+    ListHosts,
+    ListMachineTypes,
 }
 
-const LOAD_PAGE: u32 = 200;
-const LOAD_LIMIT: Duration = Duration::from_secs(2);
-const BATCH_LIMIT: Duration = Duration::from_millis(1500);
-const WATCH_HOLD: Duration = Duration::from_secs(2);
-const WATCH_SLACK: Duration = Duration::from_millis(1500);
-/// After so many failed watches, while other requests are answered, the jobs are read page by page: news
-/// of a flood may be too long for one answer, and would be so again.
-const MAX_FAILED_WATCHES: u32 = 3;
-const COMMAND_LIMIT: Duration = Duration::from_secs(4);
-const CLOUD_LIMIT: Duration = Duration::from_secs(6);
-const LIST_EVERY: Duration = Duration::from_secs(4);
-/// How often is looked whether others wait for a part of the allowances.
-const QUOTA_EVERY: Duration = Duration::from_secs(2);
-const TYPES_EVERY: Duration = Duration::from_secs(20);
-/// The longest time that decisions rest after a long pass.
-const LONGEST_PAUSE: Duration = Duration::from_millis(500);
-/// Below this share of the write budget only urgent records are written.
-const SPARE: f64 = 0.4;
-/// What the smallest step takes: a record and the first one of its job.
-const LEAST_BATCH: usize = 2;
-/// A transaction waits until the budget allows so many changes, if there are as many.
-const FULL_BATCH: usize = 6;
+const LOAD_PAGE_SIZE: u32 = 200;
+const LOAD_TIMEOUT: Duration = Duration::from_secs(2);
+const RECORD_REQUEST_TIMEOUT: Duration = Duration::from_millis(1500);
+const WATCH_HOLD_TIME: Duration = Duration::from_secs(2);
+/// How long the response to a watch may take beyond the time that the state service holds it.
+const WATCH_RESPONSE_MARGIN: Duration = Duration::from_millis(1500);
+/// After this many consecutive watch failures while other requests are answered, the jobs are read page by page
+/// instead: after a burst of changes, the response to the watch may be too long, and would be so again on each retry.
+const MAX_CONSECUTIVE_WATCH_FAILURES: u32 = 3;
+const COMMAND_TIMEOUT: Duration = Duration::from_secs(4);
+const CLOUD_TIMEOUT: Duration = Duration::from_secs(6);
+const HOST_LIST_INTERVAL: Duration = Duration::from_secs(4);
+/// Interval between reads of the quota records, which show whether other clients wait for a part of the leader's
+/// allowances.
+const QUOTA_RELOAD_INTERVAL: Duration = Duration::from_secs(2);
+const MACHINE_TYPES_INTERVAL: Duration = Duration::from_secs(20);
+/// Longest pause between two rounds of decisions.
+const MAX_DECISION_PAUSE: Duration = Duration::from_millis(500);
+/// Below this available fraction of the write rate limit's bucket, only urgent records are written.
+const SPARE_WRITE_BUDGET_FRACTION: f64 = 0.4;
+/// Changes that the smallest step takes: a record and its job's first run record.
+const MIN_BATCH_CHANGES: usize = 2;
+/// A batch is delayed until the rate limit permits this many changes, or all queued ones if they are fewer.
+const FULL_BATCH_CHANGES: usize = 6;
 
-/// How often something is done, and whether it is being done.
+/// A task that is repeated at an interval and never runs twice at once.
 struct PeriodicTask {
-    every: Duration,
-    due: Time,
-    busy: bool,
+    interval: Duration,
+    due_at: Time,
+    is_running: bool,
 }
 
 impl PeriodicTask {
-    fn new(every: Duration, now: Time) -> PeriodicTask {
+    fn new(interval: Duration, now: Time) -> PeriodicTask {
         PeriodicTask {
-            every,
-            due: now,
-            busy: false,
+            interval,
+            due_at: now,
+            is_running: false,
         }
     }
 
-    fn starts(&mut self, now: Time) -> bool {
-        let starts = !self.busy && now >= self.due;
-        if starts {
-            self.busy = true;
-            self.due = now.after(self.every);
+    /// Marks the task as running if it is due. Returns whether it was.
+    fn start_if_due(&mut self, now: Time) -> bool {
+        let is_due = !self.is_running && now >= self.due_at;
+        if is_due {
+            self.is_running = true;
+            self.due_at = now.after(self.interval);
         }
-        starts
+        is_due
     }
 }
 
+/// The requests and calls of the leader of one term.
 pub(super) struct LeaderDuties {
-    pub controller: Leader,
-    /// Marks log lines with the term; made once, as making one takes longer than entering it.
+    pub leader: Leader,
+    /// The tracing span with the leader's term. It is created once, as creating a span takes longer than entering
+    /// one.
     span: tracing::Span,
-    cloud: SocketAddr,
-    cloud_budget: RateLimit,
-    calls: HashMap<CallId, LeaderCall>,
-    pending: Vec<(RequestClass, StoreRequest, Duration, LeaderRequest)>,
-    watch_from: Version,
-    /// Watches in a row that brought nothing, not even that nothing has changed.
+    cloud_address: SocketAddr,
+    cloud_rate_limit: RateLimit,
+    /// Calls in flight.
+    calls: HashMap<CallId, Call>,
+    /// Requests to the state service that the node has yet to take, each with its timeout.
+    queued_requests: Vec<(RequestClass, StoreRequest, Duration, LeaderRequest)>,
+    /// The revision after which the next watch reports changes.
+    watch_revision: Version,
+    /// Consecutive failed watches. A response without changes is a success.
     failed_watches: u32,
-    /// Other requests were answered since a watch last brought anything.
-    answered_meanwhile: bool,
-    /// While the jobs are read again in full: those seen so far.
-    seen: Option<BTreeSet<JobId>>,
-    loaded: bool,
-    listing: Vec<ListedHost>,
-    list: PeriodicTask,
-    types: PeriodicTask,
-    types_written: bool,
-    /// When the accounts are read again, and whether they are being read or written.
-    quota: PeriodicTask,
-    accounts_at: Time,
-    /// Version of the record of the zones; unknown after a write without an answer.
-    zones_version: Option<Version>,
+    /// Whether the state service has answered other requests since the last response to a watch.
+    store_answered_since_watch: bool,
+    /// While all jobs are read: those read so far.
+    jobs_read: Option<BTreeSet<JobId>>,
+    /// Whether all records have been read.
+    is_loaded: bool,
+    /// The pages read so far of the cloud's list of hosts.
+    listed_hosts: Vec<ListedHost>,
+    /// Reading the cloud's list of hosts.
+    host_list: PeriodicTask,
+    /// Reading the machine types from the cloud.
+    machine_types: PeriodicTask,
+    /// Whether the machine types have been written in this term, or are too large for it.
+    machine_types_written: bool,
+    /// Reading the quota records; also marked as running while they are written.
+    quota_reload: PeriodicTask,
+    /// When the quota records are next checked for due changes.
+    quota_check_due_at: Time,
+    /// Version of the zones record; unknown until it is read, and after a write without a response.
+    zones_record_version: Option<Version>,
     batch_interval: Duration,
-    batch_at: Time,
-    txn_ops: usize,
-    waiting: Vec<Action>,
-    /// Decisions rest until then.
-    decide_at: Time,
+    next_batch_at: Time,
+    max_txn_changes: usize,
+    /// Actions that wait for the cloud's rate limit or for a valid lease.
+    deferred_actions: Vec<Action>,
+    /// When the leader may next make decisions.
+    next_decision_at: Time,
 }
 
 impl LeaderDuties {
     pub(super) fn new(
-        controller: Leader,
-        cloud: SocketAddr,
+        leader: Leader,
+        cloud_address: SocketAddr,
         cloud_rps: f64,
-        txn_ops: usize,
+        max_txn_changes: usize,
         batch_interval: Duration,
         now: Time,
     ) -> LeaderDuties {
         let mut duties = LeaderDuties {
-            span: tracing::info_span!("leader", term = controller.term().0),
-            controller,
-            cloud,
-            cloud_budget: RateLimit::new(cloud_rps * 0.8, cloud_rps),
+            span: tracing::info_span!("leader", term = leader.term().0),
+            leader,
+            cloud_address,
+            cloud_rate_limit: RateLimit::new(cloud_rps * 0.8, cloud_rps),
             calls: HashMap::new(),
-            pending: Vec::new(),
-            watch_from: Version(0),
+            queued_requests: Vec::new(),
+            watch_revision: Version(0),
             failed_watches: 0,
-            answered_meanwhile: false,
-            seen: Some(BTreeSet::new()),
-            loaded: false,
-            listing: Vec::new(),
-            list: PeriodicTask::new(LIST_EVERY, now),
-            types: PeriodicTask::new(TYPES_EVERY, now),
-            types_written: false,
-            quota: PeriodicTask::new(QUOTA_EVERY, now),
-            accounts_at: now,
-            zones_version: None,
+            store_answered_since_watch: false,
+            jobs_read: Some(BTreeSet::new()),
+            is_loaded: false,
+            listed_hosts: Vec::new(),
+            host_list: PeriodicTask::new(HOST_LIST_INTERVAL, now),
+            machine_types: PeriodicTask::new(MACHINE_TYPES_INTERVAL, now),
+            machine_types_written: false,
+            quota_reload: PeriodicTask::new(QUOTA_RELOAD_INTERVAL, now),
+            quota_check_due_at: now,
+            zones_record_version: None,
             batch_interval,
-            batch_at: now,
-            txn_ops,
-            waiting: Vec::new(),
-            decide_at: now,
+            next_batch_at: now,
+            max_txn_changes,
+            deferred_actions: Vec::new(),
+            next_decision_at: now,
         };
         duties.read_zones_record();
-        duties.read_live(String::new());
+        duties.read_jobs(String::new());
         duties
     }
 
-    pub(super) fn take_pending(
+    /// Takes the queued requests to the state service.
+    pub(super) fn take_requests(
         &mut self,
     ) -> Vec<(RequestClass, StoreRequest, Duration, LeaderRequest)> {
-        std::mem::take(&mut self.pending)
+        std::mem::take(&mut self.queued_requests)
     }
 
     /// Whether all records have been read.
     pub(super) fn has_loaded(&self) -> bool {
-        self.loaded
+        self.is_loaded
     }
 
-    // ---- time
-
-    /// Everything that is due: decisions, the next batch, calls to workers and the cloud.
-    pub(super) fn turn(&mut self, net: &mut impl Network, writes: &mut RateLimit, now: Time) {
-        let _term = self.span.clone().entered();
-        if now >= self.decide_at {
-            self.controller.tick(now, net.time_of_day());
-            // However much there is to decide, reports and users get most of the time.
-            let end = net.now();
-            self.decide_at = end.after((end.since(now) * 3).min(LONGEST_PAUSE));
+    /// Runs what is due: decisions, writes, and calls to workers and the cloud.
+    pub(super) fn run_due_work(
+        &mut self,
+        network: &mut impl Network,
+        write_rate_limit: &mut RateLimit,
+        now: Time,
+    ) {
+        let _span = self.span.clone().entered();
+        if now >= self.next_decision_at {
+            self.leader.tick(now, network.time_of_day());
+            // Pauses three times as long as the decisions took, so that heartbeats and users' requests get most of
+            // the time even if decisions take long.
+            let decided_at = network.now();
+            self.next_decision_at =
+                decided_at.after((decided_at.since(now) * 3).min(MAX_DECISION_PAUSE));
         }
-        if self.may_act(net) {
-            self.keep_accounts(writes, now);
-            self.keep_zones_record(writes, now);
-            self.commit(writes, now);
+        if self.has_valid_lease(network) {
+            self.update_quota(write_rate_limit, now);
+            self.update_zones_record(write_rate_limit, now);
+            self.write_batch(write_rate_limit, now);
         }
-        for id in self.controller.take_records_of_unknown_version() {
-            let ask = StoreRequest::Get(records::run_key(id));
-            self.pending.push((
+        for id in self.leader.take_records_of_unknown_version() {
+            let request = StoreRequest::Get(records::run_key(id));
+            self.queued_requests.push((
                 RequestClass::Records,
-                ask,
-                BATCH_LIMIT,
-                LeaderRequest::RunRecordVersion(id),
+                request,
+                RECORD_REQUEST_TIMEOUT,
+                LeaderRequest::ReadRunRecordVersion(id),
             ));
         }
-        if self.may_act(net) {
-            self.run_periodic_tasks(net, now);
+        if self.has_valid_lease(network) {
+            self.poll_cloud(network, now);
         }
-        let mut actions = std::mem::take(&mut self.waiting);
-        actions.extend(self.controller.take_actions());
+        let mut actions = std::mem::take(&mut self.deferred_actions);
+        actions.extend(self.leader.take_actions());
         for action in actions {
-            self.act(net, action, now);
+            self.execute(network, action, now);
         }
     }
 
-    /// Asks the clock anew: the turn may have begun long ago.
-    fn may_act(&self, net: &impl Network) -> bool {
-        net.now() < self.controller.lease_valid_until()
+    /// Whether the leader's lease is valid. Reads the clock again, as the iteration of the event loop may have begun
+    /// long ago.
+    fn has_valid_lease(&self, network: &impl Network) -> bool {
+        network.now() < self.leader.lease_valid_until()
     }
 
-    fn commit(&mut self, writes: &mut RateLimit, now: Time) {
-        if !self.controller.is_write_idle() || now < self.batch_at || self.is_changing_accounts() {
+    /// Writes the next batch of records if one is due and the rate limit permits it.
+    fn write_batch(&mut self, write_rate_limit: &mut RateLimit, now: Time) {
+        if !self.leader.is_write_idle()
+            || now < self.next_batch_at
+            || self.is_writing_quota_changes()
+        {
             return;
         }
-        let spare = writes.available_fraction(now) > SPARE;
-        if !self.controller.has_urgent_writes() && !spare {
+        let has_spare_budget =
+            write_rate_limit.available_fraction(now) > SPARE_WRITE_BUDGET_FRACTION;
+        if !self.leader.has_urgent_writes() && !has_spare_budget {
             return;
         }
-        // Many in one transaction where many wait: each is a request of its own.
-        let affordable = writes.available(now).max(0.0) as usize;
-        let most = affordable.min(self.txn_ops);
-        let backlog = self.controller.write_backlog();
-        let worth = FULL_BATCH.min(self.txn_ops);
-        if most < (backlog.urgent + backlog.other).clamp(LEAST_BATCH, worth) {
+        // Many changes share a transaction if many are queued, as each transaction counts as one request against the
+        // rate limit.
+        let permitted_changes = write_rate_limit.available(now).max(0.0) as usize;
+        let max_changes = permitted_changes.min(self.max_txn_changes);
+        let backlog = self.leader.write_backlog();
+        let full_batch = FULL_BATCH_CHANGES.min(self.max_txn_changes);
+        if max_changes < (backlog.urgent + backlog.other).clamp(MIN_BATCH_CHANGES, full_batch) {
             return;
         }
-        if let Some(txn) = self.controller.next_batch(most, spare) {
-            self.batch_at = now.after(self.batch_interval);
-            self.pending.push((
+        if let Some(txn) = self.leader.next_batch(max_changes, has_spare_budget) {
+            self.next_batch_at = now.after(self.batch_interval);
+            self.queued_requests.push((
                 RequestClass::Records,
                 StoreRequest::Txn(txn),
-                BATCH_LIMIT,
-                LeaderRequest::Batch,
+                RECORD_REQUEST_TIMEOUT,
+                LeaderRequest::WriteBatch,
             ));
         }
     }
 
-    fn act(&mut self, net: &mut impl Network, action: Action, now: Time) {
+    /// Carries out an action that the leader requests. Commands that run tasks are not sent without a valid lease.
+    fn execute(&mut self, network: &mut impl Network, action: Action, now: Time) {
         match action {
             Action::SendCommands {
                 host,
@@ -271,114 +301,111 @@
                 incarnation,
                 commands,
             } => {
-                let starts = commands.iter().any(|o| matches!(o, Command::Run { .. }));
-                if starts && !self.may_act(net) {
-                    // It brings no report, so it can't tell of another leader either.
+                let runs_tasks = commands
+                    .iter()
+                    .any(|command| matches!(command, Command::Run { .. }));
+                if runs_tasks && !self.has_valid_lease(network) {
+                    // The result holds no heartbeat, so it can't show that another controller leads.
                     let result = CommandResult::NotAttempted;
-                    let _ = self.controller.on_command_result(
-                        &host,
-                        incarnation,
-                        &commands,
-                        result,
-                        now,
-                    );
+                    let _ =
+                        self.leader
+                            .on_command_result(&host, incarnation, &commands, result, now);
                     return;
                 }
-                let token = self.controller.term();
+                let fencing_token = self.leader.term();
                 let body = encode(&CommandRequest {
-                    fencing_token: token,
+                    fencing_token,
                     incarnation,
                     commands: &commands,
                 });
-                let call = net.call(address, "POST", "/commands", &body, COMMAND_LIMIT);
+                let call = network.call(address, "POST", "/commands", &body, COMMAND_TIMEOUT);
                 self.calls.insert(
                     call,
-                    LeaderCall::SendCommands {
+                    Call::SendCommands {
                         host,
                         incarnation,
                         commands,
                     },
                 );
             }
-            action if !self.may_ask_cloud(net, &action, now) => {
-                self.waiting.push(action);
+            action if !self.can_call_cloud(network, &action, now) => {
+                self.deferred_actions.push(action);
             }
-            Action::ScaleOut(rental) => {
-                let body = encode(&rental);
-                self.ask_cloud(net, "POST", "/hosts", &body, LeaderCall::Rent(rental), now);
+            Action::ScaleOut(spec) => {
+                let body = encode(&spec);
+                self.call_cloud(network, "POST", "/hosts", &body, Call::Provision(spec), now);
             }
             Action::ScaleIn(hosts) | Action::ForceRelease(hosts) => {
                 let names = HostNames { hosts };
                 let body = encode(&names);
-                let what = LeaderCall::Release(names.hosts);
-                self.ask_cloud(net, "POST", "/hosts/release", &body, what, now);
+                let leader_call = Call::Release(names.hosts);
+                self.call_cloud(network, "POST", "/hosts/release", &body, leader_call, now);
             }
         }
     }
 
-    /// Takes the reply to one of the calls made here.
+    /// Handles the reply to one of the leader's calls.
     pub(super) fn on_reply(
         &mut self,
-        net: &mut impl Network,
+        network: &mut impl Network,
         call: CallId,
         result: Result<Response, CallError>,
         now: Time,
     ) -> Result<(), LeadershipLost> {
-        let Some(what) = self.calls.remove(&call) else {
+        let Some(leader_call) = self.calls.remove(&call) else {
             return Ok(());
         };
         if matches!(&result, Ok(r) if r.status == 429) {
-            self.cloud_budget.back_off(now, Duration::from_millis(500));
+            self.cloud_rate_limit
+                .back_off(now, Duration::from_millis(500));
         }
-        match what {
-            LeaderCall::SendCommands {
+        match leader_call {
+            Call::SendCommands {
                 host,
                 incarnation,
                 commands,
             } => {
                 let result = command_result(result);
-                return self.controller.on_command_result(
-                    &host,
-                    incarnation,
-                    &commands,
-                    result,
-                    now,
-                );
+                return self
+                    .leader
+                    .on_command_result(&host, incarnation, &commands, result, now);
             }
-            LeaderCall::Rent(rental) => {
-                self.controller
-                    .on_provision_result(&rental.name, rental_result(result), now);
+            Call::Provision(spec) => {
+                self.leader
+                    .on_provision_result(&spec.name, provision_result(result), now);
             }
-            LeaderCall::Release(names) => {
-                let confirmed = matches!(&result, Ok(r) if r.status == 200);
-                self.controller.on_release_result(&names, confirmed, now);
+            Call::Release(names) => {
+                let is_confirmed = matches!(&result, Ok(r) if r.status == 200);
+                self.leader.on_release_result(&names, is_confirmed, now);
             }
-            LeaderCall::List => self.on_list(net, result, now),
-            LeaderCall::Types => {
-                self.types.busy = false;
-                let types = result.ok().filter(|r| r.status == 200);
-                if let Some(types) = types.and_then(|r| decode::<MachineTypes>(&r.body).ok()) {
-                    self.controller.on_machine_types(types.types);
-                    self.write_types();
+            Call::ListHosts => self.on_host_list_page(network, result, now),
+            Call::ListMachineTypes => {
+                self.machine_types.is_running = false;
+                let response = result.ok().filter(|r| r.status == 200);
+                if let Some(types) = response.and_then(|r| decode::<MachineTypes>(&r.body).ok()) {
+                    self.leader.on_machine_types(types.types);
+                    self.write_machine_types();
                 }
             }
         }
         Ok(())
     }
 
-    /// Tells of a job's tasks without a read, if this leader has it in its picture.
-    pub(super) fn counts(&self, job: JobId) -> Option<(u64, u64)> {
-        if !self.loaded {
+    /// The numbers of done and of allocated tasks of a job, if this leader has loaded the records and knows the job.
+    pub(super) fn task_counts(&self, job: JobId) -> Option<(u64, u64)> {
+        if !self.is_loaded {
             return None;
         }
-        self.controller.task_counts(job)
+        self.leader.task_counts(job)
     }
 }
 
+/// What the response to a command request says about the commands. A worker responds with its heartbeat both to
+/// commands that it executes and, with status 409, to those that it does not.
 fn command_result(result: Result<Response, CallError>) -> CommandResult {
     match result {
         Ok(r) if matches!(r.status, 200 | 409) => match decode(&r.body) {
-            Ok(report) => CommandResult::Heartbeat(Box::new(report)),
+            Ok(heartbeat) => CommandResult::Heartbeat(Box::new(heartbeat)),
             Err(_) => CommandResult::NoResponse,
         },
         Ok(r) if r.status == 400 => CommandResult::NotExecuted,
--- a/src/node/leader_locality.rs
+++ b/src/node/leader_locality.rs
@@ -1,43 +1,46 @@
-//! Where the leader sits: near the machines, and where it hears most of them.
+//! Leader locality: which controller is best placed to lead. The leader should be in the zone with the most hosts,
+//! and should receive the heartbeats of most workers.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use lichencrank_zones::{ControllerReach, DampingSettings, FlapDamping};
 
-use super::{Node, CAMPAIGN_DELAY, TRANSFER_AFTER, WORKERS_FOR};
+use super::{Node, CAMPAIGN_DELAY, TRANSFER_DELAY, WORKER_HEARTBEAT_VALIDITY};
 use crate::coordination::WorkerReach;
 use crate::protocol::cloud::MachineType;
 use crate::transport::Network;
 use crate::types::{Term, Time};
 
-/// After an election in which no node of the home zone claimed the free key, none is waited for in
-/// the next cuts: the state service is out of their reach whenever the home zone is cut off.
-const HOME_ABSENT_FOR: Duration = Duration::from_secs(600);
+/// How long it is remembered that no node of the home zone claimed the free key in an election. Until then, a leader
+/// that is partitioned from the home zone does not resign in its favour: the nodes there do not reach the state
+/// service during a partition.
+const HOME_ZONE_ABSENCE: Duration = Duration::from_secs(600);
 
-/// What this node knows of zones, as far as it matters for who leads.
+/// What this node knows about the zones that matters for the choice of the leader.
 #[derive(Debug, Default)]
 pub(super) struct Locality {
-    /// The zone that holds the most machines, as far as this node has heard.
-    pub(super) home: Option<String>,
-    /// Since when this node's zone has been cut off from everything else.
+    /// The home zone: the zone with the most hosts, as far as this node knows.
+    pub(super) home_zone: Option<String>,
+    /// Since when this node's zone has been partitioned from the other zones and from the state service.
     pub(super) zone_isolated_since: Option<Time>,
-    /// Since when a peer in the home zone has been fit to lead while this node does.
-    better_since: Option<Time>,
-    home_flaps: HomeFlaps,
+    /// Since when a peer has been better placed to lead than this node, which leads.
+    better_peer_since: Option<Time>,
+    home_zone_flaps: HomeZoneFlaps,
 }
 
-/// What this node has seen of cuts between itself and the home zone.
+/// The partitions between this node and the home zone.
 #[derive(Debug, Default)]
-struct HomeFlaps {
+struct HomeZoneFlaps {
     damping: FlapDamping,
-    is_cut_off: bool,
-    /// When this node last won an election in which no node of the home zone took part.
-    won_without_home: Option<Time>,
+    is_partitioned: bool,
+    /// When this node last won an election in which no node of the home zone could take part.
+    won_without_home_at: Option<Time>,
 }
 
-/// After one cut no leader moves to the home zone for three minutes, after several for longer.
-fn home_damping() -> DampingSettings {
+/// After one partition the leadership is not transferred to the home zone for three minutes, after several for
+/// longer.
+fn home_zone_damping() -> DampingSettings {
     DampingSettings {
         half_life_s: 180.0,
         reuse_threshold: 500.0,
@@ -45,207 +48,226 @@
     }
 }
 
-impl HomeFlaps {
-    /// Whether this leader hears neither nodes nor most machines of the home zone: a node that is away
-    /// alone is no cut.
-    fn update(&mut self, is_cut_off: bool, now: Time) {
-        let settings = home_damping();
-        if is_cut_off && !self.is_cut_off {
+impl HomeZoneFlaps {
+    /// Updates the damping. `is_partitioned` says whether this leader reaches neither the nodes of the home zone nor
+    /// most workers. Unreachable nodes alone are no partition.
+    fn update(&mut self, is_partitioned: bool, now: Time) {
+        let settings = home_zone_damping();
+        if is_partitioned && !self.is_partitioned {
             self.damping.on_loss(now, &settings);
         }
-        self.is_cut_off = is_cut_off;
+        self.is_partitioned = is_partitioned;
         self.damping.update(now, &settings);
     }
 
-    /// Whether the home zone was out of reach lately. It may be again soon, and then a leader there
-    /// would have to be replaced.
-    fn is_unsteady(&self, now: Time) -> bool {
-        let settings = home_damping();
+    /// Whether the home zone has recently been unreachable. It may soon be so again, and a leader there would then
+    /// have to be replaced.
+    fn is_unstable(&self, now: Time) -> bool {
+        let settings = home_zone_damping();
         self.damping.penalty(now, &settings) >= settings.reuse_threshold
     }
 
-    /// Whether the nodes of the home zone can't claim a free key while they can't be heard.
-    fn home_is_absent_in_cuts(&self, now: Time) -> bool {
-        self.won_without_home
-            .is_some_and(|at| now.since(at) < HOME_ABSENT_FOR)
+    /// Whether the nodes of the home zone are known to be unable to claim a free key while they are unreachable.
+    fn is_absent_when_partitioned(&self, now: Time) -> bool {
+        self.won_without_home_at
+            .is_some_and(|won_at| now.since(won_at) < HOME_ZONE_ABSENCE)
     }
 }
 
 impl<N: Network> Node<N> {
-    /// An election was won. Nodes at home go first, so if this one is away from home and hears none of
-    /// them, none of them could claim the key.
-    pub(super) fn note_election_won(&mut self, now: Time) {
-        if !self.is_at_home() && !self.reaches_home(now) {
-            self.locality.home_flaps.won_without_home = Some(now);
+    /// Records that this node won an election. Nodes of the home zone campaign first. So if this node is in another
+    /// zone and reaches none of them, none of them could claim the key.
+    pub(super) fn on_election_won(&mut self, now: Time) {
+        if !self.is_in_home_zone() && !self.is_home_zone_reachable(now) {
+            self.locality.home_zone_flaps.won_without_home_at = Some(now);
         }
     }
 
-    /// Whether a peer in the home zone answers.
-    fn reaches_home(&self, now: Time) -> bool {
+    /// Whether a peer in the home zone is reachable.
+    fn is_home_zone_reachable(&self, now: Time) -> bool {
         let mut peers = self.settings.peers.iter().zip(&self.peers);
-        peers.any(|(named, peer)| {
-            Some(&named.zone) == self.locality.home.as_ref() && peer.is_reachable(now)
+        peers.any(|(peer_settings, peer)| {
+            Some(&peer_settings.zone) == self.locality.home_zone.as_ref() && peer.is_reachable(now)
         })
     }
 
-    /// Where the leader sits matters when zones are cut apart: workers that can't reach it lose
-    /// their work. So nodes of the zone with the most machines go first, and a leader elsewhere, or
-    /// one that most workers don't reach, makes room.
+    /// Sets the campaign delay and, as the leader, transfers the leadership if a peer is better placed. During a
+    /// partition between zones, workers that do not reach the leader lose their tasks. So nodes of the home zone
+    /// campaign first, and a leader in another zone, or one that most workers do not reach, resigns.
     pub(super) fn check_leader_locality(&mut self, now: Time) {
-        self.workers.retain(|_, at| now.since(*at) < WORKERS_FOR);
-        if self.locality.home.is_none() {
-            self.locality.home = widest_zone(&self.types);
+        self.worker_heartbeats
+            .retain(|_, received_at| now.since(*received_at) < WORKER_HEARTBEAT_VALIDITY);
+        if self.locality.home_zone.is_none() {
+            self.locality.home_zone = zone_with_most_machine_types(&self.machine_types);
         }
-        self.leadership.campaign_delay = self.campaign_delay();
-        let unheard = self.unheard_zones(now);
-        let controllers = self.zone_controllers(now);
+        self.election.campaign_delay = self.campaign_delay();
+        let unreachable_zones = self.unreachable_zones(now);
+        let controller_reach = self.controller_reach_by_zone(now);
         let Some(duties) = &mut self.duties else {
             return;
         };
-        duties.controller.set_controller_reach(unheard, controllers);
-        let reach = duties.controller.worker_reach(now);
-        if reach.home_zone.is_some() {
-            self.locality.home.clone_from(&reach.home_zone);
+        duties
+            .leader
+            .set_controller_reach(unreachable_zones, controller_reach);
+        let worker_reach = duties.leader.worker_reach(now);
+        if worker_reach.home_zone.is_some() {
+            self.locality.home_zone.clone_from(&worker_reach.home_zone);
         }
-        let home_is_cut_off =
-            reach.is_partitioned() && !self.is_at_home() && !self.reaches_home(now);
-        self.locality.home_flaps.update(home_is_cut_off, now);
-        let hears_more = self.has_peer_that_hears_more(&reach, now);
-        let better_placed = hears_more || self.has_peer_at_home(now);
-        if better_placed {
-            self.locality.better_since.get_or_insert(now);
+        let is_home_zone_partitioned = worker_reach.is_partitioned()
+            && !self.is_in_home_zone()
+            && !self.is_home_zone_reachable(now);
+        self.locality
+            .home_zone_flaps
+            .update(is_home_zone_partitioned, now);
+        let peer_has_more_workers = self.has_peer_with_more_workers(&worker_reach, now);
+        let has_better_peer = peer_has_more_workers || self.has_fit_peer_in_home_zone(now);
+        if has_better_peer {
+            self.locality.better_peer_since.get_or_insert(now);
         } else {
-            self.locality.better_since = None;
+            self.locality.better_peer_since = None;
         }
-        let waited = self.locality.better_since.map(|at| now.since(at));
-        let calm = waited.is_some_and(|waited| waited >= TRANSFER_AFTER)
-            && !self.locality.home_flaps.is_unsteady(now);
-        // Cut off from the home zone, its nodes can't be heard either; they will find the key free.
-        // Unless one of our own zone has just tried that in vain.
-        let away = !self.is_at_home()
-            && !self.transferred_in_vain()
-            && !self.locality.home_flaps.home_is_absent_in_cuts(now);
-        let cut_off = reach.is_partitioned() && (away || hears_more);
-        if (calm || cut_off) && self.leadership.is_lease_valid(now) {
-            self.transfer_leadership(&reach, now);
+        let better_peer_for = self
+            .locality
+            .better_peer_since
+            .map(|since| now.since(since));
+        let is_transfer_due = better_peer_for.is_some_and(|time| time >= TRANSFER_DELAY)
+            && !self.locality.home_zone_flaps.is_unstable(now);
+        // A leader that is partitioned from the home zone can't see whether the nodes there are fit to lead, but they
+        // will find the key free if it resigns. It doesn't if a node of its own zone has just resigned without
+        // success.
+        let can_resign_for_home_zone = !self.is_in_home_zone()
+            && !self.has_zone_peer_resigned()
+            && !self
+                .locality
+                .home_zone_flaps
+                .is_absent_when_partitioned(now);
+        let should_resign_now =
+            worker_reach.is_partitioned() && (can_resign_for_home_zone || peer_has_more_workers);
+        if (is_transfer_due || should_resign_now) && self.election.is_lease_valid(now) {
+            self.transfer_leadership(&worker_reach, now);
         }
     }
 
-    /// Whether this node is in the zone with the most machines, or there is but one zone.
-    fn is_at_home(&self) -> bool {
-        let several = self.settings.settings.zones.len() > 1;
-        !several
+    /// Whether this node is in the home zone, or there is only one zone, or the home zone is unknown.
+    fn is_in_home_zone(&self) -> bool {
+        let has_several_zones = self.settings.settings.zones.len() > 1;
+        !has_several_zones
             || self
                 .locality
-                .home
+                .home_zone
                 .as_ref()
-                .is_none_or(|z| *z == self.settings.zone)
+                .is_none_or(|zone| *zone == self.settings.zone)
     }
 
-    /// How long this node lets a free key lie before it takes it.
+    /// How long the leader's key must have been free before this node claims it.
     fn campaign_delay(&self) -> Duration {
-        let several = self.settings.settings.zones.len() > 1;
-        let nothing_known = self.types.is_empty() && self.leadership.highest_term == Term(0);
-        if several && nothing_known {
+        let has_several_zones = self.settings.settings.zones.len() > 1;
+        let knows_nothing = self.machine_types.is_empty() && self.election.highest_term == Term(0);
+        if has_several_zones && knows_nothing {
             CAMPAIGN_DELAY * 2
-        } else if !self.is_at_home() {
+        } else if !self.is_in_home_zone() {
             CAMPAIGN_DELAY
         } else {
             Duration::ZERO
         }
     }
 
-    /// Whether a peer that the state service answers is at home while this node is not.
-    fn has_peer_at_home(&self, now: Time) -> bool {
-        if self.is_at_home() {
+    /// Whether a peer that reaches the state service is in the home zone while this node is not.
+    fn has_fit_peer_in_home_zone(&self, now: Time) -> bool {
+        if self.is_in_home_zone() {
             return false;
         }
         let mut peers = self.settings.peers.iter().zip(&self.peers);
-        peers.any(|(named, peer)| {
-            let answers = peer
+        peers.any(|(peer_settings, peer)| {
+            let reaches_store = peer
                 .recent_heartbeat(now)
                 .is_some_and(|h| h.store_reachable);
-            answers && Some(&named.zone) == self.locality.home.as_ref()
+            reaches_store && Some(&peer_settings.zone) == self.locality.home_zone.as_ref()
         })
     }
 
-    /// Whether most workers don't reach this node, and a peer that the state service answers hears more
-    /// of them. Right after a cut a peer still counts workers that are about to come here.
-    fn has_peer_that_hears_more(&self, reach: &WorkerReach, now: Time) -> bool {
-        if !reach.is_partitioned() {
+    /// Whether most workers do not reach this node, and a peer that reaches the state service receives the heartbeats
+    /// of more of them. Right after a partition a peer still counts workers that are about to change to this node.
+    fn has_peer_with_more_workers(&self, worker_reach: &WorkerReach, now: Time) -> bool {
+        if !worker_reach.is_partitioned() {
             return false;
         }
         let settling_time = self.settling_time();
         self.peers.iter().any(|peer| {
             let reachable_for = peer.reachable_for(now);
-            let settled = reachable_for.is_some_and(|time| time >= settling_time);
-            let hears_more = peer.recent_heartbeat(now).is_some_and(|h| {
+            let has_settled = reachable_for.is_some_and(|time| time >= settling_time);
+            let has_more_workers = peer.recent_heartbeat(now).is_some_and(|h| {
                 h.store_reachable
                     && !h.transferred_leadership
-                    && h.reporting_workers as usize > reach.reachable_hosts
+                    && h.reporting_workers as usize > worker_reach.reachable_hosts
             });
-            settled && hears_more
+            has_settled && has_more_workers
         })
     }
 
-    /// Whether a peer of this zone has just transferred the leadership away.
-    fn transferred_in_vain(&self) -> bool {
+    /// Whether a peer of this node's zone had recently resigned as the leader when it sent its last heartbeat.
+    fn has_zone_peer_resigned(&self) -> bool {
         let mut peers = self.settings.peers.iter().zip(&self.peers);
-        peers.any(|(named, peer)| {
-            named.zone == self.settings.zone
+        peers.any(|(peer_settings, peer)| {
+            peer_settings.zone == self.settings.zone
                 && peer
                     .last_heartbeat()
                     .is_some_and(|h| h.transferred_leadership)
         })
     }
 
-    fn transfer_leadership(&mut self, reach: &WorkerReach, now: Time) {
-        self.locality.better_since = None;
-        let action = self.leadership.resign(now);
+    /// Resigns as the leader, unless this node has recently done so.
+    fn transfer_leadership(&mut self, worker_reach: &WorkerReach, now: Time) {
+        self.locality.better_peer_since = None;
+        let action = self.election.resign(now);
         if action.is_some() {
             let WorkerReach {
-                reachable_hosts: heard,
-                known_hosts: known,
+                reachable_hosts,
+                known_hosts,
                 ..
-            } = reach;
-            tracing::info!("{heard} of {known} machines are heard here: leadership is transferred");
+            } = worker_reach;
+            tracing::info!(
+                "resigning as the leader: {reachable_hosts} of {known_hosts} hosts reach it"
+            );
         }
-        self.grant(action);
+        self.execute_election_action(action);
     }
 
-    /// Whether the controllers of each zone answer this one.
-    fn zone_controllers(&self, now: Time) -> BTreeMap<String, ControllerReach> {
-        let mut zones = BTreeMap::new();
-        for (named, peer) in self.settings.peers.iter().zip(&self.peers) {
-            let reach = zones
-                .entry(named.zone.clone())
+    /// For each zone, whether any of its controllers is reachable from this one.
+    fn controller_reach_by_zone(&self, now: Time) -> BTreeMap<String, ControllerReach> {
+        let mut reach_by_zone = BTreeMap::new();
+        for (peer_settings, peer) in self.settings.peers.iter().zip(&self.peers) {
+            let reach = reach_by_zone
+                .entry(peer_settings.zone.clone())
                 .or_insert(ControllerReach::Unreachable);
             if peer.is_reachable(now) {
                 *reach = ControllerReach::Reachable;
             }
         }
-        zones.insert(self.settings.zone.clone(), ControllerReach::Reachable);
-        zones
+        reach_by_zone.insert(self.settings.zone.clone(), ControllerReach::Reachable);
+        reach_by_zone
     }
 
-    /// Zones of which no node can be heard.
-    fn unheard_zones(&self, now: Time) -> Vec<String> {
-        let named = || self.settings.peers.iter().zip(&self.peers);
-        let heard = |zone: &str| {
+    /// Zones of which no node is reachable.
+    fn unreachable_zones(&self, now: Time) -> Vec<String> {
+        let peers = || self.settings.peers.iter().zip(&self.peers);
+        let is_zone_reachable = |zone: &str| {
             *zone == self.settings.zone
-                || named().any(|(n, p)| n.zone == zone && p.is_reachable(now))
+                || peers().any(|(peer_settings, peer)| {
+                    peer_settings.zone == zone && peer.is_reachable(now)
+                })
         };
-        let zones = named().map(|(n, _)| n.zone.clone());
-        zones.filter(|z| !heard(z)).collect()
+        let zones = peers().map(|(peer_settings, _)| peer_settings.zone.clone());
+        zones.filter(|zone| !is_zone_reachable(zone)).collect()
     }
 }
 
-/// The zone that offers the most machine types: a first guess at where the machines will be.
-fn widest_zone(types: &[MachineType]) -> Option<String> {
-    let mut zones: BTreeMap<&str, usize> = BTreeMap::new();
-    for zone in types.iter().flat_map(|t| &t.zones) {
-        *zones.entry(zone).or_default() += 1;
+/// The zone that offers the most machine types: an estimate of the home zone until hosts are known.
+fn zone_with_most_machine_types(machine_types: &[MachineType]) -> Option<String> {
+    let mut type_counts: BTreeMap<&str, usize> = BTreeMap::new();
+    for zone in machine_types.iter().flat_map(|t| &t.zones) {
+        *type_counts.entry(zone).or_default() += 1;
     }
-    let widest = zones.iter().max_by_key(|(_, count)| **count);
-    widest.map(|(zone, _)| (*zone).to_owned())
+    let largest = type_counts.iter().max_by_key(|(_, count)| **count);
+    largest.map(|(zone, _)| (*zone).to_owned())
 }
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -1,4 +1,18 @@
-//! A running node: ties transport, records, leadership and decisions together.
+//! A node, the process of one controller: connects the transport, the state service, the leader election, the users'
+//! API and, while it leads, the leader's duties.
+//!
+//! | module | responsibility |
+//! | --- | --- |
+//! | `requests` | routes requests of users, workers, health checks and peers |
+//! | `replies` | routes responses to the node's own calls and outcomes of its requests to the state service |
+//! | `periodic` | periodic tasks, and sending what the components have queued |
+//! | `heartbeats` | heartbeats between controllers |
+//! | `peer_messages` | encoding and decoding of messages between controllers |
+//! | `cancellations` | the leader's acknowledgement of a cancellation before the user's confirmation |
+//! | `leader_locality` | which controller is best placed to lead |
+//! | `zone_isolation` | heartbeat responses to workers while their zone is partitioned from the others |
+//! | `leader_duties` | the leader's requests to the state service, the cloud and the workers |
+//! | [`api`] | users' requests |
 
 pub mod api;
 mod cancellations;
@@ -37,76 +51,92 @@
 use leader_locality::Locality;
 use lichencrank_store::Page;
 
-/// Whose request to the state service it was.
-enum Purpose {
-    Lead(ElectionStep, Time),
+/// Which component sent a request to the state service, and what for.
+enum RequestOrigin {
+    /// The election, with the time at which the request was queued.
+    Election(ElectionStep, Time),
+    /// The leader of this term.
     LeaderDuties(Term, LeaderRequest),
+    /// The API server.
     ApiServer(ApiStoreRequest),
-    Types,
+    /// The node itself, to read the machine types.
+    MachineTypes,
 }
 
-const LOOP_INTERVAL: Duration = Duration::from_millis(100);
-const LEAD_LIMIT: Duration = Duration::from_millis(1200);
+/// Longest wait for events until periodic tasks are run.
+const MAX_EVENT_WAIT: Duration = Duration::from_millis(100);
+/// Timeout of the election's requests to the state service, and of the read of the machine types.
+const CONTROL_REQUEST_TIMEOUT: Duration = Duration::from_millis(1200);
 const RELAY_TIMEOUT: Duration = Duration::from_millis(1200);
-const TYPES_RETRY: Duration = Duration::from_secs(2);
-/// The state service counts as lost to this node after so long without a good answer.
-const STATE_LOST: Duration = Duration::from_millis(2500);
-/// How long a user's request is tried with it then, before another node is asked.
-const UNANSWERED_LIMIT: Duration = Duration::from_millis(450);
-const LOCALITY_INTERVAL: Duration = Duration::from_millis(500);
-/// How long nodes outside the zone with the most machines let the key lie.
+const MACHINE_TYPES_RETRY_DELAY: Duration = Duration::from_secs(2);
+/// Without a valid response for this long, the state service is regarded as unreachable from this node.
+const STORE_UNREACHABLE_AFTER: Duration = Duration::from_millis(2500);
+/// Timeout of a user's request to an unreachable state service; after it the request is relayed to another node.
+const UNREACHABLE_STORE_TIMEOUT: Duration = Duration::from_millis(450);
+const LOCALITY_CHECK_INTERVAL: Duration = Duration::from_millis(500);
+/// How long the leader's key must have been free before a node outside the home zone, which is the zone with the most
+/// hosts, claims it.
 const CAMPAIGN_DELAY: Duration = Duration::from_millis(900);
-/// How long a better placed peer must have been fit before the leader makes room.
-const TRANSFER_AFTER: Duration = Duration::from_secs(15);
-const WORKERS_FOR: Duration = Duration::from_secs(6);
-/// Workers that are counted at the least, however few sockets there are.
-const MIN_WORKERS: usize = 10_000;
-/// Cancellations in one heartbeat, of 12 bytes each: a little more than half of what a message may have.
-const MAX_CANCELLATIONS: usize = 3000;
-const SUMMARY_EVERY: Duration = Duration::from_secs(10);
-/// What the nodes together leave of the budgets, for requests that are counted late.
-const HEADROOM: f64 = 0.92;
+/// How long a peer must have been better placed to lead before the leader transfers the leadership.
+const TRANSFER_DELAY: Duration = Duration::from_secs(15);
+/// How long a worker is counted as reporting to this node after a heartbeat.
+const WORKER_HEARTBEAT_VALIDITY: Duration = Duration::from_secs(6);
+/// Lower bound of the limit on counted workers, which otherwise depends on the number of sockets.
+const MIN_COUNTED_WORKER_LIMIT: usize = 10_000;
+/// Most cancellations in one heartbeat. At 12 bytes each they take a little more than half of the maximum message
+/// size.
+const MAX_CANCELLATIONS_PER_HEARTBEAT: usize = 3000;
+const SUMMARY_INTERVAL: Duration = Duration::from_secs(10);
+/// The part of the state service's rate limits that all nodes together use. The rest is a margin for requests that
+/// the service counts late.
+const USABLE_BUDGET_FRACTION: f64 = 0.92;
 
-/// One controller: all that runs in a process.
+/// One controller with all its components.
 pub struct Node<N> {
     settings: Settings,
     tuning: Tuning,
     features: Features,
-    net: N,
+    network: N,
     store: StoreClient,
-    leadership: LeaderElection,
+    election: LeaderElection,
+    /// The leader's duties, while this node leads.
     duties: Option<LeaderDuties>,
     api: ApiServer,
-    purposes: HashMap<StoreRequestId, Purpose>,
+    /// Origins of the requests to the state service that have no outcome yet.
+    request_origins: HashMap<StoreRequestId, RequestOrigin>,
     peers: Vec<PeerLink>,
-    types: Vec<MachineType>,
-    types_due: Time,
-    types_call: Option<CallId>,
-    relays: HashMap<CallId, ApiRequestId>,
+    machine_types: Vec<MachineType>,
+    machine_types_due_at: Time,
+    /// The call that reads the machine types from the cloud.
+    machine_types_call: Option<CallId>,
+    /// Users' requests that were relayed to another node, by call.
+    relay_calls: HashMap<CallId, ApiRequestId>,
     locality: Locality,
-    /// What this node spends of the state service's budgets in a second, and what it had spent in
-    /// all when that was last looked at.
-    spends: (f64, f64),
-    spent: (f64, f64),
-    spent_at: Time,
-    /// Jobs that some node told its user were cancelled, and until when that is worth telling.
-    cancelled: BTreeMap<JobId, Time>,
-    /// Cancellations that the leader has to know before a user is told, and the call that asks it.
-    to_acknowledge: BTreeSet<JobId>,
-    acknowledging: Option<(CallId, Vec<JobId>)>,
-    /// Workers that reported here lately, and when.
-    workers: BTreeMap<HostName, Time>,
-    locality_at: Time,
-    /// What was last said in the log about the state service.
-    state_ok: bool,
-    summary_at: Time,
-    /// When this process was last seen to move.
-    awake_at: Time,
-    turns: Option<Histogram<u64>>,
+    /// Requests and changes per second that this node sent to the state service in the last measured interval.
+    store_usage_per_s: (f64, f64),
+    /// Total requests and changes at the last measurement.
+    store_usage_total: (f64, f64),
+    store_usage_measured_at: Time,
+    /// Recently cancelled jobs, each with the time until which heartbeats report it.
+    cancelled_jobs: BTreeMap<JobId, Time>,
+    /// Cancelled jobs that the leader has yet to acknowledge before their users get a confirmation.
+    unacknowledged_jobs: BTreeSet<JobId>,
+    /// The request for acknowledgement that is in flight, with its jobs.
+    acknowledgement_call: Option<(CallId, Vec<JobId>)>,
+    /// When each worker last sent a heartbeat to this node.
+    worker_heartbeats: BTreeMap<HostName, Time>,
+    locality_check_due_at: Time,
+    /// Whether the state service was reachable when that was last logged.
+    logged_store_reachable: bool,
+    summary_due_at: Time,
+    /// When the node last processed events or ran due work, to detect pauses of the process.
+    last_active_at: Time,
+    /// Durations of the event loop's iterations in microseconds; `None` unless debug logging is enabled.
+    iteration_times_us: Option<Histogram<u64>>,
 }
 
 impl Node<Transport> {
-    /// Opens the addresses of the settings.
+    /// Creates a node that listens on the addresses in the settings.
     pub fn open(
         settings: Settings,
         tuning: Tuning,
@@ -127,31 +157,31 @@
         Ok(node)
     }
 
-    /// Waits for something to happen, and does all that is due.
+    /// Runs one iteration of the event loop: waits for events, handles them, and runs due work.
     pub fn run_once(&mut self) -> Result<(), String> {
         let until = self.next_wake();
-        self.net
+        self.network
             .wait_for_events(until)
             .map_err(|e| format!("event loop: {e}"))?;
-        let started = self.turns.is_some().then(Instant::now);
-        while let Some(event) = self.net.next_event() {
+        let started_at = self.iteration_times_us.is_some().then(Instant::now);
+        while let Some(event) = self.network.next_event() {
             self.handle_event(event);
         }
         self.run_due_work();
-        if let (Some(turns), Some(started)) = (&mut self.turns, started) {
-            turns.saturating_record(started.elapsed().as_micros() as u64);
+        if let (Some(histogram), Some(started_at)) = (&mut self.iteration_times_us, started_at) {
+            histogram.saturating_record(started_at.elapsed().as_micros() as u64);
         }
         Ok(())
     }
 }
 
 impl<N: Network> Node<N> {
-    /// `incarnation` tells this process from others of the same name, before and after it.
-    pub fn new(settings: Settings, tuning: Tuning, net: N, incarnation: u64) -> Node<N> {
+    /// Creates a node on the given network. `incarnation` has to differ between the processes of one node.
+    pub fn new(settings: Settings, tuning: Tuning, network: N, incarnation: u64) -> Node<N> {
         let service = &settings.settings;
         let store = new_store(&settings);
-        let ttl = duration_from_seconds(tuning.leader_lease_s);
-        let leadership = LeaderElection::new(&settings.name, ttl, incarnation);
+        let lease_ttl = duration_from_seconds(tuning.leader_lease_s);
+        let election = LeaderElection::new(&settings.name, lease_ttl, incarnation);
         let api = ApiServer::new(
             service.teams.clone(),
             service.state.value_kb,
@@ -163,55 +193,55 @@
             .map(|p| PeerLink::new(p.addr))
             .collect();
         tracing::info!(
-            "{} in {} listens on {}",
+            "{} in zone {} listens on {}",
             settings.name,
             settings.zone,
             settings.front
         );
         Node {
-            net,
+            network,
             store,
-            leadership,
+            election,
             duties: None,
             api,
-            purposes: HashMap::new(),
+            request_origins: HashMap::new(),
             peers,
-            types: Vec::new(),
-            types_due: Time::default(),
-            types_call: None,
-            relays: HashMap::new(),
+            machine_types: Vec::new(),
+            machine_types_due_at: Time::default(),
+            machine_types_call: None,
+            relay_calls: HashMap::new(),
             locality: Locality::default(),
-            spends: (0.0, 0.0),
-            spent: (0.0, 0.0),
-            spent_at: Time::default(),
-            cancelled: BTreeMap::new(),
-            to_acknowledge: BTreeSet::new(),
-            acknowledging: None,
-            workers: BTreeMap::new(),
-            locality_at: Time::default(),
-            state_ok: false,
-            summary_at: Time::default(),
-            awake_at: Time::default(),
-            turns: turn_histogram(),
+            store_usage_per_s: (0.0, 0.0),
+            store_usage_total: (0.0, 0.0),
+            store_usage_measured_at: Time::default(),
+            cancelled_jobs: BTreeMap::new(),
+            unacknowledged_jobs: BTreeSet::new(),
+            acknowledgement_call: None,
+            worker_heartbeats: BTreeMap::new(),
+            locality_check_due_at: Time::default(),
+            logged_store_reachable: false,
+            summary_due_at: Time::default(),
+            last_active_at: Time::default(),
+            iteration_times_us: iteration_time_histogram(),
             settings,
             tuning,
             features: Features::default(),
         }
     }
 
-    /// Switches features on, before the node first moves.
+    /// Sets the enabled features. Has to be called before the node handles its first event.
     pub fn switch_on(&mut self, features: Features) {
         self.features = features;
     }
 
-    /// When the node wants to move again, if nothing happens before.
+    /// When [`Node::run_due_work`] has to be called next if no event arrives before.
     pub fn next_wake(&self) -> Time {
-        let now = self.net.now();
-        now.after(LOOP_INTERVAL)
-            .min(self.leadership.next_wakeup().max(now))
+        let now = self.network.now();
+        now.after(MAX_EVENT_WAIT)
+            .min(self.election.next_wakeup().max(now))
     }
 
-    /// Takes in what the outside did.
+    /// Handles a request or a reply that the transport received.
     pub fn handle_event(&mut self, event: TransportEvent) {
         self.detect_pause();
         match event {
@@ -224,49 +254,53 @@
         }
     }
 
-    /// Does all that is due, and sends all that is ready.
+    /// Runs the periodic tasks that are due, and sends what the components have queued.
     pub fn run_due_work(&mut self) {
         self.detect_pause();
-        self.due();
-        self.pump();
+        self.run_periodic_tasks();
+        self.send_pending();
     }
 
-    /// A process may be halted anywhere while its clock runs on. Nothing here takes as long as a
-    /// leader's lease by itself.
+    /// Detects that the process was suspended, which can happen at any point while its clock runs on, and notifies
+    /// the leader. A gap as long as the leader's lease can't have another cause, as no work of the node takes that
+    /// long.
     fn detect_pause(&mut self) {
-        let now = self.net.now();
-        let gap = now.since(self.awake_at);
-        self.awake_at = now;
-        if gap < duration_from_seconds(self.tuning.leader_lease_s) {
+        let now = self.network.now();
+        let pause = now.since(self.last_active_at);
+        self.last_active_at = now;
+        if pause < duration_from_seconds(self.tuning.leader_lease_s) {
             return;
         }
-        tracing::info!("stood still for {gap:?}");
+        tracing::info!("the process was paused for {pause:?}");
         if let Some(duties) = &mut self.duties {
-            duties.controller.on_process_resumed();
+            duties.leader.on_process_resumed();
         }
     }
 
-    fn deposed(&mut self, term: Term) {
-        tracing::info!("deposed: term {term} leads");
-        let mut action = self.leadership.observe_term(term, None);
-        if action.is_none() && self.leadership.is_leading() {
-            action = Some(self.leadership.step_down());
+    /// Steps down, as another controller leads. `term` is the term of that controller, or the own term if the other
+    /// one is unknown.
+    fn on_leadership_lost(&mut self, term: Term) {
+        tracing::info!("leadership lost to another controller (term {term} or later)");
+        let mut action = self.election.observe_term(term, None);
+        if action.is_none() && self.election.is_leading() {
+            action = Some(self.election.step_down());
         }
-        self.grant(action);
+        self.execute_election_action(action);
     }
 
-    fn state_answers(&self, now: Time) -> bool {
+    /// Whether the state service has recently sent a valid response to this node.
+    fn is_store_reachable(&self, now: Time) -> bool {
         self.store
             .last_response_at
-            .is_some_and(|at| now.since(at) < STATE_LOST)
+            .is_some_and(|at| now.since(at) < STORE_UNREACHABLE_AFTER)
     }
 
-    // ---- leadership
-
-    fn grant(&mut self, action: Option<ElectionAction>) {
-        let now = self.net.now();
+    /// Carries out an action that the election requests: sends its request to the state service, or begins or ends
+    /// the leader's duties.
+    fn execute_election_action(&mut self, action: Option<ElectionAction>) {
+        let now = self.network.now();
         let Some(action) = action else { return };
-        let (step, ask) = match action {
+        let (step, request) = match action {
             ElectionAction::ReadRecords => {
                 let prefix = records::LEADERSHIP_PREFIX.to_owned();
                 (
@@ -299,17 +333,24 @@
         };
         let id = self
             .store
-            .enqueue(now, RequestClass::Lease, ask, LEAD_LIMIT);
-        self.purposes.insert(id, Purpose::Lead(step, now));
+            .enqueue(now, RequestClass::Lease, request, CONTROL_REQUEST_TIMEOUT);
+        self.request_origins
+            .insert(id, RequestOrigin::Election(step, now));
     }
 
-    fn begin_leading(&mut self, term: Term, version: Version, now: Time) {
-        self.note_election_won(now);
+    fn begin_leading(&mut self, term: Term, leader_key_version: Version, now: Time) {
+        self.on_election_won(now);
         let service = &self.settings.settings;
-        let rules = Policy::new(service, &self.tuning, &self.features);
-        let controller = Leader::new(term, version, rules, self.types.clone(), now);
+        let policy = Policy::new(service, &self.tuning, &self.features);
+        let leader = Leader::new(
+            term,
+            leader_key_version,
+            policy,
+            self.machine_types.clone(),
+            now,
+        );
         self.duties = Some(LeaderDuties::new(
-            controller,
+            leader,
             self.settings.outside.cloud,
             service.cloud.rps,
             service.state.txn_ops,
@@ -317,48 +358,51 @@
             now,
         ));
         if let Some(duties) = &mut self.duties {
-            for job in self.cancelled.keys() {
-                duties.controller.on_cancellation(*job, now);
+            for job in self.cancelled_jobs.keys() {
+                duties.leader.on_cancellation(*job, now);
             }
         }
-        // The others learn at once where workers belong.
+        // Peers learn at once which controller leads, so that they redirect workers to it.
         for peer in &mut self.peers {
-            peer.hurry(now);
+            peer.schedule_heartbeat_now(now);
         }
     }
-
-    // ---- time
 }
 
-/// Before peers tell what they spend, each node takes half of the rate limits: the leader spends the
-/// most, but any node may lead, and users reach all of them.
+/// Creates the client of the state service. Until the peers' usage is known, each node takes half of the usable rate
+/// limits: the leader sends the most requests, but any node may lead, and users send requests to all of them.
 fn new_store(settings: &Settings) -> StoreClient {
     let state = &settings.settings.state;
-    let share = if settings.peers.is_empty() {
-        HEADROOM
+    let budget_fraction = if settings.peers.is_empty() {
+        USABLE_BUDGET_FRACTION
     } else {
-        HEADROOM * 0.5
+        USABLE_BUDGET_FRACTION * 0.5
     };
-    StoreClient::new(state.rps * share, state.write_rps * share)
+    StoreClient::new(
+        state.rps * budget_fraction,
+        state.write_rps * budget_fraction,
+    )
 }
 
-/// How long turns of the event loop take, in microseconds; kept at the debug level only.
-fn turn_histogram() -> Option<Histogram<u64>> {
-    const LONGEST_US: u64 = 60_000_000;
-    let wanted = tracing::enabled!(tracing::Level::DEBUG);
-    wanted
-        .then(|| Histogram::new_with_bounds(1, LONGEST_US, 2).ok())
+/// A histogram of the durations of the event loop's iterations in microseconds; `None` unless debug logging is
+/// enabled.
+fn iteration_time_histogram() -> Option<Histogram<u64>> {
+    const MAX_TIME_US: u64 = 60_000_000;
+    let is_debug = tracing::enabled!(tracing::Level::DEBUG);
+    is_debug
+        .then(|| Histogram::new_with_bounds(1, MAX_TIME_US, 2).ok())
         .flatten()
 }
 
-fn read_lead(page: &Page) -> ElectionRecords {
-    let mut seen = ElectionRecords::default();
+/// Extracts the election's records from a page of the records below `lead/`.
+fn parse_election_records(page: &Page) -> ElectionRecords {
+    let mut election_records = ElectionRecords::default();
     for item in &page.items {
         if item.key == records::LEADER_KEY {
-            seen.holder = item.record::<LeaderRecord>().map(|h| (h, item.version));
+            election_records.holder = item.record::<LeaderRecord>().map(|h| (h, item.version));
         } else if item.key == records::TERM_KEY {
-            seen.term = item.record::<TermRecord>().map(|t| (t.term, item.version));
+            election_records.term = item.record::<TermRecord>().map(|t| (t.term, item.version));
         }
     }
-    seen
+    election_records
 }
--- a/src/node/periodic.rs
+++ b/src/node/periodic.rs
@@ -1,117 +1,121 @@
-//! What is due by time, and sending what is ready.
+//! The node's periodic tasks, and sending what its components have queued.
 
 use super::*;
 use lichencrank_store::outcome::RATE_LIMIT_PAUSE;
 
 impl<N: Network> Node<N> {
-    pub(super) fn due(&mut self) {
-        let now = self.net.now();
-        let action = self.leadership.tick(now);
-        self.grant(action);
+    /// Runs the tasks that are due.
+    pub(super) fn run_periodic_tasks(&mut self) {
+        let now = self.network.now();
+        let action = self.election.tick(now);
+        self.execute_election_action(action);
         self.send_heartbeats(now);
         if let Some(duties) = &self.duties {
-            let known_types = duties.controller.machine_types();
-            if !known_types.is_empty() && self.types.is_empty() {
-                self.types = known_types.to_vec();
+            let leader_types = duties.leader.machine_types();
+            if !leader_types.is_empty() && self.machine_types.is_empty() {
+                self.machine_types = leader_types.to_vec();
             }
         }
-        if self.types.is_empty() && now >= self.types_due {
-            self.types_due = now.after(TYPES_RETRY);
-            let ask = StoreRequest::Get(records::MACHINE_TYPES_KEY.to_owned());
-            let id = self
-                .store
-                .enqueue(now, RequestClass::Records, ask, LEAD_LIMIT);
-            self.purposes.insert(id, Purpose::Types);
+        if self.machine_types.is_empty() && now >= self.machine_types_due_at {
+            self.machine_types_due_at = now.after(MACHINE_TYPES_RETRY_DELAY);
+            let request = StoreRequest::Get(records::MACHINE_TYPES_KEY.to_owned());
+            let id =
+                self.store
+                    .enqueue(now, RequestClass::Records, request, CONTROL_REQUEST_TIMEOUT);
+            self.request_origins.insert(id, RequestOrigin::MachineTypes);
         }
         self.log_peer_reachability(now);
-        self.share_budgets(now);
+        self.update_store_rates(now);
         for job in self.api.take_cancelled() {
-            self.on_cancelled(job, self.settings.settings.workers.cancel() * 2);
+            self.on_job_cancelled(job, self.settings.settings.workers.cancel() * 2);
         }
-        self.cancelled.retain(|_, until| *until > now);
+        self.cancelled_jobs
+            .retain(|_, expires_at| *expires_at > now);
         self.api.expire(now);
-        let answers = self.state_answers(now);
-        if answers != self.state_ok {
-            self.state_ok = answers;
-            let how = if answers {
+        let is_reachable = self.is_store_reachable(now);
+        if is_reachable != self.logged_store_reachable {
+            self.logged_store_reachable = is_reachable;
+            let status = if is_reachable {
                 "answers"
             } else {
                 "does not answer"
             };
-            tracing::info!("the state service {how}");
+            tracing::info!("the state service {status}");
         }
-        if now >= self.locality_at {
-            self.locality_at = now.after(LOCALITY_INTERVAL);
+        if now >= self.locality_check_due_at {
+            self.locality_check_due_at = now.after(LOCALITY_CHECK_INTERVAL);
             self.check_zone_isolation(now);
             self.check_leader_locality(now);
         }
-        if now >= self.summary_at {
-            self.summary_at = now.after(SUMMARY_EVERY);
+        if now >= self.summary_due_at {
+            self.summary_due_at = now.after(SUMMARY_INTERVAL);
             self.log_summary();
         }
     }
 
+    /// Logs the state of the queues, the sockets and, while this node leads, the cluster.
     pub(super) fn log_summary(&mut self) {
-        let (waiting, oldest) = self.store.request_backlog(self.net.now());
-        tracing::debug!("state service: {waiting} requests wait, the oldest for {oldest:?}");
-        let sockets = self.net.socket_usage();
-        tracing::debug!("sockets: {} of {}", sockets.open, sockets.max);
+        let (queued, oldest_age) = self.store.request_backlog(self.network.now());
+        tracing::debug!("state service: {queued} requests queued, the oldest for {oldest_age:?}");
+        let sockets = self.network.socket_usage();
+        tracing::debug!("sockets: {} of {} in use", sockets.open, sockets.max);
         if let Some(duties) = &self.duties {
-            tracing::info!("{}", duties.controller.summary());
-            if let Some(wait) = duties.controller.longest_wait(self.net.now()) {
+            tracing::info!("{}", duties.leader.summary());
+            if let Some(wait) = duties.leader.longest_wait(self.network.now()) {
                 tracing::info!("{wait}");
             }
-            let backlog = duties.controller.write_backlog();
+            let backlog = duties.leader.write_backlog();
             tracing::debug!(
-                "records to write: {} urgent, {} others",
+                "records to write: {} urgent, {} other",
                 backlog.urgent,
                 backlog.other
             );
         }
-        if let Some(turns) = &mut self.turns {
+        if let Some(histogram) = &mut self.iteration_times_us {
             tracing::debug!(
-                "turns: {}, half within {} us, 99% within {} us, at most {} us",
-                turns.len(),
-                turns.value_at_quantile(0.5),
-                turns.value_at_quantile(0.99),
-                turns.max()
+                "event loop: {} iterations, median {} us, 99th percentile {} us, maximum {} us",
+                histogram.len(),
+                histogram.value_at_quantile(0.5),
+                histogram.value_at_quantile(0.99),
+                histogram.max()
             );
-            turns.reset();
+            histogram.reset();
         }
     }
 
-    /// Sends all that is ready and allowed.
-    pub(super) fn pump(&mut self) {
-        let now = self.net.now();
+    /// Sends everything that the components have queued, as far as the rate limits allow.
+    pub(super) fn send_pending(&mut self) {
+        let now = self.network.now();
         if let Some(duties) = &mut self.duties {
             duties
-                .controller
-                .set_lease_valid_until(self.leadership.lease_valid_until());
-            duties.turn(&mut self.net, &mut self.store.write_rate_limit, now);
-            let term = duties.controller.term();
-            for (class, ask, limit, what) in duties.take_pending() {
-                let id = self.store.enqueue(now, class, ask, limit);
-                self.purposes.insert(id, Purpose::LeaderDuties(term, what));
+                .leader
+                .set_lease_valid_until(self.election.lease_valid_until());
+            duties.run_due_work(&mut self.network, &mut self.store.write_rate_limit, now);
+            let term = duties.leader.term();
+            for (class, request, timeout, leader_request) in duties.take_requests() {
+                let id = self.store.enqueue(now, class, request, timeout);
+                self.request_origins
+                    .insert(id, RequestOrigin::LeaderDuties(term, leader_request));
             }
         }
-        self.flush_front(now);
+        self.flush_api(now);
         loop {
-            let now = self.net.now();
-            let may_book = self.leadership.is_lease_valid(now);
-            let Some(next) = self.store.next_outgoing(now, may_book) else {
+            let now = self.network.now();
+            let has_valid_lease = self.election.is_lease_valid(now);
+            let Some(next) = self.store.next_outgoing(now, has_valid_lease) else {
                 return;
             };
             match next {
-                Ok(out) => {
-                    let state = self.settings.outside.state;
-                    let call = self.net.call(
-                        state,
-                        out.method,
-                        &out.target,
-                        &out.body,
-                        out.response_timeout,
+                Ok(outgoing) => {
+                    let store_address = self.settings.outside.state;
+                    let call = self.network.call(
+                        store_address,
+                        outgoing.method,
+                        &outgoing.target,
+                        &outgoing.body,
+                        outgoing.response_timeout,
                     );
-                    self.store.on_sent(out.id, call);
+                    self.store.on_sent(outgoing.id, call);
                 }
                 Err(id) => {
                     self.on_outcome(
@@ -120,34 +124,36 @@
                             retry_after: RATE_LIMIT_PAUSE,
                         },
                     );
-                    self.flush_front(now);
+                    self.flush_api(now);
                 }
             }
         }
     }
 
-    /// Does what the front wants, until it wants nothing more.
-    pub(super) fn flush_front(&mut self, now: Time) {
+    /// Carries out the actions that the API requests, until it requests no more.
+    pub(super) fn flush_api(&mut self, now: Time) {
         self.api.pump();
         loop {
-            let acts = self.api.take_acts();
-            if acts.is_empty() {
+            let actions = self.api.take_acts();
+            if actions.is_empty() {
                 return;
             }
-            for act in acts {
-                match act {
-                    ApiAction::Relay(id, relay) => self.relay(id, &relay),
+            for action in actions {
+                match action {
+                    ApiAction::Relay(id, request) => self.relay(id, &request),
                     ApiAction::InformLeader(job) => self.inform_leader(job),
-                    ApiAction::Respond(conn, response) => self.net.respond(conn, &response),
-                    ApiAction::StoreRequest(class, ask, what) => {
-                        // Where nothing is answered another node is asked without much ado.
-                        let limit = if self.state_answers(now) {
+                    ApiAction::Respond(conn, response) => self.network.respond(conn, &response),
+                    ApiAction::StoreRequest(class, request, api_request) => {
+                        // While the state service is unreachable, a short timeout lets the request be relayed to
+                        // another node early.
+                        let timeout = if self.is_store_reachable(now) {
                             self.store.response_timeout()
                         } else {
-                            UNANSWERED_LIMIT
+                            UNREACHABLE_STORE_TIMEOUT
                         };
-                        let id = self.store.enqueue(now, class, ask, limit);
-                        self.purposes.insert(id, Purpose::ApiServer(what));
+                        let id = self.store.enqueue(now, class, request, timeout);
+                        self.request_origins
+                            .insert(id, RequestOrigin::ApiServer(api_request));
                     }
                 }
             }
--- a/src/node/replies.rs
+++ b/src/node/replies.rs
@@ -1,30 +1,36 @@
-//! Replies to the calls of this controller: whose each is, and what it means.
+//! Routing of responses to the node's calls, and of the outcomes of its requests to the state service, to the
+//! components that sent them.
 
 use super::*;
 
 impl<N: Network> Node<N> {
+    /// Passes the response to a call to the component that made the call.
     pub(super) fn on_reply(
         &mut self,
         call: CallId,
         result: Result<Response, crate::transport::CallError>,
     ) {
-        let now = self.net.now();
-        if let Some(at) = self.peers.iter().position(|p| p.awaits(call)) {
-            return self.on_heartbeat_answer(at, result);
+        let now = self.network.now();
+        if let Some(peer_index) = self.peers.iter().position(|p| p.is_awaiting(call)) {
+            return self.on_heartbeat_response(peer_index, result);
         }
-        if self.acknowledging.as_ref().is_some_and(|(c, _)| *c == call) {
-            return self.on_leader_answer(result);
+        if self
+            .acknowledgement_call
+            .as_ref()
+            .is_some_and(|(c, _)| *c == call)
+        {
+            return self.on_acknowledgement(result);
         }
-        if let Some(id) = self.relays.remove(&call) {
-            let relayed = peer_messages::answer(peers::RELAY_PATH, result);
+        if let Some(id) = self.relay_calls.remove(&call) {
+            let relayed = peer_messages::decode_response(peers::RELAY_PATH, result);
             self.api.on_relayed(id, relayed, now);
             return;
         }
-        if self.types_call == Some(call) {
-            self.types_call = None;
-            let types = result.ok().filter(|r| r.status == 200);
-            if let Some(types) = types.and_then(|r| decode::<MachineTypes>(&r.body).ok()) {
-                self.types = types.types;
+        if self.machine_types_call == Some(call) {
+            self.machine_types_call = None;
+            let response = result.ok().filter(|r| r.status == 200);
+            if let Some(types) = response.and_then(|r| decode::<MachineTypes>(&r.body).ok()) {
+                self.machine_types = types.types;
             }
             return;
         }
@@ -38,66 +44,78 @@
             return;
         }
         if let (Some(duties), Some(result)) = (&mut self.duties, result) {
-            if let Err(LeadershipLost(term)) = duties.on_reply(&mut self.net, call, result, now) {
-                self.deposed(term);
+            if let Err(LeadershipLost(term)) = duties.on_reply(&mut self.network, call, result, now)
+            {
+                self.on_leadership_lost(term);
             }
         }
     }
 
+    /// Passes the outcome of a request to the state service to the component that sent the request.
     pub(super) fn on_outcome(&mut self, id: StoreRequestId, outcome: Outcome) {
-        let now = self.net.now();
-        match self.purposes.remove(&id) {
+        let now = self.network.now();
+        match self.request_origins.remove(&id) {
             None => {}
-            Some(Purpose::Lead(ElectionStep::ReadRecords, sent)) => {
-                let seen = match outcome {
-                    Outcome::Page(page) => Some(read_lead(&page)),
+            Some(RequestOrigin::Election(ElectionStep::ReadRecords, sent_at)) => {
+                let election_records = match outcome {
+                    Outcome::Page(page) => Some(parse_election_records(&page)),
                     _ => None,
                 };
-                let action = self.leadership.on_records_read(seen, sent, now);
-                self.grant(action);
+                let action = self
+                    .election
+                    .on_records_read(election_records, sent_at, now);
+                self.execute_election_action(action);
             }
-            Some(Purpose::Lead(step, sent)) => {
-                let action = self.leadership.on_outcome(step, outcome, sent, now);
-                self.grant(action);
+            Some(RequestOrigin::Election(step, sent_at)) => {
+                let action = self.election.on_outcome(step, outcome, sent_at, now);
+                self.execute_election_action(action);
             }
-            Some(Purpose::LeaderDuties(term, ask)) => {
-                // What an earlier term of this process asked is of no interest any more.
-                if let Some(duties) = self.duties.as_mut().filter(|o| o.controller.term() == term) {
-                    if let Err(LeadershipLost(term)) = duties.on_outcome(ask, outcome, now) {
-                        self.deposed(term);
+            Some(RequestOrigin::LeaderDuties(term, request)) => {
+                // Outcomes of requests from an earlier term of this process are discarded.
+                if let Some(duties) = self
+                    .duties
+                    .as_mut()
+                    .filter(|duties| duties.leader.term() == term)
+                {
+                    if let Err(LeadershipLost(term)) = duties.on_outcome(request, outcome, now) {
+                        self.on_leadership_lost(term);
                     }
                 }
             }
-            Some(Purpose::ApiServer(ask)) => {
-                // Without a lease that stands, what this node knows of tasks may be long past.
-                let certain = self.leadership.is_lease_valid(now);
-                let duties = self.duties.as_ref().filter(|_| certain);
-                let counts = |job| duties.and_then(|o| o.counts(job));
+            Some(RequestOrigin::ApiServer(request)) => {
+                // Without a valid lease, the leader's task counts may be out of date.
+                let has_valid_lease = self.election.is_lease_valid(now);
+                let duties = self.duties.as_ref().filter(|_| has_valid_lease);
+                let counts = |job| duties.and_then(|duties| duties.task_counts(job));
                 let view = View {
                     counts: &counts,
                     spare: self.store.has_spare_budget(now),
-                    answers: self.state_answers(now),
+                    answers: self.is_store_reachable(now),
                 };
-                self.api.on_outcome(ask, outcome, &view, now);
+                self.api.on_outcome(request, outcome, &view, now);
             }
-            Some(Purpose::Types) => {
+            Some(RequestOrigin::MachineTypes) => {
                 if let Outcome::Item(Some(item)) = outcome {
                     if let Some(types) = item.record::<MachineTypes>() {
-                        self.types = types.types;
+                        self.machine_types = types.types;
                     }
                 } else {
-                    self.ask_cloud_for_types();
+                    self.request_machine_types();
                 }
             }
         }
     }
 
-    /// Before any leader has kept the types, every node asks the cloud itself.
-    pub(super) fn ask_cloud_for_types(&mut self) {
-        if self.types_call.is_none() && self.types.is_empty() {
-            let cloud = self.settings.outside.cloud;
-            let limit = Duration::from_secs(4);
-            self.types_call = Some(self.net.call(cloud, "GET", "/machine_types", &[], limit));
+    /// Reads the machine types from the cloud, as no leader has stored them in the state service yet.
+    pub(super) fn request_machine_types(&mut self) {
+        if self.machine_types_call.is_none() && self.machine_types.is_empty() {
+            let cloud_address = self.settings.outside.cloud;
+            let timeout = Duration::from_secs(4);
+            self.machine_types_call =
+                Some(
+                    self.network
+                        .call(cloud_address, "GET", "/machine_types", &[], timeout),
+                );
         }
     }
 }
--- a/src/node/requests.rs
+++ b/src/node/requests.rs
@@ -1,10 +1,11 @@
-//! Requests of users, workers, health checks and other controllers: who serves which.
+//! Routing of requests from users, workers, health checks and other controllers.
 
 use super::*;
 
 impl<N: Network> Node<N> {
+    /// Handles a request. Peers use the internal listener, all others the public one.
     pub(super) fn on_request(&mut self, conn: ConnId, listener: ListenerKind, request: Request) {
-        let now = self.net.now();
+        let now = self.network.now();
         let path = request.target.split('?').next().unwrap_or("");
         let method = request.method.as_str();
         if listener == ListenerKind::Internal {
@@ -14,56 +15,62 @@
             conn,
             relayed: false,
         };
-        let job = path.strip_prefix("/api/jobs/");
-        let cancelled = job.and_then(|j| j.strip_suffix("/withdraw"));
-        match (method, path, job, cancelled) {
+        let job_path = path.strip_prefix("/api/jobs/");
+        let cancelled_job = job_path.and_then(|j| j.strip_suffix("/withdraw"));
+        match (method, path, job_path, cancelled_job) {
             ("GET", "/healthz", ..) => {
-                let healthy = self.is_healthy(now);
-                let response = if healthy {
+                let is_healthy = self.is_healthy(now);
+                let response = if is_healthy {
                     Response::new(200, Vec::new())
                 } else {
                     Response::retry_later(503, 1)
                 };
-                self.net.respond(conn, &response);
+                self.network.respond(conn, &response);
             }
             ("POST", "/agent/beat", ..) => {
-                let response = self.on_beat(&request.body);
-                self.net.respond(conn, &response);
+                let response = self.on_worker_heartbeat(&request.body);
+                self.network.respond(conn, &response);
             }
             ("POST", "/api/jobs", ..) => {
                 self.api.submit(
                     client,
                     &request.body,
-                    &self.types,
-                    self.net.time_of_day(),
+                    &self.machine_types,
+                    self.network.time_of_day(),
                     now,
                 );
             }
             ("POST", _, _, Some(id)) => self.api.cancel(client, id, now),
             ("GET", _, Some(id), None) if !id.contains('/') => self.api.poll(client, id, now),
             (_, "/healthz" | "/agent/beat" | "/api/jobs", ..) | (_, _, _, Some(_)) => {
-                self.net.respond(conn, &Response::new(405, Vec::new()));
+                self.network.respond(conn, &Response::new(405, Vec::new()));
             }
             (_, _, Some(id), None) if !id.contains('/') => {
-                self.net.respond(conn, &Response::new(405, Vec::new()));
+                self.network.respond(conn, &Response::new(405, Vec::new()));
             }
-            _ => self.net.respond(conn, &Response::new(404, Vec::new())),
+            _ => self.network.respond(conn, &Response::new(404, Vec::new())),
         }
     }
 
+    /// Handles a request on the internal listener.
     pub(super) fn on_peer_request(&mut self, conn: ConnId, method: &str, path: &str, body: &[u8]) {
-        let now = self.net.now();
+        let now = self.network.now();
         let client = Client {
             conn,
             relayed: true,
         };
         let response = match (method, path) {
-            ("POST", peers::HEARTBEAT_PATH) => self.on_heartbeat(body),
-            ("POST", peers::CANCELLED_PATH) => self.on_cancelled_by_peer(body),
+            ("POST", peers::HEARTBEAT_PATH) => self.on_peer_heartbeat(body),
+            ("POST", peers::CANCELLED_PATH) => self.on_peer_cancellations(body),
             ("POST", peers::RELAY_PATH) => match peers::decode(body) {
-                Ok(RelayedRequest::Submit(job)) => {
-                    self.api
-                        .submit(client, &job, &self.types, self.net.time_of_day(), now);
+                Ok(RelayedRequest::Submit(job_spec)) => {
+                    self.api.submit(
+                        client,
+                        &job_spec,
+                        &self.machine_types,
+                        self.network.time_of_day(),
+                        now,
+                    );
                     return;
                 }
                 Ok(RelayedRequest::Status(id)) => return self.api.poll(client, &id, now),
@@ -72,104 +79,114 @@
             },
             _ => Response::new(404, Vec::new()),
         };
-        self.net.respond(conn, &response);
+        self.network.respond(conn, &response);
     }
 
-    /// Passes a user's request on to a node that the state service answers.
-    pub(super) fn relay(&mut self, id: ApiRequestId, relay: &RelayedRequest) {
-        let now = self.net.now();
-        let fit = self
+    /// Relays a user's request to a peer that reaches the state service.
+    pub(super) fn relay(&mut self, id: ApiRequestId, request: &RelayedRequest) {
+        let now = self.network.now();
+        let peer_with_store = self
             .peers
             .iter()
             .find(|p| p.recent_heartbeat(now).is_some_and(|h| h.store_reachable));
-        let Some(peer) = fit else {
+        let Some(peer) = peer_with_store else {
             return self.api.on_relayed(id, None, now);
         };
-        let to = peer.addr;
-        let call = peer_messages::send(&mut self.net, to, peers::RELAY_PATH, relay, RELAY_TIMEOUT);
+        let peer_address = peer.addr;
+        let call = peer_messages::send(
+            &mut self.network,
+            peer_address,
+            peers::RELAY_PATH,
+            request,
+            RELAY_TIMEOUT,
+        );
         match call {
             Some(call) => {
-                self.relays.insert(call, id);
+                self.relay_calls.insert(call, id);
             }
             None => self.api.on_relayed(id, None, now),
         }
     }
 
-    /// Notes that a worker reports here. Each holds a socket, so there are about as many as there may be
-    /// sockets; those that changed their node within seconds are the rest.
-    fn note_worker(&mut self, host: &HostName, now: Time) {
-        let most = MIN_WORKERS.max(self.settings.settings.resources.sockets * 2);
-        if self.workers.len() < most || self.workers.contains_key(host) {
-            self.workers.insert(host.clone(), now);
+    /// Records that a worker sends its heartbeats to this node. Each such worker holds a socket, so the number of
+    /// sockets bounds them; the limit is twice that, as workers that have just changed to another node are still
+    /// counted.
+    fn record_worker_heartbeat(&mut self, host: &HostName, now: Time) {
+        let max_workers =
+            MIN_COUNTED_WORKER_LIMIT.max(self.settings.settings.resources.sockets * 2);
+        if self.worker_heartbeats.len() < max_workers || self.worker_heartbeats.contains_key(host) {
+            self.worker_heartbeats.insert(host.clone(), now);
         } else {
-            tracing::warn!("{host} is not counted: {most} workers have reported here lately");
+            tracing::warn!("{host}: not counted: this node already counts {max_workers} workers");
         }
     }
 
-    pub(super) fn on_beat(&mut self, body: &[u8]) -> Response {
-        let report: WorkerHeartbeat = match decode(body) {
-            Ok(report) => report,
+    /// Handles a worker's heartbeat: as the leader, or on the leader's behalf, or by a redirect to the leader.
+    pub(super) fn on_worker_heartbeat(&mut self, body: &[u8]) -> Response {
+        let heartbeat: WorkerHeartbeat = match decode(body) {
+            Ok(heartbeat) => heartbeat,
             Err(e) => {
-                tracing::warn!("a report was not understood: {e}");
+                tracing::warn!("rejected a worker heartbeat that could not be decoded: {e}");
                 return Response::new(400, Vec::new());
             }
         };
-        let now = self.net.now();
-        self.note_worker(&report.host, now);
+        let now = self.network.now();
+        self.record_worker_heartbeat(&heartbeat.host, now);
         if let Some(duties) = &mut self.duties {
-            if duties.controller.must_let_leases_expire(now) {
+            if duties.leader.must_let_leases_expire(now) {
                 return Response::retry_later(503, 1);
             }
-            match duties.controller.on_heartbeat(&report, now) {
+            match duties.leader.on_heartbeat(&heartbeat, now) {
                 Ok(commands) => {
-                    let token = duties.controller.term();
+                    let fencing_token = duties.leader.term();
                     return Response::new(
                         200,
                         encode(&HeartbeatResponse {
-                            fencing_token: token,
+                            fencing_token,
                             commands: &commands,
                         }),
                     );
                 }
-                Err(LeadershipLost(term)) => self.deposed(term),
+                Err(LeadershipLost(term)) => self.on_leadership_lost(term),
             }
         } else {
-            let action = self.leadership.observe_term(report.fencing_token, None);
-            self.grant(action);
+            let action = self.election.observe_term(heartbeat.fencing_token, None);
+            self.execute_election_action(action);
         }
-        let proxied = self
-            .proxies_heartbeat(report.fencing_token, now)
-            .or_else(|| self.proxies_in_isolation(&report, now));
-        if let Some(token) = proxied {
-            let commands = &self.stops_of_cancelled(&report);
+        let proxy_token = self
+            .leader_proxy_token(heartbeat.fencing_token, now)
+            .or_else(|| self.isolation_proxy_token(&heartbeat, now));
+        if let Some(fencing_token) = proxy_token {
+            let commands = &self.stop_cancelled_commands(&heartbeat);
             return Response::new(
                 200,
                 encode(&HeartbeatResponse {
-                    fencing_token: token,
+                    fencing_token,
                     commands,
                 }),
             );
         }
-        let leader = self.leadership.known_leader.as_deref();
-        let leader = leader.filter(|l| *l != self.settings.name);
+        let leader = self.election.known_leader.as_deref();
+        let leader = leader.filter(|leader| *leader != self.settings.name);
         Response::new(421, encode(&LeaderRedirect { leader }))
     }
 
-    /// The token to answer a worker with on the leader's behalf: the state service has just said
-    /// that it leads, but it can't be heard from here, so the worker could not reach it either and
-    /// would lose its tasks with its lease. Nothing is started, only cancelled work is stopped.
-    pub(super) fn proxies_heartbeat(&self, seen: Term, now: Time) -> Option<Term> {
-        let (term, leader) = self.leadership.confirmed_leader(now)?;
-        let at = self.settings.peers.iter().position(|p| p.name == leader)?;
-        let unheard = !self.peers[at].is_reachable(now);
-        (unheard && seen <= term).then_some(term)
+    /// The fencing token for a heartbeat response on the leader's behalf. The state service has recently confirmed
+    /// that the leader leads, but the leader is unreachable from here. The worker could then not reach it either and
+    /// would lose its tasks when its lease expires. Such a response starts no tasks, it only stops those of cancelled
+    /// jobs.
+    pub(super) fn leader_proxy_token(&self, worker_term: Term, now: Time) -> Option<Term> {
+        let (term, leader) = self.election.confirmed_leader(now)?;
+        let peer_index = self.settings.peers.iter().position(|p| p.name == leader)?;
+        let is_unreachable = !self.peers[peer_index].is_reachable(now);
+        (is_unreachable && worker_term <= term).then_some(term)
     }
 
-    /// A node that the state service does not answer passes requests on to one that it does. Only
-    /// one that hears nobody at all can do nothing for users. An outage that all see takes none
-    /// out of the balancer: they hear each other.
+    /// Whether the node can serve users. A node that does not reach the state service relays requests to a peer that
+    /// does, so only a node that reaches neither the state service nor any peer is unhealthy. An outage of the state
+    /// service that affects all nodes removes none of them from the load balancer, as they reach each other.
     pub(super) fn is_healthy(&self, now: Time) -> bool {
-        let hears_others = self.peers.iter().any(|p| p.is_reachable(now));
-        self.state_answers(now) || hears_others || self.peers.is_empty()
+        let reaches_a_peer = self.peers.iter().any(|p| p.is_reachable(now));
+        self.is_store_reachable(now) || reaches_a_peer || self.peers.is_empty()
     }
 }
--- a/src/node/zone_isolation.rs
+++ b/src/node/zone_isolation.rs
@@ -1,8 +1,9 @@
-//! What a controller does for the workers of its zone while the zone is cut off from everything else.
+//! Heartbeat responses to the workers of an isolated zone, which is partitioned from all other zones and from the
+//! state service.
 //!
-//! A zone that is cut off has no leader that could hear from its workers, and its controllers can't ask
-//! the state service who leads. The workers' leases must not end for that: a controller of the zone
-//! answers them with the highest term that it knows of. It starts nothing and stops cancelled work.
+//! The workers of an isolated zone may reach no leader, and its controllers can't read from the state service who
+//! leads. So that the workers' leases do not expire for that reason, a controller of the zone responds to their
+//! heartbeats with the highest term that it knows. It starts no tasks, and stops those of cancelled jobs.
 
 use std::time::Duration;
 
@@ -11,64 +12,83 @@
 use crate::transport::Network;
 use crate::types::{Term, Time};
 
-/// Of the time that cancelled work has beyond a worker's lease, this part may pass before the answers
-/// end. Whoever is cut off hears of no cancellation, so the leases end soon enough for every one that is
-/// confirmed elsewhere meanwhile, even if nobody can release the machines.
-const ANSWERED_PART: f64 = 0.75;
+/// The part of the time by which the cancellation timeout exceeds a worker's lease during which heartbeats are
+/// responded to. An isolated zone learns of no cancellation, so the workers' leases have to expire in time for every
+/// cancellation that is confirmed elsewhere meanwhile, even if nobody can release the hosts.
+const RESPONSE_PERIOD_FRACTION: f64 = 0.75;
 
 impl<N: Network> Node<N> {
-    /// Notes whether this node's zone seems to be cut off.
+    /// Updates whether this node's zone seems to be isolated.
     pub(super) fn check_zone_isolation(&mut self, now: Time) {
-        let isolated = self.hears_only_own_zone(now) && !self.state_answers(now);
-        match (isolated, self.locality.zone_isolated_since) {
+        let is_isolated = self.reaches_only_own_zone(now) && !self.is_store_reachable(now);
+        match (is_isolated, self.locality.zone_isolated_since) {
             (true, None) => {
-                tracing::info!("{} is cut off from the other zones", self.settings.zone);
+                tracing::info!(
+                    "zone {} is partitioned from the other zones and the state service",
+                    self.settings.zone
+                );
                 self.locality.zone_isolated_since = Some(now);
             }
             (false, Some(_)) => {
-                tracing::info!("{} is no longer cut off", self.settings.zone);
+                tracing::info!(
+                    "zone {} is no longer partitioned from the other zones and the state service",
+                    self.settings.zone
+                );
                 self.locality.zone_isolated_since = None;
             }
             _ => {}
         }
     }
 
-    /// Whether no controller of another zone answers, while those of this zone do. A node whose peers
-    /// are all silent is cut off alone, unless it is the only one of its zone.
-    fn hears_only_own_zone(&self, now: Time) -> bool {
+    /// Whether no controller of another zone is reachable while one of this zone is. A node that reaches no peer at
+    /// all is partitioned by itself, unless it is the only one of its zone.
+    fn reaches_only_own_zone(&self, now: Time) -> bool {
         let peers = || self.settings.peers.iter().zip(&self.peers);
-        let is_own = |zone: &str| zone == self.settings.zone;
-        let mut own = peers().filter(|(named, _)| is_own(&named.zone)).peekable();
-        let mut others = peers().filter(|(named, _)| !is_own(&named.zone)).peekable();
-        let hears_own = own.peek().is_none() || own.any(|(_, peer)| peer.is_reachable(now));
-        let has_others = others.peek().is_some();
-        hears_own && has_others && !others.any(|(_, peer)| peer.is_reachable(now))
+        let is_own_zone = |zone: &str| zone == self.settings.zone;
+        let mut zone_peers = peers()
+            .filter(|(peer_settings, _)| is_own_zone(&peer_settings.zone))
+            .peekable();
+        let mut remote_peers = peers()
+            .filter(|(peer_settings, _)| !is_own_zone(&peer_settings.zone))
+            .peekable();
+        let reaches_own_zone =
+            zone_peers.peek().is_none() || zone_peers.any(|(_, peer)| peer.is_reachable(now));
+        let has_remote_peers = remote_peers.peek().is_some();
+        reaches_own_zone
+            && has_remote_peers
+            && !remote_peers.any(|(_, peer)| peer.is_reachable(now))
     }
 
-    /// The token to answer a worker with while the zone of both is cut off. It is that of a leader that
-    /// was elected, and the worker has obeyed one before; a worker that reports for the first time is
-    /// sent on, so that it finds whoever can use it.
-    pub(super) fn proxies_in_isolation(&self, report: &WorkerHeartbeat, now: Time) -> Option<Term> {
-        let since = self.locality.zone_isolated_since?;
+    /// The fencing token for a heartbeat response to a worker while the zone of both is isolated: the term of an
+    /// elected leader. The worker must have accepted a term before; a worker without one is redirected instead, so
+    /// that it finds a leader that can use it.
+    pub(super) fn isolation_proxy_token(
+        &self,
+        heartbeat: &WorkerHeartbeat,
+        now: Time,
+    ) -> Option<Term> {
+        let isolated_since = self.locality.zone_isolated_since?;
         let workers = &self.settings.settings.workers;
-        let spare = workers.cancel().saturating_sub(workers.lease());
-        let in_time = now.since(since) <= spare.mul_f64(ANSWERED_PART);
-        let fenced =
-            report.fencing_token > Term(0) && report.fencing_token <= self.leadership.highest_term;
-        let ours = report.zone == self.settings.zone && !self.leadership.is_leading();
-        (in_time && fenced && ours && !self.leader_answers_here(now))
-            .then_some(self.leadership.highest_term)
+        let slack = workers.cancel().saturating_sub(workers.lease());
+        let is_in_time = now.since(isolated_since) <= slack.mul_f64(RESPONSE_PERIOD_FRACTION);
+        let has_known_term = heartbeat.fencing_token > Term(0)
+            && heartbeat.fencing_token <= self.election.highest_term;
+        let is_zone_follower = heartbeat.zone == self.settings.zone && !self.election.is_leading();
+        (is_in_time && has_known_term && is_zone_follower && !self.is_leader_reachable(now))
+            .then_some(self.election.highest_term)
     }
 
-    /// Whether a leader is reachable, so that the worker can go there itself.
-    fn leader_answers_here(&self, now: Time) -> bool {
-        let leader = self.leadership.known_leader.as_deref();
+    /// Whether the leader is reachable from this node, so that the worker can change to it.
+    fn is_leader_reachable(&self, now: Time) -> bool {
+        let leader = self.election.known_leader.as_deref();
         let mut peers = self.settings.peers.iter().zip(&self.peers);
-        peers.any(|(named, peer)| leader == Some(&named.name) && peer.is_reachable(now))
+        peers.any(|(peer_settings, peer)| {
+            leader == Some(&peer_settings.name) && peer.is_reachable(now)
+        })
     }
 
-    /// For how long a peer has to answer before the workers that it counts say where a leader hears the
-    /// most: by then every healthy worker has tried this leader once.
+    /// How long a peer has to have been reachable before the number of workers that it reports is compared with the
+    /// leader's: after this time every healthy worker has tried to reach this leader once.
     pub(super) fn settling_time(&self) -> Duration {
         crate::coordination::max_heartbeat_delay(self.settings.settings.workers.report())
     }
