--- a/src/transport/client_connection.rs
+++ b/src/transport/client_connection.rs
@@ -1,4 +1,4 @@
-//! The client's side of a connection: one call at a time; the connection is kept for the next one.
+//! The client side of a connection: one call at a time; the connection is kept open for the next one.
 
 use mio::net::TcpStream;
 use std::io::{self, ErrorKind};
@@ -8,19 +8,19 @@
 use super::http::{self, Parsed, Response};
 use super::nonblocking::{self, OutputBuffer, ReadProgress, READ_CHUNK_BYTES};
 
-/// How a call ended.
+/// Result of a call.
 pub(super) type CallResult = Result<Response, CallError>;
 
-/// What a connection does at present.
+/// The state of a client connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Phase {
     /// The connection is being established for a call.
     Connecting,
-    /// A request is being written, or its response awaited.
+    /// A request is being written, or its response is awaited.
     Busy,
-    /// No call is under way; the connection is kept for the next one.
+    /// No call is in progress; the connection is kept for the next one.
     Idle,
-    /// Over: the socket is to be closed.
+    /// The connection has ended: the socket is to be closed.
     Closed,
 }
 
@@ -28,7 +28,7 @@
 pub(super) struct ClientConnection {
     stream: TcpStream,
     address: SocketAddr,
-    /// The call that is under way, or the last one.
+    /// The call in progress, or the last one.
     call: CallId,
     phase: Phase,
     output: OutputBuffer,
@@ -36,11 +36,11 @@
 }
 
 impl ClientConnection {
-    /// Begins to connect, for a call with that request.
+    /// Starts to connect, for a call that sends `request`.
     ///
     /// # Errors
     ///
-    /// If no socket could be opened, or the address is not reachable from here.
+    /// If no socket could be opened, or there is no route to the address.
     pub(super) fn connect(
         address: SocketAddr,
         call: CallId,
@@ -66,7 +66,7 @@
         self.address
     }
 
-    /// The call that is under way, or the last one.
+    /// The call in progress, or the last one.
     pub(super) fn call(&self) -> CallId {
         self.call
     }
@@ -75,12 +75,12 @@
         self.phase
     }
 
-    /// Whether that call is under way on this connection.
+    /// Whether the call is in progress on this connection.
     pub(super) fn is_waiting_for(&self, call: CallId) -> bool {
         self.call == call && matches!(self.phase, Phase::Connecting | Phase::Busy)
     }
 
-    /// Begins the next call on an idle connection. Returns its result if it fails at once.
+    /// Starts the next call on an idle connection. Returns its result if it fails at once.
     pub(super) fn reuse(&mut self, call: CallId, request: Vec<u8>) -> Option<CallResult> {
         self.call = call;
         self.output = OutputBuffer::new(request);
@@ -88,11 +88,11 @@
         self.flush()
     }
 
-    /// Gives the connection up. Returns the result of the call that was under way, if any.
+    /// Abandons the connection. Returns the result of the call that was in progress, if any.
     pub(super) fn fail(&mut self) -> Option<CallResult> {
         let error = match self.phase {
             Phase::Connecting => Some(CallError::NotSent),
-            Phase::Busy if self.output.is_begun() => Some(CallError::Lost),
+            Phase::Busy if self.output.has_started() => Some(CallError::Lost),
             Phase::Busy => Some(CallError::NotSent),
             Phase::Idle | Phase::Closed => None,
         };
@@ -100,7 +100,7 @@
         error.map(Err)
     }
 
-    /// Goes on with the call, as far as the socket is ready. Returns the call's result once there is one.
+    /// Continues the call as far as the socket is ready. Returns the call's result once there is one.
     pub(super) fn on_ready(&mut self, readable: bool, writable: bool) -> Option<CallResult> {
         if self.phase == Phase::Connecting {
             if !writable {
@@ -121,7 +121,7 @@
         None
     }
 
-    /// The one place where a connection changes its phase.
+    /// Changes the phase; no other function does.
     fn enter(&mut self, phase: Phase) {
         self.phase = phase;
         if phase == Phase::Idle {
@@ -130,7 +130,7 @@
         }
     }
 
-    /// Finds out whether the connection is established. Returns the call's result if it failed.
+    /// Checks whether the connection is established. Returns the call's result if connecting failed.
     fn finish_connecting(&mut self) -> Option<CallResult> {
         if let Ok(Some(_)) | Err(_) = self.stream.take_error() {
             return self.fail();
@@ -141,13 +141,13 @@
                 self.enter(Phase::Busy);
                 None
             }
-            // Still connecting: the poller may report a socket before it is connected.
+            // The poller may report a socket that is still connecting.
             Err(error) if error.kind() == ErrorKind::NotConnected => None,
             Err(_) => self.fail(),
         }
     }
 
-    /// Writes what the operating system takes. Returns the call's result if the connection failed.
+    /// Writes as much as the socket accepts. Returns the call's result if the connection failed.
     fn flush(&mut self) -> Option<CallResult> {
         match self.output.flush(&mut self.stream) {
             Ok(_) => None,
@@ -155,33 +155,37 @@
         }
     }
 
-    /// Reads what has arrived. Returns the call's result once there is one.
+    /// Reads the bytes that have arrived. Returns the call's result once there is one.
     fn receive(&mut self) -> Option<CallResult> {
         let mut chunk = [0u8; READ_CHUNK_BYTES];
-        let mut at_end = false;
+        let mut peer_closed = false;
         loop {
             match nonblocking::read(&mut self.stream, &mut chunk) {
-                // No server may send anything without a call.
+                // A server must not send anything while no call is in progress.
                 Ok(ReadProgress::Bytes(_)) if self.phase == Phase::Idle => return self.fail(),
                 Ok(ReadProgress::Bytes(count)) => self.input.extend_from_slice(&chunk[..count]),
                 Ok(ReadProgress::WouldBlock) => break,
-                Ok(ReadProgress::End) => {
-                    at_end = true;
+                Ok(ReadProgress::Eof) => {
+                    peer_closed = true;
                     break;
                 }
                 Err(_) => return self.fail(),
             }
         }
         if self.input.is_empty() {
-            return if at_end { self.fail() } else { None };
+            return if peer_closed { self.fail() } else { None };
         }
-        match http::parse_response(&self.input, at_end) {
+        match http::parse_response(&self.input, peer_closed) {
             Ok(Parsed::Complete { message, length }) => {
-                let reusable = !at_end && !message.close && length == self.input.len();
-                self.enter(if reusable { Phase::Idle } else { Phase::Closed });
+                let is_reusable = !peer_closed && !message.close && length == self.input.len();
+                self.enter(if is_reusable {
+                    Phase::Idle
+                } else {
+                    Phase::Closed
+                });
                 Some(Ok(message))
             }
-            Ok(Parsed::Partial) if !at_end => None,
+            Ok(Parsed::Partial) if !peer_closed => None,
             Ok(Parsed::Partial) | Err(_) => self.fail(),
         }
     }
--- a/src/transport/event.rs
+++ b/src/transport/event.rs
@@ -1,36 +1,36 @@
-//! What the transport reports to its owner, and the ids in it.
+//! Events that the transport reports to its owner, and the ids in them.
 
 use thiserror::Error;
 
 use super::http::{Request, Response};
 
-/// What arrived from the network.
+/// A request that was received, or the result of a call.
 #[derive(Debug)]
 pub enum TransportEvent {
-    /// A client sent a request. It is answered with [`respond`](super::Network::respond).
+    /// A client sent a request, which is to be answered with [`respond`](super::Network::respond).
     Request {
-        /// Connection that waits for the response.
+        /// Connection on which the response is awaited.
         connection: ConnectionId,
         /// Listener that accepted the connection.
         listener: ListenerKind,
         /// The request.
         request: Request,
     },
-    /// A call has ended.
+    /// A call has completed or failed.
     Reply {
         /// The call.
         call: CallId,
-        /// Its response, or why there is none.
+        /// The response, or the reason why there is none.
         result: Result<Response, CallError>,
     },
 }
 
-/// The addresses that a node listens on.
+/// Identifies a listener of a node by the clients that it serves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListenerKind {
-    /// For users, workers and health checks.
+    /// Serves users, workers and health checks.
     Public,
-    /// For the other nodes of the service.
+    /// Serves the other nodes of the service.
     Internal,
 }
 
@@ -39,7 +39,7 @@
 pub struct ConnectionId {
     /// Slot of the connection in the table of sockets; reused after the connection is closed.
     pub slot: usize,
-    /// Tells apart the connections that use a slot one after the other.
+    /// Distinguishes connections that use the same slot one after the other.
     pub serial: u64,
 }
 
@@ -53,12 +53,12 @@
     /// The connection failed before any byte of the request was sent: the server did not process it.
     #[error("the request was not sent")]
     NotSent,
-    /// This process has no socket left for the call: the server did not process the request. Says
-    /// nothing about the server.
-    #[error("no socket is free for the request")]
+    /// This process could not open a socket for the call: the server did not process the request. This says nothing
+    /// about the state of the server.
+    #[error("no socket is available for the request")]
     NoSocket,
-    /// The request was sent, in part at least, and no response arrived: the server may have processed
-    /// it, or may yet.
-    #[error("the request was sent, its response was lost")]
+    /// At least a part of the request was sent, but no response arrived: the server may have processed the request or
+    /// may still do so.
+    #[error("the request was sent, but no response was received")]
     Lost,
 }
--- a/src/transport/event_loop/accept.rs
+++ b/src/transport/event_loop/accept.rs
@@ -1,4 +1,4 @@
-//! Listeners, and which connections are accepted.
+//! Listeners, and the limit on accepted connections.
 
 use mio::net::TcpStream;
 use std::io::{self, ErrorKind};
@@ -11,10 +11,9 @@
 use crate::transport::sockets::{Listener, Socket};
 use crate::transport::Network;
 
-/// The most connections that are accepted from one listener at one wake-up, so that a flood of them can't
-/// keep other work waiting.
+/// Most connections that are accepted from one listener per wake-up, so that a flood of them can't delay other work.
 const MAX_ACCEPTS_PER_WAKEUP: usize = 64;
-/// When accepting is tried again after it failed, as for want of descriptors.
+/// Delay before accepting is retried after it failed, for example for lack of file descriptors.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(100);
 
 impl Transport {
@@ -22,14 +21,14 @@
     ///
     /// # Errors
     ///
-    /// If the address is in use or not one of this machine.
+    /// If the address is in use or is not an address of this host.
     pub fn listen(&mut self, address: SocketAddr, kind: ListenerKind) -> io::Result<()> {
         let listener = Listener::bind(address, kind)?;
         self.sockets.insert(|_| Socket::Listener(listener))?;
         Ok(())
     }
 
-    /// Accepts the connections that wait at the listener in that slot.
+    /// Accepts the connections that wait at the listener in a slot.
     pub(super) fn accept_connections(&mut self, slot: usize) {
         for _ in 0..MAX_ACCEPTS_PER_WAKEUP {
             let Some(listener) = self.sockets.listener(slot) else {
@@ -49,15 +48,16 @@
     }
 
     fn on_accept_failed(&mut self, slot: usize, error: &io::Error) {
-        tracing::debug!("accept: {error}");
-        self.make_room();
+        tracing::debug!("accepting a connection failed, will retry: {error}");
+        self.evict_idle_connection();
         let retry_at = self.now().after(ACCEPT_RETRY_DELAY);
         self.timers.schedule(retry_at, Timer::AcceptRetry(slot));
     }
 
-    /// Keeps an accepted connection, or closes it if no room can be made for it.
+    /// Adds an accepted connection to the table of sockets, or closes it if the limit on sockets is reached and no
+    /// connection is idle.
     fn add_accepted(&mut self, stream: TcpStream, listener: ListenerKind) {
-        if !self.sockets.has_room_for_accepted() && !self.make_room() {
+        if !self.sockets.has_room_for_accepted() && !self.evict_idle_connection() {
             return;
         }
         let _ = stream.set_nodelay(true);
@@ -70,10 +70,13 @@
         match inserted {
             Ok(slot) => {
                 let id = ConnectionId { slot, serial };
-                let due = now.after(TRANSFER_TIMEOUT);
-                self.timers.schedule(due, Timer::ConnectionDeadline(id));
+                let deadline = now.after(TRANSFER_TIMEOUT);
+                self.timers
+                    .schedule(deadline, Timer::ConnectionDeadline(id));
             }
-            Err(error) => tracing::debug!("register: {error}"),
+            Err(error) => tracing::debug!(
+                "registering an accepted connection with the poller failed: {error}"
+            ),
         }
     }
 }
--- a/src/transport/event_loop/calls.rs
+++ b/src/transport/event_loop/calls.rs
@@ -12,25 +12,25 @@
 use crate::transport::Network;
 use crate::types::Time;
 
-/// Room for the head of a request, in bytes.
-const HEAD_CAPACITY: usize = 160;
+/// Initial capacity for the head of a request.
+const HEAD_CAPACITY_BYTES: usize = 160;
 
 impl Transport {
     pub(super) fn start_call(
         &mut self,
-        to: SocketAddr,
+        server: SocketAddr,
         method: &str,
         target: &str,
         body: &[u8],
-        limit: Duration,
+        timeout: Duration,
     ) -> CallId {
         let call = CallId(self.next_id());
-        let mut request = Vec::with_capacity(body.len() + HEAD_CAPACITY);
-        http::write_request(&mut request, &to.to_string(), method, target, body);
-        let deadline = self.now().after(limit);
-        let started = match self.idle_calls.take(to) {
-            Some(idle) => self.call_on_idle(idle.slot, call, request, deadline),
-            None => self.call_on_new(to, call, request, deadline),
+        let mut request = Vec::with_capacity(body.len() + HEAD_CAPACITY_BYTES);
+        http::write_request(&mut request, &server.to_string(), method, target, body);
+        let deadline = self.now().after(timeout);
+        let started = match self.idle_pool.take(server) {
+            Some(idle) => self.call_on_idle_connection(idle.slot, call, request, deadline),
+            None => self.call_on_new_connection(server, call, request, deadline),
         };
         if let Err(error) = started {
             self.report_result(call, Err(error));
@@ -39,7 +39,7 @@
     }
 
     /// Sends a request on an idle connection.
-    fn call_on_idle(
+    fn call_on_idle_connection(
         &mut self,
         slot: usize,
         call: CallId,
@@ -54,19 +54,19 @@
         Ok(())
     }
 
-    /// Opens a connection to send a request on.
-    fn call_on_new(
+    /// Opens a connection and sends a request on it.
+    fn call_on_new_connection(
         &mut self,
-        to: SocketAddr,
+        server: SocketAddr,
         call: CallId,
         request: Vec<u8>,
         deadline: Time,
     ) -> Result<(), CallError> {
-        if !self.sockets.has_room_for_call() && !self.make_room() {
+        if !self.sockets.has_room_for_call() && !self.evict_idle_connection() {
             return Err(CallError::NoSocket);
         }
-        let connection = ClientConnection::connect(to, call, request).map_err(|error| {
-            tracing::debug!("connect to {to}: {error}");
+        let connection = ClientConnection::connect(server, call, request).map_err(|error| {
+            tracing::debug!("connecting to {server} failed: {error}");
             CallError::NoSocket
         })?;
         let inserted = self
@@ -96,7 +96,7 @@
         }
     }
 
-    /// Reports the result of a call, and closes its connection or keeps it for the next call.
+    /// Reports the result of a call, if there is one, and closes its connection or keeps it for the next call.
     fn after_client_progress(&mut self, slot: usize, result: Option<CallResult>) {
         let Some(connection) = self.sockets.client(slot) else {
             return;
@@ -113,7 +113,7 @@
         }
         match phase {
             Phase::Closed => {
-                self.idle_calls.remove(&idle);
+                self.idle_pool.remove(&idle);
                 self.sockets.close(slot);
             }
             Phase::Idle => self.keep_idle(idle),
@@ -121,13 +121,13 @@
         }
     }
 
-    /// Keeps a connection for the next call, within the limits of idle ones.
+    /// Adds a connection to the idle pool, and closes those that exceed the limits of the pool.
     fn keep_idle(&mut self, idle: IdleConnection) {
-        if let Some(surplus) = self.idle_calls.add(idle) {
+        if let Some(surplus) = self.idle_pool.add(idle) {
             self.sockets.close(surplus.slot);
         }
-        while self.idle_calls.len() > self.sockets.max_idle_calls() {
-            self.make_room();
+        while self.idle_pool.len() > self.sockets.max_idle_clients() {
+            self.evict_idle_connection();
         }
     }
 
--- a/src/transport/event_loop/mod.rs
+++ b/src/transport/event_loop/mod.rs
@@ -1,6 +1,6 @@
-//! The event loop: waits for sockets and timers, and hands each to the part that it concerns.
+//! The event loop: waits for sockets and timers, and dispatches them to their handlers.
 //!
-//! - `accept`: listeners, and which connections are accepted.
+//! - `accept`: listeners, and the limit on accepted connections.
 //! - `requests`: accepted connections, their requests and responses.
 //! - `calls`: outgoing calls and their connections.
 
@@ -21,44 +21,44 @@
 use super::{Network, SocketUsage};
 use crate::types::Time;
 
-/// What a timer is for. Timers that are due at the same time run in the order of the variants.
+/// The purpose of a timer. Timers that expire at the same time run in the order of the variants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Timer {
-    /// A call has to have its response, on the connection in that slot.
+    /// Deadline of a call, which uses the connection in this slot.
     CallDeadline(CallId, usize),
-    /// An accepted connection may have been silent for too long.
+    /// The peer of an accepted connection may have been silent for too long.
     ConnectionDeadline(ConnectionId),
-    /// Accepting failed on the listener in that slot and is to be tried again: the poller doesn't report
-    /// connections that were waiting then.
+    /// Accepting is retried on the listener in this slot after a failure: the poller does not report again the
+    /// connections that are already waiting.
     AcceptRetry(usize),
 }
 
 /// HTTP server and client on real sockets, on one thread. Its owner calls
 /// [`wait_for_events`](Transport::wait_for_events) and then takes the events one by one.
 pub struct Transport {
-    started: Instant,
+    started_at: Instant,
     sockets: SocketTable,
-    idle_calls: IdlePool,
+    idle_pool: IdlePool,
     timers: TimerQueue<Timer>,
-    /// Slots of listeners that may have more connections waiting than were accepted at the last wake-up.
+    /// Slots of listeners that may have more waiting connections than were accepted at the last wake-up.
     unfinished_accepts: Vec<usize>,
-    /// Events that the owner has not taken yet.
+    /// Events that the owner of the transport has not taken yet.
     events: VecDeque<TransportEvent>,
     /// The last id given to a connection or a call.
     last_id: u64,
 }
 
 impl Transport {
-    /// Opens an event loop for a process that may have that many open descriptors.
+    /// Creates an event loop for a process that may have `max_descriptors` open file descriptors.
     ///
     /// # Errors
     ///
     /// If the operating system provides no poller.
     pub fn new(max_descriptors: usize) -> io::Result<Transport> {
         Ok(Transport {
-            started: Instant::now(),
+            started_at: Instant::now(),
             sockets: SocketTable::new(max_descriptors)?,
-            idle_calls: IdlePool::default(),
+            idle_pool: IdlePool::default(),
             timers: TimerQueue::default(),
             unfinished_accepts: Vec::new(),
             events: VecDeque::new(),
@@ -66,26 +66,26 @@
         })
     }
 
-    /// Waits until a socket is ready or a timer is due, at the latest until `until`, and does what follows.
-    /// Returns at once while there are events to be taken.
+    /// Waits until a socket is ready or a timer expires, until `deadline` at the latest, and handles all that are. Does
+    /// not wait while there are events to be taken.
     ///
     /// # Errors
     ///
     /// If the poller failed.
-    pub fn wait_for_events(&mut self, until: Time) -> io::Result<()> {
-        let timeout = self.wait_timeout(until);
-        let ready = match self.sockets.wait(timeout) {
+    pub fn wait_for_events(&mut self, deadline: Time) -> io::Result<()> {
+        let timeout = self.wait_timeout(deadline);
+        let ready_sockets = match self.sockets.wait(timeout) {
             Err(error) if error.kind() == ErrorKind::Interrupted => return Ok(()),
             other => other?,
         };
         for slot in std::mem::take(&mut self.unfinished_accepts) {
             self.accept_connections(slot);
         }
-        for readiness in ready {
+        for readiness in ready_sockets {
             self.on_ready(readiness);
         }
         let now = self.now();
-        while let Some(timer) = self.timers.pop_due(now) {
+        while let Some(timer) = self.timers.pop_expired(now) {
             self.on_timer(timer, now);
         }
         Ok(())
@@ -96,19 +96,19 @@
         self.events.pop_front()
     }
 
-    /// How long to wait for sockets.
-    fn wait_timeout(&self, until: Time) -> Duration {
+    /// How long to wait for a socket to become ready.
+    fn wait_timeout(&self, deadline: Time) -> Duration {
         if !self.events.is_empty() || !self.unfinished_accepts.is_empty() {
             return Duration::ZERO;
         }
         let now = self.now();
-        let next_timer = self.timers.next_due().unwrap_or(until);
-        until.min(next_timer).since(now)
+        let next_expiry = self.timers.next_expiry().unwrap_or(deadline);
+        deadline.min(next_expiry).since(now)
     }
 
     fn on_ready(&mut self, readiness: Readiness) {
         match self.sockets.get_mut(readiness.slot) {
-            // Closed by what another socket's readiness led to.
+            // Closed while the readiness of another socket was handled.
             None => {}
             Some(Socket::Listener(_)) => self.accept_connections(readiness.slot),
             Some(Socket::Server(_)) => self.on_server_ready(readiness),
@@ -124,19 +124,18 @@
         }
     }
 
-    /// Makes room for a socket by closing an idle one: first a connection kept for outgoing calls, which
-    /// costs only a new handshake; then the accepted one that has waited longest for a request. Returns
-    /// whether there was one.
-    fn make_room(&mut self) -> bool {
-        let idle_call = self.idle_calls.take_oldest();
-        let idle = match idle_call {
+    /// Closes an idle connection to free its socket: a client connection of the idle pool if there is one, which costs
+    /// only a new handshake; else the accepted connection that has been idle longest. Returns whether one was closed.
+    fn evict_idle_connection(&mut self) -> bool {
+        let idle_client = self.idle_pool.take_oldest();
+        let idle_slot = match idle_client {
             Some(connection) => Some(connection.slot),
             None => self.sockets.longest_idle_server(),
         };
-        if let Some(slot) = idle {
+        if let Some(slot) = idle_slot {
             self.sockets.close(slot);
         }
-        idle.is_some()
+        idle_slot.is_some()
     }
 
     fn next_id(&mut self) -> u64 {
@@ -147,7 +146,7 @@
 
 impl Network for Transport {
     fn now(&self) -> Time {
-        Time(self.started.elapsed().as_millis() as u64)
+        Time(self.started_at.elapsed().as_millis() as u64)
     }
 
     fn wall_clock_ms(&self) -> u64 {
@@ -162,13 +161,13 @@
 
     fn call(
         &mut self,
-        to: SocketAddr,
+        server: SocketAddr,
         method: &str,
         target: &str,
         body: &[u8],
-        limit: Duration,
+        timeout: Duration,
     ) -> CallId {
-        self.start_call(to, method, target, body, limit)
+        self.start_call(server, method, target, body, timeout)
     }
 
     fn socket_usage(&self) -> SocketUsage {
--- a/src/transport/event_loop/requests.rs
+++ b/src/transport/event_loop/requests.rs
@@ -44,13 +44,14 @@
         }
         match connection.check_deadline(now) {
             DeadlineCheck::TimedOut => self.sockets.close(id.slot),
-            DeadlineCheck::CheckAgainAt(due) => {
-                self.timers.schedule(due, Timer::ConnectionDeadline(id));
+            DeadlineCheck::CheckAgainAt(check_at) => {
+                self.timers
+                    .schedule(check_at, Timer::ConnectionDeadline(id));
             }
         }
     }
 
-    /// Reports a request that has arrived, and closes the connection if it is over.
+    /// Reports a request that has arrived, if there is one, and closes the connection if it has ended.
     fn after_server_progress(&mut self, slot: usize, request: Option<Request>) {
         let Some(connection) = self.sockets.server(slot) else {
             return;
--- a/src/transport/http/framing.rs
+++ b/src/transport/http/framing.rs
@@ -1,25 +1,25 @@
-//! What header fields say about where a message ends and whether its connection stays open.
+//! The header fields that determine where a message ends and whether its connection stays open.
 
 use super::HttpError;
 
 /// The header fields that the transport itself acts on.
 #[derive(Debug, Default)]
 pub(super) struct Framing {
-    /// Length of the body, in bytes; `usize::MAX` for numbers that are larger.
+    /// Length of the body in bytes; `usize::MAX` for larger numbers.
     pub(super) content_length: Option<usize>,
-    /// The message has a `Transfer-Encoding`, which is taken for `chunked`.
-    pub(super) chunked: bool,
+    /// The message has a `Transfer-Encoding`, which is assumed to be `chunked`.
+    pub(super) is_chunked: bool,
     /// The sender closes the connection after this exchange.
     pub(super) close: bool,
     /// The message has an `Expect` header field.
-    pub(super) expects: bool,
-    /// `Retry-After` in seconds; `None` also for a date.
+    pub(super) has_expect: bool,
+    /// `Retry-After` in seconds; `None` if it is a date.
     pub(super) retry_after: Option<u32>,
 }
 
 impl Framing {
-    /// Reads the header fields of a message of HTTP/1.`minor_version`. Connections of HTTP/1.0 close by
-    /// default, those of HTTP/1.1 stay open.
+    /// Reads the header fields of an HTTP/1.`minor_version` message. By default, HTTP/1.0 connections are closed after
+    /// an exchange and HTTP/1.1 connections stay open.
     ///
     /// # Errors
     ///
@@ -43,11 +43,11 @@
         if name.eq_ignore_ascii_case("content-length") {
             self.read_content_length(value)?;
         } else if name.eq_ignore_ascii_case("transfer-encoding") {
-            self.chunked = true;
+            self.is_chunked = true;
         } else if name.eq_ignore_ascii_case("connection") {
             self.read_connection(value);
         } else if name.eq_ignore_ascii_case("expect") {
-            self.expects = true;
+            self.has_expect = true;
         } else if name.eq_ignore_ascii_case("retry-after") {
             self.retry_after = value.parse().ok();
         }
@@ -58,7 +58,7 @@
         if value.is_empty() || !value.bytes().all(|byte| byte.is_ascii_digit()) {
             return Err(HttpError::InvalidContentLength);
         }
-        // A number too large for the type exceeds every limit, as does the type's largest value.
+        // A number that is too large for the type exceeds every limit, and so does the largest value of the type.
         let length = value.parse().unwrap_or(usize::MAX);
         if self.content_length.is_some_and(|earlier| earlier != length) {
             return Err(HttpError::ConflictingContentLength);
--- a/src/transport/http/mod.rs
+++ b/src/transport/http/mod.rs
@@ -9,15 +9,14 @@
 pub use parse::{parse_request, parse_response, Parsed};
 pub use write::{write_request, write_response};
 
-/// The largest request body that is accepted, in bytes. The protocol sets the same limit for the
-/// responses to users and workers.
+/// Largest request body that is accepted. The protocol sets the same limit for the responses to users and workers.
 pub const MAX_BODY_BYTES: usize = 64 * 1024;
-/// The largest response body that is accepted, in bytes. The protocol sets no limit for the responses of
-/// the state service; this one bounds the memory that a call can take.
+/// Largest response body that is accepted. The protocol sets no limit for the responses of the state service; this one
+/// bounds the memory that a call can use.
 pub const MAX_RESPONSE_BODY_BYTES: usize = 4 * 1024 * 1024;
-/// The largest head (start line and header fields) that is accepted, in bytes.
+/// Largest head (start line and header fields) that is accepted.
 pub const MAX_HEAD_BYTES: usize = 8 * 1024;
-/// The most header fields that a message may have.
+/// Most header fields that a message may have.
 pub const MAX_HEADERS: usize = 48;
 
 /// A parsed request.
@@ -25,11 +24,11 @@
 pub struct Request {
     /// Request method, such as `GET`.
     pub method: String,
-    /// Request target: path and query, not decoded.
+    /// Request target: path and query, without percent-decoding.
     pub target: String,
     /// Body, at most [`MAX_BODY_BYTES`].
     pub body: Vec<u8>,
-    /// Whether the client wants the connection closed after the response.
+    /// Whether the client asks for the connection to be closed after the response.
     pub close: bool,
 }
 
@@ -42,8 +41,7 @@
     pub body: Vec<u8>,
     /// Value of the `Retry-After` header field, in seconds.
     pub retry_after: Option<u32>,
-    /// On a received response: whether the server closes the connection after it. Not used when a
-    /// response is sent.
+    /// In a received response: whether the server closes the connection after it. Not used in a response that is sent.
     pub close: bool,
 }
 
@@ -57,7 +55,7 @@
         }
     }
 
-    /// A response without a body that asks the client to retry after that many seconds.
+    /// A response without a body that asks the client to retry after `after_s` seconds.
     pub fn retry_later(status: u16, after_s: u32) -> Response {
         Response {
             status,
--- a/src/transport/http/parse.rs
+++ b/src/transport/http/parse.rs
@@ -1,5 +1,5 @@
-//! Incremental parsing: each function looks at all bytes received so far and says whether they begin with
-//! a whole message.
+//! Incremental parsing: each function examines all bytes that have been received and reports whether they begin with a
+//! complete message.
 
 use super::framing::Framing;
 use super::{
@@ -7,29 +7,29 @@
     MAX_RESPONSE_BODY_BYTES,
 };
 
-/// How far a message is received.
+/// Result of parsing the bytes received so far.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Parsed<T> {
     /// More bytes are needed.
     Partial,
-    /// The bytes begin with a whole message.
+    /// The bytes begin with a complete message.
     Complete {
         /// The message.
         message: T,
-        /// How many bytes it takes; the next message begins behind them.
+        /// Size of the message in bytes; the next message begins after it.
         length: usize,
     },
 }
 
-/// Bytes between the end of a chunk's data and the next chunk.
+/// Bytes between the data of a chunk and the next chunk.
 const CHUNK_TERMINATOR: &[u8] = b"\r\n";
 
 /// Parses the request at the start of `bytes`.
 ///
 /// # Errors
 ///
-/// If `bytes` are not the beginning of a request that is supported, or it exceeds a limit.
-/// [`HttpError::status`] is the answer to the client.
+/// If `bytes` are not the beginning of a supported request, or a limit is exceeded. [`HttpError::status`] is the status
+/// of the response to the client.
 pub fn parse_request(bytes: &[u8]) -> Result<Parsed<Request>, HttpError> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut head = httparse::Request::new(&mut headers);
@@ -45,10 +45,10 @@
         Err(error) => return Err(head_error(error)),
     };
     let framing = Framing::read(head.headers, head.version.unwrap_or(1))?;
-    if framing.chunked {
+    if framing.is_chunked {
         return Err(HttpError::TransferEncodingUnsupported);
     }
-    if framing.expects {
+    if framing.has_expect {
         return Err(HttpError::ExpectUnsupported);
     }
     let body_length = framing.content_length.unwrap_or(0);
@@ -70,13 +70,13 @@
     Ok(Parsed::Complete { message, length })
 }
 
-/// Parses the response at the start of `bytes`; `at_end` says that the server has closed its side, so that
-/// no more bytes will come.
+/// Parses the response at the start of `bytes`; `peer_closed` says that the server has closed its side, so that no more
+/// bytes will arrive.
 ///
 /// # Errors
 ///
-/// If `bytes` are not the beginning of a response, or it exceeds a limit.
-pub fn parse_response(bytes: &[u8], at_end: bool) -> Result<Parsed<Response>, HttpError> {
+/// If `bytes` are not the beginning of a response, or a limit is exceeded.
+pub fn parse_response(bytes: &[u8], peer_closed: bool) -> Result<Parsed<Response>, HttpError> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut head = httparse::Response::new(&mut headers);
     let body_start = match head.parse(bytes) {
@@ -89,11 +89,11 @@
     };
     let framing = Framing::read(head.headers, head.version.unwrap_or(1))?;
     let status = head.code.unwrap_or(0);
-    let rest = &bytes[body_start..];
-    let body = if framing.chunked {
-        parse_chunked_body(rest)?
+    let after_head = &bytes[body_start..];
+    let body = if framing.is_chunked {
+        parse_chunked_body(after_head)?
     } else {
-        parse_plain_body(rest, &framing, status, at_end)?
+        parse_plain_body(after_head, &framing, status, peer_closed)?
     };
     let Some(body) = body else {
         return Ok(Parsed::Partial);
@@ -106,7 +106,7 @@
     };
     Ok(Parsed::Complete {
         message,
-        length: body_start + body.length,
+        length: body_start + body.received_bytes,
     })
 }
 
@@ -117,25 +117,25 @@
     }
 }
 
-/// A whole body.
+/// A complete body.
 struct Body {
     data: Vec<u8>,
-    /// How many received bytes it took: more than its data if it was chunked.
-    length: usize,
+    /// Number of received bytes that encode the body; larger than its data if it was chunked.
+    received_bytes: usize,
 }
 
 /// The body of a response without `Transfer-Encoding`; `None` while it is incomplete.
 fn parse_plain_body(
-    rest: &[u8],
+    after_head: &[u8],
     framing: &Framing,
     status: u16,
-    at_end: bool,
+    peer_closed: bool,
 ) -> Result<Option<Body>, HttpError> {
     let length = match framing.content_length {
         Some(length) => length,
         None if matches!(status, 204 | 304) => 0,
-        None if at_end => rest.len(),
-        // The body extends to the end of the connection.
+        None if peer_closed => after_head.len(),
+        // The body extends until the server closes the connection.
         None if framing.close => return Ok(None),
         None => 0,
     };
@@ -144,8 +144,11 @@
             limit: MAX_RESPONSE_BODY_BYTES,
         });
     }
-    let data = rest.get(..length).map(<[u8]>::to_vec);
-    Ok(data.map(|data| Body { data, length }))
+    let data = after_head.get(..length).map(<[u8]>::to_vec);
+    Ok(data.map(|data| Body {
+        data,
+        received_bytes: length,
+    }))
 }
 
 /// The body of a response with chunked encoding; `None` while it is incomplete.
@@ -170,10 +173,13 @@
         }
         data.extend_from_slice(&rest[start..end]);
         rest = &rest[next..];
-        // The last chunk is empty. Trailer fields behind it are not supported.
+        // The last chunk is empty. Trailer fields after it are not supported.
         if size == 0 {
-            let length = bytes.len() - rest.len();
-            return Ok(Some(Body { data, length }));
+            let received_bytes = bytes.len() - rest.len();
+            return Ok(Some(Body {
+                data,
+                received_bytes,
+            }));
         }
     }
 }
--- a/src/transport/http/write.rs
+++ b/src/transport/http/write.rs
@@ -1,4 +1,4 @@
-//! Writing of messages.
+//! Writing of HTTP messages.
 
 use std::io::Write;
 
@@ -7,7 +7,7 @@
 /// Header field of every message that has a body.
 const CONTENT_TYPE: &[u8] = b"Content-Type: application/cbor\r\n";
 
-/// Appends a response to `out`; `close` announces that the connection is closed after it.
+/// Appends a response to `out`; `close` announces that the connection will be closed after it.
 pub fn write_response(out: &mut Vec<u8>, response: &Response, close: bool) {
     // Writing to a vector can't fail.
     let _ = write!(
@@ -30,8 +30,7 @@
     out.extend_from_slice(&response.body);
 }
 
-/// Appends a request to `out`. `host` is the value of the `Host` header field, `target` the path and
-/// query.
+/// Appends a request to `out`. `host` is the value of the `Host` header field, `target` the path and query.
 pub fn write_request(out: &mut Vec<u8>, host: &str, method: &str, target: &str, body: &[u8]) {
     // Writing to a vector can't fail.
     let _ = write!(
@@ -46,7 +45,7 @@
     out.extend_from_slice(body);
 }
 
-/// The text after the status code. Clients ignore it; codes that the service doesn't send share one.
+/// The text after the status code, which clients ignore. Status codes that the service doesn't send share one text.
 fn reason_phrase(status: u16) -> &'static str {
     match status {
         200 => "OK",
--- a/src/transport/mod.rs
+++ b/src/transport/mod.rs
@@ -1,12 +1,11 @@
-//! HTTP/1.1 over TCP as server and client, on one thread: an event loop around the operating system's
-//! poller.
+//! HTTP/1.1 server and client over TCP, on one thread: an event loop around the operating system's poller.
 //!
 //! - [`http`]: parsing and writing of messages.
 //! - `server_connection`, `client_connection`: the state machine of one connection.
-//! - `sockets`: all open sockets, the poller, and the limit of open sockets.
-//! - `idle_pool`: client connections that are kept for the next call.
-//! - `timers`: deadlines.
-//! - `event_loop`: [`Transport`], which ties these together.
+//! - `sockets`: all open sockets, the poller, and the limit on open sockets.
+//! - `idle_pool`: client connections that are kept open for the next call.
+//! - `timers`: a queue of deadlines.
+//! - `event_loop`: [`Transport`], which combines these.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -26,35 +25,35 @@
 pub use event_loop::Transport;
 pub use http::{Request, Response};
 
-/// What a node needs of its environment: clocks, and HTTP as server and client. [`Transport`] provides
-/// it on real sockets; tests provide it for several nodes in simulated time.
+/// The clocks and the HTTP server and client that a node runs on. [`Transport`] implements them on real sockets; tests
+/// implement them for several nodes in simulated time.
 pub trait Network {
     /// The monotonic clock, in milliseconds since the process started.
     fn now(&self) -> Time;
     /// The wall clock, in milliseconds since the Unix epoch.
     fn wall_clock_ms(&self) -> u64;
-    /// Sends the response to the request that came on that connection. Without effect if the connection
-    /// is closed by now, or waits for no response.
+    /// Sends the response to the request that was received on a connection. Does nothing if the connection has been
+    /// closed or no request on it awaits a response.
     fn respond(&mut self, connection: ConnectionId, response: &Response);
-    /// Sends a request to a server. The result comes as a [`TransportEvent::Reply`] with the returned
-    /// id, after `limit` at the latest.
+    /// Sends a request to a server. The result arrives as a [`TransportEvent::Reply`] with the returned id, when
+    /// `timeout` has passed at the latest.
     fn call(
         &mut self,
-        to: SocketAddr,
+        server: SocketAddr,
         method: &str,
         target: &str,
         body: &[u8],
-        limit: Duration,
+        timeout: Duration,
     ) -> CallId;
-    /// How many sockets are open, and how many may be.
+    /// Number of open sockets, and the limit on it.
     fn socket_usage(&self) -> SocketUsage;
 }
 
-/// Use of the limit of open sockets.
+/// Open sockets of the process, and the limit on them.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct SocketUsage {
-    /// Sockets that are open.
+    /// Number of sockets that are open.
     pub open: usize,
-    /// Sockets that may be open at once.
+    /// Most sockets that may be open at the same time.
     pub max: usize,
 }
--- a/src/transport/nonblocking.rs
+++ b/src/transport/nonblocking.rs
@@ -1,30 +1,30 @@
-//! Reads and writes on sockets that don't block.
+//! Reading from and writing to non-blocking sockets.
 
 use std::io::{self, ErrorKind, Read, Write};
 
-/// How many bytes are read at once.
+/// Size of the buffer for one read.
 pub(super) const READ_CHUNK_BYTES: usize = 16 * 1024;
 
-/// What one read brought.
+/// Result of one read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ReadProgress {
-    /// That many bytes, at least one.
+    /// This many bytes were read, at least one.
     Bytes(usize),
-    /// Nothing more has arrived so far. The poller reports when there is more.
+    /// No more bytes have arrived yet. The poller reports when there are more.
     WouldBlock,
-    /// The peer has closed its side: nothing more will arrive.
-    End,
+    /// The peer has closed its side: no more bytes will arrive.
+    Eof,
 }
 
-/// Reads what has arrived, as much as fits into `chunk`.
+/// Reads the bytes that have arrived, as many as fit into `buffer`.
 ///
 /// # Errors
 ///
 /// If the connection failed.
-pub(super) fn read(stream: &mut impl Read, chunk: &mut [u8]) -> io::Result<ReadProgress> {
+pub(super) fn read(stream: &mut impl Read, buffer: &mut [u8]) -> io::Result<ReadProgress> {
     loop {
-        match stream.read(chunk) {
-            Ok(0) => return Ok(ReadProgress::End),
+        match stream.read(buffer) {
+            Ok(0) => return Ok(ReadProgress::Eof),
             Ok(count) => return Ok(ReadProgress::Bytes(count)),
             Err(error) if error.kind() == ErrorKind::WouldBlock => {
                 return Ok(ReadProgress::WouldBlock)
@@ -35,44 +35,47 @@
     }
 }
 
-/// Whether everything that is to be written was written.
+/// Whether all pending output has been written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum WriteProgress {
-    /// Nothing is left to be written.
+    /// No output is pending.
     Complete,
-    /// The operating system takes no more for now. The poller reports when it does.
+    /// The send buffer of the socket is full. The poller reports when there is space again.
     WouldBlock,
 }
 
-/// A message on its way out.
+/// A message that is being sent.
 #[derive(Debug, Default)]
 pub(super) struct OutputBuffer {
     bytes: Vec<u8>,
-    /// How many of the bytes were written.
-    written: usize,
+    /// How many of the bytes have been written.
+    written_bytes: usize,
 }
 
 impl OutputBuffer {
-    /// A message of which nothing was written yet.
+    /// A message of which nothing has been written yet.
     pub(super) fn new(bytes: Vec<u8>) -> OutputBuffer {
-        OutputBuffer { bytes, written: 0 }
+        OutputBuffer {
+            bytes,
+            written_bytes: 0,
+        }
     }
 
-    /// Whether any byte was written.
-    pub(super) fn is_begun(&self) -> bool {
-        self.written > 0
+    /// Whether at least one byte has been written.
+    pub(super) fn has_started(&self) -> bool {
+        self.written_bytes > 0
     }
 
-    /// Writes as much as the operating system takes.
+    /// Writes as much as the socket accepts without blocking.
     ///
     /// # Errors
     ///
     /// If the connection failed.
     pub(super) fn flush(&mut self, stream: &mut impl Write) -> io::Result<WriteProgress> {
-        while self.written < self.bytes.len() {
-            match stream.write(&self.bytes[self.written..]) {
+        while self.written_bytes < self.bytes.len() {
+            match stream.write(&self.bytes[self.written_bytes..]) {
                 Ok(0) => return Err(ErrorKind::WriteZero.into()),
-                Ok(count) => self.written += count,
+                Ok(count) => self.written_bytes += count,
                 Err(error) if error.kind() == ErrorKind::WouldBlock => {
                     return Ok(WriteProgress::WouldBlock)
                 }
--- a/src/transport/sockets.rs
+++ b/src/transport/sockets.rs
@@ -1,4 +1,4 @@
-//! The table of all open sockets, the poller that watches them, and the limit of open sockets.
+//! The table of all open sockets, the poller that watches them, and the limit on open sockets.
 
 use mio::event::Source;
 use mio::net::{TcpListener, TcpStream};
@@ -13,15 +13,15 @@
 use super::server_connection::ServerConnection;
 use super::SocketUsage;
 
-/// Descriptors that the process needs besides the sockets: the poller, the standard streams and the like.
+/// File descriptors that the process needs besides its sockets, such as the poller and the standard streams.
 const RESERVED_DESCRIPTORS: usize = 8;
-/// One in that many sockets is reserved for outgoing calls, so that incoming connections, however many,
-/// can't cut this process off from the state service and the cloud.
+/// One in this many sockets is reserved for outgoing calls, so that no number of incoming connections can cut this
+/// process off from the state service and the cloud.
 const CALL_RESERVE_DIVISOR: usize = 8;
-/// At most one in that many sockets is an idle connection kept for calls to come: a machine takes one
-/// socket for its heartbeats all the time, and a second one only while it is sent a command.
-const IDLE_CALL_DIVISOR: usize = 8;
-/// The most readiness events that are taken from the operating system at once.
+/// At most one in this many sockets is an idle client connection. The heartbeats of a host occupy a socket all the
+/// time, a second socket is occupied only while a command is sent to the host.
+const IDLE_CLIENT_DIVISOR: usize = 8;
+/// Most readiness events that one call of the poller returns.
 const MAX_POLL_EVENTS: usize = 256;
 
 /// An open socket.
@@ -59,7 +59,7 @@
     ///
     /// # Errors
     ///
-    /// If the address is in use or not one of this machine.
+    /// If the address is in use or is not an address of this host.
     pub(super) fn bind(address: SocketAddr, kind: ListenerKind) -> io::Result<Listener> {
         let socket = TcpListener::bind(address)?;
         Ok(Listener { socket, kind })
@@ -69,7 +69,7 @@
     ///
     /// # Errors
     ///
-    /// `WouldBlock` if none is waiting; others if one could not be accepted.
+    /// `WouldBlock` if no connection is waiting; others if a connection could not be accepted.
     pub(super) fn accept(&self) -> io::Result<TcpStream> {
         self.socket.accept().map(|(stream, _)| stream)
     }
@@ -79,18 +79,17 @@
     }
 }
 
-/// A socket on which something can be done without blocking.
+/// A socket that can be read or written without blocking.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Readiness {
     pub(super) slot: usize,
-    /// Also set if the peer has closed its side, or the connection failed: reading shows which.
+    /// Also set if the peer has closed its side or the connection failed; a read tells which.
     pub(super) readable: bool,
     /// Also set if the connection failed.
     pub(super) writable: bool,
 }
 
-/// All open sockets. Each has a slot, a number under which it is registered with the poller; slots are
-/// reused.
+/// All open sockets. Each has a slot, the number under which it is registered with the poller; slots are reused.
 pub(super) struct SocketTable {
     poll: Poll,
     poll_events: Events,
@@ -99,7 +98,7 @@
 }
 
 impl SocketTable {
-    /// An empty table of a process that may have that many open descriptors.
+    /// An empty table for a process that may have `max_descriptors` open file descriptors.
     ///
     /// # Errors
     ///
@@ -113,30 +112,30 @@
         })
     }
 
-    /// Waits until a socket is ready, for `timeout` at the most. Readiness is reported once
-    /// (edge-triggered): a socket has to be used until it would block.
+    /// Waits until a socket is ready, for `timeout` at most. Readiness is reported once (edge-triggered): a socket has
+    /// to be read or written until it would block.
     ///
     /// # Errors
     ///
     /// `Interrupted` if a signal arrived; others if the poller failed.
     pub(super) fn wait(&mut self, timeout: Duration) -> io::Result<Vec<Readiness>> {
         self.poll.poll(&mut self.poll_events, Some(timeout))?;
-        let ready = self.poll_events.iter().map(|event| {
-            let failed = event.is_error();
+        let readiness = self.poll_events.iter().map(|event| {
+            let has_failed = event.is_error();
             Readiness {
                 slot: event.token().0,
-                readable: event.is_readable() || failed || event.is_read_closed(),
-                writable: event.is_writable() || failed || event.is_write_closed(),
+                readable: event.is_readable() || has_failed || event.is_read_closed(),
+                writable: event.is_writable() || has_failed || event.is_write_closed(),
             }
         });
-        Ok(ready.collect())
+        Ok(readiness.collect())
     }
 
-    /// Adds a socket, which `build` makes for its slot, and registers it with the poller.
+    /// Adds the socket that `build` creates for its slot, and registers it with the poller.
     ///
     /// # Errors
     ///
-    /// If the poller doesn't take it; the socket is closed then.
+    /// If the poller can't register the socket, which is closed in that case.
     pub(super) fn insert(&mut self, build: impl FnOnce(usize) -> Socket) -> io::Result<usize> {
         let entry = self.sockets.vacant_entry();
         let slot = entry.key();
@@ -181,34 +180,34 @@
         }
     }
 
-    /// The slot of the accepted connection that has waited longest for a request.
+    /// The slot of the accepted connection that has been idle longest, waiting for a request.
     pub(super) fn longest_idle_server(&self) -> Option<usize> {
-        let idle = self
+        let idle_servers = self
             .sockets
             .iter()
             .filter_map(|(slot, socket)| match socket {
                 Socket::Server(connection) if connection.is_idle() => {
-                    Some((connection.last_active(), slot))
+                    Some((connection.last_active_at(), slot))
                 }
                 _ => None,
             });
-        idle.min().map(|(_, slot)| slot)
+        idle_servers.min().map(|(_, slot)| slot)
     }
 
-    /// Whether one more incoming connection keeps within the limit.
+    /// Whether one more incoming connection is within the limit.
     pub(super) fn has_room_for_accepted(&self) -> bool {
         let reserved_for_calls = self.max_sockets / CALL_RESERVE_DIVISOR;
         self.sockets.len() < self.max_sockets - reserved_for_calls
     }
 
-    /// Whether one more outgoing connection keeps within the limit.
+    /// Whether one more outgoing connection is within the limit.
     pub(super) fn has_room_for_call(&self) -> bool {
         self.sockets.len() < self.max_sockets
     }
 
-    /// How many idle connections may be kept for calls to come.
-    pub(super) fn max_idle_calls(&self) -> usize {
-        self.max_sockets / IDLE_CALL_DIVISOR
+    /// How many idle client connections may be kept for later calls.
+    pub(super) fn max_idle_clients(&self) -> usize {
+        self.max_sockets / IDLE_CLIENT_DIVISOR
     }
 
     pub(super) fn usage(&self) -> SocketUsage {
--- a/tests/http.rs
+++ b/tests/http.rs
@@ -6,9 +6,9 @@
 };
 use lichencrank::transport::{Request, Response};
 
-/// Start line of the requests.
+/// Start line of requests.
 const POST: &str = "POST /x HTTP/1.1\r\n";
-/// Start line of the responses.
+/// Start line of responses.
 const OK: &str = "HTTP/1.1 200 OK\r\n";
 
 fn request(method: &str, body: &str, close: bool) -> Request {
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn a_request_that_is_not_accepted_is_answered_with_the_status_of_its_fault() {
+fn a_rejected_request_is_answered_with_the_status_of_its_error() {
     let long_head = format!("{POST}X: {}\r\n\r\n", "a".repeat(9000));
     let cases = [
         (
@@ -178,7 +178,7 @@
 }
 
 #[test]
-fn a_response_beyond_the_limits_or_malformed_is_refused() {
+fn a_malformed_or_too_large_response_is_rejected() {
     let too_large = HttpError::BodyTooLarge {
         limit: MAX_RESPONSE_BODY_BYTES,
     };
@@ -213,7 +213,7 @@
 }
 
 #[test]
-fn what_is_written_is_parsed_as_the_same() {
+fn a_written_message_is_parsed_unchanged() {
     let mut bytes = Vec::new();
     write_request(&mut bytes, "127.0.0.1:80", "POST", "/x", b"abc");
     assert_eq!(
@@ -232,9 +232,9 @@
     }
 }
 
-/// Random bytes must never panic a parser. The seed is fixed.
+/// Mutated and truncated messages must never make a parser panic. The seed is fixed.
 #[test]
-fn random_bytes_panic_no_parser() {
+fn random_bytes_do_not_make_a_parser_panic() {
     let originals = [
         format!("{POST}Content-Length: 3\r\nConnection: close\r\n\r\nabc"),
         format!("{OK}Content-Length: 3\r\nRetry-After: 4\r\n\r\nabc"),
--- a/tests/transport.rs
+++ b/tests/transport.rs
@@ -1,5 +1,5 @@
-//! The transport on real sockets: requests and responses, calls and their results, the idle connection
-//! pool, and the limit of open sockets.
+//! The transport on real sockets: requests and responses, calls and their results, the pool of idle connections, and
+//! the limit on open sockets.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -10,14 +10,15 @@
     CallError, CallId, ConnectionId, ListenerKind, Network, Response, Transport, TransportEvent,
 };
 
-/// Descriptors given to the transport.
+/// File descriptors that the transport may use.
 const MAX_DESCRIPTORS: usize = 72;
-/// Sockets that it may have open then.
+/// Sockets that the transport may open with these file descriptors.
 const MAX_SOCKETS: usize = 64;
-/// Sockets that are reserved for calls, and that may be idle in the pool: an eighth each.
+/// Sockets that are reserved for calls.
 const RESERVED_FOR_CALLS: usize = MAX_SOCKETS / 8;
-const MAX_IDLE_CALLS: usize = MAX_SOCKETS / 8;
-/// How long an event may take to arrive.
+/// Idle client connections that are kept for later calls.
+const MAX_IDLE_CLIENTS: usize = MAX_SOCKETS / 8;
+/// Longest time that an event may take to arrive.
 const EVENT_TIMEOUT: Duration = Duration::from_secs(20);
 
 const EMPTY_OK: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
@@ -26,7 +27,7 @@
     Transport::new(MAX_DESCRIPTORS).expect("an event loop")
 }
 
-/// A transport that listens, and its address.
+/// A transport that listens on a free port, and its address.
 fn server() -> (Transport, SocketAddr) {
     let address = {
         let free = TcpListener::bind("127.0.0.1:0").expect("a free port");
@@ -39,14 +40,17 @@
     (transport, address)
 }
 
-/// The next event; panics if there is none in time.
+/// Waits for the next event; panics if there is none within `EVENT_TIMEOUT`.
 fn next_event(transport: &mut Transport) -> TransportEvent {
     let deadline = transport.now().after(EVENT_TIMEOUT);
     loop {
         if let Some(event) = transport.next_event() {
             return event;
         }
-        assert!(transport.now() < deadline, "no event in time");
+        assert!(
+            transport.now() < deadline,
+            "no event within {EVENT_TIMEOUT:?}"
+        );
         transport
             .wait_for_events(deadline)
             .expect("the event loop runs");
@@ -65,11 +69,11 @@
     }
 }
 
-fn start_call(transport: &mut Transport, to: SocketAddr, limit: Duration) -> CallId {
-    transport.call(to, "GET", "/", &[], limit)
+fn start_call(transport: &mut Transport, server: SocketAddr, timeout: Duration) -> CallId {
+    transport.call(server, "GET", "/", &[], timeout)
 }
 
-/// The result of that call, which has to be the next event.
+/// The result of a call, which has to be the next event.
 fn result_of(transport: &mut Transport, started: CallId) -> Result<Response, CallError> {
     match next_event(transport) {
         TransportEvent::Reply { call, result } => {
@@ -80,19 +84,19 @@
     }
 }
 
-fn assert_call_succeeds(transport: &mut Transport, to: SocketAddr) {
-    let call = start_call(transport, to, EVENT_TIMEOUT);
+fn assert_call_succeeds(transport: &mut Transport, server: SocketAddr) {
+    let call = start_call(transport, server, EVENT_TIMEOUT);
     let status = result_of(transport, call).map(|response| response.status);
     assert_eq!(status, Ok(200));
 }
 
-/// Lets the transport do what is ready by now.
+/// Handles what is ready at present, without waiting.
 fn poll_once(transport: &mut Transport) {
     let now = transport.now();
     transport.wait_for_events(now).expect("the event loop runs");
 }
 
-/// A server that answers every request on every connection, and keeps them all open.
+/// Starts a server that answers every request with status 200 and keeps all connections open.
 fn start_responder() -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let address = listener.local_addr().expect("its address");
@@ -112,8 +116,8 @@
     address
 }
 
-/// A server that answers one request on each connection with these bytes, and closes it.
-fn start_faulty_responder(answer: &'static [u8]) -> SocketAddr {
+/// Starts a server that answers the first request on each connection with `response` and closes the connection.
+fn start_faulty_responder(response: &'static [u8]) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let address = listener.local_addr().expect("its address");
     thread::spawn(move || {
@@ -121,14 +125,14 @@
             let Ok(mut stream) = stream else { return };
             let mut chunk = [0; 1024];
             if stream.read(&mut chunk).is_ok_and(|count| count > 0) {
-                let _ = stream.write_all(answer);
+                let _ = stream.write_all(response);
             }
         }
     });
     address
 }
 
-/// Everything that the peer receives until the connection is closed.
+/// All bytes that the peer receives until the connection is closed.
 fn read_to_end(stream: &mut TcpStream) -> String {
     stream
         .set_read_timeout(Some(EVENT_TIMEOUT))
@@ -170,7 +174,7 @@
     let statuses: Vec<&str> = received.matches("HTTP/1.1 20").collect();
     assert_eq!(statuses.len(), 3, "{received}");
     assert!(received.contains("Connection: close"), "{received}");
-    // A response that nobody waits for any more has no effect.
+    // A response on a connection that awaits none has no effect.
     transport.respond(connection, &Response::new(500, Vec::new()));
     drop(peer);
     poll_once(&mut transport);
@@ -184,9 +188,9 @@
         .expect("writing");
     let receiver = thread::spawn(move || read_to_end(&mut peer));
     while !receiver.is_finished() {
-        let until = transport.now().after(Duration::from_millis(10));
+        let deadline = transport.now().after(Duration::from_millis(10));
         transport
-            .wait_for_events(until)
+            .wait_for_events(deadline)
             .expect("the event loop runs");
         assert!(transport.next_event().is_none());
     }
@@ -197,25 +201,25 @@
 #[test]
 fn a_call_without_a_response_says_whether_it_may_have_been_processed() {
     let mut transport = transport();
-    let closed = {
+    let closed_address = {
         let free = TcpListener::bind("127.0.0.1:0").expect("a free port");
         free.local_addr().expect("its address")
     };
-    let call = start_call(&mut transport, closed, EVENT_TIMEOUT);
+    let call = start_call(&mut transport, closed_address, EVENT_TIMEOUT);
     assert_eq!(result_of(&mut transport, call), Err(CallError::NotSent));
-    let incomplete: [&[u8]; 3] = [
+    let faulty_responses: [&[u8]; 3] = [
         b"",
         b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nabc",
         b"HTTP/9 what?\r\n\r\n",
     ];
-    for answer in incomplete {
-        let address = start_faulty_responder(answer);
+    for response in faulty_responses {
+        let address = start_faulty_responder(response);
         let call = start_call(&mut transport, address, EVENT_TIMEOUT);
         assert_eq!(
             result_of(&mut transport, call),
             Err(CallError::Lost),
             "{:?}",
-            String::from_utf8_lossy(answer)
+            String::from_utf8_lossy(response)
         );
     }
     assert_eq!(transport.socket_usage().open, 0);
@@ -226,11 +230,11 @@
     let mut transport = transport();
     let silent = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let address = silent.local_addr().expect("its address");
-    let limit = Duration::from_millis(100);
-    let started = transport.now();
-    let call = start_call(&mut transport, address, limit);
+    let timeout = Duration::from_millis(100);
+    let started_at = transport.now();
+    let call = start_call(&mut transport, address, timeout);
     assert_eq!(result_of(&mut transport, call), Err(CallError::Lost));
-    assert!(transport.now() >= started.after(limit));
+    assert!(transport.now() >= started_at.after(timeout));
     assert_eq!(transport.socket_usage().open, 0);
 }
 
@@ -262,18 +266,18 @@
     }
 }
 
-/// A leader once held two sockets for each machine: one for its heartbeats and one for the commands it
-/// was sent some time ago. At half as many machines again that was more than the limit.
+/// Guards against exhausting the sockets of the leader. It kept two sockets open for each host, one for the heartbeats
+/// and an idle one for commands sent some time before, which exceeded the limit when the number of hosts grew by half.
 #[test]
 fn the_idle_connection_pool_is_bounded() {
     let mut transport = transport();
-    for _ in 0..3 * MAX_IDLE_CALLS {
+    for _ in 0..3 * MAX_IDLE_CLIENTS {
         assert_call_succeeds(&mut transport, start_responder());
-        assert!(transport.socket_usage().open <= MAX_IDLE_CALLS);
+        assert!(transport.socket_usage().open <= MAX_IDLE_CLIENTS);
     }
 }
 
-/// However many connect, calls find a socket.
+/// Calls find a socket no matter how many clients connect.
 #[test]
 fn a_flood_of_connections_leaves_room_for_calls() {
     let (mut transport, address) = server();
