--- a/crates/store/src/client.rs
+++ b/crates/store/src/client.rs
@@ -10,16 +10,16 @@
 use crate::request::{HttpRequest, Request};
 use crate::ConditionalStore;
 
-/// How long a connection may take to open.
+/// Timeout for establishing a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// The most header fields that a response may have.
+/// Most header fields that a response may have.
 const MAX_HEADERS: usize = 48;
-/// How many bytes are read at once.
+/// Size of the buffer for one read.
 const READ_CHUNK_BYTES: usize = 16 * 1024;
-/// The largest response, and the largest body of one, in bytes.
+/// Largest response and largest response body.
 const MAX_RESPONSE_BYTES: usize = 4 * 1024 * 1024;
 
-/// A client of the store: one connection, which is kept for the next request, and one request at a time.
+/// A client of the store that sends one request at a time, on one connection that is kept open for the next request.
 #[derive(Debug)]
 pub struct BlockingClient {
     address: SocketAddr,
@@ -27,29 +27,29 @@
     connection: Option<TcpStream>,
 }
 
-/// Why there is no response.
+/// The reason why there is no response.
 #[derive(Debug, Error)]
 enum CallError {
-    /// The request did not leave this process.
-    #[error("not sent: {0}")]
+    /// The request was not sent.
+    #[error("the request was not sent: {0}")]
     NotSent(#[source] io::Error),
-    /// The store may have processed the request, or may yet.
-    #[error("no response: {0}")]
+    /// The store may have processed the request or may still do so.
+    #[error("no response was received: {0}")]
     NoResponse(#[source] ResponseError),
 }
 
-/// Why no response could be read.
+/// The reason why no response could be read.
 #[derive(Debug, Error)]
 enum ResponseError {
     #[error(transparent)]
     Connection(#[from] io::Error),
-    #[error("the connection was closed")]
+    #[error("the connection was closed before the end of the response")]
     Closed,
-    #[error("malformed head: {0}")]
+    #[error("malformed response head: {0}")]
     MalformedHead(#[from] httparse::Error),
     #[error("Content-Length is not a decimal number")]
     InvalidContentLength,
-    #[error("larger than {MAX_RESPONSE_BYTES} bytes")]
+    #[error("the response is larger than {MAX_RESPONSE_BYTES} bytes")]
     TooLarge,
 }
 
@@ -57,13 +57,13 @@
 struct HttpResponse {
     status: u16,
     body: Vec<u8>,
-    /// The store closes the connection after it.
-    close: bool,
+    /// The store closes the connection after this response.
+    closes_connection: bool,
 }
 
 impl BlockingClient {
-    /// A client of the store at that address. A response that takes longer than the timeout, beyond the
-    /// time that the request itself asks to wait, counts as lost.
+    /// A client of the store at an address. A response counts as lost if it takes longer than `response_timeout` plus
+    /// the time that the request itself asks the store to wait.
     pub fn new(address: SocketAddr, response_timeout: Duration) -> BlockingClient {
         BlockingClient {
             address,
@@ -72,7 +72,7 @@
         }
     }
 
-    /// Sends a request and waits for its response. After an error the connection is given up.
+    /// Sends a request and waits for its response. After an error the connection is closed.
     fn call(
         &mut self,
         request: &HttpRequest,
@@ -87,7 +87,7 @@
             .map_err(CallError::NotSent)?;
         let response = exchange(&mut connection, request, self.address);
         let response = response.map_err(CallError::NoResponse)?;
-        if !response.close {
+        if !response.closes_connection {
             self.connection = Some(connection);
         }
         Ok(response)
@@ -95,7 +95,7 @@
 
     fn connect(&self) -> io::Result<TcpStream> {
         let connection = TcpStream::connect_timeout(&self.address, CONNECT_TIMEOUT)?;
-        // Requests are small and each waits for its response: Nagle's algorithm would only delay them.
+        // Each small request is followed by a wait for its response: Nagle's algorithm would only delay it.
         let _ = connection.set_nodelay(true);
         Ok(connection)
     }
@@ -107,11 +107,15 @@
             Request::Watch { max_wait, .. } => *max_wait,
             _ => Duration::ZERO,
         };
-        let http = request.render();
-        match self.call(&http, self.response_timeout + max_wait) {
-            Ok(response) => Outcome::read(http.kind, response.status, &response.body),
+        let http_request = request.render();
+        match self.call(&http_request, self.response_timeout + max_wait) {
+            Ok(response) => Outcome::read(http_request.kind, response.status, &response.body),
             Err(error) => {
-                tracing::debug!("store: {} {}: {error}", http.method, http.target);
+                tracing::debug!(
+                    "store: {} {} failed: {error}",
+                    http_request.method,
+                    http_request.target
+                );
                 match error {
                     CallError::NotSent(_) => Outcome::Unavailable,
                     CallError::NoResponse(_) => Outcome::Unknown,
@@ -137,9 +141,10 @@
         body,
         ..
     } = request;
-    let length = body.len();
-    let head =
-        format!("{method} {target} HTTP/1.1\r\nHost: {host}\r\nContent-Length: {length}\r\n\r\n");
+    let body_length = body.len();
+    let head = format!(
+        "{method} {target} HTTP/1.1\r\nHost: {host}\r\nContent-Length: {body_length}\r\n\r\n"
+    );
     [head.as_bytes(), body].concat()
 }
 
@@ -169,24 +174,27 @@
     let httparse::Status::Complete(body_start) = head.parse(input)? else {
         return Ok(None);
     };
-    let length = header(head.headers, "content-length").unwrap_or("0").trim();
-    let length: usize = length
+    let body_length = header_value(head.headers, "content-length")
+        .unwrap_or("0")
+        .trim();
+    let body_length: usize = body_length
         .parse()
         .map_err(|_| ResponseError::InvalidContentLength)?;
-    if length > MAX_RESPONSE_BYTES {
+    if body_length > MAX_RESPONSE_BYTES {
         return Err(ResponseError::TooLarge);
     }
-    let connection = header(head.headers, "connection");
-    let body = input.get(body_start..body_start + length);
+    let connection_header = header_value(head.headers, "connection");
+    let body = input.get(body_start..body_start + body_length);
     Ok(body.map(|body| HttpResponse {
         status: head.code.unwrap_or(0),
         body: body.to_vec(),
-        close: connection.is_some_and(|value| value.eq_ignore_ascii_case("close")),
+        closes_connection: connection_header
+            .is_some_and(|value| value.eq_ignore_ascii_case("close")),
     }))
 }
 
-/// The value of the first header field of that name, if it is UTF-8.
-fn header<'a>(headers: &[httparse::Header<'a>], name: &str) -> Option<&'a str> {
+/// The value of the first header field with a name, if it is UTF-8.
+fn header_value<'a>(headers: &[httparse::Header<'a>], name: &str) -> Option<&'a str> {
     let mut headers = headers.iter();
     let found = headers.find(|header| header.name.eq_ignore_ascii_case(name))?;
     std::str::from_utf8(found.value).ok()
--- a/crates/store/src/codec.rs
+++ b/crates/store/src/codec.rs
@@ -1,4 +1,4 @@
-//! The format of bodies: CBOR, one value each.
+//! Encoding of request and response bodies: each is one CBOR value.
 
 use std::io;
 
@@ -6,17 +6,17 @@
 use serde::{Deserialize, Deserializer, Serialize};
 use thiserror::Error;
 
-/// Room for an encoded body, in bytes; larger ones grow.
-const BODY_CAPACITY: usize = 256;
+/// Initial capacity for an encoded body.
+const BODY_CAPACITY_BYTES: usize = 256;
 
-/// Why a body is not a value of the expected type.
+/// The reason why a body could not be decoded.
 #[derive(Debug, Error)]
 pub enum DecodeError {
-    /// It is no CBOR, or a value of another type.
+    /// The body is not valid CBOR, or its value has another type than expected.
     #[error(transparent)]
     Malformed(#[from] ciborium::de::Error<io::Error>),
     /// More bytes follow the value.
-    #[error("bytes after the end")]
+    #[error("trailing bytes after the CBOR value")]
     TrailingBytes,
 }
 
@@ -24,7 +24,7 @@
 ///
 /// # Errors
 ///
-/// If it is anything else than exactly one value of the type.
+/// If the body is not exactly one value of the expected type.
 pub fn decode<T: DeserializeOwned>(body: &[u8]) -> Result<T, DecodeError> {
     let mut rest = body;
     let value = ciborium::from_reader(&mut rest)?;
@@ -35,21 +35,21 @@
     }
 }
 
-/// Encodes a body. A value that has no form in CBOR, which no type of the protocols can hold, is logged and
-/// gives an incomplete body, which no receiver accepts.
+/// Encodes a body. Every value of a protocol type can be encoded. If another value can't, the error is logged, and the
+/// incomplete body that is returned is rejected by its receiver.
 pub fn encode<T: Serialize>(value: &T) -> Vec<u8> {
-    let mut body = Vec::with_capacity(BODY_CAPACITY);
+    let mut body = Vec::with_capacity(BODY_CAPACITY_BYTES);
     if let Err(error) = ciborium::into_writer(value, &mut body) {
-        tracing::error!("encoding a message failed: {error}");
+        tracing::error!("encoding a message body as CBOR failed: {error}");
     }
     body
 }
 
-/// For `deserialize_with`: a list that may be null, which counts as empty.
+/// Reads a list that may be null, which counts as empty. For serde's `deserialize_with`.
 ///
 /// # Errors
 ///
-/// If the value is neither a list of that type nor null.
+/// If the value is neither a list of the element type nor null.
 pub fn null_is_empty<'de, D, T>(deserializer: D) -> Result<Vec<T>, D::Error>
 where
     D: Deserializer<'de>,
--- a/crates/store/src/ids.rs
+++ b/crates/store/src/ids.rs
@@ -1,4 +1,4 @@
-//! Versions, leases and times, each a type of its own.
+//! Newtypes for versions, lease ids and times.
 
 use std::time::Duration;
 
@@ -23,7 +23,7 @@
 }
 
 number_type!(
-    /// A version of a key: the store's revision at its last change, 0 if the key does not exist. Also a
+    /// A version of a key: the store's revision at the last change of the key, 0 if the key does not exist. Also a
     /// revision of the whole store, which grows by one with every transaction that changes anything.
     Version
 );
@@ -34,21 +34,21 @@
 }
 
 number_type!(
-    /// Id of a lease. Keys that are attached to a lease are deleted when it expires or is ended.
+    /// Id of a lease. The keys attached to a lease are deleted when it expires or is ended.
     LeaseId
 );
 
-/// A time on the monotonic clock of a process, in milliseconds since it started.
+/// A time on the monotonic clock of a process, in milliseconds since the process started.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Time(pub u64);
 
 impl Time {
-    /// The time that much later.
+    /// The time that is `duration` later.
     pub fn after(self, duration: Duration) -> Time {
         Time(self.0.saturating_add(duration.as_millis() as u64))
     }
 
-    /// The time passed since `earlier`; zero if that is later than this.
+    /// The duration since `earlier`; zero if `earlier` is the later of the two.
     pub fn since(self, earlier: Time) -> Duration {
         Duration::from_millis(self.0.saturating_sub(earlier.0))
     }
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -1,20 +1,18 @@
-//! The contract with the consensus-backed key-value store that all shared state is kept in.
+//! The protocol of the consensus-backed key-value store that holds all shared state.
 //!
-//! Every key has a version. A transaction is a compare-and-swap: its changes are carried out, all or none,
-//! if all keys in its conditions have the given versions. [`Outcome`] says what a response proves. The one
-//! that needs care is [`Outcome::Unknown`]: the transaction may have been carried out, or may yet be.
-//! Whoever gets it repeats the very same transaction, whose conditions let it take effect only once, or
-//! reads again.
+//! Every key has a version. A transaction is a compare-and-swap: if all keys in its conditions have the given versions,
+//! all of its changes are committed, otherwise none. [`Outcome`] is the meaning of a response. [`Outcome::Unknown`]
+//! needs care: the transaction may have been committed or may still be. Its sender either repeats exactly the same
+//! transaction, whose conditions let it take effect only once, or reads the keys again.
 //!
-//! Programs that embed the libraries use the store through a [`ConditionalStore`], such as
-//! [`BlockingClient`]. The daemon has an event loop and rate limits of its own and uses
-//! [`Request::render`] and [`Outcome::read`].
+//! Programs that embed the libraries access the store through a [`ConditionalStore`], such as [`BlockingClient`]. The
+//! daemon has an event loop and rate limits of its own and uses [`Request::render`] and [`Outcome::read`].
 //!
-//! - [`request`], [`outcome`]: what is asked, and what a response means.
-//! - [`messages`]: transactions and the bodies of requests and responses.
-//! - [`limits`]: the limits of the store, to be checked before a request is sent.
-//! - [`rate_limit`]: a token bucket for its rate limits.
-//! - [`codec`]: the format of bodies.
+//! - [`request`], [`outcome`]: requests, and the meaning of their responses.
+//! - [`messages`]: transactions, and the bodies of requests and responses.
+//! - [`limits`]: the limits of the store, which are checked before a request is sent.
+//! - [`rate_limit`]: a token bucket for the rate limits of the store.
+//! - [`codec`]: the encoding of bodies.
 //! - [`client`]: the blocking client.
 
 pub mod client;
@@ -33,7 +31,7 @@
 pub use outcome::Outcome;
 pub use request::Request;
 
-/// A store that processes one request after the other.
+/// A store that is sent one request at a time.
 pub trait ConditionalStore {
     /// Sends a request and waits for its outcome.
     fn execute(&mut self, request: &Request) -> Outcome;
--- a/crates/store/src/limits.rs
+++ b/crates/store/src/limits.rs
@@ -1,91 +1,91 @@
-//! The limits of the store, checked before a request is sent.
+//! The limits of the store, which are checked before a request is sent.
 
 use serde::Serialize;
 use thiserror::Error;
 
 use crate::messages::{Change, Txn};
 
-/// How many conditions a transaction may have for each change that it may have.
+/// Ratio of the most conditions to the most changes of a transaction.
 const CONDITIONS_PER_CHANGE: usize = 4;
-/// The largest transaction, in bytes of JSON.
+/// Largest transaction, as JSON.
 const MAX_TRANSACTION_BYTES: usize = 64 * 1024;
-/// The longest key, in bytes.
+/// Longest key.
 const MAX_KEY_BYTES: usize = 200;
 
-/// The limits that a deployment of the store sets. Sizes are those of the records in JSON.
+/// The limits that are configured for a deployment of the store. Sizes are those of the JSON representation.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct StoreLimits {
-    /// The largest value, in bytes.
+    /// Largest value, in bytes of JSON.
     pub max_value_bytes: usize,
-    /// The most changes of a transaction.
+    /// Most changes in a transaction.
     pub max_changes: usize,
-    /// The most requests a second, of all clients together.
+    /// Most requests per second, of all clients together.
     pub requests_per_second: f64,
-    /// The most changes a second, of all clients together.
+    /// Most changes per second, of all clients together.
     pub changes_per_second: f64,
 }
 
-/// Why the store would refuse a transaction.
+/// A limit that a transaction exceeds, so that the store would reject it.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum LimitError {
-    /// More changes than a transaction may have.
-    #[error("{count} changes in one transaction, {limit} are allowed")]
+    /// The transaction has too many changes.
+    #[error("the transaction has {count} changes, at most {limit} are allowed")]
     TooManyChanges {
-        /// How many there are.
+        /// Number of changes.
         count: usize,
-        /// How many are allowed.
+        /// Most changes that are allowed.
         limit: usize,
     },
-    /// More conditions than a transaction may have.
-    #[error("{count} conditions in one transaction, {limit} are allowed")]
+    /// The transaction has too many conditions.
+    #[error("the transaction has {count} conditions, at most {limit} are allowed")]
     TooManyConditions {
-        /// How many there are.
+        /// Number of conditions.
         count: usize,
-        /// How many are allowed.
+        /// Most conditions that are allowed.
         limit: usize,
     },
     /// A value is too large.
-    #[error("the value of {key} has {bytes} bytes, {limit} are allowed")]
+    #[error("the value of {key} has {bytes} bytes, at most {limit} are allowed")]
     ValueTooLarge {
-        /// Its key.
+        /// The key of the value.
         key: String,
-        /// Its size.
+        /// Size of the value, in bytes of JSON.
         bytes: usize,
-        /// The largest size that is allowed.
+        /// Largest size that is allowed, in bytes.
         limit: usize,
     },
     /// The transaction as a whole is too large.
-    #[error("a transaction of {bytes} bytes, {limit} are allowed")]
+    #[error("the transaction has {bytes} bytes, at most {limit} are allowed")]
     TransactionTooLarge {
-        /// Its size.
+        /// Size of the transaction, in bytes of JSON.
         bytes: usize,
-        /// The largest size that is allowed.
+        /// Largest size that is allowed, in bytes.
         limit: usize,
     },
     /// A key is empty, too long or contains whitespace.
-    #[error("{key:?} is no key: 1 to {max} bytes without spaces are allowed", max = MAX_KEY_BYTES)]
+    #[error("{key:?} is not a valid key: 1 to {max} bytes without whitespace are allowed", max = MAX_KEY_BYTES)]
     InvalidKey {
         /// The key.
         key: String,
     },
 }
 
-/// The size of a record in JSON, in bytes: the form whose size is limited.
+/// The size of a record as JSON, in bytes. The limits apply to this representation.
 pub fn json_size(record: &impl Serialize) -> usize {
     serde_json::to_vec(record).map_or(usize::MAX, |json| json.len())
 }
 
 impl StoreLimits {
-    /// The most conditions of a transaction.
+    /// Most conditions in a transaction.
     pub fn max_conditions(&self) -> usize {
         self.max_changes.saturating_mul(CONDITIONS_PER_CHANGE)
     }
 
-    /// Checks whether the store would accept a transaction, apart from its conditions and rate limits.
+    /// Checks a transaction against the limits, except for the rate limits.
     ///
     /// # Errors
     ///
-    /// The first limit that it exceeds.
+    /// The first limit that the transaction exceeds.
     pub fn check(&self, txn: &Txn) -> Result<(), LimitError> {
         check_limit(txn.changes.len(), self.max_changes, |count, limit| {
             LimitError::TooManyChanges { count, limit }
@@ -123,12 +123,12 @@
 }
 
 fn check_limit(
-    found: usize,
+    actual: usize,
     limit: usize,
     error: impl FnOnce(usize, usize) -> LimitError,
 ) -> Result<(), LimitError> {
-    if found > limit {
-        return Err(error(found, limit));
+    if actual > limit {
+        return Err(error(actual, limit));
     }
     Ok(())
 }
--- a/crates/store/src/messages.rs
+++ b/crates/store/src/messages.rs
@@ -1,5 +1,5 @@
-//! Transactions, and the bodies of the store's requests and responses. The names of the published protocol
-//! are in the serde attributes.
+//! Transactions, and the bodies of the store's requests and responses. The serde attributes hold the names of the
+//! published protocol.
 
 use ciborium::Value;
 use serde::{Deserialize, Serialize};
@@ -7,13 +7,13 @@
 use crate::codec::null_is_empty;
 use crate::ids::{LeaseId, Version};
 
-/// A condition of a transaction: a key has a version.
+/// A condition of a transaction: the key has this version.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Condition {
     /// The key.
     #[serde(rename = "path")]
     pub key: String,
-    /// The version; [`Version::ABSENT`] if the key must not exist.
+    /// The required version; [`Version::ABSENT`] if the key must not exist.
     #[serde(rename = "stamp")]
     pub version: Version,
 }
@@ -30,7 +30,7 @@
         /// The new value.
         #[serde(rename = "data")]
         value: Value,
-        /// The lease that the key is attached to from now on, if any.
+        /// The lease that the key is attached to by this change, if any.
         #[serde(rename = "hold", skip_serializing_if = "Option::is_none")]
         lease: Option<LeaseId>,
     },
@@ -43,7 +43,7 @@
 }
 
 impl Change {
-    /// Writes a value, without a lease.
+    /// A change that writes a value without attaching the key to a lease.
     pub fn put(key: String, value: Value) -> Change {
         Change::Put {
             key,
@@ -52,12 +52,12 @@
         }
     }
 
-    /// Deletes a key.
+    /// A change that deletes a key.
     pub fn delete(key: String) -> Change {
         Change::Delete { key }
     }
 
-    /// The key that it changes.
+    /// The key that is written or deleted.
     pub fn key(&self) -> &String {
         match self {
             Change::Put { key, .. } | Change::Delete { key } => key,
@@ -65,19 +65,19 @@
     }
 }
 
-/// A transaction: its changes are carried out, all or none, if all conditions are met.
+/// A transaction: if all of its conditions are met, all of its changes are committed, otherwise none.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Txn {
-    /// What must be the case.
+    /// The conditions.
     #[serde(rename = "if")]
     pub conditions: Vec<Condition>,
-    /// What is changed if it is.
+    /// The changes.
     #[serde(rename = "apply")]
     pub changes: Vec<Change>,
 }
 
 impl Txn {
-    /// Adds the condition that a key has a version, unless there is a condition on that key.
+    /// Adds the condition that a key has a version, unless there is already a condition on the key.
     pub fn require(&mut self, key: String, version: Version) {
         let mut keys = self.conditions.iter().map(|condition| &condition.key);
         if !keys.any(|other| *other == key) {
@@ -101,23 +101,26 @@
 }
 
 impl Item {
-    /// The value as a record of a type. `None`, with a line in the log, if it is none.
+    /// Decodes the value as a record of a type. If that fails, logs an error and returns `None`.
     pub fn record<T: serde::de::DeserializeOwned>(&self) -> Option<T> {
         match self.value.deserialized() {
             Ok(record) => Some(record),
             Err(error) => {
-                tracing::error!("{}: not a record of ours: {error}", self.key);
+                tracing::error!(
+                    "{}: the value is not a record of the expected type: {error}",
+                    self.key
+                );
                 None
             }
         }
     }
 }
 
-/// A record as a value of the store. One that has no form in CBOR, which no record type can hold, is logged
-/// and gives null.
+/// Converts a record to a value of the store. Every record type can be represented in CBOR. If another value can't, the
+/// error is logged and the result is null.
 pub fn value<T: Serialize>(record: &T) -> Value {
     Value::serialized(record).unwrap_or_else(|error| {
-        tracing::error!("a record has no form in CBOR: {error}");
+        tracing::error!("converting a record to CBOR failed: {error}");
         Value::Null
     })
 }
@@ -131,15 +134,15 @@
     /// Whether more pages follow.
     #[serde(rename = "truncated", default)]
     pub has_more: bool,
-    /// The store's revision at which the page was read.
+    /// The revision of the store at which the page was read.
     #[serde(rename = "ledgerRev")]
     pub revision: Version,
 }
 
-/// Response to a transaction that was carried out.
+/// Response to a transaction that was committed.
 #[derive(Debug, Deserialize)]
 pub(crate) struct CommitResponse {
-    /// The revision of its changes.
+    /// The revision of the transaction's changes.
     #[serde(rename = "ledgerRev")]
     pub(crate) revision: Version,
 }
@@ -155,7 +158,7 @@
 /// Request for a lease.
 #[derive(Debug, Serialize)]
 pub(crate) struct LeaseRequest {
-    /// How long it lasts without a renewal, in milliseconds.
+    /// How long the lease lasts without a renewal, in milliseconds.
     #[serde(rename = "ttlMs")]
     pub(crate) ttl_ms: u64,
 }
@@ -174,12 +177,12 @@
     /// The revision up to which all changes are listed here; the next watch continues after it.
     #[serde(rename = "ledgerRev")]
     pub revision: Version,
-    /// The changes in their order; none if the watch ended without one.
+    /// The changes in the order of their revisions; empty if there was none while the watch waited.
     #[serde(rename = "news", default, deserialize_with = "null_is_empty")]
     pub events: Vec<Event>,
 }
 
-/// A change of one key. Either `put_key` or `deleted_key` is set.
+/// A change of one key that a watch reports. Either `put_key` or `deleted_key` is set.
 #[derive(Debug, Deserialize)]
 pub struct Event {
     /// The key that was written.
--- a/crates/store/src/outcome.rs
+++ b/crates/store/src/outcome.rs
@@ -1,4 +1,4 @@
-//! What the responses of the store mean.
+//! The meaning of the store's responses.
 
 use std::time::Duration;
 
@@ -7,67 +7,70 @@
 use crate::messages::{CommitResponse, ConflictResponse, Item, LeaseResponse, Page, WatchEvents};
 use crate::request::RequestKind;
 
-/// How long to wait before a request that was over the rate limit is repeated.
+/// How long to wait before a request that exceeded the rate limit is repeated.
 pub const RATE_LIMIT_PAUSE: Duration = Duration::from_millis(200);
 
-/// What became of a request.
+/// The outcome of a request.
 #[derive(Debug)]
 pub enum Outcome {
     /// The key's value and version; `None` if it does not exist.
     Item(Option<Item>),
     /// A page of keys.
     Page(Page),
-    /// The transaction was carried out; its changes have that version.
+    /// The transaction was committed; its changes have this version.
     Committed(Version),
-    /// The conditions on these keys were not met; nothing was changed.
+    /// The conditions on these keys were not met; the transaction changed nothing.
     Conflict(Vec<String>),
-    /// The new lease.
+    /// A lease was granted.
     LeaseGranted(LeaseId),
     /// The lease was renewed or ended.
     LeaseUpdated,
     /// The lease has expired or was ended.
     LeaseGone,
-    /// Changes that a watch brought.
+    /// The changes that a watch reports.
     WatchEvents(WatchEvents),
-    /// The store no longer has the changes after the revision at which the watch begins: the state has to
-    /// be read again.
+    /// The store no longer has the changes after the revision from which the watch starts: the state has to be read
+    /// again.
     RevisionTooOld,
-    /// Not processed: the store, or the way to it, is out of order for now.
+    /// The request was not processed: it was not sent, or the store is temporarily unavailable or can't be reached.
     Unavailable,
-    /// Not processed, since the rate limit is used up: the store itself is healthy.
+    /// The request was not processed, since it exceeded the rate limit; the store is available.
     RateLimited {
-        /// How long to wait before it is repeated.
+        /// How long to wait before the request is repeated.
         retry_after: Duration,
     },
-    /// It may have been processed, or may yet be.
+    /// The request may have been processed or may still be.
     Unknown,
-    /// The store refuses it for its content; repeating it is of no use.
+    /// The store rejects the request for its content; repeating it is of no use.
     Invalid,
 }
 
 impl Outcome {
-    /// Reads the response to a request of that kind: its status code and body.
+    /// Reads the status code and body of the response to a request of a kind.
     pub fn read(kind: RequestKind, status: u16, body: &[u8]) -> Outcome {
         match status {
             429 => {
-                tracing::debug!("store: over the rate limit");
+                tracing::debug!("store: a request exceeded the rate limit");
                 Outcome::RateLimited {
                     retry_after: RATE_LIMIT_PAUSE,
                 }
             }
             503 => Outcome::Unavailable,
             400 => {
-                tracing::warn!("store: 400 {}", String::from_utf8_lossy(body));
+                tracing::warn!(
+                    "store: rejected a request with status 400: {}",
+                    String::from_utf8_lossy(body)
+                );
                 Outcome::Invalid
             }
             _ => Outcome::read_result(kind, status, body).unwrap_or_else(|error| {
-                tracing::warn!("store: answer not understood: {error}");
+                tracing::warn!("store: malformed response body: {error}");
                 Outcome::Unknown
             }),
         }
     }
 
-    /// Reads a response whose meaning depends on the kind of its request.
+    /// Reads a response whose meaning depends on the kind of the request.
     fn read_result(kind: RequestKind, status: u16, body: &[u8]) -> Result<Outcome, DecodeError> {
         let outcome = match (status, kind) {
             (200, RequestKind::Get) => Outcome::Item(Some(decode(body)?)),
@@ -83,14 +86,14 @@
             (200, RequestKind::Watch) => Outcome::WatchEvents(decode(body)?),
             (410, RequestKind::Watch) => Outcome::RevisionTooOld,
             (status, _) => {
-                tracing::warn!("store: unexpected status {status}");
+                tracing::warn!("store: unexpected response status {status}");
                 Outcome::Unknown
             }
         };
         Ok(outcome)
     }
 
-    /// Whether the store itself has answered, so that it is known to be reachable.
+    /// Whether the store itself has responded, which shows that it is available.
     pub fn is_answer(&self) -> bool {
         !matches!(self, Outcome::Unavailable | Outcome::Unknown)
     }
--- a/crates/store/src/rate_limit.rs
+++ b/crates/store/src/rate_limit.rs
@@ -1,90 +1,90 @@
-//! A rate limit as a token bucket, and how nodes share a rate that holds for all of them together.
+//! A rate limit as a token bucket, and how nodes share a rate limit that applies to all of them together.
 
 use std::time::Duration;
 
 use crate::ids::Time;
 
-/// A token bucket that may be overdrawn: the debt is refilled first. Tokens stand for requests or changes.
+/// A token bucket that may be overdrawn: refills pay off the debt first. A token stands for one request or change.
 #[derive(Debug)]
 pub struct RateLimit {
-    /// Tokens that are added a second.
-    rate: f64,
-    /// The most tokens that the bucket holds.
-    burst: f64,
-    /// Tokens as of `refilled_at`; negative while it is overdrawn.
+    /// Tokens that are added per second.
+    tokens_per_s: f64,
+    /// Most tokens that the bucket holds.
+    max_tokens: f64,
+    /// Tokens as of `refilled_at`; negative while the bucket is overdrawn.
     tokens: f64,
     refilled_at: Time,
-    /// Nothing may be spent before.
-    closed_until: Time,
-    /// Tokens spent since the beginning.
+    /// No tokens are available before this time.
+    paused_until: Time,
+    /// Tokens spent since the bucket was created.
     total_spent: f64,
 }
 
 impl RateLimit {
-    /// A full bucket with that rate, in tokens a second, and size, in tokens (one at the least).
-    pub fn new(rate: f64, burst: f64) -> RateLimit {
-        let burst = burst.max(1.0);
+    /// A full bucket. It holds at least one token, also if `max_tokens` is less.
+    pub fn new(tokens_per_s: f64, max_tokens: f64) -> RateLimit {
+        let max_tokens = max_tokens.max(1.0);
         RateLimit {
-            rate,
-            burst,
-            tokens: burst,
+            tokens_per_s,
+            max_tokens,
+            tokens: max_tokens,
             refilled_at: Time::default(),
-            closed_until: Time::default(),
+            paused_until: Time::default(),
             total_spent: 0.0,
         }
     }
 
-    /// Changes the rate from now on, in tokens a second.
-    pub fn set_rate(&mut self, now: Time, rate: f64) {
+    /// Changes the refill rate from now on.
+    pub fn set_rate(&mut self, now: Time, tokens_per_s: f64) {
         self.refill(now);
-        self.rate = rate;
+        self.tokens_per_s = tokens_per_s;
     }
 
-    /// Tokens spent since the beginning, from which nodes tell each other how much they spend a second.
+    /// Tokens spent since the bucket was created. Nodes calculate from it the rate that they report to each other.
     pub fn total_spent(&self) -> f64 {
         self.total_spent
     }
 
-    /// How many tokens may be spent now; negative while the bucket is overdrawn, 0 during a pause.
+    /// Number of tokens that may be spent now; negative while the bucket is overdrawn, 0 during a pause.
     pub fn available(&mut self, now: Time) -> f64 {
         self.refill(now);
-        if now < self.closed_until {
+        if now < self.paused_until {
             0.0
         } else {
             self.tokens
         }
     }
 
-    /// The available part of a full bucket, from 0 to 1; negative while it is overdrawn.
+    /// Available tokens as a fraction of a full bucket; negative while the bucket is overdrawn.
     pub fn available_fraction(&mut self, now: Time) -> f64 {
-        self.available(now) / self.burst
+        self.available(now) / self.max_tokens
     }
 
-    /// Spends tokens, also more than there are: the debt delays later spending.
+    /// Spends tokens, possibly more than are available: the debt delays later spending.
     pub fn spend(&mut self, now: Time, tokens: f64) {
         self.refill(now);
         self.tokens -= tokens;
         self.total_spent += tokens;
     }
 
-    /// The server has refused a request as over the limit, since other clients spend from the same one:
-    /// nothing may be spent for that long, and tokens saved until now are lost.
+    /// Called when the server has rejected a request as over its rate limit, which other clients share: no tokens are
+    /// available for the duration of `pause`, and the saved tokens are lost.
     pub fn back_off(&mut self, now: Time, pause: Duration) {
-        self.closed_until = self.closed_until.max(now.after(pause));
+        self.paused_until = self.paused_until.max(now.after(pause));
         self.tokens = self.tokens.min(0.0);
     }
 
     fn refill(&mut self, now: Time) {
-        let added = now.since(self.refilled_at).as_secs_f64() * self.rate;
-        self.tokens = (self.tokens + added).min(self.burst);
+        let added = now.since(self.refilled_at).as_secs_f64() * self.tokens_per_s;
+        self.tokens = (self.tokens + added).min(self.max_tokens);
         self.refilled_at = self.refilled_at.max(now);
     }
 }
 
-/// What one of `nodes` nodes may spend a second of a rate `total` that holds for all of them together:
-/// what the others leave of it, who say that they spend `others` a second, but an even share at the
-/// least. If all want more than that, each learns of the others' spending and comes down to the even share.
-pub fn node_share(total: f64, nodes: usize, others: f64) -> f64 {
-    let even_share = total / nodes.max(1) as f64;
-    (total - others).max(even_share)
+/// The share of one of `nodes` nodes in the rate `total_per_s` that applies to all of them together: the part that the
+/// other nodes leave, which report that they spend `others_per_s`, but at least an equal share. If every node needs
+/// more than that, each learns how much the others spend, and all converge to the equal share.
+pub fn node_share(total_per_s: f64, nodes: usize, others_per_s: f64) -> f64 {
+    let equal_share_per_s = total_per_s / nodes.max(1) as f64;
+    (total_per_s - others_per_s).max(equal_share_per_s)
 }
--- a/crates/store/src/request.rs
+++ b/crates/store/src/request.rs
@@ -1,4 +1,4 @@
-//! Requests to the store, and their form in HTTP.
+//! Requests to the store, and their representation in HTTP.
 
 use std::time::Duration;
 
@@ -15,26 +15,26 @@
     List {
         /// Prefix of the keys.
         prefix: String,
-        /// The last key of the page before; empty for the first page.
+        /// The last key of the previous page; empty for the first page.
         after: String,
-        /// The most keys on the page.
+        /// Most keys on the page.
         limit: u32,
     },
-    /// Carries out a transaction.
+    /// Commits a transaction if its conditions are met.
     Txn(Txn),
-    /// Asks for a lease that expires after that time without a renewal.
+    /// Requests a lease that expires after this time without a renewal.
     GrantLease(Duration),
     /// Renews a lease.
     RenewLease(LeaseId),
-    /// Ends a lease, and deletes the keys that are attached to it.
+    /// Ends a lease and deletes the keys that are attached to it.
     EndLease(LeaseId),
-    /// Waits for changes (long polling).
+    /// Waits for changes of keys (long polling).
     Watch {
         /// Prefix of the keys.
         prefix: String,
-        /// Changes after this revision are wanted.
+        /// The revision after which changes are requested.
         after: Version,
-        /// How long to wait for the first one.
+        /// How long the store waits for the first change.
         max_wait: Duration,
     },
 }
@@ -56,21 +56,21 @@
     Watch,
 }
 
-/// A request in the form of HTTP.
+/// The HTTP representation of a request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct HttpRequest {
-    /// What [`Outcome::read`](crate::Outcome::read) needs to know of it.
+    /// Kind of the request, for [`Outcome::read`](crate::Outcome::read).
     pub kind: RequestKind,
     /// Request method.
     pub method: &'static str,
     /// Request target: path and query.
     pub target: String,
-    /// Body, empty if there is none.
+    /// Request body; empty if there is none.
     pub body: Vec<u8>,
 }
 
 impl Request {
-    /// Puts the request into its form in HTTP.
+    /// The HTTP representation of the request.
     pub fn render(&self) -> HttpRequest {
         match self {
             Request::Get(key) => {
--- a/crates/store/tests/client.rs
+++ b/crates/store/tests/client.rs
@@ -1,5 +1,4 @@
-//! What the blocking client concludes from a response that is missing or malformed, and which connections
-//! it keeps.
+//! The outcome that the blocking client reports for a missing or malformed response, and which connections it reuses.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener};
@@ -11,8 +10,8 @@
 
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// A server that gives the next response to each request, and closes the connection after those that are
-/// marked so. Sends the number of the connection of each request.
+/// Starts a server that sends the next response to each request and closes the connection after those marked with
+/// `Close::Yes`. The receiver gets, for each request, the number of the connection that it arrived on.
 fn serve(responses: Vec<(&'static str, Close)>) -> (SocketAddr, Receiver<usize>) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let address = listener.local_addr().expect("its address");
@@ -47,7 +46,7 @@
     "HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\nConnection: close\r\n\r\n";
 
 #[test]
-fn a_response_that_is_missing_or_malformed_proves_nothing() {
+fn a_missing_or_malformed_response_has_an_unknown_outcome() {
     let responses = [
         "",
         "HTTP/1.1 404 Not Found\r\nContent-Le",
@@ -55,7 +54,7 @@
         "HTTP/1.1 404 Not Found\r\nContent-Length: x\r\n\r\n",
         "HTTP/1.1 404 Not Found\r\nContent-Length: 4194305\r\n\r\n",
         "what?\r\n\r\n",
-        // Well-formed HTTP, but no value of the store.
+        // Well-formed HTTP whose body is not a value of the store's protocol.
         "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n\x7f",
         "HTTP/1.1 500 Fault\r\nContent-Length: 0\r\n\r\n",
     ];
@@ -71,7 +70,7 @@
 }
 
 #[test]
-fn a_connection_is_kept_until_the_store_or_a_fault_ends_it() {
+fn a_connection_is_reused_until_the_store_closes_it_or_a_response_is_malformed() {
     let (address, connections) = serve(vec![
         (NOT_FOUND, Close::No),
         (NOT_FOUND, Close::No),
@@ -81,8 +80,8 @@
         (NOT_FOUND, Close::No),
     ]);
     let mut client = BlockingClient::new(address, RESPONSE_TIMEOUT);
-    let found_nothing = [true, true, true, true, false, true];
-    for (number, expected) in found_nothing.into_iter().enumerate() {
+    let is_key_absent = [true, true, true, true, false, true];
+    for (number, expected) in is_key_absent.into_iter().enumerate() {
         let outcome = client.execute(&Request::Get("a".to_owned()));
         assert_eq!(
             matches!(outcome, Outcome::Item(None)),
--- a/crates/store/tests/codec.rs
+++ b/crates/store/tests/codec.rs
@@ -1,4 +1,4 @@
-//! Bodies: exactly one value each.
+//! Encoding and decoding of bodies, each of which is exactly one value.
 
 use lichencrank_store::codec::{decode, encode, null_is_empty, DecodeError};
 use serde::{Deserialize, Serialize};
@@ -10,7 +10,7 @@
 }
 
 #[test]
-fn what_is_encoded_is_decoded_as_the_same() {
+fn an_encoded_value_is_decoded_unchanged() {
     let value = Numbers {
         numbers: vec![0, 1, u64::MAX],
     };
@@ -24,17 +24,17 @@
     let longer = [&body[..], &[0]].concat();
     let error = decode::<u64>(&longer).expect_err("a byte too many");
     assert!(matches!(error, DecodeError::TrailingBytes), "{error:?}");
-    assert_eq!(error.to_string(), "bytes after the end");
-    for (body, what) in [
+    assert_eq!(error.to_string(), "trailing bytes after the CBOR value");
+    for (body, description) in [
         (&b""[..], "nothing"),
-        (b"\x61", "a text that is cut off"),
+        (b"\x61", "a truncated text"),
         (b"\xff", "no value"),
-        (b"\x61a", "another type"),
+        (b"\x61a", "a value of another type"),
     ] {
-        let error = decode::<u64>(body).expect_err(what);
+        let error = decode::<u64>(body).expect_err(description);
         assert!(
             matches!(error, DecodeError::Malformed(_)),
-            "{what}: {error:?}"
+            "{description}: {error:?}"
         );
     }
 }
