--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -31,7 +31,7 @@
     CallId, ConnectionId, ListenerKind, Network, Request, Response, Transport, TransportEvent,
 };
 use crate::types::{duration_from_seconds, HostName, JobId, Term, Time, Version};
-use api::{ApiAction, ApiRequestId, ApiServer, ApiStoreRequest, Client, View};
+use api::{ApiAction, ApiRequestId, ApiServer, Client, NodeView, StoreRequestPurpose};
 use heartbeats::PeerLink;
 use leader_duties::{LeaderDuties, LeaderRequest};
 use leader_locality::Locality;
@@ -41,7 +41,7 @@
 enum Purpose {
     Lead(ElectionStep, Time),
     LeaderDuties(Term, LeaderRequest),
-    ApiServer(ApiStoreRequest),
+    ApiServer(StoreRequestPurpose),
     Types,
 }
 
@@ -112,11 +112,11 @@
         tuning: Tuning,
         features: Features,
     ) -> Result<Node<Transport>, String> {
-        let sockets = settings.settings.resources.sockets;
+        let sockets = settings.shared.resources.max_sockets;
         let mut transport = Transport::new(sockets).map_err(|e| format!("event loop: {e}"))?;
         for (address, listener) in [
-            (settings.front, ListenerKind::Public),
-            (settings.internal, ListenerKind::Internal),
+            (settings.public_address, ListenerKind::Public),
+            (settings.internal_address, ListenerKind::Internal),
         ] {
             transport
                 .listen(address, listener)
@@ -128,7 +128,7 @@
     }
 
     /// Waits for something to happen, and does all that is due.
-    pub fn turn(&mut self) -> Result<(), String> {
+    pub fn run_once(&mut self) -> Result<(), String> {
         let until = self.next_wake();
         self.net
             .wait_for_events(until)
@@ -148,25 +148,25 @@
 impl<N: Network> Node<N> {
     /// `incarnation` tells this process from others of the same name, before and after it.
     pub fn new(settings: Settings, tuning: Tuning, net: N, incarnation: u64) -> Node<N> {
-        let service = &settings.settings;
+        let service = &settings.shared;
         let store = new_store(&settings);
         let ttl = duration_from_seconds(tuning.leader_lease_s);
         let leadership = LeaderElection::new(&settings.name, ttl, incarnation);
         let api = ApiServer::new(
             service.teams.clone(),
-            service.state.value_kb,
-            service.state.txn_ops,
+            service.state_service.max_value_kib,
+            service.state_service.max_txn_changes,
         );
         let peers = settings
             .peers
             .iter()
-            .map(|p| PeerLink::new(p.addr))
+            .map(|p| PeerLink::new(p.address))
             .collect();
         tracing::info!(
             "{} in {} listens on {}",
             settings.name,
             settings.zone,
-            settings.front
+            settings.public_address
         );
         Node {
             net,
@@ -309,15 +309,15 @@
 
     fn begin_leading(&mut self, term: Term, version: Version, now: Time) {
         self.note_election_won(now);
-        let service = &self.settings.settings;
+        let service = &self.settings.shared;
         let rules = Policy::new(service, &self.tuning, &self.features);
         let controller = Leader::new(term, version, rules, self.types.clone(), now);
         self.duties = Some(LeaderDuties::new(
             controller,
-            self.settings.outside.cloud,
-            service.cloud.rps,
-            service.state.txn_ops,
-            duration_from_seconds(self.tuning.batch_interval_s),
+            self.settings.service_addresses.cloud,
+            service.cloud.calls_per_s,
+            service.state_service.max_txn_changes,
+            duration_from_seconds(self.tuning.min_batch_interval_s),
             now,
         ));
         if let Some(duties) = &mut self.duties {
@@ -337,13 +337,13 @@
 /// Before peers tell what they spend, each node takes half of the rate limits: the leader spends the
 /// most, but any node may lead, and users reach all of them.
 fn new_store(settings: &Settings) -> StoreClient {
-    let state = &settings.settings.state;
+    let state = &settings.shared.state_service;
     let share = if settings.peers.is_empty() {
         HEADROOM
     } else {
         HEADROOM * 0.5
     };
-    StoreClient::new(state.rps * share, state.write_rps * share)
+    StoreClient::new(state.requests_per_s * share, state.changes_per_s * share)
 }
 
 /// How long turns of the event loop take, in microseconds; kept at the debug level only.
--- a/src/zones_report.rs
+++ b/src/zones_report.rs
@@ -14,7 +14,7 @@
 
 /// Reads the record and puts it into lines. The error says what could not be read.
 pub fn report(settings: &Settings) -> Result<String, String> {
-    let mut store = BlockingClient::new(settings.outside.state, PATIENCE);
+    let mut store = BlockingClient::new(settings.service_addresses.state_service, PATIENCE);
     match store.execute(&Request::Get(KEY.to_owned())) {
         Outcome::Item(None) => Ok(NO_RECORD.to_owned()),
         Outcome::Item(Some(item)) => Ok(render(item.record().as_ref(), day_ms())),
@@ -43,7 +43,7 @@
 
 fn render_zone(out: &mut String, zone: &ZoneRecord, day_ms: u64) {
     let since_s = day_ms.saturating_sub(zone.since_ms) / 1000;
-    let suppressed = if zone.suppressed {
+    let suppressed = if zone.is_suppressed {
         ", takes no new work"
     } else {
         ""
@@ -56,6 +56,6 @@
     let _ = writeln!(
         out,
         "  at that change: {} of {} machines silent, penalty {:.0}, {} waited for the budget",
-        zone.silent, zone.machines, zone.penalty, zone.waiting
+        zone.silent_hosts, zone.hosts, zone.penalty, zone.waiting_hosts
     );
 }
