--- a/crates/store/src/outcome.rs
+++ b/crates/store/src/outcome.rs
@@ -93,7 +93,7 @@
         Ok(outcome)
     }
 
-    /// Whether the store itself has responded, which shows that it is available.
+    /// Whether the store itself has responded, so that it is known to be reachable.
     pub fn is_answer(&self) -> bool {
         !matches!(self, Outcome::Unavailable | Outcome::Unknown)
     }
