--- a/src/protocol/cloud.rs
+++ b/src/protocol/cloud.rs
@@ -1,136 +1,136 @@
-//! The cloud's messages.
+//! Messages of the cloud's API.
 
 use serde::{Deserialize, Serialize};
 
 use super::{null_is_empty, Amount};
 use crate::types::HostName;
 
-/// A machine type. It is also kept in the state service, for times when the cloud is away.
+/// A machine type. The types are also stored in the state service, for use while the cloud is unreachable.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MachineType {
-    /// Its name.
+    /// Name of the type.
     #[serde(rename = "sku")]
     pub name: String,
-    /// CPUs of a machine.
+    /// CPUs of a host.
     pub cpus: Amount,
-    /// GPUs of a machine.
+    /// GPUs of a host.
     #[serde(rename = "cards")]
     pub gpus: Amount,
-    /// Memory in GB.
+    /// Memory of a host in GB.
     #[serde(rename = "ramGb")]
     pub memory_gb: Amount,
-    /// Images that it keeps.
+    /// Size of a host's image cache in GB.
     #[serde(rename = "cacheGb", default)]
     pub image_cache_gb: Amount,
-    /// How fast images are fetched, in GB a second.
+    /// Rate at which a host fetches images, in GB per second.
     #[serde(rename = "pullGbPerS")]
     pub image_fetch_gb_per_s: Amount,
-    /// Price of an ordinary machine, an hour.
+    /// Price of an on-demand host per hour.
     #[serde(rename = "rate")]
     pub on_demand_price_per_hour: Amount,
-    /// Present price of a spot machine, an hour.
+    /// Current price of a spot host per hour.
     #[serde(rename = "lowPrice")]
     pub spot_price_per_hour: Amount,
     /// Usual boot time in seconds.
     #[serde(rename = "startupS")]
     pub boot_time_s: Amount,
-    /// Zones in which it is offered.
+    /// Zones in which the type is offered.
     #[serde(rename = "halls")]
     pub zones: Vec<String>,
 }
 
-/// Answer of the cloud: the machine types.
+/// All machine types, as the cloud returns them and as the state service stores them.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct MachineTypes {
-    /// All types.
+    /// The types.
     #[serde(rename = "hosttypes")]
     pub machine_types: Vec<MachineType>,
 }
 
-/// A request to rent machines.
+/// A request for new hosts.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct ProvisionRequest {
-    /// Name of the request. One that was answered 200 is never used again.
+    /// Name of the request. A name whose request returned 200 is never used again.
     #[serde(rename = "ask")]
     pub name: String,
-    /// Machine type.
+    /// Machine type of the hosts.
     #[serde(rename = "hosttype")]
     pub machine_type: String,
-    /// Zone.
+    /// Zone of the hosts.
     #[serde(rename = "hall")]
     pub zone: String,
-    /// Spot machines rather than ordinary ones.
+    /// Whether to provision spot hosts instead of on-demand ones.
     #[serde(rename = "loaners")]
     pub is_spot: bool,
-    /// How many.
+    /// Number of hosts.
     #[serde(rename = "howMany")]
     pub count: u64,
 }
 
-/// The most machines one rental may ask for, and one release may name.
+/// Upper limit of the number of hosts in a provisioning request.
 pub const MAX_PROVISION_COUNT: u64 = 50;
-/// Machines that one release may name.
+/// Upper limit of the number of hosts in a release request.
 pub const MAX_RELEASE_COUNT: usize = 100;
-/// The most machines one page of the list holds.
+/// Upper limit of the number of hosts on a page of the host list.
 pub const HOST_LIST_PAGE_SIZE: usize = 500;
 
-/// Names of machines, as rented or to be released.
+/// Names of hosts that were provisioned or are to be released.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct HostNames {
-    /// The names.
+    /// Names of the hosts.
     pub hosts: Vec<HostName>,
 }
 
-/// A page of the cloud's machine list.
+/// A page of the cloud's host list.
 #[derive(Debug, Deserialize)]
 pub struct HostList {
-    /// Machines in the order of their names.
+    /// Hosts in the order of their names.
     #[serde(default, deserialize_with = "null_is_empty")]
     pub hosts: Vec<ListedHost>,
-    /// More pages follow.
+    /// Whether more pages follow.
     #[serde(rename = "truncated", default)]
     pub has_more_pages: bool,
 }
 
-/// A machine as the list shows it, some seconds ago.
+/// A host in the host list, which lags behind the actual state by some seconds.
 #[derive(Clone, Debug, Deserialize)]
 pub struct ListedHost {
-    /// Its name.
+    /// Name of the host.
     #[serde(rename = "ref")]
     pub name: HostName,
-    /// Address of its worker.
+    /// Address of the host's worker.
     #[serde(default)]
     pub address: String,
-    /// Machine type.
+    /// Machine type of the host.
     #[serde(rename = "hosttype")]
     pub machine_type: String,
-    /// Zone.
+    /// Zone of the host.
     #[serde(rename = "hall")]
     pub zone: String,
-    /// Whether it is a spot machine.
+    /// Whether the host is a spot host.
     #[serde(rename = "loaners")]
     pub is_spot: bool,
-    /// Its state.
+    /// State of the host.
     #[serde(rename = "status")]
     pub state: ListedHostState,
-    /// Seconds since it was rented.
+    /// Seconds since the host was provisioned.
     #[serde(rename = "ageS")]
     pub age_s: Amount,
 }
 
-/// State of a listed machine.
+/// State of a listed host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 pub enum ListedHostState {
-    /// It boots.
+    /// The host is booting.
     #[serde(rename = "starting")]
     Starting,
-    /// It is up.
+    /// The host is up.
     #[serde(rename = "running")]
     Running,
-    /// It stopped by itself, and is listed until it is released.
+    /// The host failed. It stays in the list until it is released.
     #[serde(rename = "failed")]
     Failed,
-    /// A state that this version does not know.
+    /// A state of a later protocol version.
     #[serde(other)]
     Other,
 }
--- a/src/protocol/mod.rs
+++ b/src/protocol/mod.rs
@@ -1,4 +1,4 @@
-//! Typed messages of every interface. Wire names live in serde attributes, nowhere else.
+//! Typed messages of all interfaces. Names on the wire that differ from the Rust names are set by serde attributes here.
 
 pub mod cloud;
 pub mod peers;
@@ -12,15 +12,15 @@
 
 pub use lichencrank_store::codec::{decode, encode, null_is_empty};
 
-/// A decimal that may travel as an integer, as CBOR writers often shorten whole numbers.
+/// A decimal number that is also accepted as an integer, since CBOR encoders often shorten whole numbers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, PartialOrd, Serialize)]
 #[serde(transparent)]
 pub struct Amount(pub f64);
 
 impl<'de> Deserialize<'de> for Amount {
-    fn deserialize<D: Deserializer<'de>>(d: D) -> Result<Amount, D::Error> {
-        struct Number;
-        impl Visitor<'_> for Number {
+    fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Amount, D::Error> {
+        struct NumberVisitor;
+        impl Visitor<'_> for NumberVisitor {
             type Value = Amount;
             fn expecting(&self, f: &mut fmt::Formatter) -> fmt::Result {
                 f.write_str("a number")
@@ -35,6 +35,6 @@
                 Ok(Amount(v as f64))
             }
         }
-        d.deserialize_any(Number)
+        deserializer.deserialize_any(NumberVisitor)
     }
 }
--- a/src/protocol/peers.rs
+++ b/src/protocol/peers.rs
@@ -1,76 +1,77 @@
-//! Messages between the controllers, encoded with borsh.
+//! Messages between controllers, encoded with borsh.
 //!
-//! # The version rule
+//! # Compatibility between versions
 //!
-//! Controllers of different versions run side by side during an upgrade. One rule holds for every
-//! message here, and [`decode`] is the one place that enforces it:
+//! Controllers of different versions run side by side during a rolling upgrade. These rules hold for every message in this
+//! module; [`decode`] alone enforces the last one:
 //!
 //! - The layout of a message never changes: no field or variant is added, removed or reordered.
-//! - A new kind of message gets a path of its own. A controller that does not know the path answers
-//!   404, and the sender has to do without.
-//! - Whatever is not exactly one message of the expected layout is a [`DecodeError`]. The receiver
-//!   answers 400 and changes nothing: not its term, not its leader, not the reachability of a peer.
+//! - A new kind of message gets its own path. A controller that does not know the path responds with 404, and the sender
+//!   has to work without that message.
+//! - A body that is not exactly one message of the expected layout is a [`DecodeError`]. The receiver responds with 400 and
+//!   leaves its state as it is: its term, its leader and the reachability of its peers.
 
 use borsh::{BorshDeserialize, BorshSerialize};
 use std::fmt;
 
-/// Sent every second to each peer; the answer is the peer's own heartbeat.
+/// Sent to each peer once per second. The response is the peer's own heartbeat.
 #[derive(Clone, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct PeerHeartbeat {
-    /// Name of the sender.
+    /// Name of the sending controller.
     pub sender: String,
     /// The highest term that the sender has seen.
     pub term: u64,
-    /// Who leads in that term, if the sender knows.
+    /// Name of the leader of that term, if the sender knows it.
     pub leader: Option<String>,
-    /// Whether the state service answers the sender.
+    /// Whether the state service responds to the sender.
     pub is_store_reachable: bool,
-    /// The zone that holds the most machines, as the leader said last.
+    /// The zone with the most hosts, according to the latest information from the leader.
     pub home_zone: Option<String>,
-    /// How many workers reported to the sender lately, whether or not it leads.
+    /// Number of workers whose heartbeats have recently reached the sender, whether or not the sender leads.
     pub reporting_worker_count: u32,
-    /// The sender transferred the leadership away a short while ago.
+    /// Whether the sender has recently resigned in order to transfer the leadership.
     pub has_transferred_leadership: bool,
-    /// What the sender spends of the state service's rate limits.
+    /// The part of the state service's rate limits that the sender uses.
     pub store_usage: StoreUsage,
-    /// Jobs that were confirmed as cancelled a short while ago. The state service may not answer the
-    /// leader, which has to stop their tasks all the same.
+    /// Jobs whose cancellation was recently confirmed. The leader has to stop their tasks even if the state service does
+    /// not respond to it.
     pub recent_cancellations: Vec<RecentCancellation>,
 }
 
-/// Use of the state service's rate limits, each a second.
+/// Use of the state service's rate limits by one controller.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct StoreUsage {
-    /// Requests a second.
+    /// Requests per second.
     pub requests_per_s: u32,
-    /// Puts and deletes a second.
+    /// Puts and deletes per second.
     pub changes_per_s: u32,
 }
 
-/// A cancelled job that peers pass on to each other for a limited time.
+/// A cancelled job that controllers pass on to each other for a limited time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct RecentCancellation {
     /// Number of the job.
     pub job: u64,
-    /// For how many milliseconds it is still passed on. Receivers only ever lower it.
+    /// Milliseconds for which the cancellation is still passed on. Receivers only lower this value, so that no
+    /// cancellation circulates forever.
     pub remaining_ms: u32,
 }
 
-/// A user's request that the sender passes on, as the state service does not answer it.
+/// A user's request that the sender relays to a peer because the state service does not respond to the sender.
 #[derive(Clone, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub enum RelayedRequest {
-    /// A submission: the body as the user sent it.
+    /// Submission of a job: the encoded specification.
     Submit(Vec<u8>),
-    /// A status query for the job of that id.
+    /// Status query for the job with this id.
     Status(String),
-    /// A cancellation of the job of that id.
+    /// Cancellation of the job with this id.
     Cancel(String),
 }
 
-/// The answer to a [`RelayedRequest`], to be passed back to the user.
+/// The response to a [`RelayedRequest`], to be returned to the user.
 #[derive(Clone, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct RelayedResponse {
-    /// HTTP status.
+    /// HTTP status code.
     pub status: u16,
     /// Value of the `Retry-After` header, in seconds.
     pub retry_after_s: Option<u32>,
@@ -78,18 +79,18 @@
     pub body: Vec<u8>,
 }
 
-/// Tells the leader of jobs that the records show as cancelled. Users are told after it has
-/// acknowledged them.
+/// Informs the leader of jobs that are cancelled according to the records. The sender confirms a cancellation to its user
+/// only after the leader has acknowledged it.
 #[derive(Clone, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct CancelledJobs {
-    /// Numbers of the jobs.
+    /// Numbers of the jobs, as in their ids.
     pub jobs: Vec<u64>,
 }
 
-/// Those of the [`CancelledJobs`] whose tasks the receiver, as the leader, commands alone.
+/// The response to [`CancelledJobs`]: those jobs whose tasks are commanded by the responding leader alone.
 #[derive(Clone, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct AcknowledgedJobs {
-    /// Numbers of the jobs.
+    /// Numbers of the jobs, as in their ids.
     pub jobs: Vec<u64>,
 }
 
@@ -103,16 +104,16 @@
 /// Why a body is not a message of the expected layout.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum DecodeError {
-    /// It ends too early, or a variant, flag or text in it is invalid.
+    /// The body ends too early, or contains an invalid variant, flag or text.
     Malformed(String),
-    /// So many bytes follow a complete message.
+    /// This number of bytes follows a complete message.
     TrailingBytes(usize),
 }
 
 impl fmt::Display for DecodeError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            DecodeError::Malformed(why) => write!(f, "malformed message: {why}"),
+            DecodeError::Malformed(reason) => write!(f, "malformed message: {reason}"),
             DecodeError::TrailingBytes(count) => write!(f, "{count} bytes after the message"),
         }
     }
@@ -120,30 +121,31 @@
 
 impl std::error::Error for DecodeError {}
 
-/// A message that has no encoding, as a text or list in it is too long.
+/// Why a message cannot be encoded: a text or list in it is too long.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EncodeError(String);
 
 impl fmt::Display for EncodeError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "message without an encoding: {}", self.0)
+        write!(f, "message cannot be encoded: {}", self.0)
     }
 }
 
 impl std::error::Error for EncodeError {}
 
-/// Encodes a message for a peer.
+/// Encodes a message to a peer.
 pub fn encode<T: BorshSerialize>(message: &T) -> Result<Vec<u8>, EncodeError> {
     borsh::to_vec(message).map_err(|e| EncodeError(e.to_string()))
 }
 
-/// Decodes exactly one message; see the version rule above.
+/// Decodes a body that has to be exactly one message, as the rules of this module require.
 pub fn decode<T: BorshDeserialize>(body: &[u8]) -> Result<T, DecodeError> {
-    let mut rest = body;
-    let message = T::deserialize(&mut rest).map_err(|e| DecodeError::Malformed(e.to_string()))?;
-    if rest.is_empty() {
+    let mut remaining_bytes = body;
+    let message =
+        T::deserialize(&mut remaining_bytes).map_err(|e| DecodeError::Malformed(e.to_string()))?;
+    if remaining_bytes.is_empty() {
         Ok(message)
     } else {
-        Err(DecodeError::TrailingBytes(rest.len()))
+        Err(DecodeError::TrailingBytes(remaining_bytes.len()))
     }
 }
--- a/src/protocol/users.rs
+++ b/src/protocol/users.rs
@@ -1,63 +1,64 @@
-//! Users' messages and the checking of what they submit.
+//! Messages of the users' API, and the validation of submitted jobs.
 
 use serde::{Deserialize, Serialize};
 
 use super::{decode, Amount};
 use crate::types::JobId;
 
-/// Tasks that one job may have.
+/// Upper limit of the number of tasks of a job.
 pub const MAX_TASKS_PER_JOB: u64 = 100_000;
-/// Names are kept with the job's record, whose size is limited.
+/// Upper limit of the length of a name. Names are stored in the job's record, whose size is limited.
 const MAX_NAME_BYTES: usize = 200;
+/// Upper limit of the number of machine types that a job may name.
 const MAX_MACHINE_TYPES: usize = 64;
 
-/// Priority of a job, the highest first.
+/// Priority of a job, from the highest to the lowest.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Priority {
-    /// May preempt everything below.
+    /// May preempt jobs of every lower priority.
     #[serde(rename = "critical")]
     Critical,
-    /// Above normal work.
+    /// Above normal.
     #[serde(rename = "high")]
     High,
-    /// Ordinary work.
+    /// The usual priority.
     #[serde(rename = "normal")]
     Normal,
-    /// Uses what is idle.
+    /// Uses idle capacity.
     #[serde(rename = "best_effort")]
     BestEffort,
 }
 
-/// What kind of tasks a job has.
+/// How the tasks of a job run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum JobKind {
     /// Independent tasks that each run to completion.
     #[serde(rename = "sweep")]
     Array,
-    /// Its tasks are replicas that run until the job is cancelled.
+    /// Replicas that run until the job is cancelled.
     #[serde(rename = "service")]
     Service,
 }
 
-/// A job as its user describes it.
+/// The specification of a job, as its user submits it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct JobSpec {
-    /// Id that its user chose.
+    /// Id of the job, chosen by its user.
     #[serde(rename = "ref")]
     pub id: JobId,
-    /// Class of jobs that it belongs to.
+    /// Job class, such as `train`. Jobs of a class share run time statistics and wait objectives.
     #[serde(rename = "jobclass")]
     pub class: String,
-    /// Team whose guarantee and limit apply.
+    /// Team whose guarantee and limit apply to the job.
     #[serde(rename = "crew")]
     pub team: String,
-    /// What kind of tasks it has.
+    /// Whether the tasks are an array or the replicas of a service.
     #[serde(rename = "shape")]
     pub kind: JobKind,
-    /// Its priority.
+    /// Priority of the job.
     #[serde(rename = "urgency")]
     pub priority: Priority,
-    /// How many tasks.
+    /// Number of tasks.
     #[serde(rename = "pieces")]
     pub task_count: u64,
     /// CPUs of each task.
@@ -68,83 +69,83 @@
     /// Memory of each task in GB.
     #[serde(rename = "ramGb")]
     pub memory_gb: Amount,
-    /// Image that a machine needs to start a task.
+    /// Image that a host has to fetch before it can start a task.
     #[serde(rename = "bundle")]
     pub image: String,
     /// Size of the image in GB.
     #[serde(rename = "imageGb")]
     pub image_gb: Amount,
-    /// Allowed machine types; `None`: any.
+    /// Machine types that the tasks may run on; `None` allows all of them.
     #[serde(rename = "hosttypes", default, skip_serializing_if = "Option::is_none")]
     pub allowed_machine_types: Option<Vec<String>>,
-    /// The only allowed zone, if there is one.
+    /// The only zone in which the tasks may run; `None` allows every zone.
     #[serde(rename = "hall", default, skip_serializing_if = "Option::is_none")]
     pub required_zone: Option<String>,
-    /// All tasks have to be in the same zone.
+    /// Whether all tasks have to run in the same zone.
     #[serde(rename = "samePlace")]
     pub same_zone: bool,
-    /// At most half of the tasks, rounded up, may be in one zone.
+    /// Whether the tasks are spread across zones: at most half of them, rounded up, may run in one zone.
     #[serde(rename = "apart")]
     pub spread: bool,
-    /// It may use spot machines.
+    /// Whether the tasks may run on spot hosts.
     #[serde(rename = "loaners")]
     pub allows_spot: bool,
-    /// The owner's estimate of a task's run time, in seconds.
+    /// The user's estimate of the run time of a task, in seconds.
     #[serde(rename = "guessS")]
     pub estimated_run_time_s: Amount,
-    /// Progress in seconds after which a task saves a checkpoint; 0: it never saves.
+    /// Seconds of progress after which a task saves a checkpoint; 0 if it never saves one.
     #[serde(rename = "snapshotS")]
     pub checkpoint_interval_s: Amount,
-    /// Seconds that a task needs to save when it is stopped.
+    /// Seconds that a task needs to save its progress when it is stopped.
     #[serde(rename = "stashS")]
     pub save_time_s: Amount,
-    /// Seconds from submission until it should be complete.
+    /// Deadline of the job, in seconds after its submission; `None` if it has none.
     #[serde(rename = "dueS", default, skip_serializing_if = "Option::is_none")]
     pub deadline_s: Option<Amount>,
 }
 
 impl JobSpec {
-    /// Whether its tasks are replicas without an end.
+    /// Whether the tasks are replicas of a service, which run until the job is cancelled.
     pub fn is_service(&self) -> bool {
         self.kind == JobKind::Service
     }
 }
 
-/// Just the id, to recognise a repeat whatever else its body says.
+/// The id alone. With it, the repeat of an earlier submission is recognised even if the rest of the body is invalid.
 #[derive(Deserialize)]
-struct IdOnly {
+struct SubmittedId {
     #[serde(rename = "ref")]
     id: JobId,
 }
 
-/// What a submitted body turned out to be.
+/// The result of parsing a submitted body.
 #[derive(Debug, PartialEq)]
 pub enum Submission {
     /// A well-formed job.
     Valid(Box<JobSpec>),
-    /// Malformed, but it names a job, which may be known already.
+    /// An invalid body that names a job, which may have been submitted before, and the error.
     Invalid(JobId, String),
-    /// Malformed, and it names no job.
+    /// An invalid body that names no job, and the error.
     Unidentified(String),
 }
 
-/// Reads and checks a submitted body.
+/// Decodes and validates a submitted body.
 pub fn parse_submission(body: &[u8]) -> Submission {
-    let wrong = match decode::<JobSpec>(body) {
+    let problem = match decode::<JobSpec>(body) {
         Ok(spec) => match validate(&spec) {
             Ok(()) => return Submission::Valid(Box::new(spec)),
-            Err(wrong) => wrong,
+            Err(problem) => problem,
         },
         Err(error) => field_error(body).unwrap_or_else(|| error.to_string()),
     };
-    match decode::<IdOnly>(body) {
-        Ok(IdOnly { id }) => Submission::Invalid(id, wrong),
-        Err(_) => Submission::Unidentified(wrong),
+    match decode::<SubmittedId>(body) {
+        Ok(SubmittedId { id }) => Submission::Invalid(id, problem),
+        Err(_) => Submission::Unidentified(problem),
     }
 }
 
-/// Why a body that could not be decoded is no job, with the name of the field. CBOR decoding alone does
-/// not tell it where a value is of the wrong type.
+/// Explains, with the name of the field, why a body could not be decoded as a job. The error of the CBOR decoder does not
+/// name the field if a value has the wrong type.
 fn field_error(body: &[u8]) -> Option<String> {
     let value: ciborium::Value = decode(body).ok()?;
     let value = serde_json::to_value(value).ok()?;
@@ -152,6 +153,7 @@
     spec.err().map(|error| error.to_string())
 }
 
+/// Returns an error that names the first field whose value is out of range.
 fn validate(spec: &JobSpec) -> Result<(), String> {
     let amounts = [
         ("cpus", spec.cpus),
@@ -190,43 +192,43 @@
     Ok(())
 }
 
-/// State of a job as users see it.
+/// State of a job, as shown to users.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum JobState {
-    /// No task runs.
+    /// No task is running.
     #[serde(rename = "queued")]
     Queued,
-    /// Some task runs.
+    /// At least one task is running.
     #[serde(rename = "running")]
     Running,
-    /// All tasks are done. Final.
+    /// All tasks are done. This state is final.
     #[serde(rename = "done")]
     Done,
-    /// Its user cancelled it. Final.
+    /// The user cancelled the job. This state is final.
     #[serde(rename = "cancelled")]
     Cancelled,
 }
 
-/// Answer to a status query.
+/// Response to a status query.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub struct JobStatus {
     /// Id of the job.
     #[serde(rename = "ref")]
     pub id: JobId,
-    /// Its state.
+    /// State of the job.
     #[serde(rename = "status")]
     pub state: JobState,
-    /// Tasks that are done, for display.
+    /// Number of tasks that are done, for display only.
     #[serde(rename = "done")]
     pub done_tasks: u64,
-    /// Tasks that run, for display.
+    /// Number of running tasks, for display only.
     #[serde(rename = "running")]
     pub running_tasks: u64,
 }
 
-/// Body of an answer that refuses a request.
+/// Body of a response that rejects a request.
 #[derive(Debug, Serialize)]
 pub struct ErrorBody<'a> {
-    /// Why, for people.
+    /// Human-readable reason.
     pub error: &'a str,
 }
--- a/src/protocol/workers.rs
+++ b/src/protocol/workers.rs
@@ -1,189 +1,192 @@
-//! Workers' reports and the commands for them.
+//! Heartbeats of the workers, and commands for them.
 
 use serde::{Deserialize, Serialize};
 
 use super::{null_is_empty, Amount};
 use crate::types::{Attempt, HostName, Incarnation, JobId, SequenceNumber, TaskId, Term};
 
-/// A worker's report.
+/// Heartbeat of a worker, which reports the attempts on its host.
 #[derive(Clone, Debug, Deserialize)]
 pub struct WorkerHeartbeat {
-    /// Name of its machine.
+    /// Name of the worker's host.
     pub host: HostName,
-    /// Address for direct commands.
+    /// Address to which commands are sent outside of heartbeat responses.
     pub address: String,
-    /// Machine type.
+    /// Machine type of the host.
     #[serde(rename = "hosttype")]
     pub machine_type: String,
-    /// Zone.
+    /// Zone of the host.
     #[serde(rename = "hall")]
     pub zone: String,
-    /// Whether it is a spot machine.
+    /// Whether the host is a spot host.
     #[serde(rename = "loaners")]
     pub is_spot: bool,
     /// Incarnation of the worker; a new one begins when its lease expires.
     #[serde(rename = "tenure")]
     pub incarnation: Incarnation,
-    /// Orders messages within a incarnation.
+    /// Orders the heartbeats of one incarnation.
     #[serde(rename = "tick")]
     pub sequence_number: SequenceNumber,
-    /// Highest token that the worker has seen.
+    /// Highest fencing token that the worker has seen.
     #[serde(rename = "baton")]
     pub fencing_token: Term,
-    /// Seconds until the cloud takes the machine away, if it gave notice.
+    /// Seconds until the cloud reclaims the host, if the cloud has given notice.
     #[serde(rename = "warningS", default)]
     pub reclaim_notice_s: Option<Amount>,
-    /// All tasks on the machine, with ended ones that were not cleared.
+    /// All attempts on the host, including ended ones that have not been cleared.
     #[serde(rename = "pieces", default, deserialize_with = "null_is_empty")]
     pub attempts: Vec<AttemptStatus>,
 }
 
-/// A task as its worker sees it.
+/// Status of one attempt, as its worker reports it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 pub struct AttemptStatus {
     /// The task.
     #[serde(rename = "piece")]
     pub task: TaskId,
-    /// Which attempt at it.
+    /// The attempt at the task.
     #[serde(rename = "try")]
     pub attempt: Attempt,
-    /// Its state.
+    /// State of the attempt.
     #[serde(rename = "status")]
     pub state: AttemptState,
-    /// Why it ended.
+    /// Why the attempt ended.
     #[serde(rename = "cause", default)]
     pub end_reason: Option<EndReason>,
 }
 
-/// State of a task on its machine.
+/// State of an attempt on its host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 pub enum AttemptState {
-    /// Waits for its image.
+    /// The host is fetching the image.
     #[serde(rename = "fetching")]
     Fetching,
-    /// Runs.
+    /// The task is running.
     #[serde(rename = "running")]
     Running,
-    /// Was told to stop and saves its progress.
+    /// The task was told to stop and is saving its progress.
     #[serde(rename = "flushing")]
     Saving,
-    /// Is over.
+    /// The attempt has ended.
     #[serde(rename = "ended")]
     Ended,
-    /// A state of a later protocol: the task is there, that much is sure.
+    /// A state of a later protocol version. The attempt is known to be on the host, but not in which state.
     #[serde(other)]
     Other,
 }
 
-/// Why a task ended.
+/// Why an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 pub enum EndReason {
-    /// It completed.
+    /// The task completed.
     #[serde(rename = "done")]
     Completed,
-    /// It was stopped by command.
+    /// A command stopped the task.
     #[serde(rename = "halted")]
     Stopped,
-    /// It failed.
+    /// The task failed.
     #[serde(rename = "error")]
     Failed,
-    /// Start refused: not enough free resources.
+    /// The worker refused the start: the host has too few free resources.
     #[serde(rename = "no_room")]
     InsufficientResources,
-    /// Start refused: the task is here under another attempt.
+    /// The worker refused the start: another attempt at the task is on the host.
     #[serde(rename = "in_use")]
     OtherAttemptPresent,
-    /// Start refused: no such job or task.
+    /// The worker refused the start: the job or task does not exist.
     #[serde(rename = "no_such")]
     UnknownTask,
-    /// Whatever a later protocol calls it, it is no success.
+    /// A reason of a later protocol version. It does not count as success.
     #[serde(other)]
     Other,
 }
 
-/// A command to a worker. Each may be repeated.
+/// A command to a worker. Commands are idempotent.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 #[serde(tag = "verb")]
 pub enum Command {
-    /// Starts a task, unless the worker knows the attempt.
+    /// Starts an attempt, unless the worker already knows it.
     #[serde(rename = "run")]
     Run {
-        /// The task.
+        /// Task of the attempt.
         #[serde(rename = "piece")]
         task: TaskId,
-        /// The attempt.
+        /// Number of the attempt.
         #[serde(rename = "try")]
         attempt: Attempt,
     },
-    /// Stops a task.
+    /// Stops an attempt.
     #[serde(rename = "stop")]
     Stop {
-        /// The task.
+        /// Task of the attempt.
         #[serde(rename = "piece")]
         task: TaskId,
-        /// The attempt.
+        /// Number of the attempt.
         #[serde(rename = "try")]
         attempt: Attempt,
-        /// Seconds that it may take to save.
+        /// Seconds that the task is given to save its progress.
         #[serde(rename = "windDownS")]
         grace_s: f64,
     },
     /// Makes the worker forget an ended attempt.
     #[serde(rename = "clear")]
     Clear {
-        /// The task.
+        /// Task of the attempt.
         #[serde(rename = "piece")]
         task: TaskId,
-        /// The attempt.
+        /// Number of the attempt.
         #[serde(rename = "try")]
         attempt: Attempt,
     },
 }
 
-/// The answer to a report.
+/// The response to a heartbeat.
 #[derive(Debug, Serialize)]
 pub struct HeartbeatResponse<'a> {
-    /// The leader's term.
+    /// The leader's term, which is its fencing token.
     #[serde(rename = "baton")]
     pub fencing_token: Term,
-    /// What the worker is to do.
+    /// Commands for the worker.
     #[serde(rename = "orders")]
     pub commands: &'a [Command],
 }
 
-/// Orders sent straight to a worker.
+/// Commands sent to a worker without waiting for its next heartbeat.
 #[derive(Debug, Serialize)]
 pub struct CommandRequest<'a> {
-    /// The leader's term.
+    /// The leader's term, which is its fencing token.
     #[serde(rename = "baton")]
     pub fencing_token: Term,
-    /// Incarnation that the commands are meant for.
+    /// The only incarnation of the worker that may execute the commands.
     #[serde(rename = "tenure")]
     pub incarnation: Incarnation,
-    /// What the worker is to do.
+    /// Commands for the worker.
     #[serde(rename = "orders")]
     pub commands: &'a [Command],
 }
 
-/// Sends a worker to another node.
+/// Redirects a worker to the leader.
 #[derive(Debug, Serialize)]
 pub struct LeaderRedirect<'a> {
-    /// The controller that leads, if it is known.
+    /// Name of the leading controller, if known.
     #[serde(rename = "foreman", skip_serializing_if = "Option::is_none")]
     pub leader: Option<&'a str>,
 }
 
-/// Stops for what a report shows of jobs that are `cancelled`.
-pub fn stop_commands(report: &WorkerHeartbeat, cancelled: impl Fn(JobId) -> bool) -> Vec<Command> {
-    let there = report
+/// Commands that stop the attempts in a heartbeat which belong to cancelled jobs and have not ended.
+pub fn stop_commands(
+    heartbeat: &WorkerHeartbeat,
+    is_cancelled: impl Fn(JobId) -> bool,
+) -> Vec<Command> {
+    let active_attempts = heartbeat
         .attempts
         .iter()
-        .filter(|t| t.state != AttemptState::Ended);
-    there
-        .filter(|t| cancelled(t.task.job))
-        .map(|t| Command::Stop {
-            task: t.task,
-            attempt: t.attempt,
+        .filter(|attempt| attempt.state != AttemptState::Ended);
+    active_attempts
+        .filter(|attempt| is_cancelled(attempt.task.job))
+        .map(|attempt| Command::Stop {
+            task: attempt.task,
+            attempt: attempt.attempt,
             grace_s: 0.0,
         })
         .collect()
