--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,4 +1,4 @@
-//! The platform's settings (JSON).
+//! Settings of a controller, provided by the platform as a JSON file.
 
 use serde::Deserialize;
 use std::net::SocketAddr;
@@ -8,7 +8,7 @@
 pub use crate::tuning::Tuning;
 use crate::types::duration_from_seconds;
 
-/// The platform's settings of one controller.
+/// The settings file of one controller.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Settings {
     /// Name of this controller.
@@ -17,19 +17,19 @@
     /// Zone of this controller.
     #[serde(rename = "area")]
     pub zone: String,
-    /// Address for users, workers and health checks.
+    /// Listening address for users, workers and health checks.
     #[serde(rename = "front")]
     pub public_address: SocketAddr,
-    /// Address for the other controllers.
+    /// Listening address for the other controllers.
     #[serde(rename = "internal_addr")]
     pub internal_address: SocketAddr,
     /// The other controllers.
     #[serde(rename = "others", default, deserialize_with = "null_is_empty")]
     pub peers: Vec<Peer>,
-    /// Addresses of other services.
+    /// Addresses of the services that the controller uses.
     #[serde(rename = "outside")]
     pub service_addresses: ServiceAddresses,
-    /// What holds for all controllers.
+    /// The settings that are the same for all controllers.
     #[serde(rename = "settings")]
     pub shared: SharedSettings,
 }
@@ -37,13 +37,13 @@
 /// Another controller.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Peer {
-    /// Its name.
+    /// Name of the controller.
     #[serde(rename = "host_name")]
     pub name: String,
-    /// Its zone.
+    /// Zone of the controller.
     #[serde(rename = "area")]
     pub zone: String,
-    /// Its address for controllers.
+    /// Address on which it listens for other controllers.
     #[serde(rename = "addr")]
     pub address: SocketAddr,
 }
@@ -51,72 +51,75 @@
 /// Addresses of the services that the controller uses.
 #[derive(Clone, Debug, Deserialize)]
 pub struct ServiceAddresses {
-    /// The cloud.
+    /// Address of the cloud's API.
     pub cloud: SocketAddr,
-    /// The state service.
+    /// Address of the state service.
     #[serde(rename = "state")]
     pub state_service: SocketAddr,
 }
 
-/// The settings that all controllers share.
+/// The settings that are the same for all controllers.
 #[derive(Clone, Debug, Deserialize)]
 pub struct SharedSettings {
     /// Zones of the deployment.
     pub zones: Vec<String>,
     /// Teams with their guarantees and limits.
     pub teams: Vec<Team>,
-    /// Times of the workers.
+    /// Heartbeats, leases and cancellation of tasks on the workers.
     pub workers: WorkerSettings,
-    /// Limits of the state service.
+    /// Rate and size limits of the state service.
     #[serde(rename = "state")]
     pub state_service: StateServiceLimits,
-    /// Limits of the cloud.
+    /// Rate limit and host list lag of the cloud.
     pub cloud: CloudLimits,
     /// Limits of this process.
     pub resources: ProcessLimits,
-    /// What is expected of classes of jobs.
+    /// Service level objectives of job classes.
     #[serde(default, deserialize_with = "null_is_empty")]
     pub objectives: Vec<Objective>,
 }
 
-/// What operators expect of a class of jobs.
+/// A service level objective of a job class.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Objective {
-    /// Kind of the objective, such as `wait`.
+    /// Kind of the objective. Only `wait` has an effect: it limits the time until tasks start.
     pub kind: String,
-    /// Class that it is about.
+    /// Job class that the objective applies to.
     #[serde(rename = "class", default)]
     pub job_class: Option<String>,
-    /// Seconds within which its tasks are to begin.
+    /// Seconds within which tasks of the class should start.
     #[serde(rename = "within_s", default)]
     pub start_within_s: Option<f64>,
 }
 
 impl SharedSettings {
-    /// Classes that are to begin within so many seconds.
+    /// The job classes with a wait objective, and the seconds within which their tasks should start.
     pub fn wait_objectives(&self) -> Vec<(String, f64)> {
-        let waits = self.objectives.iter().filter(|o| o.kind == "wait");
-        waits
-            .filter_map(|o| Some((o.job_class.clone()?, o.start_within_s?)))
+        let wait_objectives = self
+            .objectives
+            .iter()
+            .filter(|objective| objective.kind == "wait");
+        wait_objectives
+            .filter_map(|objective| Some((objective.job_class.clone()?, objective.start_within_s?)))
             .collect()
     }
 }
 
-/// A team's guarantee and limit. A limit of 0 means none; a guarantee of 0 guarantees nothing.
+/// A team's guarantee and limit. A limit of 0 means that there is no limit; a guarantee of 0 guarantees nothing.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Team {
-    /// Its name.
+    /// Name of the team.
     pub name: String,
-    /// Guaranteed CPUs.
+    /// CPUs guaranteed to the team.
     #[serde(rename = "cpus", default)]
     pub guaranteed_cpus: Option<f64>,
-    /// Most CPUs.
+    /// Upper limit of the CPUs that the team may use.
     #[serde(rename = "cpus_max", default)]
     pub max_cpus: Option<f64>,
-    /// Guaranteed GPUs.
+    /// GPUs guaranteed to the team.
     #[serde(rename = "gpus", default)]
     pub guaranteed_gpus: Option<f64>,
-    /// Most GPUs.
+    /// Upper limit of the GPUs that the team may use.
     #[serde(rename = "gpus_max", default)]
     pub max_gpus: Option<f64>,
 }
@@ -130,107 +133,114 @@
         )
     }
 
-    /// Most CPUs and GPUs; infinite where there is no limit.
+    /// Upper limits of CPUs and GPUs; infinite if there is no limit.
     pub fn limits(&self) -> (f64, f64) {
-        let open = |limit: Option<f64>| limit.filter(|l| *l > 0.0).unwrap_or(f64::INFINITY);
-        (open(self.max_cpus), open(self.max_gpus))
+        let limit_or_infinity =
+            |limit: Option<f64>| limit.filter(|limit| *limit > 0.0).unwrap_or(f64::INFINITY);
+        (
+            limit_or_infinity(self.max_cpus),
+            limit_or_infinity(self.max_gpus),
+        )
     }
 }
 
-/// Times of the workers, in seconds.
+/// Timing of the workers, in seconds.
 #[derive(Clone, Debug, Deserialize)]
 pub struct WorkerSettings {
-    /// Interval of reports.
+    /// Interval between two heartbeats of a worker.
     #[serde(rename = "report_s")]
     pub heartbeat_interval_s: f64,
-    /// How long a worker keeps its tasks without an answer.
+    /// How long a worker keeps its tasks running without a response to its heartbeats.
     pub lease_s: f64,
-    /// How long after its confirmation a cancelled job may have tasks.
+    /// How long after the confirmed cancellation of a job its tasks may still run.
     #[serde(rename = "cancel_s")]
     pub cancellation_timeout_s: f64,
 }
 
 impl WorkerSettings {
-    /// Interval of reports.
+    /// Interval between two heartbeats of a worker.
     pub fn heartbeat_interval(&self) -> Duration {
         duration_from_seconds(self.heartbeat_interval_s)
     }
 
-    /// Lease of a worker.
+    /// How long a worker keeps its tasks running without a response to its heartbeats.
     pub fn lease(&self) -> Duration {
         duration_from_seconds(self.lease_s)
     }
 
-    /// Time for cancellations.
+    /// How long after the confirmed cancellation of a job its tasks may still run.
     pub fn cancellation_timeout(&self) -> Duration {
         duration_from_seconds(self.cancellation_timeout_s)
     }
 }
 
-/// Limits of the state service.
+/// Rate and size limits of the state service.
 #[derive(Clone, Debug, Deserialize)]
 pub struct StateServiceLimits {
-    /// Requests a second.
+    /// Requests per second.
     #[serde(rename = "rps")]
     pub requests_per_s: f64,
-    /// Puts and deletes a second.
+    /// Puts and deletes per second.
     #[serde(rename = "write_rps")]
     pub changes_per_s: f64,
-    /// Size of a value, in KiB of JSON.
+    /// Upper limit of the size of a value, in KiB of JSON.
     #[serde(rename = "value_kb")]
     pub max_value_kib: f64,
-    /// Changes of a transaction.
+    /// Upper limit of the number of changes in a transaction.
     #[serde(rename = "txn_ops")]
     pub max_txn_changes: usize,
-    /// The limits from some moment on, of which nobody tells.
+    /// Limits that will apply from an unannounced time on.
     #[serde(rename = "next", default)]
     pub future_limits: Option<FutureLimits>,
 }
 
-/// Each field that is missing stays as it is.
+/// Future limits of the state service. The limit of a missing field does not change.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(default)]
 pub struct FutureLimits {
-    /// Requests a second.
+    /// Requests per second.
     #[serde(rename = "rps")]
     pub requests_per_s: Option<f64>,
-    /// Puts and deletes a second.
+    /// Puts and deletes per second.
     #[serde(rename = "write_rps")]
     pub changes_per_s: Option<f64>,
-    /// Size of a value, in KiB of JSON.
+    /// Upper limit of the size of a value, in KiB of JSON.
     #[serde(rename = "value_kb")]
     pub max_value_kib: Option<f64>,
-    /// Changes of a transaction.
+    /// Upper limit of the number of changes in a transaction.
     #[serde(rename = "txn_ops")]
     pub max_txn_changes: Option<usize>,
 }
 
 impl StateServiceLimits {
-    /// What holds now and later: the smaller of both limits, so that no moment matters.
+    /// Lowers each limit to its future value if that is smaller. Both limits are then kept at any time, so the time of
+    /// the change does not matter.
     fn lower_to_future_limits(&mut self) {
-        let next = self.future_limits.clone().unwrap_or_default();
-        self.requests_per_s = next
+        let future = self.future_limits.clone().unwrap_or_default();
+        self.requests_per_s = future
             .requests_per_s
-            .map_or(self.requests_per_s, |n| n.min(self.requests_per_s));
-        self.changes_per_s = next
+            .map_or(self.requests_per_s, |limit| limit.min(self.requests_per_s));
+        self.changes_per_s = future
             .changes_per_s
-            .map_or(self.changes_per_s, |n| n.min(self.changes_per_s));
-        self.max_value_kib = next
+            .map_or(self.changes_per_s, |limit| limit.min(self.changes_per_s));
+        self.max_value_kib = future
             .max_value_kib
-            .map_or(self.max_value_kib, |n| n.min(self.max_value_kib));
-        self.max_txn_changes = next
+            .map_or(self.max_value_kib, |limit| limit.min(self.max_value_kib));
+        self.max_txn_changes = future
             .max_txn_changes
-            .map_or(self.max_txn_changes, |n| n.min(self.max_txn_changes));
+            .map_or(self.max_txn_changes, |limit| {
+                limit.min(self.max_txn_changes)
+            });
     }
 }
 
-/// Limits of the cloud.
+/// Limits of the cloud's API.
 #[derive(Clone, Debug, Deserialize)]
 pub struct CloudLimits {
-    /// Calls a second.
+    /// Calls per second.
     #[serde(rename = "rps")]
     pub calls_per_s: f64,
-    /// How far the list usually lags; at times twice that.
+    /// Usual lag of the host list in seconds. The lag is sometimes twice as long.
     #[serde(default)]
     pub list_lag_s: f64,
 }
@@ -238,82 +248,85 @@
 /// Limits of this process.
 #[derive(Clone, Debug, Deserialize)]
 pub struct ProcessLimits {
-    /// Open sockets.
+    /// Upper limit of the number of open sockets.
     #[serde(rename = "sockets")]
     pub max_sockets: usize,
 }
 
-/// What the largest step that can't be split takes.
-const LEAST_OPS: usize = 4;
-/// Sockets for listening, the state service, the cloud, peers and a few workers.
-const LEAST_SOCKETS: usize = 32;
+/// Number of changes in the largest transaction that cannot be split.
+const MIN_TXN_CHANGES: usize = 4;
+/// Sockets for listening and for connections to the state service, the cloud, the peers and a few workers.
+const MIN_SOCKETS: usize = 32;
 
-fn null_is_empty<'de, D, T>(d: D) -> Result<Vec<T>, D::Error>
+fn null_is_empty<'de, D, T>(deserializer: D) -> Result<Vec<T>, D::Error>
 where
     D: serde::Deserializer<'de>,
     T: Deserialize<'de>,
 {
-    Ok(Option::<Vec<T>>::deserialize(d)?.unwrap_or_default())
+    Ok(Option::<Vec<T>>::deserialize(deserializer)?.unwrap_or_default())
 }
 
 impl Settings {
-    /// Reads and checks a settings file. The error names the file and the field.
+    /// Reads and validates a settings file. The error names the file and, if its content is invalid, the field.
     pub fn load(file: &Path) -> Result<Settings, String> {
         let text = std::fs::read_to_string(file).map_err(|e| format!("{}: {e}", file.display()))?;
         Settings::parse(&text).map_err(|e| format!("{}: {e}", file.display()))
     }
 
-    /// Reads and checks settings. The error names the field.
+    /// Parses and validates settings. The error names the field.
     pub fn parse(text: &str) -> Result<Settings, String> {
         let mut json = serde_json::Deserializer::from_str(text);
-        // The path says which field is meant, also where a value is just of the wrong kind.
+        // Adds the path of the field to the error, also if a value has the wrong type.
         let mut settings: Settings =
             serde_path_to_error::deserialize(&mut json).map_err(|e| e.to_string())?;
         json.end().map_err(|e| e.to_string())?;
-        settings.check()?;
+        settings.validate()?;
         settings.shared.state_service.lower_to_future_limits();
         Ok(settings)
     }
 
-    fn check(&self) -> Result<(), String> {
-        let service = &self.shared;
+    fn validate(&self) -> Result<(), String> {
+        let shared = &self.shared;
         if self.name.is_empty() {
-            return Err("host_name: is empty".into());
+            return Err("host_name: must not be empty".into());
         }
-        for (at, peer) in self.peers.iter().enumerate() {
-            let mut before = self.peers[..at].iter();
-            if peer.name == self.name || before.any(|p| p.name == peer.name) {
-                return Err(format!("others: {} stands there twice", peer.name));
+        for (index, peer) in self.peers.iter().enumerate() {
+            let mut earlier_peers = self.peers[..index].iter();
+            if peer.name == self.name || earlier_peers.any(|earlier| earlier.name == peer.name) {
+                return Err(format!("others: {} is listed twice", peer.name));
             }
         }
-        service.check_amounts()?;
-        service.state_service.check_max_txn_changes()?;
-        if service.workers.lease_s <= service.workers.heartbeat_interval_s {
+        shared.validate_amounts()?;
+        shared.state_service.validate_max_txn_changes()?;
+        if shared.workers.lease_s <= shared.workers.heartbeat_interval_s {
             return Err("settings.workers.lease_s: must be above report_s".into());
         }
-        if service.resources.max_sockets < LEAST_SOCKETS {
+        if shared.resources.max_sockets < MIN_SOCKETS {
             return Err(format!(
-                "settings.resources.sockets: at least {LEAST_SOCKETS} are needed"
+                "settings.resources.sockets: at least {MIN_SOCKETS} are needed"
             ));
         }
-        if service.zones.is_empty() {
-            return Err("settings.zones: names no zone".into());
+        if shared.zones.is_empty() {
+            return Err("settings.zones: must name at least one zone".into());
         }
-        for (at, team) in service.teams.iter().enumerate() {
-            if service.teams[..at].iter().any(|t| t.name == team.name) {
-                return Err(format!("settings.teams: {} stands there twice", team.name));
+        for (index, team) in shared.teams.iter().enumerate() {
+            if shared.teams[..index]
+                .iter()
+                .any(|earlier| earlier.name == team.name)
+            {
+                return Err(format!("settings.teams: {} is listed twice", team.name));
             }
-            team.check()?;
+            team.validate()?;
         }
         Ok(())
     }
 }
 
 impl SharedSettings {
-    /// Amounts that have to be above zero, and the one that must not be below.
-    fn check_amounts(&self) -> Result<(), String> {
-        let next = self.state_service.future_limits.clone().unwrap_or_default();
-        let positive = [
+    /// Checks the amounts that have to be positive, and the lag, which may also be 0.
+    fn validate_amounts(&self) -> Result<(), String> {
+        let future = self.state_service.future_limits.clone().unwrap_or_default();
+        let positive_amounts = [
             ("workers.report_s", Some(self.workers.heartbeat_interval_s)),
             ("workers.lease_s", Some(self.workers.lease_s)),
             (
@@ -323,20 +336,20 @@
             ("state.rps", Some(self.state_service.requests_per_s)),
             ("state.write_rps", Some(self.state_service.changes_per_s)),
             ("state.value_kb", Some(self.state_service.max_value_kib)),
-            ("state.next.rps", next.requests_per_s),
-            ("state.next.write_rps", next.changes_per_s),
-            ("state.next.value_kb", next.max_value_kib),
+            ("state.next.rps", future.requests_per_s),
+            ("state.next.write_rps", future.changes_per_s),
+            ("state.next.value_kb", future.max_value_kib),
             ("cloud.rps", Some(self.cloud.calls_per_s)),
         ];
-        for (field, value) in positive {
+        for (field, value) in positive_amounts {
             if let Some(value) = value.filter(|v| !(v.is_finite() && *v > 0.0)) {
                 return Err(format!("settings.{field}: must be above 0, is {value}"));
             }
         }
-        let lag = self.cloud.list_lag_s;
-        if !(lag.is_finite() && lag >= 0.0) {
+        let lag_s = self.cloud.list_lag_s;
+        if !(lag_s.is_finite() && lag_s >= 0.0) {
             return Err(format!(
-                "settings.cloud.list_lag_s: must not be negative, is {lag}"
+                "settings.cloud.list_lag_s: must not be negative, is {lag_s}"
             ));
         }
         Ok(())
@@ -344,18 +357,18 @@
 }
 
 impl StateServiceLimits {
-    fn check_max_txn_changes(&self) -> Result<(), String> {
-        let next = self
+    fn validate_max_txn_changes(&self) -> Result<(), String> {
+        let future_max_changes = self
             .future_limits
             .as_ref()
-            .and_then(|next| next.max_txn_changes);
-        for (field, ops) in [
+            .and_then(|limits| limits.max_txn_changes);
+        for (field, max_changes) in [
             ("txn_ops", Some(self.max_txn_changes)),
-            ("next.txn_ops", next),
+            ("next.txn_ops", future_max_changes),
         ] {
-            if ops.is_some_and(|ops| ops < LEAST_OPS) {
+            if max_changes.is_some_and(|changes| changes < MIN_TXN_CHANGES) {
                 return Err(format!(
-                    "settings.state.{field}: at least {LEAST_OPS} are needed to finish a job"
+                    "settings.state.{field}: at least {MIN_TXN_CHANGES} are needed to finish a job"
                 ));
             }
         }
@@ -364,15 +377,15 @@
 }
 
 impl Team {
-    fn check(&self) -> Result<(), String> {
+    fn validate(&self) -> Result<(), String> {
         let amounts = [
             self.guaranteed_cpus,
             self.max_cpus,
             self.guaranteed_gpus,
             self.max_gpus,
         ];
-        let wrong = |amount: &f64| !(amount.is_finite() && *amount >= 0.0);
-        if amounts.iter().flatten().any(wrong) {
+        let is_invalid = |amount: &f64| !(amount.is_finite() && *amount >= 0.0);
+        if amounts.iter().flatten().any(is_invalid) {
             return Err(format!(
                 "settings.teams: {} has a negative amount",
                 self.name
--- a/src/tuning.rs
+++ b/src/tuning.rs
@@ -1,35 +1,36 @@
-//! The operators' own tuning (YAML).
+//! Tuning parameters, set by operators in a YAML file.
 
 use std::path::Path;
 
 use serde::Deserialize;
 
-/// What operators may tune; every field has a default and a checked range.
+/// The tuning parameters. Each has a default value and a permitted range.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(default)]
 pub struct Tuning {
-    /// How long the leader's lease lasts without a renewal.
+    /// Duration of the leader's lease in seconds; it ends unless it is renewed.
     pub leader_lease_s: f64,
-    /// The least time between two batches of records.
+    /// Minimum time in seconds between two batches of records that are written to the state service.
     #[serde(rename = "batch_interval_s")]
     pub min_batch_interval_s: f64,
-    /// Machines that the peak demand of this long did not need are cordoned and returned.
+    /// Length in seconds of the window whose peak demand determines which hosts are kept. The other hosts are cordoned and
+    /// released.
     #[serde(rename = "idle_return_s")]
     pub idle_release_s: f64,
-    /// How much more than that peak is kept.
+    /// Capacity kept in addition to the peak demand of that window, as a share of the peak.
     #[serde(rename = "spare_share")]
     pub spare_capacity_share: f64,
-    /// A machine silent for this many report intervals is given up.
+    /// Number of heartbeat intervals without a heartbeat after which a host is declared lost.
     #[serde(rename = "silent_reports")]
     pub lost_after_heartbeat_intervals: f64,
-    /// A rented machine that is not up after this many times its boot time is replaced.
+    /// A provisioned host that is not up after its boot time multiplied by this factor is replaced.
     #[serde(rename = "boot_patience")]
     pub boot_timeout_factor: f64,
-    /// A job of which nothing has begun for this long goes before all others.
+    /// Seconds after which a job none of whose tasks has started goes ahead of all other jobs.
     #[serde(rename = "starve_after_s")]
     pub starvation_threshold_s: f64,
-    /// CPUs on ordinary machines that are kept ready for classes of which no job has come yet, if they
-    /// are to begin sooner than a machine boots.
+    /// CPUs on on-demand hosts that are kept available for services, and for job classes that have not had a job yet and
+    /// whose wait objective is shorter than the boot time of a host.
     pub standby_cpus: f64,
 }
 
@@ -49,15 +50,15 @@
 }
 
 impl Tuning {
-    /// Reads and checks a tuning file. The error names the file and the field.
+    /// Reads and validates a tuning file. The error names the file and, if its content is invalid, the field.
     pub fn load(file: &Path) -> Result<Tuning, String> {
         let text = std::fs::read_to_string(file).map_err(|e| format!("{}: {e}", file.display()))?;
         Tuning::parse(&text).map_err(|e| format!("{}: {e}", file.display()))
     }
 
-    /// Reads and checks tuning. The error names the field.
+    /// Parses and validates tuning parameters. The error names the field.
     pub fn parse(text: &str) -> Result<Tuning, String> {
-        // An empty file is an ordinary way to say "all defaults".
+        // An empty file is valid and leaves all parameters at their defaults.
         let tuning: Option<Tuning> = serde_norway::from_str(text).map_err(|e| e.to_string())?;
         let tuning = tuning.unwrap_or_default();
         let ranges = [
@@ -80,11 +81,9 @@
             ),
             ("standby_cpus", tuning.standby_cpus, 0.0, 100_000.0),
         ];
-        for (field, value, least, most) in ranges {
-            if !(least..=most).contains(&value) {
-                return Err(format!(
-                    "{field}: must be from {least} to {most}, is {value}"
-                ));
+        for (field, value, min, max) in ranges {
+            if !(min..=max).contains(&value) {
+                return Err(format!("{field}: must be from {min} to {max}, is {value}"));
             }
         }
         Ok(tuning)
