--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,8 +1,8 @@
-//! lichencrank: a cluster scheduler in which one leading controller places all tasks.
+//! lichencrank: a cluster scheduler in which an elected leader among the controllers places all tasks.
 //!
-//! The layers, from the outside in: [`transport`] moves bytes, [`protocol`] gives them types,
-//! [`coordination`] decides, [`storage`] keeps records in the state service, and [`node`]
-//! ties them together into a running controller.
+//! Its layers: [`transport`] implements HTTP over non-blocking sockets, [`protocol`] defines the messages, [`coordination`]
+//! makes all scheduling decisions, [`storage`] defines the records in the state service, and [`node`] combines them into a
+//! running controller.
 
 #![deny(
     missing_docs,
--- a/src/quota_report.rs
+++ b/src/quota_report.rs
@@ -1,4 +1,4 @@
-//! What `lichencrank quota` shows: limits, guarantees, allowances and use, read from the state service.
+//! The output of `lichencrank quota`: limits, guarantees, allowances and usage of all teams, read from the state service.
 
 use std::fmt::Write;
 use std::time::Duration;
@@ -11,37 +11,38 @@
 use crate::settings::Settings;
 use crate::storage::records::{RunRecord, RUN_PREFIX};
 
-/// How long an answer of the state service is awaited.
-const PATIENCE: Duration = Duration::from_secs(5);
-/// Run records read at once.
-const PAGE: u32 = 200;
+/// Timeout of a request to the state service.
+const STORE_TIMEOUT: Duration = Duration::from_secs(5);
+/// Number of run records read per request.
+const RUN_RECORDS_PER_PAGE: u32 = 200;
 
-/// Reads everything and puts it into lines. The error says what could not be read.
+/// Reads the quota and run records and renders the report. The error says what could not be read.
 pub fn report(settings: &Settings) -> Result<String, String> {
-    let mut store = BlockingClient::new(settings.service_addresses.state_service, PATIENCE);
+    let mut store = BlockingClient::new(settings.service_addresses.state_service, STORE_TIMEOUT);
     let mut ledger = Ledger::read(&mut store).map_err(|error| error.to_string())?;
-    add_bookings(&mut store, &mut ledger)?;
+    add_leader_charges(&mut store, &mut ledger)?;
     Ok(render(&ledger))
 }
 
-/// The leader's charges are the allocations in the run records.
-fn add_bookings(store: &mut dyn ConditionalStore, ledger: &mut Ledger) -> Result<(), String> {
+/// Adds the usage that the leader charges to its allowances, which is the sum of the allocations in the run records.
+fn add_leader_charges(store: &mut dyn ConditionalStore, ledger: &mut Ledger) -> Result<(), String> {
     let mut after = String::new();
     loop {
-        let list = Request::List {
+        let list_request = Request::List {
             prefix: RUN_PREFIX.to_owned(),
             after: after.clone(),
-            limit: PAGE,
+            limit: RUN_RECORDS_PER_PAGE,
         };
-        let Outcome::Page(page) = store.execute(&list) else {
+        let Outcome::Page(page) = store.execute(&list_request) else {
             return Err("the state service does not answer".into());
         };
         for item in &page.items {
             let Some(record) = item.record::<RunRecord>() else {
                 continue;
             };
-            let booked = record.allocations.len() as u64;
-            let usage = ResourceVector::rounded_up(record.cpus, record.gpus).saturating_mul(booked);
+            let allocation_count = record.allocations.len() as u64;
+            let usage = ResourceVector::rounded_up(record.cpus, record.gpus)
+                .saturating_mul(allocation_count);
             let team = TeamName::new(&record.team);
             let allowance = AllowanceId::new(&team, &ClientName::new(LEADER));
             *ledger.external_charges.entry(allowance).or_default() += usage;
@@ -53,6 +54,7 @@
     }
 }
 
+/// The lines of the report, which operators' tools read.
 fn render(ledger: &Ledger) -> String {
     let mut out = String::new();
     if ledger.teams.is_empty() {
@@ -65,8 +67,12 @@
             "pool: capacity {}; {} guaranteed, {} lent beyond guarantees",
             pool.capacity, pool.total_guaranteed, pool.total_borrowed
         );
-        for want in &pool.unmet_demands {
-            let _ = writeln!(out, "  team {} waits to borrow {}", want.team, want.amount);
+        for demand in &pool.unmet_demands {
+            let _ = writeln!(
+                out,
+                "  team {} waits to borrow {}",
+                demand.team, demand.amount
+            );
         }
     }
     for (team, record) in &ledger.teams {
@@ -93,16 +99,16 @@
     );
     let allowances = ledger.allowances.iter();
     for (AllowanceId { client, .. }, allowance) in allowances.filter(|(id, _)| id.team == *team) {
-        let state = if allowance.fenced { ", fenced off" } else { "" };
+        let fenced_suffix = if allowance.fenced { ", fenced off" } else { "" };
         let _ = writeln!(
             out,
-            "  {client}: {} charged of {}, epoch {}{state}",
+            "  {client}: {} charged of {}, epoch {}{fenced_suffix}",
             ledger.charged(team, client),
             allowance.granted,
             allowance.epoch
         );
     }
-    for want in &record.unmet_demands {
-        let _ = writeln!(out, "  {} waits for {}", want.client, want.amount);
+    for demand in &record.unmet_demands {
+        let _ = writeln!(out, "  {} waits for {}", demand.client, demand.amount);
     }
 }
