--- a/tests/features.rs
+++ b/tests/features.rs
@@ -1,24 +1,24 @@
-//! The features file: what is understood, what ends the program at the start, and that nothing changes
-//! without it.
+//! The features file: which files are valid, which errors end the program at its start, and that all features are disabled
+//! without a file.
 
 use lichencrank::features::Features;
 
 #[test]
-fn without_a_file_everything_is_off() {
+fn without_a_file_all_features_are_disabled() {
     let features = Features::parse("").expect("an empty file");
     assert_eq!(features, Features::default());
     assert!(!features.quota.enabled);
 }
 
 #[test]
-fn the_deployed_file_is_understood() {
+fn the_deployed_file_is_valid() {
     let file = concat!(env!("CARGO_MANIFEST_DIR"), "/deploy/features.yaml");
     let features = Features::load(std::path::Path::new(file)).expect("the deployed file");
     assert!(!features.quota.enabled);
 }
 
 #[test]
-fn a_capacity_belongs_to_the_quota() {
+fn quota_capacity_is_read() {
     let text = "quota: {enabled: true, capacity_cpus: 1200, capacity_gpus: 64.5}";
     let quota = Features::parse(text).expect("a capacity").quota;
     assert_eq!(
@@ -27,10 +27,10 @@
     );
 }
 
-/// The error names the field, whatever is wrong with it.
+/// The error names the invalid field, whatever the reason.
 #[test]
-fn what_is_wrong_is_named() {
-    let wrong = [
+fn errors_name_the_field() {
+    let invalid = [
         ("quotas: {enabled: true}", "quotas"),
         ("quota: {enable: true}", "enable"),
         ("quota: {enabled: maybe}", "quota.enabled"),
@@ -49,21 +49,21 @@
         ("quota: {capacity_cpus: 5}", "quota.capacity_cpus"),
         ("quota", "quota"),
     ];
-    for (text, field) in wrong {
+    for (text, field) in invalid {
         let error = Features::parse(text).expect_err(text);
         assert!(error.contains(field), "{text}: {error}");
     }
 }
 
 #[test]
-fn zones_have_defaults_and_are_off() {
+fn zones_have_defaults_and_are_disabled() {
     assert!(Features::default().zones.settings_if_enabled().is_none());
     let text = "zones: {enabled: true, settings: {lost_after_s: 9, damping: {half_life_s: 60}}}";
     let settings = Features::parse(text)
         .expect("zones")
         .zones
         .settings_if_enabled();
-    let settings = settings.expect("they are on");
+    let settings = settings.expect("the feature is enabled");
     assert_eq!(
         (settings.lost_after_s, settings.damping.half_life_s),
         (9.0, 60.0)
@@ -72,8 +72,8 @@
 }
 
 #[test]
-fn zone_settings_are_checked_by_name() {
-    let wrong = [
+fn errors_name_the_zone_setting() {
+    let invalid = [
         (
             "zones: {enabled: true, settings: {displaced_at_once: 0}}",
             "displaced_at_once",
@@ -88,7 +88,7 @@
         ),
         ("zones: {settings: {lost_after_s: 3}}", "zones.settings"),
     ];
-    for (text, field) in wrong {
+    for (text, field) in invalid {
         let error = Features::parse(text).expect_err(text);
         assert!(error.contains(field), "{error}");
     }
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -1,9 +1,9 @@
-//! Settings: what is refused, and that the refusal names the field.
+//! Validation of settings and tuning: invalid files are rejected with an error that names the field.
 
 use lichencrank::settings::{Settings, Tuning};
 use serde_json::{json, Value};
 
-fn good() -> Value {
+fn valid_settings() -> Value {
     json!({
         "host_name": "n0", "area": "a", "front": "127.0.0.1:1", "internal_addr": "127.0.0.1:2",
         "others": [{"host_name": "n1", "area": "a", "addr": "127.0.0.1:3", "new": 1}],
@@ -22,18 +22,18 @@
 
 #[test]
 fn unknown_fields_are_ignored_and_null_means_absent() {
-    let mut settings = good();
+    let mut settings = valid_settings();
     settings["others"] = Value::Null;
-    let settings = Settings::parse(&settings.to_string()).expect("good settings");
+    let settings = Settings::parse(&settings.to_string()).expect("valid settings");
     assert!(settings.peers.is_empty());
     let team = &settings.shared.teams[0];
-    // 0 is no limit and no guarantee: a team with both must be able to run.
+    // 0 means no limit and no guarantee, so that a team with both can still run tasks.
     assert_eq!(team.limits(), (f64::INFINITY, f64::INFINITY));
     assert_eq!(team.guaranteed(), (0.0, 0.0));
 }
 
 #[test]
-fn what_is_missing_or_contradictory_is_named() {
+fn errors_name_missing_and_contradictory_fields() {
     let cases: &[(&str, Value, &str)] = &[
         ("/host_name", json!(null), "host_name"),
         ("/host_name", json!(""), "host_name"),
@@ -82,59 +82,62 @@
         ),
         ("/others/0/host_name", json!("n0"), "twice"),
     ];
-    for (at, value, names) in cases {
-        let mut settings = good();
-        let slot = settings.pointer_mut(at).expect("a field");
-        *slot = value.clone();
-        let error = Settings::parse(&settings.to_string()).expect_err(at);
-        assert!(error.contains(names), "{at} = {value}: {error}");
+    for (pointer, value, expected_text) in cases {
+        let mut settings = valid_settings();
+        let field = settings.pointer_mut(pointer).expect("a field");
+        *field = value.clone();
+        let error = Settings::parse(&settings.to_string()).expect_err(pointer);
+        assert!(
+            error.contains(expected_text),
+            "{pointer} = {value}: {error}"
+        );
         assert!(!error.contains('\n'), "{error}");
     }
 }
 
 #[test]
-fn tuning_is_optional_and_checked() {
+fn tuning_is_optional_and_validated() {
     for text in ["", "leader_lease_s: 5\nnot_known: 1\n"] {
         assert!(Tuning::parse(text).is_ok(), "{text}");
     }
-    for (text, names) in [
+    for (text, field) in [
         ("leader_lease_s: 0.01", "leader_lease_s"),
         ("idle_return_s: .nan", "idle_return_s"),
         ("boot_patience: soon", "boot_patience"),
     ] {
         let error = Tuning::parse(text).expect_err(text);
-        assert!(error.contains(names), "{text}: {error}");
+        assert!(error.contains(field), "{text}: {error}");
     }
 }
 
-/// The limits of later hold from the start, as nobody tells when they come; what is not named, or larger,
-/// stays as it is.
+/// Future limits (`state.next`) apply from the start, as the time of the change is not announced. A limit that they do not
+/// name, or raise, stays as it is.
 #[test]
-fn the_smaller_of_both_limits_counts() {
-    let limits = |next: Value| {
-        let mut settings = good();
+fn the_lower_of_current_and_future_limit_applies() {
+    let effective_limits = |next: Value| {
+        let mut settings = valid_settings();
         settings["settings"]["state"]["next"] = next;
-        let settings = Settings::parse(&settings.to_string()).expect("good settings");
-        let state = settings.shared.state_service;
+        let settings = Settings::parse(&settings.to_string()).expect("valid settings");
+        let limits = settings.shared.state_service;
         (
-            state.requests_per_s,
-            state.changes_per_s,
-            state.max_value_kib,
-            state.max_txn_changes,
+            limits.requests_per_s,
+            limits.changes_per_s,
+            limits.max_value_kib,
+            limits.max_txn_changes,
         )
     };
-    assert_eq!(limits(json!(null)), (150.0, 60.0, 32.0, 24));
-    assert_eq!(limits(json!({})), (150.0, 60.0, 32.0, 24));
-    let falls = json!({"write_rps": 21.0, "value_kb": 2.0, "txn_ops": 5, "new": 1});
-    assert_eq!(limits(falls), (150.0, 21.0, 2.0, 5));
+    assert_eq!(effective_limits(json!(null)), (150.0, 60.0, 32.0, 24));
+    assert_eq!(effective_limits(json!({})), (150.0, 60.0, 32.0, 24));
+    let lowered = json!({"write_rps": 21.0, "value_kb": 2.0, "txn_ops": 5, "new": 1});
+    assert_eq!(effective_limits(lowered), (150.0, 21.0, 2.0, 5));
     let mixed = json!({"rps": 100.0, "write_rps": null, "value_kb": 64.0, "txn_ops": 8});
-    assert_eq!(limits(mixed), (100.0, 60.0, 32.0, 8));
+    assert_eq!(effective_limits(mixed), (100.0, 60.0, 32.0, 8));
 }
 
-/// Runs the program with `--check` on a real settings file whose limits of later are that; its exit and
-/// what it prints on standard error.
-fn check_with_next(name: &str, next: &str) -> (bool, String) {
-    let mut settings = good();
+/// Runs the program with `--check` on a settings file with these future limits (`state.next`). Returns whether it
+/// succeeded, and its standard error.
+fn check_with_future_limits(name: &str, next: &str) -> (bool, String) {
+    let mut settings = valid_settings();
     settings["settings"]["state"]["next"] = json!("NEXT");
     let text = match next {
         "missing" => settings.to_string().replace("\"next\":\"NEXT\",", ""),
@@ -143,21 +146,21 @@
     assert!(!text.contains("NEXT"), "{text}");
     let file = std::env::temp_dir().join(format!("lichencrank-{}-{name}.json", std::process::id()));
     std::fs::write(&file, text).expect("a settings file");
-    let program = std::process::Command::new(env!("CARGO_BIN_EXE_lichencrank"))
+    let output = std::process::Command::new(env!("CARGO_BIN_EXE_lichencrank"))
         .args(["--check", "--config"])
         .arg(&file)
         .output()
         .expect("the program runs");
     std::fs::remove_file(&file).expect("the settings file is there");
-    let errors = String::from_utf8_lossy(&program.stderr).into_owned();
-    (program.status.success(), errors)
+    let errors = String::from_utf8_lossy(&output.stderr).into_owned();
+    (output.status.success(), errors)
 }
 
-/// Limits of later that are null, missing, partial or larger than today's start; nonsense ends the
-/// program with one line that names the field.
+/// The program starts with future limits that are null, missing, partial or higher than the current ones. Invalid ones end
+/// it with one line that names the field.
 #[test]
-fn limits_of_later_are_checked_in_the_file() {
-    let good = [
+fn future_limits_in_the_file_are_validated() {
+    let valid = [
         "missing",
         "null",
         "{}",
@@ -166,11 +169,11 @@
         r#"{"value_kb": 1024, "txn_ops": 999, "write_rps": 1e6, "rps": 1e6}"#,
         r#"{"of_later": [1, 2]}"#,
     ];
-    for (number, next) in good.into_iter().enumerate() {
-        let (starts, errors) = check_with_next(&format!("good-{number}"), next);
-        assert!(starts, "{next}: {errors}");
+    for (number, next) in valid.into_iter().enumerate() {
+        let (is_valid, errors) = check_with_future_limits(&format!("valid-{number}"), next);
+        assert!(is_valid, "{next}: {errors}");
     }
-    let bad = [
+    let invalid = [
         (r#"{"value_kb": 0}"#, "settings.state.next.value_kb"),
         (r#"{"value_kb": -2.0}"#, "settings.state.next.value_kb"),
         (r#"{"value_kb": "2"}"#, "settings.state.next.value_kb"),
@@ -185,9 +188,9 @@
         (r#""soon""#, "settings.state.next"),
         ("7", "settings.state.next"),
     ];
-    for (number, (next, field)) in bad.into_iter().enumerate() {
-        let (starts, errors) = check_with_next(&format!("bad-{number}"), next);
-        assert!(!starts, "{next}");
+    for (number, (next, field)) in invalid.into_iter().enumerate() {
+        let (is_valid, errors) = check_with_future_limits(&format!("invalid-{number}"), next);
+        assert!(!is_valid, "{next}");
         assert!(errors.contains(field), "{next}: {errors}");
         assert_eq!(errors.trim_end().lines().count(), 1, "{errors}");
     }
--- a/tests/versions.rs
+++ b/tests/versions.rs
@@ -1,5 +1,6 @@
-//! Versions side by side: what earlier versions sent and stored is read by this one, and what this one
-//! writes is read by them. `tests/versions/` holds their bytes; its README tells how they were made.
+//! Compatibility of versions that run side by side in a rolling upgrade: this version reads what earlier versions sent and
+//! stored, and they can read what it writes. `tests/versions/` holds bytes of earlier versions; its README describes how
+//! they were recorded.
 
 use borsh::{BorshDeserialize, BorshSerialize};
 use ciborium::Value;
@@ -27,8 +28,9 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-// ---- messages between processes
+// ---- messages between controllers
 
+/// Layout of the heartbeat in the version in production, with the field names of that version.
 #[derive(Debug, PartialEq, BorshSerialize, BorshDeserialize)]
 struct ProductionHeartbeat {
     from: String,
@@ -62,57 +64,60 @@
     }
 }
 
-fn encoded<T: borsh::BorshSerialize>(message: &T) -> Vec<u8> {
-    peers::encode(message).expect("a message with an encoding")
+fn encode_message<T: borsh::BorshSerialize>(message: &T) -> Vec<u8> {
+    peers::encode(message).expect("a message that can be encoded")
 }
 
-/// A heartbeat as production puts it on the wire, byte by byte.
-const HEARTBEAT: &[u8] = b"\x02\0\0\0n1\x07\0\0\0\0\0\0\0\x01\x02\0\0\0n0\x01\0\x2c\x01\0\0\0\x14\0\0\0\x05\0\0\0\x01\0\0\0\x9c\x01\0\0\0\0\0\0\x30\x75\0\0";
+/// The bytes of the heartbeat that [`heartbeat`] returns, as the version in production sends it.
+const HEARTBEAT_BYTES: &[u8] = b"\x02\0\0\0n1\x07\0\0\0\0\0\0\0\x01\x02\0\0\0n0\x01\0\x2c\x01\0\0\0\x14\0\0\0\x05\0\0\0\x01\0\0\0\x9c\x01\0\0\0\0\0\0\x30\x75\0\0";
 
 #[test]
 fn messages_keep_their_bytes() {
-    assert_eq!(encoded(&heartbeat()), HEARTBEAT);
-    assert_eq!(peers::decode(HEARTBEAT), Ok(heartbeat()));
-    assert!(peers::decode::<ProductionHeartbeat>(&encoded(&heartbeat())).is_ok());
+    assert_eq!(encode_message(&heartbeat()), HEARTBEAT_BYTES);
+    assert_eq!(peers::decode(HEARTBEAT_BYTES), Ok(heartbeat()));
+    assert!(peers::decode::<ProductionHeartbeat>(&encode_message(&heartbeat())).is_ok());
     assert_eq!(
-        encoded(&RelayedRequest::Status("job-000412".into())),
+        encode_message(&RelayedRequest::Status("job-000412".into())),
         b"\x01\x0a\0\0\0job-000412"
     );
     assert_eq!(
-        encoded(&RelayedRequest::Submit(vec![1])),
+        encode_message(&RelayedRequest::Submit(vec![1])),
         b"\0\x01\0\0\0\x01"
     );
     assert_eq!(
-        encoded(&RelayedRequest::Cancel("job-000412".into())),
+        encode_message(&RelayedRequest::Cancel("job-000412".into())),
         b"\x02\x0a\0\0\0job-000412"
     );
-    let relayed = RelayedResponse {
+    let relayed_response = RelayedResponse {
         status: 503,
         retry_after_s: Some(1),
         body: vec![9],
     };
-    assert_eq!(encoded(&relayed), b"\xf7\x01\x01\x01\0\0\0\x01\0\0\0\x09");
+    assert_eq!(
+        encode_message(&relayed_response),
+        b"\xf7\x01\x01\x01\0\0\0\x01\0\0\0\x09"
+    );
     let jobs = vec![412];
     assert_eq!(
-        encoded(&CancelledJobs { jobs: jobs.clone() }),
+        encode_message(&CancelledJobs { jobs: jobs.clone() }),
         b"\x01\0\0\0\x9c\x01\0\0\0\0\0\0"
     );
     assert_eq!(
-        encoded(&AcknowledgedJobs { jobs }),
+        encode_message(&AcknowledgedJobs { jobs }),
         b"\x01\0\0\0\x9c\x01\0\0\0\0\0\0"
     );
 }
 
-/// What a version of later may send: it is not understood, and that is all.
+/// Messages of another layout, as a later version might send them, are decoding errors.
 #[test]
-fn strange_messages_are_refused_quietly() {
-    let mut longer = HEARTBEAT.to_vec();
-    longer.push(0);
-    let refused = peers::decode::<PeerHeartbeat>(&longer);
-    assert_eq!(refused, Err(DecodeError::TrailingBytes(1)));
-    for cut in 0..HEARTBEAT.len() {
-        let refused = peers::decode::<PeerHeartbeat>(&HEARTBEAT[..cut]);
-        assert!(matches!(refused, Err(DecodeError::Malformed(_))), "{cut}");
+fn messages_of_another_layout_are_rejected() {
+    let mut extended = HEARTBEAT_BYTES.to_vec();
+    extended.push(0);
+    let result = peers::decode::<PeerHeartbeat>(&extended);
+    assert_eq!(result, Err(DecodeError::TrailingBytes(1)));
+    for cut in 0..HEARTBEAT_BYTES.len() {
+        let result = peers::decode::<PeerHeartbeat>(&HEARTBEAT_BYTES[..cut]);
+        assert!(matches!(result, Err(DecodeError::Malformed(_))), "{cut}");
     }
     assert!(peers::decode::<RelayedRequest>(b"\x09\0\0\0\0").is_err());
     assert!(peers::decode::<CancelledJobs>(b"\xff\xff\xff\xff").is_err());
@@ -120,19 +125,20 @@
 
 // ---- records
 
-/// A description as production stores it.
-const DESCRIPTION: &str = r#"{"spec":{"ref":"job-000412","jobclass":"train","crew":"vision",
+/// A job record as the version in production stores it.
+const JOB_RECORD_JSON: &str = r#"{"spec":{"ref":"job-000412","jobclass":"train","crew":"vision",
     "shape":"sweep","urgency":"high","pieces":600,"cpus":8.0,"cards":0.0,"ramGb":64.0,
     "bundle":"img-07","imageGb":6.2,"hosttypes":["g8"],"samePlace":false,"apart":false,
     "loaners":true,"guessS":240.0,"snapshotS":0.0,"stashS":0.0,"dueS":900.0},
     "at_ms":1700000000000,"chunk":256}"#;
 
-/// A run record as production stores it.
-const RUN: &str = r#"{"first":256,"size":256,"team":"vision","cpus":8.0,"gpus":0.0,"mem":64.0,
+/// A run record as the version in production stores it.
+const RUN_RECORD_JSON: &str = r#"{"first":256,"size":256,"team":"vision","cpus":8.0,"gpus":0.0,"mem":64.0,
     "done":[[0,3]],"booked":[[4,2,"vm-000231",1]],"tried":[[7,1]],"rest":[0,0]}"#;
 
+/// Layout of the run record in the version in production.
 #[derive(Debug, PartialEq, Serialize, Deserialize)]
-struct OldChunk {
+struct ProductionRunRecord {
     first: u32,
     size: u32,
     team: String,
@@ -149,49 +155,68 @@
     rest: (u64, u64),
 }
 
+/// Layout of the job record in the version in production.
 #[derive(Debug, Deserialize)]
-struct OldDescription {
-    spec: BTreeSpec,
+struct ProductionJobRecord {
+    spec: SpecFields,
     at_ms: u64,
     chunk: u32,
 }
 
-type BTreeSpec = std::collections::BTreeMap<String, Value>;
+/// Fields of a job specification by their stored names.
+type SpecFields = std::collections::BTreeMap<String, Value>;
 
+/// The value that is stored for a record in JSON.
 fn stored(json: &str) -> Value {
     let json: serde_json::Value = serde_json::from_str(json).expect("JSON");
     Value::serialized(&json).expect("a value")
 }
 
 #[test]
-fn records_of_production_are_read_and_written_back_whole() {
-    let description: JobRecord = stored(DESCRIPTION).deserialized().expect("a description");
+fn records_of_production_are_read_and_written_back_completely() {
+    let job_record: JobRecord = stored(JOB_RECORD_JSON)
+        .deserialized()
+        .expect("a job record");
     assert_eq!(
-        (description.spec.task_count, description.tasks_per_record),
+        (job_record.spec.task_count, job_record.tasks_per_record),
         (600, 256)
     );
-    let again: OldDescription = value(&description).deserialized().expect("an old one");
-    let before: OldDescription = stored(DESCRIPTION).deserialized().expect("an old one");
-    assert_eq!((again.at_ms, again.chunk), (before.at_ms, before.chunk));
-    let names = |d: &OldDescription| d.spec.keys().cloned().collect::<Vec<_>>();
-    assert_eq!(names(&again), names(&before));
+    let rewritten: ProductionJobRecord = value(&job_record)
+        .deserialized()
+        .expect("a record of production");
+    let original: ProductionJobRecord = stored(JOB_RECORD_JSON)
+        .deserialized()
+        .expect("a record of production");
+    assert_eq!(
+        (rewritten.at_ms, rewritten.chunk),
+        (original.at_ms, original.chunk)
+    );
+    let field_names =
+        |record: &ProductionJobRecord| record.spec.keys().cloned().collect::<Vec<_>>();
+    assert_eq!(field_names(&rewritten), field_names(&original));
 
-    let run: RunRecord = stored(RUN).deserialized().expect("a run record");
+    let run_record: RunRecord = stored(RUN_RECORD_JSON)
+        .deserialized()
+        .expect("a run record");
     let allocation = AllocationEntry {
         offset: 4,
         attempt: Attempt(2),
         host: HostName::new("vm-000231"),
         incarnation: Incarnation(1),
     };
-    assert_eq!(run.allocations, [allocation]);
-    let again: OldChunk = value(&run).deserialized().expect("an old one");
-    let before: OldChunk = stored(RUN).deserialized().expect("an old one");
-    assert_eq!(again, before);
+    assert_eq!(run_record.allocations, [allocation]);
+    let rewritten: ProductionRunRecord = value(&run_record)
+        .deserialized()
+        .expect("a record of production");
+    let original: ProductionRunRecord = stored(RUN_RECORD_JSON)
+        .deserialized()
+        .expect("a record of production");
+    assert_eq!(rewritten, original);
 }
 
-/// Keys keep their names.
+/// Earlier versions find the records under the same keys.
 #[test]
-fn keys_are_the_same() {
+fn keys_are_unchanged() {
     let job = JobId(412);
     assert_eq!(records::live_key(job), "live/job-000412");
     assert_eq!(records::outcome_key(job), "over/job-000412");
@@ -204,163 +229,187 @@
     assert_eq!(records::MACHINE_TYPES_KEY, "types");
 }
 
-/// Production keeps the machine types without the size of their caches.
+/// Earlier versions store the machine types without the size of the image cache.
 #[test]
-fn types_of_production_are_read() {
-    let old = r#"{"hosttypes":[{"sku":"g8","cpus":96.0,"cards":8.0,"ramGb":768.0,"pullGbPerS":1.0,
+fn machine_types_without_cache_size_are_read() {
+    let json = r#"{"hosttypes":[{"sku":"g8","cpus":96.0,"cards":8.0,"ramGb":768.0,"pullGbPerS":1.0,
         "rate":12.0,"lowPrice":4.5,"startupS":45.0,"halls":["a","b"]}]}"#;
-    let types: MachineTypes = decode(&encode(&stored(old))).expect("machine types");
+    let types: MachineTypes = decode(&encode(&stored(json))).expect("machine types");
     assert_eq!(types.machine_types.len(), 1);
 }
 
-// ---- bytes of earlier versions
+// ---- recorded bytes of earlier versions
 
-/// Commits whose processes may run beside this version.
-const EARLIER: [&str; 2] = ["87cd4a4", "b348541"];
+/// Commits of the versions that may run beside this version.
+const EARLIER_VERSIONS: [&str; 2] = ["87cd4a4", "b348541"];
 
-/// A line of a file in `tests/versions/`.
-struct Kept {
+/// One message or record of an earlier version: a line of a file in `tests/versions/`.
+struct RecordedBytes {
     version: &'static str,
     kind: String,
     bytes: Vec<u8>,
 }
 
-impl Kept {
-    fn parse(version: &'static str, line: &str) -> Kept {
+impl RecordedBytes {
+    fn parse(version: &'static str, line: &str) -> RecordedBytes {
         let (kind, hex) = line.split_once(' ').expect("a kind and its bytes");
         let digits: Vec<u32> = hex.chars().map(|c| c.to_digit(16).expect("hex")).collect();
         let bytes = digits.chunks(2).map(|pair| (pair[0] * 16 + pair[1]) as u8);
-        Kept {
+        RecordedBytes {
             version,
             kind: kind.to_owned(),
             bytes: bytes.collect(),
         }
     }
 
-    fn name(&self) -> String {
+    /// A description for the messages of failed assertions.
+    fn description(&self) -> String {
         format!("{} of {}: {:?}", self.kind, self.version, self.bytes)
     }
 
-    /// Reads a message and writes it back: the same bytes, so that version reads them again.
+    /// Decodes a message and asserts that encoding it yields the same bytes, so that the earlier version can decode it.
     fn message<T: borsh::BorshSerialize + borsh::BorshDeserialize>(&self) -> T {
         let message = peers::decode(&self.bytes);
-        let message: T = message.unwrap_or_else(|e| panic!("{}: {e}", self.name()));
-        assert_eq!(encoded(&message), self.bytes, "{}", self.name());
+        let message: T = message.unwrap_or_else(|e| panic!("{}: {e}", self.description()));
+        assert_eq!(
+            encode_message(&message),
+            self.bytes,
+            "{}",
+            self.description()
+        );
         message
     }
 
-    /// The same for a record.
+    /// Decodes a record and asserts that encoding it yields the same bytes.
     fn record<T: Serialize + DeserializeOwned>(&self) -> T {
-        let record: T = decode(&self.bytes).unwrap_or_else(|e| panic!("{}: {e}", self.name()));
-        assert_eq!(encode(&value(&record)), self.bytes, "{}", self.name());
+        let record: T =
+            decode(&self.bytes).unwrap_or_else(|e| panic!("{}: {e}", self.description()));
+        assert_eq!(
+            encode(&value(&record)),
+            self.bytes,
+            "{}",
+            self.description()
+        );
         record
     }
 }
 
-fn kept() -> Vec<Kept> {
+fn recorded_bytes() -> Vec<RecordedBytes> {
     let mut all = Vec::new();
-    for version in EARLIER {
+    for version in EARLIER_VERSIONS {
         let file = format!(
             "{}/tests/versions/{version}.bytes",
             env!("CARGO_MANIFEST_DIR")
         );
         let text = std::fs::read_to_string(&file).unwrap_or_else(|e| panic!("{file}: {e}"));
         let lines = text.lines().filter(|line| !line.starts_with('#'));
-        all.extend(lines.map(|line| Kept::parse(version, line)));
+        all.extend(lines.map(|line| RecordedBytes::parse(version, line)));
     }
     all
 }
 
-/// Guards every rename of a type or field: all that both earlier versions sent and stored is read, and
-/// written back byte by byte, so that their processes read it too.
+/// Guards against renames of types or fields that change an encoding: everything that the earlier versions sent and stored
+/// is decoded, and encoded to the same bytes, so that their processes can read it too.
 #[test]
 fn bytes_of_earlier_versions_are_read_and_written_back() {
     let mut kinds = BTreeSet::new();
-    let mut bookings = 0;
-    let mut attempts = 0;
-    for kept in kept() {
-        kinds.insert((kept.version, kept.kind.clone()));
-        match kept.kind.as_str() {
-            "heartbeat" => drop(kept.message::<PeerHeartbeat>()),
-            "relay" => drop(kept.message::<RelayedRequest>()),
-            "relay-answer" => drop(kept.message::<RelayedResponse>()),
-            "cancelled" => drop(kept.message::<CancelledJobs>()),
-            "acknowledged" => drop(kept.message::<AcknowledgedJobs>()),
-            "job-array" => assert!(!kept.record::<JobRecord>().spec.is_service()),
-            "job-service" => assert!(kept.record::<JobRecord>().spec.is_service()),
-            "final" => drop(kept.record::<UnarchivedOutcome>()),
-            "over-done" | "over-cancelled" => drop(kept.record::<OutcomeRecord>()),
-            "holder" => drop(kept.record::<LeaderRecord>()),
-            "term" => drop(kept.record::<TermRecord>()),
+    let mut allocation_count = 0;
+    let mut attempted_count = 0;
+    for recorded in recorded_bytes() {
+        kinds.insert((recorded.version, recorded.kind.clone()));
+        match recorded.kind.as_str() {
+            "heartbeat" => drop(recorded.message::<PeerHeartbeat>()),
+            "relay" => drop(recorded.message::<RelayedRequest>()),
+            "relay-answer" => drop(recorded.message::<RelayedResponse>()),
+            "cancelled" => drop(recorded.message::<CancelledJobs>()),
+            "acknowledged" => drop(recorded.message::<AcknowledgedJobs>()),
+            "job-array" => assert!(!recorded.record::<JobRecord>().spec.is_service()),
+            "job-service" => assert!(recorded.record::<JobRecord>().spec.is_service()),
+            "final" => drop(recorded.record::<UnarchivedOutcome>()),
+            "over-done" | "over-cancelled" => drop(recorded.record::<OutcomeRecord>()),
+            "holder" => drop(recorded.record::<LeaderRecord>()),
+            "term" => drop(recorded.record::<TermRecord>()),
             "run" => {
-                let record: RunRecord = kept.record();
-                bookings += record.allocations.len();
-                attempts += record.attempted.len();
+                let record: RunRecord = recorded.record();
+                allocation_count += record.allocations.len();
+                attempted_count += record.attempted.len();
             }
-            "types" => assert_types_survive(&kept),
-            other => panic!("{other}: no kind of message or record"),
+            "types" => assert_machine_types_survive(&recorded),
+            other => panic!("{other}: unknown kind of message or record"),
         }
     }
-    // Thirteen kinds that both versions know, and the service, which only the later one does.
+    // Both versions know 13 kinds; only the later one knows services.
     assert_eq!(kinds.len(), 2 * 13 + 1, "{kinds:?}");
-    assert!(bookings > 0 && attempts > 0, "{bookings} {attempts}");
+    assert!(
+        allocation_count > 0 && attempted_count > 0,
+        "{allocation_count} {attempted_count}"
+    );
 }
 
-/// The first version keeps the machine types without the size of their caches, and ignores it.
-fn assert_types_survive(kept: &Kept) {
-    let types: MachineTypes = decode(&kept.bytes).expect("machine types");
-    let again: Value = decode(&encode(&value(&types))).expect("a value");
-    let before: Value = decode(&kept.bytes).expect("a value");
-    let mut fields = Vec::new();
-    for (name, field) in type_fields(&before) {
+/// Asserts that all fields of recorded machine types are written back. The first version stores them without the size of the
+/// image cache and ignores that field, so the bytes may differ.
+fn assert_machine_types_survive(recorded: &RecordedBytes) {
+    let machine_types: MachineTypes = decode(&recorded.bytes).expect("machine types");
+    let rewritten: Value = decode(&encode(&value(&machine_types))).expect("a value");
+    let original: Value = decode(&recorded.bytes).expect("a value");
+    let mut field_names = Vec::new();
+    for (name, field) in first_type_fields(&original) {
         assert!(
-            type_fields(&again).contains(&(name.clone(), field)),
+            first_type_fields(&rewritten).contains(&(name.clone(), field)),
             "{name:?}"
         );
-        fields.push(name);
+        field_names.push(name);
     }
-    assert!(fields.len() >= 9, "{fields:?}");
+    assert!(field_names.len() >= 9, "{field_names:?}");
 }
 
-fn type_fields(types: &Value) -> Vec<(Value, Value)> {
-    let list = types.as_map().and_then(|m| m.first()).expect("a field");
-    let first = list.1.as_array().and_then(|a| a.first()).expect("a type");
+/// Fields of the first machine type.
+fn first_type_fields(machine_types: &Value) -> Vec<(Value, Value)> {
+    let list = machine_types
+        .as_map()
+        .and_then(|fields| fields.first())
+        .expect("a field");
+    let first = list
+        .1
+        .as_array()
+        .and_then(|types| types.first())
+        .expect("a type");
     first.as_map().expect("a map").clone()
 }
 
-/// The version rule: whatever is not exactly one message ends in a typed error, and nothing panics.
+/// A body that is not exactly one message is a decoding error, and no body makes the decoder panic.
 #[test]
 fn truncated_extended_and_random_input_is_an_error() {
     fn check<T: borsh::BorshDeserialize + Debug>(bytes: &[u8], random: &mut fastrand::Rng) {
         for cut in 0..bytes.len() {
-            let refused = peers::decode::<T>(&bytes[..cut]);
+            let result = peers::decode::<T>(&bytes[..cut]);
             assert!(
-                matches!(refused, Err(DecodeError::Malformed(_))),
-                "{refused:?}"
+                matches!(result, Err(DecodeError::Malformed(_))),
+                "{result:?}"
             );
         }
         let extended = [bytes, &[random.u8(..)]].concat();
-        let refused = peers::decode::<T>(&extended);
+        let result = peers::decode::<T>(&extended);
         assert!(
-            matches!(refused, Err(DecodeError::TrailingBytes(1))),
-            "{refused:?}"
+            matches!(result, Err(DecodeError::TrailingBytes(1))),
+            "{result:?}"
         );
         for _ in 0..200 {
             let mut changed = bytes.to_vec();
             for _ in 0..3 {
                 if !changed.is_empty() {
-                    let at = random.usize(..changed.len());
-                    changed[at] = random.u8(..);
+                    let position = random.usize(..changed.len());
+                    changed[position] = random.u8(..);
                 }
             }
-            // It may still be a message. That it ends, without a panic, is what counts.
+            // The result may still be a valid message; the decoder only must not panic.
             drop(peers::decode::<T>(&changed));
         }
     }
     let mut random = fastrand::Rng::with_seed(7);
-    for kept in kept() {
-        let bytes = &kept.bytes;
-        match kept.kind.as_str() {
+    for recorded in recorded_bytes() {
+        let bytes = &recorded.bytes;
+        match recorded.kind.as_str() {
             "heartbeat" => check::<PeerHeartbeat>(bytes, &mut random),
             "relay" => check::<RelayedRequest>(bytes, &mut random),
             "relay-answer" => check::<RelayedResponse>(bytes, &mut random),
@@ -378,8 +427,8 @@
     assert!(decode::<Value>(&[bytes, &[0]].concat()).is_err());
     for _ in 0..200 {
         let mut changed = bytes.to_vec();
-        let at = random.usize(..changed.len());
-        changed[at] = random.u8(..);
+        let position = random.usize(..changed.len());
+        changed[position] = random.u8(..);
         drop(decode::<JobRecord>(&changed));
         drop(decode::<RunRecord>(&changed));
         drop(decode::<UnarchivedOutcome>(&changed));
@@ -388,22 +437,24 @@
     }
 }
 
-// ---- a node that is sent what it does not understand
+// ---- a node that receives messages it cannot decode
 
-/// Records what a node sends; time stands still unless it is moved.
+/// A network that records what a node sends. Its clock does not advance.
 #[derive(Clone, Default)]
-struct Recorder(Rc<RefCell<Recorded>>);
+struct RecordingNetwork(Rc<RefCell<SentMessages>>);
 
 #[derive(Default)]
-struct Recorded {
-    now: u64,
-    calls: Vec<String>,
+struct SentMessages {
+    now_ms: u64,
+    /// Paths of the requests that the node has sent.
+    request_paths: Vec<String>,
+    /// Serial number of the connection and status of each response.
     responses: Vec<(u64, u16)>,
 }
 
-impl Network for Recorder {
+impl Network for RecordingNetwork {
     fn now(&self) -> Time {
-        Time(self.0.borrow().now)
+        Time(self.0.borrow().now_ms)
     }
 
     fn time_of_day(&self) -> u64 {
@@ -411,8 +462,8 @@
     }
 
     fn respond(&mut self, conn: ConnId, response: &Response) {
-        let answered = (conn.serial, response.status);
-        self.0.borrow_mut().responses.push(answered);
+        let sent_response = (conn.serial, response.status);
+        self.0.borrow_mut().responses.push(sent_response);
     }
 
     fn call(
@@ -423,9 +474,9 @@
         _body: &[u8],
         _limit: Duration,
     ) -> CallId {
-        let calls = &mut self.0.borrow_mut().calls;
-        calls.push(target.to_owned());
-        CallId(calls.len() as u64)
+        let request_paths = &mut self.0.borrow_mut().request_paths;
+        request_paths.push(target.to_owned());
+        CallId(request_paths.len() as u64)
     }
 
     fn socket_usage(&self) -> SocketUsage {
@@ -433,14 +484,15 @@
     }
 }
 
-struct LoneNode {
-    node: Node<Recorder>,
-    seen: Recorder,
-    requests: u64,
+/// A node without running peers or services.
+struct IsolatedNode {
+    node: Node<RecordingNetwork>,
+    network: RecordingNetwork,
+    request_count: u64,
 }
 
-impl LoneNode {
-    fn new() -> LoneNode {
+impl IsolatedNode {
+    fn new() -> IsolatedNode {
         let settings = serde_json::json!({
             "host_name": "n0", "area": "a", "front": "10.0.0.1:1", "internal_addr": "10.0.0.1:2",
             "others": [{"host_name": "n1", "area": "a", "addr": "10.0.0.2:2"}],
@@ -453,27 +505,28 @@
             }
         });
         let settings = Settings::parse(&settings.to_string()).expect("settings");
-        let seen = Recorder::default();
-        let mut node = Node::new(settings, Tuning::default(), seen.clone(), 1);
+        let network = RecordingNetwork::default();
+        let mut node = Node::new(settings, Tuning::default(), network.clone(), 1);
         node.run_due_work();
-        LoneNode {
+        IsolatedNode {
             node,
-            seen,
-            requests: 0,
+            network,
+            request_count: 0,
         }
     }
 
-    fn status_of(
+    /// Status of the immediate response to a request.
+    fn response_status(
         &mut self,
         listener: ListenerKind,
         method: &str,
         target: &str,
         body: &[u8],
     ) -> u16 {
-        self.requests += 1;
+        self.request_count += 1;
         let conn = ConnId {
             slot: 0,
-            serial: self.requests,
+            serial: self.request_count,
         };
         let request = Request {
             method: method.into(),
@@ -486,17 +539,18 @@
             listener,
             request,
         });
-        let responses = &self.seen.0.borrow().responses;
-        let last = responses.last().expect("an answer at once");
-        assert_eq!(last.0, self.requests);
+        let responses = &self.network.0.borrow().responses;
+        let last = responses.last().expect("an immediate response");
+        assert_eq!(last.0, self.request_count);
         last.1
     }
 }
 
-/// Guards the rule at each path: 400 for what is no message, 404 for a path of a later version.
+/// A node responds with 400 to a body that it cannot decode, on every path, and with 404 to a path that only a later version
+/// knows.
 #[test]
-fn a_node_refuses_what_it_does_not_understand() {
-    let mut lone = LoneNode::new();
+fn a_node_rejects_messages_that_it_cannot_decode() {
+    let mut isolated_node = IsolatedNode::new();
     let mut random = fastrand::Rng::with_seed(3);
     for path in [
         peers::HEARTBEAT_PATH,
@@ -504,49 +558,53 @@
         peers::CANCELLED_PATH,
     ] {
         assert_eq!(
-            lone.status_of(ListenerKind::Internal, "POST", path, &[0xff; 9]),
+            isolated_node.response_status(ListenerKind::Internal, "POST", path, &[0xff; 9]),
             400
         );
         for length in 0..60 {
             let body: Vec<u8> = (0..length).map(|_| random.u8(..)).collect();
             if peers::decode::<CancelledJobs>(&body).is_err() {
                 assert_eq!(
-                    lone.status_of(ListenerKind::Internal, "POST", path, &body),
+                    isolated_node.response_status(ListenerKind::Internal, "POST", path, &body),
                     400
                 );
             }
         }
     }
-    let later = lone.status_of(ListenerKind::Internal, "POST", "/peer/of-later", &[]);
-    assert_eq!(later, 404);
-    // Those that are understood are answered as ever, by a process that still runs.
-    let known = lone.status_of(
+    let unknown_path_status =
+        isolated_node.response_status(ListenerKind::Internal, "POST", "/peer/of-later", &[]);
+    assert_eq!(unknown_path_status, 404);
+    // The process still runs and responds to valid messages.
+    let valid_message_status = isolated_node.response_status(
         ListenerKind::Internal,
         "POST",
         peers::HEARTBEAT_PATH,
-        HEARTBEAT,
+        HEARTBEAT_BYTES,
     );
-    assert_eq!(known, 200);
+    assert_eq!(valid_message_status, 200);
 }
 
-/// A peer whose answer is not understood is there all the same: it is no reason to call the node
-/// unhealthy, or the peer's zone cut off.
+/// Guards against a node that reports itself as unhealthy, or the zone of a peer as isolated, because it cannot decode the
+/// peer's response to a heartbeat: such a response still shows that the peer is reachable.
 #[test]
-fn a_peer_that_is_not_understood_is_reachable() {
-    let mut lone = LoneNode::new();
+fn a_peer_whose_response_cannot_be_decoded_is_reachable() {
+    let mut isolated_node = IsolatedNode::new();
     assert_eq!(
-        lone.status_of(ListenerKind::Public, "GET", "/healthz", &[]),
+        isolated_node.response_status(ListenerKind::Public, "GET", "/healthz", &[]),
         503
     );
-    let heartbeat = |calls: &[String]| calls.iter().position(|c| c == peers::HEARTBEAT_PATH);
-    let sent = heartbeat(&lone.seen.0.borrow().calls).expect("a heartbeat") as u64 + 1;
-    let longer = [HEARTBEAT, &[1, 2, 3]].concat();
-    lone.node.handle_event(TransportEvent::Reply {
-        call: CallId(sent),
-        result: Ok(Response::new(200, longer)),
+    let heartbeat_index =
+        |paths: &[String]| paths.iter().position(|path| path == peers::HEARTBEAT_PATH);
+    let heartbeat_call = heartbeat_index(&isolated_node.network.0.borrow().request_paths)
+        .expect("a heartbeat") as u64
+        + 1;
+    let extended = [HEARTBEAT_BYTES, &[1, 2, 3]].concat();
+    isolated_node.node.handle_event(TransportEvent::Reply {
+        call: CallId(heartbeat_call),
+        result: Ok(Response::new(200, extended)),
     });
     assert_eq!(
-        lone.status_of(ListenerKind::Public, "GET", "/healthz", &[]),
+        isolated_node.response_status(ListenerKind::Public, "GET", "/healthz", &[]),
         200
     );
 }
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -1,4 +1,4 @@
-//! Tables for what comes over the wire: good, odd, and hostile.
+//! Decoding of messages from the network: valid, unusual and hostile input.
 
 use ciborium::Value;
 use lichencrank::coordination::cluster::job::Job;
@@ -8,19 +8,19 @@
 use lichencrank::transport::http::{parse_request, parse_response};
 use lichencrank::types::{JobId, TaskId, Version};
 
-/// Bytes at random must never panic a parser. The seed is fixed.
+/// Randomly changed input must not make a parser panic. The seed is fixed.
 #[test]
-fn noise() {
+fn random_input_does_not_panic() {
     let mut random = fastrand::Rng::with_seed(7);
-    let good = encode(&Value::Map(job_fields()));
+    let valid_body = encode(&Value::Map(job_fields()));
     for _ in 0..20_000 {
-        let mut bytes = good.clone();
+        let mut bytes = valid_body.clone();
         for _ in 0..random.usize(1..6) {
-            let at = random.usize(..bytes.len());
-            bytes[at] = random.u8(..);
+            let position = random.usize(..bytes.len());
+            bytes[position] = random.u8(..);
         }
-        bytes.truncate(random.usize(..=good.len()));
-        // Whatever it is taken for, a job that is accepted keeps within the limits.
+        bytes.truncate(random.usize(..=valid_body.len()));
+        // A changed body may still be a valid job, but then its values are within the limits.
         if let Submission::Valid(spec) = parse_submission(&bytes) {
             assert!(spec.task_count >= 1 && spec.task_count <= 100_000);
             assert!(spec.cpus.0.is_finite() && spec.cpus.0 >= 0.0);
@@ -41,7 +41,7 @@
         (text("urgency"), text("high")),
         (text("pieces"), Value::from(16)),
         (text("cpus"), Value::from(8.0)),
-        // Whole numbers may come as integers.
+        // Whole numbers may be encoded as integers.
         (text("cards"), Value::from(0)),
         (text("ramGb"), Value::from(64.5)),
         (text("bundle"), text("img-07")),
@@ -58,53 +58,55 @@
     ]
 }
 
-fn submission(change: impl FnOnce(&mut Vec<(Value, Value)>)) -> Submission {
+/// Parses the valid job after a change of its fields.
+fn changed_submission(change: impl FnOnce(&mut Vec<(Value, Value)>)) -> Submission {
     let mut fields = job_fields();
     change(&mut fields);
     parse_submission(&encode(&Value::Map(fields)))
 }
 
-fn set(name: &'static str, value: Value) -> impl FnOnce(&mut Vec<(Value, Value)>) {
+fn set_field(name: &'static str, value: Value) -> impl FnOnce(&mut Vec<(Value, Value)>) {
     move |fields| {
         fields.retain(|(k, _)| k.as_text() != Some(name));
         fields.push((Value::Text(name.into()), value));
     }
 }
 
-/// It is malformed, it names a job that may be known, and the message names the field.
+/// Asserts that the submission is invalid, that its job id was decoded, and that the error names the field.
 #[track_caller]
-fn assert_names_field(read: &Submission, name: &str) {
-    match read {
-        Submission::Invalid(JobId(412), why) => assert!(why.contains(name), "{name}: {why}"),
+fn assert_error_names_field(submission: &Submission, name: &str) {
+    match submission {
+        Submission::Invalid(JobId(412), error) => assert!(error.contains(name), "{name}: {error}"),
         other => panic!("{name}: {other:?}"),
     }
 }
 
 #[test]
-fn submissions() {
-    assert!(matches!(submission(|_| {}), Submission::Valid(_)));
+fn submissions_are_validated() {
+    assert!(matches!(changed_submission(|_| {}), Submission::Valid(_)));
     assert!(matches!(
-        submission(set("dueS", Value::Null)),
+        changed_submission(set_field("dueS", Value::Null)),
         Submission::Valid(_)
     ));
-    let service = submission(|fields| {
-        set("shape", Value::from("service"))(fields);
-        set("guessS", Value::from(0.0))(fields);
+    let service = changed_submission(|fields| {
+        set_field("shape", Value::from("service"))(fields);
+        set_field("guessS", Value::from(0.0))(fields);
     });
     assert!(matches!(service, Submission::Valid(spec) if spec.is_service()));
-    // No page says that these are malformed; a service has no run time and no deadline to keep.
+    // The interface does not define an estimate or a deadline of a service as invalid, although a service has neither a run
+    // time nor a deadline to meet.
     for (name, value) in [("guessS", 30.0), ("dueS", 60.0)] {
-        let service = submission(|fields| {
-            set("shape", Value::from("service"))(fields);
-            set(name, Value::from(value))(fields);
+        let service = changed_submission(|fields| {
+            set_field("shape", Value::from("service"))(fields);
+            set_field(name, Value::from(value))(fields);
         });
         assert!(
             matches!(service, Submission::Valid(_)),
             "{name}: {service:?}"
         );
     }
-    // Malformed, but they name a job that may be known: that has to be looked up first.
-    let bad = [
+    // Invalid submissions that name a job. The job may exist already, which has to be looked up before the rejection.
+    let invalid_values = [
         ("pieces", Value::from(0)),
         ("pieces", Value::from(100_001)),
         ("pieces", Value::from(-1)),
@@ -128,53 +130,58 @@
         ("guessS", Value::from(-1.0)),
         ("guessS", Value::Null),
     ];
-    for (name, value) in bad {
+    for (name, value) in invalid_values {
         for shape in ["sweep", "service"] {
-            let read = submission(|fields| {
-                set("shape", Value::from(shape))(fields);
-                set(name, value.clone())(fields);
+            let submission = changed_submission(|fields| {
+                set_field("shape", Value::from(shape))(fields);
+                set_field(name, value.clone())(fields);
             });
-            assert_names_field(&read, name);
+            assert_error_names_field(&submission, name);
         }
     }
     for name in ["jobclass", "crew", "shape", "pieces", "bundle", "guessS"] {
-        let read = submission(|f| f.retain(|(k, _)| k.as_text() != Some(name)));
-        assert_names_field(&read, name);
+        let submission = changed_submission(|f| f.retain(|(k, _)| k.as_text() != Some(name)));
+        assert_error_names_field(&submission, name);
     }
-    // Not even a job's name can be read.
+    // Bodies from which not even the id of a job can be decoded.
     for body in [&b""[..], b"\xff", b"\x80", b"hello", b"\xa1\x63ref\x01"] {
         assert!(
             matches!(parse_submission(body), Submission::Unidentified(_)),
             "{body:?}"
         );
     }
-    let hopeless = submission(set("ref", Value::from("job-12")));
-    assert!(matches!(hopeless, Submission::Unidentified(_)));
+    let invalid_id = changed_submission(set_field("ref", Value::from("job-12")));
+    assert!(matches!(invalid_id, Submission::Unidentified(_)));
 }
 
-/// A deadline of a service is no reason to put it behind those that can still meet theirs.
+/// Guards against treating a service as a late job, which yields to jobs that can still meet their deadlines: a deadline
+/// that is submitted with a service is ignored.
 #[test]
 fn a_service_has_no_deadline() {
-    for (shape, due) in [("sweep", Some(61_000.0)), ("service", None)] {
-        let read = submission(|fields| {
-            set("shape", Value::from(shape))(fields);
-            set("dueS", Value::from(60.0))(fields);
+    for (shape, expected_deadline_ms) in [("sweep", Some(61_000.0)), ("service", None)] {
+        let submission = changed_submission(|fields| {
+            set_field("shape", Value::from(shape))(fields);
+            set_field("dueS", Value::from(60.0))(fields);
         });
-        let Submission::Valid(spec) = read else {
-            panic!("{read:?}");
+        let Submission::Valid(spec) = submission else {
+            panic!("{submission:?}");
         };
         let record = JobRecord {
             spec: *spec,
             submitted_at_ms: 1000,
             tasks_per_record: 16,
         };
-        assert_eq!(Job::new(record, Version(1)).deadline_ms(), due, "{shape}");
+        assert_eq!(
+            Job::new(record, Version(1)).deadline_ms(),
+            expected_deadline_ms,
+            "{shape}"
+        );
     }
 }
 
-/// Deeply nested input must not exhaust the stack.
+/// Deeply nested input must not overflow the stack.
 #[test]
-fn nesting() {
+fn deep_nesting_is_rejected() {
     let mut body = vec![0x81; 60_000];
     body.push(0x01);
     assert!(matches!(
@@ -184,14 +191,14 @@
 }
 
 #[test]
-fn ids() {
-    for good in ["job-000000", "job-000412", "job-1000000"] {
+fn ids_are_parsed_in_canonical_form_only() {
+    for valid in ["job-000000", "job-000412", "job-1000000"] {
         assert_eq!(
-            JobId::parse(good).map(|j| j.to_string()).as_deref(),
-            Some(good)
+            JobId::parse(valid).map(|job| job.to_string()).as_deref(),
+            Some(valid)
         );
     }
-    for bad in [
+    for invalid in [
         "",
         "job-",
         "job-412",
@@ -202,7 +209,7 @@
         "job-+00412",
         "job-9999999999999999999",
     ] {
-        assert_eq!(JobId::parse(bad), None, "{bad}");
+        assert_eq!(JobId::parse(invalid), None, "{invalid}");
     }
     assert_eq!(
         TaskId::parse("job-000412/3"),
@@ -211,12 +218,12 @@
             index: 3
         })
     );
-    for bad in [
+    for invalid in [
         "job-000412",
         "job-000412/",
         "job-000412/-1",
         "job-000412/99999999999",
     ] {
-        assert_eq!(TaskId::parse(bad), None, "{bad}");
+        assert_eq!(TaskId::parse(invalid), None, "{invalid}");
     }
 }
--- a/tests/zones_report.rs
+++ b/tests/zones_report.rs
@@ -1,4 +1,4 @@
-//! What `lichencrank zones` prints, from the record that a leader wrote.
+//! The output of `lichencrank zones` for zones records that a leader has written.
 
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
@@ -11,7 +11,7 @@
 use lichencrank_zones::record::{ZoneRecord, KEY, VERSION};
 use lichencrank_zones::{ZoneState, ZonesRecord};
 
-const DAY_MS: u64 = 1_700_000_000_000;
+const WALL_CLOCK_MS: u64 = 1_700_000_000_000;
 
 fn record() -> ZonesRecord {
     ZonesRecord {
@@ -19,7 +19,7 @@
         zones: vec![ZoneRecord {
             zone: "b".into(),
             state: ZoneState::Lost,
-            since_ms: DAY_MS - 42_000,
+            since_ms: WALL_CLOCK_MS - 42_000,
             penalty: 1616.2,
             suppressed: true,
             machines: 20,
@@ -30,22 +30,22 @@
 }
 
 #[test]
-fn a_zone_is_shown_with_its_evidence() {
-    let lines = render(Some(&record()), DAY_MS);
+fn a_zone_is_printed_with_the_cause_of_its_state() {
+    let lines = render(Some(&record()), WALL_CLOCK_MS);
     let expected = "zone b: lost for 42 s, takes no new work\n  \
         at that change: 19 of 20 machines silent, penalty 1616, 3 waited for the budget\n";
     assert_eq!(lines, expected);
 }
 
 #[test]
-fn a_record_of_another_version_is_said_to_be_one() {
+fn a_record_of_another_version_is_reported() {
     let mut newer = record();
     newer.version += 1;
-    assert!(render(Some(&newer), DAY_MS).contains("another version"));
-    assert!(render(None, DAY_MS).contains("another version"));
+    assert!(render(Some(&newer), WALL_CLOCK_MS).contains("another version"));
+    assert!(render(None, WALL_CLOCK_MS).contains("another version"));
 }
 
-fn settings(state: std::net::SocketAddr) -> Settings {
+fn settings(store: std::net::SocketAddr) -> Settings {
     let text = r#"{
         "host_name": "node-0", "area": "a", "front": "127.0.0.1:1", "internal_addr": "127.0.0.1:2",
         "outside": {"cloud": "127.0.0.1:3", "state": "STATE"},
@@ -56,24 +56,24 @@
             "cloud": {"rps": 10.0}, "resources": {"sockets": 500}
         }
     }"#;
-    let text = text.replace("STATE", &state.to_string());
-    Settings::parse(&text).expect("the settings here")
+    let text = text.replace("STATE", &store.to_string());
+    Settings::parse(&text).expect("valid settings")
 }
 
 #[test]
 fn the_record_is_read_from_the_state_service() {
-    let away = Arc::new(AtomicBool::new(false));
-    let state = start_store(away.clone());
-    let settings = settings(state);
-    assert!(report(&settings).expect("an answer").contains("no record"));
-    let mut client = BlockingClient::new(state, Duration::from_secs(5));
+    let is_unavailable = Arc::new(AtomicBool::new(false));
+    let store = start_store(is_unavailable.clone());
+    let settings = settings(store);
+    assert!(report(&settings).expect("a report").contains("no record"));
+    let mut client = BlockingClient::new(store, Duration::from_secs(5));
     let mut txn = Txn::default();
     txn.changes
         .push(Change::put(KEY.to_owned(), value(&record())));
-    let written = client.execute(&Request::Txn(txn));
-    assert!(matches!(written, Outcome::Committed(_)));
-    let lines = report(&settings).expect("the record");
-    assert!(lines.starts_with("zone b: lost for"), "{lines}");
-    away.store(true, Ordering::SeqCst);
+    let outcome = client.execute(&Request::Txn(txn));
+    assert!(matches!(outcome, Outcome::Committed(_)));
+    let printed = report(&settings).expect("a report of the record");
+    assert!(printed.starts_with("zone b: lost for"), "{printed}");
+    is_unavailable.store(true, Ordering::SeqCst);
     assert!(report(&settings).is_err());
 }
