--- a/src/protocol/cloud.rs
+++ b/src/protocol/cloud.rs
@@ -127,7 +127,7 @@
     /// The host is up.
     #[serde(rename = "running")]
     Running,
-    /// The host failed. It stays in the list until it is released.
+    /// The host stopped without having been released. It stays in the list until it is released.
     #[serde(rename = "failed")]
     Failed,
     /// A state of a later protocol version.
--- a/src/protocol/peers.rs
+++ b/src/protocol/peers.rs
@@ -80,7 +80,7 @@
 }
 
 /// Informs the leader of jobs that are cancelled according to the records. The sender confirms a cancellation to its user
-/// only after the leader has acknowledged it.
+/// only after the leader has acknowledged the job, or once no task of the job is allocated any more.
 #[derive(Clone, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct CancelledJobs {
     /// Numbers of the jobs, as in their ids.
--- a/src/protocol/workers.rs
+++ b/src/protocol/workers.rs
@@ -157,7 +157,7 @@
     /// The leader's term, which is its fencing token.
     #[serde(rename = "baton")]
     pub fencing_token: Term,
-    /// The only incarnation of the worker that may execute the commands.
+    /// Incarnation of the worker that the commands are meant for.
     #[serde(rename = "tenure")]
     pub incarnation: Incarnation,
     /// Commands for the worker.
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -43,7 +43,7 @@
     /// Zone of the controller.
     #[serde(rename = "area")]
     pub zone: String,
-    /// Address on which it listens for other controllers.
+    /// Address on which the controller listens for other controllers.
     #[serde(rename = "addr")]
     pub address: SocketAddr,
 }
@@ -125,7 +125,7 @@
 }
 
 impl Team {
-    /// Guaranteed CPUs and GPUs.
+    /// CPUs and GPUs guaranteed to the team; 0 if nothing is guaranteed.
     pub fn guaranteed(&self) -> (f64, f64) {
         (
             self.guaranteed_cpus.unwrap_or(0.0),
