--- a/src/node/requests.rs
+++ b/src/node/requests.rs
@@ -3,7 +3,12 @@
 use super::*;
 
 impl<N: Network> Node<N> {
-    pub(super) fn on_request(&mut self, conn: ConnId, listener: ListenerKind, request: Request) {
+    pub(super) fn on_request(
+        &mut self,
+        conn: ConnectionId,
+        listener: ListenerKind,
+        request: Request,
+    ) {
         let now = self.net.now();
         let path = request.target.split('?').next().unwrap_or("");
         let method = request.method.as_str();
@@ -12,7 +17,7 @@
         }
         let client = Client {
             conn,
-            relayed: false,
+            is_relayed: false,
         };
         let job = path.strip_prefix("/api/jobs/");
         let cancelled = job.and_then(|j| j.strip_suffix("/withdraw"));
@@ -35,12 +40,14 @@
                     client,
                     &request.body,
                     &self.types,
-                    self.net.time_of_day(),
+                    self.net.wall_clock_ms(),
                     now,
                 );
             }
             ("POST", _, _, Some(id)) => self.api.cancel(client, id, now),
-            ("GET", _, Some(id), None) if !id.contains('/') => self.api.poll(client, id, now),
+            ("GET", _, Some(id), None) if !id.contains('/') => {
+                self.api.query_status(client, id, now)
+            }
             (_, "/healthz" | "/agent/beat" | "/api/jobs", ..) | (_, _, _, Some(_)) => {
                 self.net.respond(conn, &Response::new(405, Vec::new()));
             }
@@ -51,11 +58,17 @@
         }
     }
 
-    pub(super) fn on_peer_request(&mut self, conn: ConnId, method: &str, path: &str, body: &[u8]) {
+    pub(super) fn on_peer_request(
+        &mut self,
+        conn: ConnectionId,
+        method: &str,
+        path: &str,
+        body: &[u8],
+    ) {
         let now = self.net.now();
         let client = Client {
             conn,
-            relayed: true,
+            is_relayed: true,
         };
         let response = match (method, path) {
             ("POST", peers::HEARTBEAT_PATH) => self.on_heartbeat(body),
@@ -63,10 +76,10 @@
             ("POST", peers::RELAY_PATH) => match peers::decode(body) {
                 Ok(RelayedRequest::Submit(job)) => {
                     self.api
-                        .submit(client, &job, &self.types, self.net.time_of_day(), now);
+                        .submit(client, &job, &self.types, self.net.wall_clock_ms(), now);
                     return;
                 }
-                Ok(RelayedRequest::Status(id)) => return self.api.poll(client, &id, now),
+                Ok(RelayedRequest::Status(id)) => return self.api.query_status(client, &id, now),
                 Ok(RelayedRequest::Cancel(id)) => return self.api.cancel(client, &id, now),
                 Err(error) => peer_messages::refusal(path, &error),
             },
@@ -83,7 +96,7 @@
                 .is_some_and(|h| h.is_store_reachable)
         });
         let Some(peer) = fit else {
-            return self.api.on_relayed(id, None, now);
+            return self.api.on_relay_response(id, None, now);
         };
         let to = peer.addr;
         let call = peer_messages::send(&mut self.net, to, peers::RELAY_PATH, relay, RELAY_TIMEOUT);
@@ -91,7 +104,7 @@
             Some(call) => {
                 self.relays.insert(call, id);
             }
-            None => self.api.on_relayed(id, None, now),
+            None => self.api.on_relay_response(id, None, now),
         }
     }
 
--- a/src/quota_report.rs
+++ b/src/quota_report.rs
@@ -48,7 +48,7 @@
             *ledger.external_charges.entry(allowance).or_default() += usage;
         }
         match page.items.last() {
-            Some(last) if page.more => after = last.key.clone(),
+            Some(last) if page.has_more => after = last.key.clone(),
             _ => return Ok(()),
         }
     }
--- a/src/zones_report.rs
+++ b/src/zones_report.rs
@@ -44,7 +44,7 @@
 
 fn render_zone(out: &mut String, zone: &ZoneRecord, wall_clock_ms: u64) {
     let state_age_s = wall_clock_ms.saturating_sub(zone.since_ms) / 1000;
-    let suppressed_suffix = if zone.suppressed {
+    let suppressed_suffix = if zone.is_suppressed {
         ", takes no new work"
     } else {
         ""
@@ -57,6 +57,6 @@
     let _ = writeln!(
         out,
         "  at that change: {} of {} machines silent, penalty {:.0}, {} waited for the budget",
-        zone.silent, zone.machines, zone.penalty, zone.waiting
+        zone.silent_hosts, zone.hosts, zone.penalty, zone.waiting_hosts
     );
 }
--- a/tests/versions.rs
+++ b/tests/versions.rs
@@ -15,7 +15,7 @@
 use lichencrank::storage::records::{self, AllocationEntry, JobRecord, RunRecord, RunRecordId};
 use lichencrank::storage::records::{LeaderRecord, OutcomeRecord, TermRecord, UnarchivedOutcome};
 use lichencrank::transport::{
-    CallId, ConnId, ListenerKind, Network, Request, Response, SocketUsage, TransportEvent,
+    CallId, ConnectionId, ListenerKind, Network, Request, Response, SocketUsage, TransportEvent,
 };
 use lichencrank::types::{Attempt, HostName, Incarnation, JobId, Time};
 use lichencrank_store::value;
@@ -457,11 +457,11 @@
         Time(self.0.borrow().now_ms)
     }
 
-    fn time_of_day(&self) -> u64 {
+    fn wall_clock_ms(&self) -> u64 {
         1_700_000_000_000
     }
 
-    fn respond(&mut self, conn: ConnId, response: &Response) {
+    fn respond(&mut self, conn: ConnectionId, response: &Response) {
         let sent_response = (conn.serial, response.status);
         self.0.borrow_mut().responses.push(sent_response);
     }
@@ -524,7 +524,7 @@
         body: &[u8],
     ) -> u16 {
         self.request_count += 1;
-        let conn = ConnId {
+        let connection = ConnectionId {
             slot: 0,
             serial: self.request_count,
         };
@@ -535,7 +535,7 @@
             close: false,
         };
         self.node.handle_event(TransportEvent::Request {
-            conn,
+            connection,
             listener,
             request,
         });
