--- a/crates/zones/src/damping.rs
+++ b/crates/zones/src/damping.rs
@@ -1,5 +1,6 @@
-//! Flap damping, as for routes in RFC 2439: each loss adds a penalty that decays exponentially. At the
-//! suppress threshold a zone is suppressed, until the penalty has decayed below the reuse threshold.
+//! Flap damping, as for routes in RFC 2439: each loss of a zone adds to its penalty, which decays exponentially.
+//! A zone whose penalty reaches the suppress threshold is suppressed until the penalty has decayed below the
+//! reuse threshold.
 
 use std::time::Duration;
 
@@ -7,7 +8,7 @@
 
 use crate::settings::DampingSettings;
 
-/// The penalty of one zone.
+/// The penalty of one zone, and whether the zone is suppressed.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct FlapDamping {
     /// The penalty as of `updated_at`.
@@ -17,8 +18,8 @@
 }
 
 impl FlapDamping {
-    /// Continues with a penalty that was recorded `age` ago. One that is not a number counts as 0, one
-    /// above the ceiling as the ceiling.
+    /// Restores a penalty that was recorded `age` ago. A penalty that is not finite counts as 0, one above
+    /// the ceiling as the ceiling.
     pub fn restore(
         penalty: f64,
         is_suppressed: bool,
@@ -35,7 +36,8 @@
         }
     }
 
-    /// The zone was lost once more.
+    /// Adds the penalty of a loss, up to the ceiling, and suppresses the zone if the penalty reaches the
+    /// suppress threshold.
     pub fn on_loss(&mut self, now: Time, settings: &DampingSettings) {
         let penalty = self.penalty(now, settings) + settings.penalty_per_loss;
         self.penalty = penalty.min(settings.ceiling);
@@ -50,12 +52,13 @@
         }
     }
 
-    /// The penalty as of `now`.
+    /// The penalty, decayed until `now`.
     pub fn penalty(&self, now: Time, settings: &DampingSettings) -> f64 {
         decayed(self.penalty, now.since(self.updated_at), settings)
     }
 
-    /// Whether the zone is suppressed, as of the last [`FlapDamping::update`]: it takes no new work.
+    /// Whether the zone was suppressed at the last [`FlapDamping::on_loss`] or [`FlapDamping::update`]. A
+    /// suppressed zone takes no new tasks.
     pub fn is_suppressed(&self) -> bool {
         self.is_suppressed
     }
--- a/crates/zones/src/displacement.rs
+++ b/crates/zones/src/displacement.rs
@@ -1,21 +1,22 @@
-//! The order in which machines of a lost zone are given up: those whose work loses most by waiting first.
+//! The order in which silent hosts of a lost zone are released: those whose tasks lose most by waiting come
+//! first.
 
-/// How urgent the most urgent work on a machine is. Smaller values are more urgent; the fields are
-/// compared in their order.
+/// The urgency of the most urgent task on a host. Smaller values are more urgent; the fields are compared in
+/// the order of their declaration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Urgency {
-    /// Rank of its priority, 0 for the highest.
+    /// Rank of the task's priority, 0 for the highest.
     pub priority: u8,
-    /// Whether its team uses more than its guarantee.
+    /// Whether the task's team uses more than its guarantee.
     pub is_over_guarantee: bool,
-    /// When it is due, in milliseconds since the Unix epoch; `u64::MAX` without a deadline.
+    /// The task's deadline, in milliseconds since the Unix epoch; `u64::MAX` if it has none.
     pub deadline_ms: u64,
-    /// Work that is lost if its machine is given up, in milliseconds.
+    /// Run time that would have to be repeated if the host were released, in milliseconds.
     pub work_lost_ms: u64,
 }
 
 impl Urgency {
-    /// Of a machine without work, which goes last.
+    /// The urgency of a host without tasks, which is released last.
     pub const IDLE: Urgency = Urgency {
         priority: u8::MAX,
         is_over_guarantee: true,
@@ -24,18 +25,18 @@
     };
 }
 
-/// A silent machine that may be given up.
+/// A silent host that may be released.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Candidate<M> {
-    /// Id of the machine.
+    /// Id of the host.
     pub host: M,
-    /// Name of its zone.
+    /// Name of the host's zone.
     pub zone: String,
-    /// How urgent the most urgent work on it is.
+    /// Urgency of the most urgent task on the host.
     pub urgency: Urgency,
 }
 
-/// Puts the most urgent candidates first. Equally urgent ones are ordered by their ids, so that the result
+/// Sorts the candidates, the most urgent first. Equally urgent ones are sorted by host id, so that the result
 /// doesn't depend on the order of the input.
 pub(crate) fn sort_by_urgency<M: Ord>(candidates: &mut [Candidate<M>]) {
     candidates.sort_by(|a, b| {
--- a/crates/zones/src/lib.rs
+++ b/crates/zones/src/lib.rs
@@ -1,17 +1,17 @@
-//! Decides whether a zone is lost, which machines in it are given up, in which order and at what rate,
-//! and how new work returns to it once it is back.
+//! Decides whether a zone is lost, which of its hosts are released, in which order and at what rate, and how
+//! many new tasks it takes once it returns.
 //!
-//! [`ZoneTracker`] is fed with what a scheduler observes of each zone and with the time. Nothing here
-//! does input or output, and nothing here ends an allocation: the scheduler releases the machines that
-//! [`ZoneTracker::displace`] returns and waits for the proof that they are gone.
+//! [`ZoneTracker`] takes the time and what a scheduler observes of each zone. This crate does no input or
+//! output and ends no allocation: the scheduler releases the hosts that [`ZoneTracker::displace`] returns, and
+//! waits for the proof that they are gone.
 //!
-//! - [`observation`]: what is observed of a zone, and whether that means that it is disrupted.
-//! - [`state`]: the states of a zone and what leads from one to the next.
-//! - [`damping`]: flap damping, a penalty for zones that are lost again and again.
-//! - [`displacement`]: the order in which machines are given up.
-//! - [`record`]: what is stored for the next leader.
-//! - [`settings`]: thresholds and budgets, with their ranges.
-//! - [`tracker`]: all zones together.
+//! - [`observation`]: what is observed of a zone, and whether the zone is therefore disrupted.
+//! - [`state`]: the states of a zone and the transitions between them.
+//! - [`damping`]: flap damping, a penalty for zones that are lost repeatedly.
+//! - [`displacement`]: the order in which hosts are released.
+//! - [`record`]: the record that is stored for the next leader.
+//! - [`settings`]: thresholds and budgets, with their valid ranges.
+//! - [`tracker`]: the state of all zones, and the decisions based on it.
 
 pub mod damping;
 pub mod displacement;
--- a/crates/zones/src/observation.rs
+++ b/crates/zones/src/observation.rs
@@ -1,4 +1,4 @@
-//! What a scheduler observes of a zone, and whether that means that the zone is disrupted.
+//! What a scheduler observes of a zone, and whether the zone is therefore disrupted.
 
 /// Whether the controllers of a zone answer the observer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -6,47 +6,47 @@
     /// The zone has no controller.
     #[default]
     NoController,
-    /// At least one answers, or the observer itself is in the zone.
+    /// At least one controller answers, or the observer itself is in the zone.
     Reachable,
-    /// None answers.
+    /// The zone has controllers, but none answers.
     Unreachable,
 }
 
-/// What is observed of one machine.
+/// What is observed of one host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct HostObservation {
-    /// Whether its heartbeats are missing, or it doesn't receive commands.
+    /// Whether the host's heartbeats are missing, or it doesn't receive commands.
     pub is_silent: bool,
-    /// Whether it is a spot machine, which the cloud may take back at any time.
+    /// Whether it is a spot host, which the cloud may reclaim at any time.
     pub is_spot: bool,
 }
 
 /// What is observed of one zone at one time.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ZoneObservation {
-    /// Machines whose heartbeats some leader has received and that were not given up. Machines that still
-    /// boot don't count: their silence says nothing.
+    /// Hosts that have sent a heartbeat to some leader, or should have by now, and that are not being
+    /// released. Hosts that may still be booting don't count: their silence says nothing about the zone.
     pub hosts: usize,
-    /// How many of the machines are silent.
+    /// How many of the hosts are silent.
     pub silent_hosts: usize,
-    /// How many of the machines are on-demand, not spot ones.
+    /// How many of the hosts are on-demand hosts rather than spot hosts.
     pub on_demand_hosts: usize,
-    /// How many of the on-demand machines are silent.
+    /// How many of the on-demand hosts are silent.
     pub silent_on_demand_hosts: usize,
     /// Whether the zone's controllers answer.
     pub controllers: ControllerReach,
 }
 
-/// So few silent machines may have failed independently; only if the controllers don't answer either do
-/// they prove anything about the zone.
+/// Fewer silent hosts than this may have failed independently. They count as a disruption of the zone only if
+/// they are all of its hosts and its controllers don't answer either.
 const MIN_SILENT_HOSTS: usize = 3;
-/// A zone is disrupted if more than one in that many machines is silent.
+/// A zone is disrupted if more than one in this many of its hosts is silent.
 const DISRUPTED_DIVISOR: usize = 2;
-/// Up to one in that many machines may be silent without the zone being the cause.
+/// Up to one in this many hosts of a healthy zone may be silent, having failed independently.
 const INDEPENDENT_FAILURES_DIVISOR: usize = 10;
 
 impl ZoneObservation {
-    /// Counts one machine.
+    /// Counts one host.
     pub fn add(&mut self, host: HostObservation) {
         self.hosts += 1;
         self.silent_hosts += usize::from(host.is_silent);
@@ -56,8 +56,8 @@
         }
     }
 
-    /// Whether machines and controllers together show that the zone is cut off, rather than that machines
-    /// failed independently.
+    /// Whether hosts and controllers together show that the zone is cut off, rather than that hosts failed
+    /// independently.
     pub fn is_disrupted(&self) -> bool {
         let unreachable = self.controllers == ControllerReach::Unreachable;
         if self.silent_hosts < MIN_SILENT_HOSTS {
@@ -69,18 +69,18 @@
         self.most_are_silent()
     }
 
-    /// Whether at least half of the machines respond, which proves that the zone is reachable.
+    /// Whether at least half of the hosts respond, which proves that the zone is reachable.
     pub fn most_hosts_respond(&self) -> bool {
         self.hosts > 0 && !self.is_disrupted() && !self.most_are_silent()
     }
 
-    /// Whether no more machines are silent than fail independently.
+    /// Whether so few hosts are silent that they may have failed independently.
     pub fn nearly_all_hosts_respond(&self) -> bool {
         self.silent_hosts < MIN_SILENT_HOSTS
             || self.silent_hosts * INDEPENDENT_FAILURES_DIVISOR <= self.hosts
     }
 
-    /// Whether there is no machine that could respond, and nothing shows that new ones could not.
+    /// Whether the zone has no host that could respond, and nothing shows that new hosts couldn't.
     pub fn is_empty_and_reachable(&self) -> bool {
         self.hosts == 0 && self.controllers != ControllerReach::Unreachable
     }
@@ -89,7 +89,7 @@
         self.silent_hosts * DISRUPTED_DIVISOR > self.hosts
     }
 
-    /// The cloud has taken spot machines back; the on-demand ones of the zone still respond.
+    /// Whether on-demand hosts exist and all respond: the cloud has then reclaimed the silent spot hosts.
     fn only_spot_hosts_are_silent(&self) -> bool {
         self.on_demand_hosts > 0 && self.silent_on_demand_hosts == 0
     }
--- a/crates/zones/src/record.rs
+++ b/crates/zones/src/record.rs
@@ -1,45 +1,45 @@
-//! What is kept in the state service, so that the next leader continues. A record that is absent, of
-//! another version or unreadable means that every zone is healthy; it never stops anything.
+//! The record of all zones in the state service, from which the next leader restores their states. If the
+//! record is absent, unreadable or of another version, every zone counts as healthy; it never stops the leader.
 
 use serde::{Deserialize, Serialize};
 
 use crate::state::ZoneState;
 
-/// Key of the record.
+/// Key of the record in the state service.
 pub const KEY: &str = "zones";
-/// Version of the layout below.
+/// Version of the record's layout.
 pub const VERSION: u32 = 1;
 
-/// All zones that a leader has observed.
+/// The record of all zones that a leader has observed.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ZonesRecord {
-    /// Version of the layout.
+    /// Version of the record's layout.
     pub version: u32,
     /// The zones, by name.
     pub zones: Vec<ZoneRecord>,
 }
 
-/// One zone.
+/// The record of one zone. Some fields have other names in the stored form, given as `rename`.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ZoneRecord {
-    /// Its name.
+    /// Name of the zone.
     pub zone: String,
-    /// Its state.
+    /// State of the zone.
     pub state: ZoneState,
-    /// When it entered that state, in milliseconds since the Unix epoch.
+    /// When the zone entered that state, in milliseconds since the Unix epoch.
     pub since_ms: u64,
-    /// Its penalty at that time.
+    /// Penalty of the zone when it entered that state.
     pub penalty: f64,
-    /// Whether it was suppressed.
+    /// Whether the zone was suppressed when the record was written.
     #[serde(rename = "suppressed")]
     pub is_suppressed: bool,
-    /// Its machines when the record was written.
+    /// Hosts of the zone when the record was written.
     #[serde(rename = "machines", default)]
     pub hosts: u64,
-    /// How many of them were silent.
+    /// How many of these hosts were silent.
     #[serde(rename = "silent", default)]
     pub silent_hosts: u64,
-    /// How many silent machines waited for the displacement budget.
+    /// How many silent hosts waited for the displacement budget.
     #[serde(rename = "waiting", default)]
     pub waiting_hosts: u64,
 }
--- a/crates/zones/src/return_ramp.rs
+++ b/crates/zones/src/return_ramp.rs
@@ -1,17 +1,17 @@
-//! How much new work a returning zone takes: a rate that doubles until the zone is healthy.
+//! The rate at which a returning zone takes new tasks. It doubles at intervals until the zone is healthy.
 
 use std::time::Duration;
 
 use crate::settings::ZoneSettings;
 use crate::token_bucket::{BucketLimits, RefillRate};
 
-/// After so many doublings the rate is no limit any more, and its exponent stays finite.
+/// The rate stops growing after this many doublings: it no longer limits anything, and has to stay finite.
 const MAX_DOUBLINGS: f64 = 32.0;
-/// The smallest rate, in tasks a second, however small the zone.
+/// The lowest rate, in tasks per second, however small the zone.
 const MIN_TASKS_PER_SECOND: f64 = 1.0;
 
-/// The limits on new tasks in a zone of that many machines that has been returning for that long. What
-/// is not used is saved for one second at the most.
+/// The limits on new tasks in a zone with `host_count` hosts that has been in the state `returning` for
+/// `returning_for`. Unused tokens accumulate for at most one second.
 pub(crate) fn limits(
     host_count: usize,
     returning_for: Duration,
--- a/crates/zones/src/settings.rs
+++ b/crates/zones/src/settings.rs
@@ -1,4 +1,4 @@
-//! What operators set, and which values are valid.
+//! The settings of zone tracking, and which values are valid.
 
 use std::time::Duration;
 
@@ -10,32 +10,33 @@
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct ZoneSettings {
-    /// How long a zone has to be disrupted until it is lost, in seconds.
+    /// How long a zone has to be disrupted before it is lost, in seconds.
     pub lost_after_s: f64,
-    /// While every zone is disrupted, the observer may be the one that is cut off: for how long it gives
-    /// up nothing, in seconds. Also, after that time an emptied zone is tried again.
+    /// For how long no host is released while every zone is disrupted, in seconds: the observer itself may
+    /// be the one that is cut off. A lost zone without hosts returns after the same time, so that new hosts
+    /// show whether it works again.
     #[serde(rename = "isolation_patience_s")]
     pub isolation_timeout_s: f64,
-    /// Share of a zone's machines that may be given up at once.
+    /// Share of a zone's hosts that may be released at once.
     #[serde(rename = "displaced_at_once")]
     pub displacement_burst: f64,
-    /// Share of a zone's machines that may be given up in a minute.
+    /// Share of a zone's hosts that may be released per minute.
     #[serde(rename = "displaced_per_minute")]
     pub displacement_per_minute: f64,
-    /// Share of all machines that may be provisioned at once while a zone is lost.
+    /// Hosts that may be provisioned at once while a zone is lost, as a share of all hosts.
     #[serde(rename = "rented_at_once")]
     pub provisioning_burst: f64,
-    /// Share of all machines that may be provisioned in a minute while a zone is lost.
+    /// Hosts that may be provisioned per minute while a zone is lost, as a share of all hosts.
     #[serde(rename = "rented_per_minute")]
     pub provisioning_per_minute: f64,
-    /// Tasks that a returning zone takes in a second at first, as a share of its machines.
+    /// New tasks per second that a returning zone takes at first, as a share of its hosts.
     #[serde(rename = "return_share")]
     pub return_initial_share: f64,
-    /// After how long that rate doubles, again and again, in seconds.
+    /// Interval at which that rate doubles, in seconds.
     pub return_doubling_s: f64,
-    /// How long a zone has to be back until it is healthy, in seconds.
+    /// How long a zone has to be returning before it is healthy, in seconds.
     pub return_window_s: f64,
-    /// Penalties for zones that are lost again and again.
+    /// Flap damping of zones that are lost repeatedly.
     pub damping: DampingSettings,
 }
 
@@ -63,12 +64,12 @@
     /// What each loss adds to the penalty.
     #[serde(rename = "per_loss")]
     pub penalty_per_loss: f64,
-    /// After how long without a loss half of the penalty is left, in seconds.
+    /// Time without a loss in which the penalty falls by half, in seconds.
     pub half_life_s: f64,
-    /// From this penalty on the zone is suppressed.
+    /// A zone whose penalty reaches this value is suppressed.
     #[serde(rename = "suppress")]
     pub suppress_threshold: f64,
-    /// Below this penalty it no longer is.
+    /// Once the penalty is below this value, the zone is no longer suppressed.
     #[serde(rename = "reuse")]
     pub reuse_threshold: f64,
     /// The highest penalty.
@@ -88,24 +89,24 @@
 }
 
 impl DampingSettings {
-    /// The longest time for which a zone is suppressed after its last loss.
+    /// The longest time for which a zone stays suppressed after its last loss.
     pub fn max_suppression(&self) -> Duration {
         let half_lives = (self.ceiling / self.reuse_threshold).log2().max(0.0);
         Duration::from_secs_f64(half_lives * self.half_life_s)
     }
 }
 
-/// A setting is out of its range.
+/// A setting has a value that is not valid.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("{field}: must be {expected}")]
 pub struct SettingsError {
     /// Name of the field in settings files.
     pub field: &'static str,
-    /// What it must be.
+    /// The values that are valid.
     pub expected: &'static str,
 }
 
-/// The values that a field may have, both ends included.
+/// The valid values of a field, both ends included.
 struct Range {
     min: f64,
     max: f64,
@@ -117,7 +118,7 @@
     max: 86_400.0,
     expected: "from 0.1 to 86400 seconds",
 };
-/// A share of 0 would keep the work of a lost zone waiting for ever.
+/// With a share of 0, the tasks of a lost zone would wait forever.
 const SHARE: Range = Range {
     min: 0.001,
     max: 100.0,
@@ -149,7 +150,7 @@
 }
 
 impl ZoneSettings {
-    /// Checks the ranges, and that the thresholds are in order.
+    /// Checks the ranges of all fields and the order of the damping thresholds.
     ///
     /// # Errors
     ///
@@ -168,17 +169,17 @@
         self.damping.validate_penalties()
     }
 
-    /// How long a zone has to be disrupted until it is lost.
+    /// How long a zone has to be disrupted before it is lost.
     pub(crate) fn lost_after(&self) -> Duration {
         Duration::from_secs_f64(self.lost_after_s)
     }
 
-    /// How long an observer that finds all zones disrupted gives up nothing.
+    /// How long an observer that finds all zones disrupted releases no host.
     pub(crate) fn isolation_timeout(&self) -> Duration {
         Duration::from_secs_f64(self.isolation_timeout_s)
     }
 
-    /// How long a zone has to be back until it is healthy.
+    /// How long a zone has to be returning before it is healthy.
     pub(crate) fn return_window(&self) -> Duration {
         Duration::from_secs_f64(self.return_window_s)
     }
--- a/crates/zones/src/state.rs
+++ b/crates/zones/src/state.rs
@@ -1,5 +1,4 @@
-//! The states of a zone, and what leads from one to the next. `ZoneStateMachine::enter` is the one function
-//! that changes them.
+//! The states of a zone and the transitions between them. Only `ZoneStateMachine::enter` changes a state.
 
 use std::fmt;
 use std::time::Duration;
@@ -14,14 +13,16 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ZoneState {
-    /// Nothing shows that it is disrupted.
+    /// Nothing shows that the zone is disrupted.
     #[default]
     Healthy,
-    /// It is disrupted, perhaps only for a moment.
+    /// The zone is disrupted, perhaps only for a moment.
     Suspected,
-    /// It has been disrupted for longer: its silent machines are given up, within the budget.
+    /// The zone has been disrupted for the configured time: its silent hosts are released, within the
+    /// displacement budget.
     Lost,
-    /// Most of its machines respond again: it takes new work at a growing rate.
+    /// Most hosts of the zone respond again, or it has no hosts and is tried again: it takes new tasks at a
+    /// growing rate.
     Returning,
 }
 
@@ -38,7 +39,7 @@
         )
     }
 
-    /// Whether the zone is disrupted at present, so that no machine is provisioned there.
+    /// Whether the zone is disrupted in this state, so that no host is provisioned there.
     pub fn is_disrupted(self) -> bool {
         matches!(self, ZoneState::Suspected | ZoneState::Lost)
     }
@@ -55,16 +56,16 @@
     }
 }
 
-/// A change of a zone's state, with what it is based on.
+/// A change of a zone's state, with the observation that caused it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ZoneTransition {
     /// Name of the zone.
     pub zone: String,
-    /// The state before.
+    /// The previous state.
     pub from: ZoneState,
-    /// The state from now on.
+    /// The new state.
     pub to: ZoneState,
-    /// What was observed of the zone at that time.
+    /// The observation that caused the change.
     pub observation: ZoneObservation,
 }
 
@@ -76,7 +77,7 @@
 }
 
 impl ZoneStateMachine {
-    /// Continues in a state that was entered at that time.
+    /// Restores a state that was entered at `since`.
     pub(crate) fn restore(state: ZoneState, since: Time) -> ZoneStateMachine {
         ZoneStateMachine { state, since }
     }
@@ -90,8 +91,9 @@
         self.since
     }
 
-    /// The state that follows from an observation, if it is another one than the present.
-    /// `is_observer_isolated` says that the observer finds all zones disrupted.
+    /// The state that follows from an observation, if it differs from the present one.
+    /// `is_observer_isolated` says whether the observer may be the one that is cut off, as it finds all
+    /// zones disrupted.
     pub(crate) fn next(
         &self,
         observation: &ZoneObservation,
@@ -99,36 +101,36 @@
         now: Time,
         settings: &ZoneSettings,
     ) -> Option<ZoneState> {
-        let disrupted = observation.is_disrupted();
+        let is_disrupted = observation.is_disrupted();
         let has_lasted = |duration: Duration| now.since(self.since) >= duration;
         match self.state {
-            ZoneState::Healthy => disrupted.then_some(ZoneState::Suspected),
-            ZoneState::Suspected if !disrupted => Some(ZoneState::Healthy),
+            ZoneState::Healthy => is_disrupted.then_some(ZoneState::Suspected),
+            ZoneState::Suspected if !is_disrupted => Some(ZoneState::Healthy),
             ZoneState::Suspected => {
-                let lost = !is_observer_isolated && has_lasted(settings.lost_after());
-                lost.then_some(ZoneState::Lost)
+                let is_lost = !is_observer_isolated && has_lasted(settings.lost_after());
+                is_lost.then_some(ZoneState::Lost)
             }
             ZoneState::Lost => {
-                // No machine is left that could respond: new ones show whether the zone is back.
-                let retry_emptied =
+                // No host is left that could respond: only new hosts can show whether the zone works again.
+                let is_retry_due =
                     observation.hosts == 0 && has_lasted(settings.isolation_timeout());
-                let returning = observation.most_hosts_respond()
+                let is_returning = observation.most_hosts_respond()
                     || observation.is_empty_and_reachable()
-                    || retry_emptied;
-                returning.then_some(ZoneState::Returning)
+                    || is_retry_due;
+                is_returning.then_some(ZoneState::Returning)
             }
-            ZoneState::Returning if disrupted => Some(ZoneState::Lost),
+            ZoneState::Returning if is_disrupted => Some(ZoneState::Lost),
             ZoneState::Returning => {
-                // Machines that stay silent then have failed by themselves. While there are many, they are
-                // still given up within the zone's budget.
-                let healthy =
+                // The few hosts that are still silent after the return window have failed independently. While
+                // more are silent, the zone keeps returning, so that they are released within its budget.
+                let is_healthy =
                     observation.nearly_all_hosts_respond() && has_lasted(settings.return_window());
-                healthy.then_some(ZoneState::Healthy)
+                is_healthy.then_some(ZoneState::Healthy)
             }
         }
     }
 
-    /// The one place where the state changes.
+    /// Enters a state, to which a transition from the present one has to exist.
     pub(crate) fn enter(&mut self, state: ZoneState, now: Time) {
         debug_assert!(self.state.may_become(state), "{} -> {state}", self.state);
         self.state = state;
--- a/crates/zones/src/token_bucket.rs
+++ b/crates/zones/src/token_bucket.rs
@@ -1,34 +1,34 @@
-//! A token bucket, which bounds how many machines are given up or provisioned, and how many tasks are
-//! placed: a burst at once, and a rate in the long run.
+//! A token bucket, which limits how many hosts are released or provisioned and how many tasks are placed: a
+//! burst at once, and a rate in the long run.
 
 use lichencrank_store::Time;
 
 const SECONDS_PER_MINUTE: f64 = 60.0;
-/// The smallest burst, in machines. Even in the smallest zone something has to move, or its work would
-/// wait for ever.
+/// The smallest burst, in hosts. The share of a very small zone may be less than one host, so that without a
+/// minimum its tasks would wait forever.
 const MIN_BURST: f64 = 2.0;
-/// The smallest rate, in machines a minute.
+/// The lowest rate, in hosts per minute.
 const MIN_PER_MINUTE: f64 = 6.0;
 
-/// A bucket of tokens, one for each machine or task. Its limits may change from call to call, as the
-/// number of machines does.
+/// A bucket of tokens, one for each host or task. Its limits may change from call to call, as the number of
+/// hosts does.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub(crate) struct TokenBucket {
     tokens: f64,
     refilled_at: Time,
 }
 
-/// How fast a bucket refills, in tokens.
+/// How many tokens a bucket is refilled with per unit of time.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum RefillRate {
     PerSecond(f64),
     PerMinute(f64),
 }
 
-/// Size and refill rate of a bucket.
+/// The size and refill rate of a bucket.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct BucketLimits {
-    /// The most tokens that it holds, which may be taken at once.
+    /// The most tokens that the bucket holds, all of which may be taken at once.
     pub(crate) burst: f64,
     pub(crate) rate: RefillRate,
 }
@@ -43,7 +43,8 @@
 }
 
 impl BucketLimits {
-    /// Limits that are shares of a number of machines: `burst` at once and `per_minute` in a minute.
+    /// Limits for `host_count` hosts, of which a share of `burst_share` may be used at once and a share of
+    /// `per_minute_share` per minute.
     pub(crate) fn for_hosts(
         host_count: usize,
         burst_share: f64,
@@ -76,14 +77,14 @@
 
     /// How many tokens may be taken now.
     pub(crate) fn available(&mut self, now: Time, limits: BucketLimits) -> usize {
-        let passed_s = now.since(self.refilled_at).as_secs_f64();
-        let refilled = self.tokens + limits.rate.tokens_in(passed_s);
+        let elapsed_s = now.since(self.refilled_at).as_secs_f64();
+        let refilled = self.tokens + limits.rate.tokens_in(elapsed_s);
         self.tokens = refilled.min(limits.burst);
         self.refilled_at = now;
         self.tokens as usize
     }
 
-    /// Takes that many tokens, at most what [`TokenBucket::available`] returned.
+    /// Takes `count` tokens, at most as many as [`TokenBucket::available`] returned.
     pub(crate) fn take(&mut self, count: usize) {
         self.tokens = (self.tokens - count as f64).max(0.0);
     }
--- a/crates/zones/src/tracker.rs
+++ b/crates/zones/src/tracker.rs
@@ -1,4 +1,4 @@
-//! All zones together.
+//! The state of all zones, and the decisions on displacement, provisioning and admission based on it.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -13,36 +13,36 @@
 use crate::token_bucket::{BucketLimits, TokenBucket};
 use crate::zone::Zone;
 
-/// What operators are shown of a zone.
+/// The status of a zone, as operators are shown it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ZoneStatus {
-    /// Its state.
+    /// State of the zone.
     pub state: ZoneState,
-    /// When it entered that state.
+    /// When the zone entered that state.
     pub since: Time,
-    /// Its present penalty.
+    /// Present penalty of the zone.
     pub penalty: f64,
-    /// Whether it takes no new work because of its penalty.
+    /// Whether the zone takes no new tasks because of its penalty.
     pub is_suppressed: bool,
-    /// Silent machines that wait for the displacement budget.
+    /// Silent hosts that wait for the displacement budget.
     pub waiting_hosts: usize,
 }
 
-/// Decides for all zones.
+/// Tracks all zones and decides on displacement, provisioning and admission.
 #[derive(Clone, Debug)]
 pub struct ZoneTracker {
     settings: ZoneSettings,
     zones: BTreeMap<String, Zone>,
-    /// Machines that may be provisioned while a zone is lost, in all zones together.
+    /// Hosts that may be provisioned while a zone is lost, in all zones together.
     provisioning_budget: TokenBucket,
-    /// Since when all zones with machines have been disrupted.
+    /// Since when all zones with hosts have been disrupted.
     isolated_since: Option<Time>,
     /// Whether states have changed since the record was last written.
     is_record_outdated: bool,
 }
 
 impl ZoneTracker {
-    /// A tracker that knows of no zone yet. The settings have to be valid ([`ZoneSettings::validate`]).
+    /// A tracker that knows no zones yet. The settings have to be valid, see [`ZoneSettings::validate`].
     pub fn new(settings: ZoneSettings, now: Time) -> ZoneTracker {
         ZoneTracker {
             settings,
@@ -53,8 +53,9 @@
         }
     }
 
-    /// Takes in observations of all zones, by name, and returns the changes of state that follow. Of a
-    /// zone that is missing nothing is observed; one without a name is ignored.
+    /// Processes the observations of all zones, by name, and returns the changes of state that follow. A
+    /// known zone that is missing counts as one without hosts or controllers; a zone with an empty name is
+    /// ignored.
     pub fn observe(
         &mut self,
         observations: &BTreeMap<String, ZoneObservation>,
@@ -76,8 +77,7 @@
         transitions
     }
 
-    /// Notes since when all zones with machines have been disrupted. Returns whether the observer is
-    /// isolated.
+    /// Updates since when all zones with hosts have been disrupted. Returns whether the observer is isolated.
     fn detect_isolation(
         &mut self,
         observations: &BTreeMap<String, ZoneObservation>,
@@ -87,9 +87,9 @@
             .values()
             .filter(|zone| zone.hosts > 0)
             .peekable();
-        let all_disrupted = zones_with_hosts.peek().is_some()
+        let are_all_disrupted = zones_with_hosts.peek().is_some()
             && zones_with_hosts.all(ZoneObservation::is_disrupted);
-        if !all_disrupted {
+        if !are_all_disrupted {
             self.isolated_since = None;
             return false;
         }
@@ -97,34 +97,34 @@
         self.is_isolated(now)
     }
 
-    /// Whether all zones with machines are disrupted, so that the observer itself may be the one that is
-    /// cut off. After [`ZoneSettings::isolation_timeout_s`] it no longer counts as isolated.
+    /// Whether all zones with hosts are disrupted, so that the observer itself may be the one that is cut
+    /// off. After [`ZoneSettings::isolation_timeout_s`] it no longer counts as isolated.
     pub fn is_isolated(&self, now: Time) -> bool {
         let timeout = self.settings.isolation_timeout();
         self.isolated_since
             .is_some_and(|since| now.since(since) < timeout)
     }
 
-    /// The state of a zone; one that was never observed is healthy.
+    /// The state of a zone. A zone that was never observed is healthy.
     pub fn state(&self, zone: &str) -> ZoneState {
         self.zones.get(zone).map_or(ZoneState::Healthy, Zone::state)
     }
 
-    /// How long a zone has been in its state; zero for one that was never observed.
+    /// How long a zone has been in its state; zero if it was never observed.
     pub fn time_in_state(&self, zone: &str, now: Time) -> Duration {
         let zone = self.zones.get(zone);
         zone.map_or(Duration::ZERO, |zone| zone.time_in_state(now))
     }
 
-    /// Whether a zone is in any other state than healthy. Its silent machines are then given up by
-    /// [`ZoneTracker::displace`] only, rather than each for itself.
+    /// Whether a zone is in any state other than healthy. Its silent hosts are then released only as
+    /// [`ZoneTracker::displace`] chooses, not one by one for their own silence.
     pub fn is_unhealthy(&self, zone: &str) -> bool {
         self.state(zone) != ZoneState::Healthy
     }
 
-    /// Chooses which of the silent machines are given up now: the most urgent first, within the budgets
-    /// of their zones, and none in zones that are merely suspected. While the observer is isolated it
-    /// chooses none.
+    /// Chooses which of the silent hosts are released now: the most urgent first, within the displacement
+    /// budgets of their zones, and none in zones that are only suspected. While the observer is isolated no
+    /// host is chosen.
     pub fn displace<M: Ord>(&mut self, mut candidates: Vec<Candidate<M>>, now: Time) -> Vec<M> {
         for zone in self.zones.values_mut() {
             zone.begin_displacement();
@@ -141,13 +141,13 @@
         chosen.collect()
     }
 
-    /// Whether machines may be provisioned in a zone.
+    /// Whether hosts may be provisioned in a zone.
     pub fn may_provision_in(&self, zone: &str) -> bool {
         self.zones.get(zone).is_none_or(Zone::may_provision)
     }
 
-    /// How many machines may be provisioned now, in all zones together; `None` if there is no limit,
-    /// since no zone is lost.
+    /// How many hosts may be provisioned now, in all zones together. `None` if there is no limit, as no zone
+    /// is lost.
     pub fn provisioning_limit(&mut self, now: Time) -> Option<usize> {
         let mut zones = self.zones.values();
         if !zones.any(|zone| zone.state() == ZoneState::Lost) {
@@ -162,12 +162,12 @@
         Some(self.provisioning_budget.available(now, limits))
     }
 
-    /// That many machines are being provisioned.
+    /// Charges `count` hosts that are being provisioned to the provisioning budget.
     pub fn on_provisioned(&mut self, count: usize) {
         self.provisioning_budget.take(count);
     }
 
-    /// How many new tasks each zone takes now. Zones without a limit are left out.
+    /// How many new tasks each zone takes now, by name. Zones without a limit are left out.
     pub fn admission_limits(&mut self, now: Time) -> BTreeMap<String, usize> {
         let settings = &self.settings;
         let limits = self.zones.iter_mut().filter_map(|(name, zone)| {
@@ -183,29 +183,29 @@
         zone.admission_limit(now, &self.settings)
     }
 
-    /// That many new tasks were placed in a zone.
+    /// Charges `count` new tasks that were placed in a zone to its return budget.
     pub fn on_placed(&mut self, zone: &str, count: usize) {
         if let Some(zone) = self.zones.get_mut(zone) {
             zone.on_placed(count);
         }
     }
 
-    /// All zones with their names, as operators are shown them.
+    /// The names and statuses of all zones, as operators are shown them.
     pub fn statuses(&self, now: Time) -> impl Iterator<Item = (&str, ZoneStatus)> {
         self.zones
             .iter()
             .map(move |(name, zone)| (name.as_str(), zone.status(now, &self.settings)))
     }
 
-    /// The record to be written, if states have changed since it was last written. Until
-    /// [`ZoneTracker::on_record_written`] confirms the write it stays due. `wall_clock_ms` is `now` in
+    /// The record to be written, if states have changed since it was last written. It stays due until
+    /// [`ZoneTracker::on_record_written`] confirms the write. `wall_clock_ms` is `now` in
     /// milliseconds since the Unix epoch.
     pub fn record_due(&self, now: Time, wall_clock_ms: u64) -> Option<ZonesRecord> {
         self.is_record_outdated
             .then(|| self.record(now, wall_clock_ms))
     }
 
-    /// What the next leader continues with. `wall_clock_ms` is `now` in milliseconds since the Unix epoch.
+    /// The record from which the next leader restores the zones. `wall_clock_ms` is `now` in milliseconds since the Unix epoch.
     pub fn record(&self, now: Time, wall_clock_ms: u64) -> ZonesRecord {
         let zones = self.zones.iter();
         let zones = zones.map(|(name, zone)| {
@@ -218,18 +218,18 @@
         }
     }
 
-    /// That record was written. States that have changed since make the next one due.
+    /// Confirms that the record was written. If states have changed since, the next record is due.
     pub fn on_record_written(&mut self, written: &ZonesRecord, now: Time, wall_clock_ms: u64) {
         let present = self.record(now, wall_clock_ms);
         self.is_record_outdated = !written.has_same_states(&present);
     }
 
-    /// Continues with what an earlier leader recorded, except for zones that were observed already. A
-    /// record of another version is ignored. `wall_clock_ms` is `now` in milliseconds since the Unix epoch.
+    /// Restores the zones that an earlier leader recorded, except those that were already observed. A record
+    /// of another version is ignored. `wall_clock_ms` is `now` in milliseconds since the Unix epoch.
     pub fn restore(&mut self, record: &ZonesRecord, now: Time, wall_clock_ms: u64) {
         if !record.is_supported() {
             tracing::info!(
-                "the record of the zones has version {}: ignored",
+                "zones record ignored: version {} is not supported",
                 record.version
             );
             return;
--- a/crates/zones/src/zone.rs
+++ b/crates/zones/src/zone.rs
@@ -1,4 +1,4 @@
-//! One zone: its state, its penalty, and its budgets.
+//! The state, the penalty and the budgets of one zone.
 
 use std::time::Duration;
 
@@ -13,26 +13,26 @@
 use crate::token_bucket::{BucketLimits, TokenBucket};
 use crate::tracker::ZoneStatus;
 
-/// What is known of one zone.
+/// One zone, as the tracker knows it.
 #[derive(Clone, Debug)]
 pub(crate) struct Zone {
     state_machine: ZoneStateMachine,
     damping: FlapDamping,
     /// The last observation.
     observation: ZoneObservation,
-    /// The most machines observed since the zone was last healthy: the budget doesn't shrink as the zone
-    /// is emptied.
+    /// The most hosts observed since the zone was last healthy. Budgets are shares of it, so that they don't
+    /// shrink while hosts are released.
     peak_host_count: usize,
-    /// Machines that may be given up.
+    /// Hosts that may be released.
     displacement_budget: TokenBucket,
     /// New tasks that the zone takes while it returns.
     return_budget: TokenBucket,
-    /// Silent machines that waited for the displacement budget in the last pass.
+    /// Silent hosts that waited for the displacement budget in the last displacement pass.
     waiting_hosts: usize,
 }
 
 impl Zone {
-    /// A healthy zone of which nothing is known.
+    /// A healthy zone that has not been observed yet.
     pub(crate) fn new(now: Time) -> Zone {
         Zone {
             state_machine: ZoneStateMachine::default(),
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Continues with what an earlier leader recorded. `wall_clock_ms` is `now` in milliseconds since the
+    /// Restores a zone that an earlier leader recorded. `wall_clock_ms` is `now` in milliseconds since the
     /// Unix epoch.
     pub(crate) fn restore(
         record: &ZoneRecord,
@@ -79,12 +79,12 @@
         now.since(self.state_machine.since())
     }
 
-    /// The most machines observed since the zone was last healthy.
+    /// The most hosts observed since the zone was last healthy.
     pub(crate) fn peak_host_count(&self) -> usize {
         self.peak_host_count
     }
 
-    /// Takes in an observation. Returns the change of state that follows, if any.
+    /// Processes an observation. Returns the change of state that follows, if any.
     pub(crate) fn observe(
         &mut self,
         name: &str,
@@ -112,7 +112,7 @@
         })
     }
 
-    /// Changes the state, with all that goes with it.
+    /// Enters a state. A loss adds to the penalty; a return begins with an empty budget for new tasks.
     fn enter(&mut self, state: ZoneState, now: Time, settings: &ZoneSettings) {
         self.state_machine.enter(state, now);
         match state {
@@ -122,13 +122,13 @@
         }
     }
 
-    /// A new pass of displacement begins.
+    /// Begins a displacement pass, in which no host waits for the budget yet.
     pub(crate) fn begin_displacement(&mut self) {
         self.waiting_hosts = 0;
     }
 
-    /// Whether one more silent machine may be given up now; if so it is charged to the budget, if not it
-    /// is counted as waiting.
+    /// Whether one more silent host may be released now. If so, it is charged to the displacement budget; if
+    /// only the budget forbids it, it is counted as waiting.
     pub(crate) fn try_displace(&mut self, now: Time, settings: &ZoneSettings) -> bool {
         if self.state() == ZoneState::Suspected {
             return false;
@@ -146,7 +146,7 @@
         true
     }
 
-    /// Whether machines may be provisioned in the zone.
+    /// Whether hosts may be provisioned in the zone.
     pub(crate) fn may_provision(&self) -> bool {
         !self.state().is_disrupted() && !self.damping.is_suppressed()
     }
@@ -164,7 +164,7 @@
         Some(self.return_budget.available(now, limits))
     }
 
-    /// That many new tasks were placed in the zone.
+    /// Charges `count` new tasks that were placed in the zone to the return budget.
     pub(crate) fn on_placed(&mut self, count: usize) {
         self.return_budget.take(count);
     }
@@ -179,7 +179,7 @@
         }
     }
 
-    /// What is stored for the next leader. `wall_clock_ms` is `now` in milliseconds since the Unix epoch.
+    /// The record that is stored for the next leader. `wall_clock_ms` is `now` in milliseconds since the Unix epoch.
     pub(crate) fn to_record(
         &self,
         name: &str,
--- a/crates/zones/tests/displacement.rs
+++ b/crates/zones/tests/displacement.rs
@@ -1,4 +1,4 @@
-//! Which machines of a lost zone are given up first, and the budgets of displacement and provisioning.
+//! Which hosts of a lost zone are released first, and the displacement and provisioning budgets.
 
 mod support;
 
@@ -7,7 +7,7 @@
 use lichencrank_zones::{Candidate, Urgency, ZoneState};
 use support::{idle_candidate, reachable, unreachable, urgency, Harness};
 
-/// Zone `b` of that many machines is lost.
+/// A harness with a healthy zone `a` and a lost zone `b`, with `hosts` hosts each.
 fn lost_zone(hosts: usize) -> Harness {
     let mut harness = Harness::new();
     harness
@@ -18,7 +18,7 @@
     harness
 }
 
-/// Offers a machine of zone `b` for each of these; returns the indexes of those that are given up.
+/// Offers one host of zone `b` for each urgency. Returns the indexes of the hosts that are released.
 fn displace(harness: &mut Harness, urgencies: &[Urgency]) -> Vec<usize> {
     let candidates = urgencies.iter().enumerate();
     let candidates = candidates.map(|(host, urgency)| Candidate {
@@ -28,10 +28,10 @@
     harness.tracker.displace(candidates.collect(), harness.now)
 }
 
-/// Whatever the order in which machines are offered: priority, then the guarantee, then the deadline,
-/// then the least work lost.
+/// The order depends on the priority, then the guarantee, then the deadline, then the least work lost, and not
+/// on the order in which hosts are offered.
 #[test]
-fn urgent_work_is_displaced_first() {
+fn hosts_with_urgent_tasks_are_released_first() {
     let mut harness = lost_zone(60);
     let over_guarantee = Urgency {
         is_over_guarantee: true,
@@ -50,9 +50,9 @@
         urgency(1, 20),
         urgency(0, 99),
     ];
-    let order = displace(&mut harness, &urgencies);
-    // The budget of 60 machines is 6 at once: the idle one waits.
-    assert_eq!(order, [6, 5, 4, 3, 2, 1]);
+    let released = displace(&mut harness, &urgencies);
+    // The budget of 60 hosts is 6 at once, so the idle host waits.
+    assert_eq!(released, [6, 5, 4, 3, 2, 1]);
     assert_eq!(
         harness.status("b").map(|status| status.waiting_hosts),
         Some(1)
@@ -62,25 +62,28 @@
 #[test]
 fn a_zone_that_stays_lost_is_emptied_within_the_budget() {
     let mut harness = lost_zone(100);
-    let mut left = 100;
-    let mut max_in_a_minute = 0;
+    let mut remaining_hosts = 100;
+    let mut max_released_per_minute = 0;
     let mut minutes = 0;
-    while left > 0 {
-        let mut in_this_minute = 0;
+    while remaining_hosts > 0 {
+        let mut released_in_this_minute = 0;
         for _ in 0..240 {
-            let given_up = harness.displace_count("b", left);
-            left -= given_up;
-            in_this_minute += given_up;
+            let released = harness.displace_count("b", remaining_hosts);
+            remaining_hosts -= released;
+            released_in_this_minute += released;
             harness
-                .observe("b", unreachable(left, left))
+                .observe("b", unreachable(remaining_hosts, remaining_hosts))
                 .advance(support::STEP);
         }
-        max_in_a_minute = max_in_a_minute.max(in_this_minute);
+        max_released_per_minute = max_released_per_minute.max(released_in_this_minute);
         minutes += 1;
-        assert!(minutes < 10, "{left} machines are left");
+        assert!(minutes < 10, "{remaining_hosts} hosts are not released");
     }
-    // Ten at once and fifty a minute.
-    assert!(max_in_a_minute <= 60, "{max_in_a_minute} in a minute");
+    // Ten at once and fifty per minute.
+    assert!(
+        max_released_per_minute <= 60,
+        "{max_released_per_minute} released in a minute"
+    );
 }
 
 #[test]
@@ -96,7 +99,7 @@
     assert_eq!(harness.tracker.provisioning_limit(harness.now), Some(0));
     harness.advance_s(2);
     assert_eq!(harness.tracker.provisioning_limit(harness.now), Some(2));
-    // The next loss finds the budget as the last one left it.
+    // A new loss of the zone doesn't refill the budget.
     harness.observe("b", reachable(40, 0)).advance_s(1);
     harness.observe("b", unreachable(40, 40)).advance_s(1);
     let limit = harness.tracker.provisioning_limit(harness.now);
@@ -104,7 +107,7 @@
 }
 
 #[test]
-fn no_machine_is_provisioned_in_a_suspected_or_lost_zone() {
+fn no_host_is_provisioned_in_a_suspected_or_lost_zone() {
     let mut harness = Harness::new();
     harness
         .observe("a", reachable(10, 0))
@@ -118,24 +121,24 @@
     assert!(harness.tracker.may_provision_in("b"));
 }
 
-/// Nothing that was not released before the zone responded again is given up after it.
+/// Hosts that were not released before the zone responded again are not released afterwards.
 #[test]
-fn machines_that_respond_again_are_no_candidates_any_more() {
+fn hosts_that_respond_again_are_no_longer_candidates() {
     let mut harness = Harness::new();
     harness
         .observe("a", reachable(10, 0))
         .observe("b", unreachable(10, 10));
     harness.advance_s(10);
-    let first = harness.displace_count("b", 10);
-    assert!(first < 10, "{first} given up");
+    let released = harness.displace_count("b", 10);
+    assert!(released < 10, "{released} released");
     harness
-        .observe("b", reachable(10 - first, 0))
+        .observe("b", reachable(10 - released, 0))
         .advance(Duration::from_millis(500));
     assert_eq!(harness.displace(&[]).len(), 0);
 }
 
 #[test]
-fn machines_of_a_suspected_zone_are_kept() {
+fn hosts_of_a_suspected_zone_are_kept() {
     let mut harness = Harness::new();
     harness
         .observe("a", reachable(10, 0))
--- a/crates/zones/tests/record.rs
+++ b/crates/zones/tests/record.rs
@@ -1,4 +1,4 @@
-//! The record that the next leader continues with.
+//! The record from which the next leader restores the zones.
 
 mod support;
 
@@ -21,10 +21,10 @@
 }
 
 #[test]
-fn the_next_leader_continues_with_state_penalty_and_suppression() {
+fn the_next_leader_restores_state_penalty_and_suppression() {
     let harness = flapped_five_times();
     let record = harness.record_due().expect("a change");
-    // Another process, whose clock began elsewhere, half a minute later.
+    // Another process half a minute later, whose clock counts from another moment.
     let (now, wall_clock_ms) = (Time(5_000), WALL_CLOCK_MS + 30_000);
     let mut next = ZoneTracker::new(ZoneSettings::default(), now);
     next.restore(&record, now, wall_clock_ms);
@@ -45,7 +45,7 @@
     assert_eq!(harness.record_due(), None);
     harness.observe("b", unreachable(20, 20)).advance_s(1);
     let written = harness.record_due().expect("a change");
-    // Lost while the write was under way.
+    // The zone is lost while the write is in progress.
     harness.advance_s(8);
     harness.on_record_written(&written);
     let newer = harness.record_due().expect("another change");
@@ -53,7 +53,7 @@
     assert_eq!(harness.record_due(), None);
 }
 
-/// A record that this version does not understand means healthy zones, never a stop.
+/// With a record of a version that is not supported, all zones count as healthy and the leader goes on.
 #[test]
 fn a_record_of_another_version_is_ignored() {
     let mut harness = Harness::new();
@@ -72,7 +72,7 @@
     assert!(unreadable.is_err());
 }
 
-/// Leaders of other versions read it.
+/// Leaders of other versions read the stored record, so its form must not change.
 #[test]
 fn the_stored_form_is_fixed() {
     let mut harness = Harness::new();
--- a/crates/zones/tests/returning.rs
+++ b/crates/zones/tests/returning.rs
@@ -1,4 +1,4 @@
-//! How work returns to a zone: the growing rate, and flap damping.
+//! The return of a zone: the growing rate of new tasks, and flap damping.
 
 mod support;
 
@@ -7,8 +7,8 @@
 use lichencrank_zones::{ZoneSettings, ZoneState};
 use support::{flapped_five_times, reachable, unreachable, Harness};
 
-/// RFC 2439: at the suppress threshold nothing new, until the penalty has decayed below the reuse
-/// threshold. A few losses far apart never suppress.
+/// As in RFC 2439, a zone whose penalty reaches the suppress threshold takes no new tasks until the penalty has
+/// decayed below the reuse threshold. A few losses far apart never suppress it.
 #[test]
 fn a_zone_that_flaps_is_suppressed_and_reused() {
     let mut harness = flapped_five_times();
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn new_work_returns_at_a_bounded_growing_rate() {
+fn a_returning_zone_takes_new_tasks_at_a_bounded_growing_rate() {
     let mut harness = Harness::new();
     harness
         .observe("a", reachable(40, 0))
@@ -48,7 +48,7 @@
         }
         placed_by_second.push(placed);
     }
-    // A quarter of the machines take a task in the first second, about twice as many in each next one.
+    // A quarter of the hosts take a task in the first second, and about twice as many in each further one.
     assert!(
         (10..=20).contains(&placed_by_second[0]),
         "{placed_by_second:?}"
--- a/crates/zones/tests/settings.rs
+++ b/crates/zones/tests/settings.rs
@@ -1,9 +1,9 @@
-//! Settings: their names in files, and which values are refused.
+//! The names of settings in files, and which values are refused.
 
 use lichencrank_zones::{DampingSettings, ZoneSettings};
 
-/// Every setting by its name in files, each with another value than the default.
-const ALL: &str = r#"{
+/// Every setting by its name in files, each with a value other than the default.
+const ALL_SETTINGS: &str = r#"{
     "lost_after_s": 11, "isolation_patience_s": 12, "displaced_at_once": 13,
     "displaced_per_minute": 14, "rented_at_once": 15, "rented_per_minute": 16,
     "return_share": 17, "return_doubling_s": 18, "return_window_s": 19,
@@ -14,7 +14,7 @@
 
 #[test]
 fn settings_are_read_by_their_names_in_files() {
-    let settings: ZoneSettings = serde_json::from_str(ALL).expect("settings");
+    let settings: ZoneSettings = serde_json::from_str(ALL_SETTINGS).expect("settings");
     let expected = ZoneSettings {
         lost_after_s: 11.0,
         isolation_timeout_s: 12.0,
--- a/crates/zones/tests/states.rs
+++ b/crates/zones/tests/states.rs
@@ -1,4 +1,4 @@
-//! What counts as a disrupted zone, and the changes of state that follow; an isolated observer.
+//! What counts as a disrupted zone, the changes of state that follow, and isolated observers.
 
 mod support;
 
@@ -24,7 +24,7 @@
     assert_eq!(harness.state("b"), ZoneState::Healthy);
 }
 
-/// A short break must not count as a loss.
+/// A short disruption must not count as a loss.
 #[test]
 fn a_suspected_zone_that_responds_again_is_healthy_without_a_penalty() {
     let mut harness = Harness::new();
@@ -37,55 +37,55 @@
     assert_eq!(harness.penalty("b"), 0.0);
 }
 
-/// Machines and controllers are judged together. Machines that send heartbeats but don't receive commands
-/// count as silent.
+/// Hosts and controllers are judged together. Hosts that send heartbeats but don't receive commands count as
+/// silent.
 #[test]
-fn a_zone_is_disrupted_if_most_machines_are_silent_or_all_of_a_few_with_their_controllers() {
+fn a_zone_is_disrupted_if_most_hosts_are_silent_or_all_of_a_few_with_their_controllers() {
     use ControllerReach::{NoController, Reachable, Unreachable};
     let cases = [
-        // One machine alone proves nothing.
+        // One host alone proves nothing.
         (1, 1, Reachable, false),
         (1, 1, Unreachable, true),
-        // Without a controller the machines decide.
+        // Without a controller the hosts decide.
         (10, 6, NoController, true),
         (10, 5, NoController, false),
         (2, 2, NoController, false),
-        // Controllers that answer don't prove that machines can be reached, nor the other way round.
+        // Controllers that answer don't prove that hosts can be reached, nor the other way round.
         (10, 9, Reachable, true),
         (10, 0, Unreachable, false),
     ];
-    for (machines, silent, controllers, disrupted) in cases {
+    for (hosts, silent_hosts, controllers, is_disrupted) in cases {
         assert_eq!(
-            observation(machines, silent, controllers).is_disrupted(),
-            disrupted,
-            "{silent} of {machines} machines silent, controllers: {controllers:?}"
+            observation(hosts, silent_hosts, controllers).is_disrupted(),
+            is_disrupted,
+            "{silent_hosts} of {hosts} hosts silent, controllers: {controllers:?}"
         );
     }
 }
 
 #[test]
-fn spot_machines_that_are_reclaimed_together_do_not_disrupt_a_zone() {
-    let mut zone = reachable(0, 0);
+fn spot_hosts_that_are_reclaimed_together_do_not_disrupt_a_zone() {
+    let mut observation = reachable(0, 0);
     for _ in 0..9 {
-        zone.add(HostObservation {
+        observation.add(HostObservation {
             is_silent: true,
             is_spot: true,
         });
     }
     for _ in 0..3 {
-        zone.add(HostObservation {
+        observation.add(HostObservation {
             is_silent: false,
             is_spot: false,
         });
     }
-    assert!(!zone.is_disrupted());
-    zone.controllers = ControllerReach::Unreachable;
-    assert!(zone.is_disrupted());
+    assert!(!observation.is_disrupted());
+    observation.controllers = ControllerReach::Unreachable;
+    assert!(observation.is_disrupted());
 }
 
-/// Machines that boot are not counted: they neither make a zone lost nor prevent it.
+/// Hosts that are booting are not counted: they neither make a zone lost nor prevent that.
 #[test]
-fn a_zone_in_which_machines_only_boot_is_healthy() {
+fn a_zone_whose_hosts_are_all_booting_is_healthy() {
     let mut harness = Harness::new();
     harness
         .observe("a", reachable(5, 0))
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn an_observer_that_finds_all_zones_disrupted_gives_up_nothing_for_a_while() {
+fn an_observer_that_finds_all_zones_disrupted_releases_nothing_until_the_timeout() {
     let mut harness = Harness::new();
     harness
         .observe("a", unreachable(20, 20))
@@ -104,7 +104,7 @@
     assert_eq!(harness.state("a"), ZoneState::Suspected);
     assert_eq!(harness.state("b"), ZoneState::Suspected);
     assert!(harness.displace(&["a", "b"]).is_empty());
-    // Zones that never return are given up all the same.
+    // After the isolation timeout, hosts of zones that don't return are released all the same.
     harness.advance_s(120);
     assert_eq!(harness.state("a"), ZoneState::Lost);
     assert!(!harness.displace(&["a"]).is_empty());
@@ -141,9 +141,9 @@
     assert!(harness.penalty("b") > 1500.0);
 }
 
-/// No machine is left that could respond, so the controllers decide.
+/// No host is left that could respond, so the controllers decide.
 #[test]
-fn a_zone_that_comes_back_empty_returns_with_its_controllers() {
+fn a_zone_without_hosts_returns_when_its_controllers_answer() {
     let mut harness = Harness::new();
     harness
         .observe("a", reachable(10, 0))
@@ -157,9 +157,9 @@
     assert_eq!(harness.state("b"), ZoneState::Returning);
 }
 
-/// An emptied zone whose controllers never answer again would otherwise never get new machines.
+/// Otherwise a lost zone without hosts whose controllers never answer again would never get new hosts.
 #[test]
-fn an_emptied_zone_is_tried_again_after_a_while() {
+fn a_lost_zone_without_hosts_is_tried_again_after_the_timeout() {
     let mut harness = Harness::new();
     harness
         .observe("a", reachable(10, 0))
@@ -169,9 +169,9 @@
     assert!(harness.tracker.may_provision_in("b"));
 }
 
-/// The zone is not healthy while many of its machines are silent; those are given up within the budget.
+/// A zone is not healthy while many of its hosts are silent; these are released within the budget.
 #[test]
-fn a_zone_that_is_back_in_part_keeps_returning_until_the_silent_rest_is_given_up() {
+fn a_zone_keeps_returning_until_the_silent_hosts_are_released() {
     let mut harness = Harness::new();
     harness
         .observe("a", reachable(10, 0))
@@ -179,8 +179,8 @@
     harness.advance_s(10);
     harness.observe("b", reachable(40, 15)).advance_s(60);
     assert_eq!(harness.state("b"), ZoneState::Returning);
-    let given_up = harness.displace_count("b", 15);
-    assert!((1..15).contains(&given_up), "{given_up} given up");
+    let released = harness.displace_count("b", 15);
+    assert!((1..15).contains(&released), "{released} released");
     harness.observe("b", reachable(25, 0)).advance_s(1);
     assert_eq!(harness.state("b"), ZoneState::Healthy);
 }
--- a/crates/zones/tests/support/mod.rs
+++ b/crates/zones/tests/support/mod.rs
@@ -1,5 +1,9 @@
-//! A tracker with its clock and the present observations of its zones.
-#![allow(dead_code, unreachable_pub, reason = "each test file uses its part")]
+//! A test harness: a tracker with its clock and the present observations of its zones.
+#![allow(
+    dead_code,
+    unreachable_pub,
+    reason = "each test file uses only a part of this module"
+)]
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -10,22 +14,23 @@
     ZoneTracker, ZoneTransition,
 };
 
-/// How often the tracker is fed with observations.
+/// Interval at which the tracker gets observations.
 pub const STEP: Duration = Duration::from_millis(250);
 
-/// The wall clock, in milliseconds since the Unix epoch, of records that are written or read.
+/// The wall clock when records are written or read, in milliseconds since the Unix epoch.
 pub const WALL_CLOCK_MS: u64 = 1_700_000_000_000;
 
+/// A tracker under test.
 pub struct Harness {
     pub now: Time,
     pub tracker: ZoneTracker,
-    /// What is observed of each zone at present.
+    /// The present observation of each zone.
     pub observations: BTreeMap<String, ZoneObservation>,
-    /// All changes of state so far.
+    /// All changes of state since the start.
     pub transitions: Vec<ZoneTransition>,
 }
 
-/// A zone of on-demand machines.
+/// A zone whose hosts are all on-demand.
 pub fn observation(
     hosts: usize,
     silent_hosts: usize,
@@ -59,7 +64,7 @@
     }
 }
 
-/// An idle machine that may be given up.
+/// An idle host that may be released.
 pub fn idle_candidate(host: usize, zone: &str) -> Candidate<usize> {
     Candidate {
         host,
@@ -68,7 +73,7 @@
     }
 }
 
-/// Zone `b` was lost five times within 40 s, and is back.
+/// A harness whose zone `b` was lost five times within 40 s and is returning.
 pub fn flapped_five_times() -> Harness {
     let mut harness = Harness::new();
     harness
@@ -92,18 +97,18 @@
         }
     }
 
-    /// From now on that is observed of the zone.
+    /// Replaces the observation of the zone, and passes all observations to the tracker.
     pub fn observe(&mut self, zone: &str, observation: ZoneObservation) -> &mut Harness {
         self.observations.insert(zone.to_owned(), observation);
-        self.feed();
+        self.observe_all();
         self
     }
 
-    /// That much time passes, in whole steps.
-    pub fn advance(&mut self, time: Duration) -> &mut Harness {
-        for _ in 0..time.as_millis().div_ceil(STEP.as_millis()) {
+    /// Advances the time, in whole steps.
+    pub fn advance(&mut self, duration: Duration) -> &mut Harness {
+        for _ in 0..duration.as_millis().div_ceil(STEP.as_millis()) {
             self.now = self.now.after(STEP);
-            self.feed();
+            self.observe_all();
         }
         self
     }
@@ -112,7 +117,7 @@
         self.advance(Duration::from_secs(seconds))
     }
 
-    fn feed(&mut self) {
+    fn observe_all(&mut self) {
         let transitions = self.tracker.observe(&self.observations, self.now);
         self.transitions.extend(transitions);
     }
@@ -135,14 +140,14 @@
         self.status(zone).is_some_and(|status| status.is_suppressed)
     }
 
-    /// Offers one idle machine of each of these zones; returns the numbers of those that are given up.
+    /// Offers one idle host of each of the zones. Returns the indexes of the hosts that are released.
     pub fn displace(&mut self, zones: &[&str]) -> Vec<usize> {
         let candidates = zones.iter().enumerate();
         let candidates = candidates.map(|(host, zone)| idle_candidate(host, zone));
         self.tracker.displace(candidates.collect(), self.now)
     }
 
-    /// Offers that many idle machines of a zone; returns how many are given up.
+    /// Offers `count` idle hosts of a zone. Returns how many are released.
     pub fn displace_count(&mut self, zone: &str, count: usize) -> usize {
         self.displace(&vec![zone; count]).len()
     }
