--- a/crates/testkit/src/faults.rs
+++ b/crates/testkit/src/faults.rs
@@ -1,7 +1,7 @@
-//! A store in memory whose clients meet the faults of a real one.
+//! An in-memory store whose clients experience the faults of a real one.
 //!
-//! All clients share one [`SharedStore`]; each is a [`FaultyStore`] of its own, and a [`Fault`] decides
-//! what becomes of its next request. Time passes only when a test says so.
+//! All clients share one [`SharedStore`]. Each client is a [`FaultyStore`], whose next requests fail as the
+//! injected [`Fault`]s say. Time advances only when a test calls [`SharedStore::advance`].
 
 use std::cell::RefCell;
 use std::collections::{BTreeSet, VecDeque};
@@ -17,32 +17,32 @@
 use crate::http::HttpResponse;
 use crate::store::{InMemoryStore, Limits};
 
-/// What becomes of a request.
+/// How a request fails.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Fault {
-    /// It is processed, and its response is lost.
+    /// The request is processed, and its response is lost.
     ResponseLost,
     /// No response arrives. A transaction is processed when [`SharedStore::deliver_delayed`] is called.
     Delayed,
-    /// It is lost and never processed.
+    /// The request is lost and never processed.
     RequestLost,
-    /// It is refused with 429.
+    /// The request is refused with status 429.
     RateLimited,
 }
 
-/// The store that all clients share.
+/// The store that all clients share, with its clock.
 #[derive(Clone)]
 pub struct SharedStore(Rc<RefCell<Shared>>);
 
 struct Shared {
     store: InMemoryStore,
     now_ms: u64,
-    /// Nobody is served.
-    outage: bool,
-    /// Clients that are not served.
+    /// Whether the store serves no client.
+    is_in_outage: bool,
+    /// Numbers of the clients that the store refuses to serve.
     refused_clients: BTreeSet<usize>,
-    /// Bodies of transactions that are still on their way.
-    delayed: VecDeque<Value>,
+    /// Bodies of the delayed transactions, oldest first.
+    delayed_transactions: VecDeque<Value>,
 }
 
 impl SharedStore {
@@ -51,65 +51,65 @@
         SharedStore(Rc::new(RefCell::new(Shared {
             store: InMemoryStore::new(limits),
             now_ms: 0,
-            outage: false,
+            is_in_outage: false,
             refused_clients: BTreeSet::new(),
-            delayed: VecDeque::new(),
+            delayed_transactions: VecDeque::new(),
         })))
     }
 
-    /// A client with that number.
+    /// Creates a client with the given number, which [`SharedStore::set_refused`] refers to.
     pub fn client(&self, number: usize) -> FaultyStore {
         FaultyStore {
             shared: self.clone(),
             number,
-            faults: VecDeque::new(),
+            pending_faults: VecDeque::new(),
         }
     }
 
-    /// Lets time pass, in milliseconds. Leases expire, except during an outage.
-    pub fn advance(&self, ms: u64) {
+    /// Advances the time. Leases expire, except during an outage.
+    pub fn advance(&self, duration_ms: u64) {
         let mut shared = self.0.borrow_mut();
-        shared.now_ms += ms;
+        shared.now_ms += duration_ms;
         let now_ms = shared.now_ms;
-        if !shared.outage {
+        if !shared.is_in_outage {
             shared.store.expire_leases(now_ms);
         }
     }
 
-    /// Begins or ends an outage. All leases then have their full time again.
-    pub fn set_outage(&self, outage: bool) {
+    /// Begins or ends an outage. Either renews all leases, so that none expires because of the outage.
+    pub fn set_outage(&self, is_in_outage: bool) {
         let mut shared = self.0.borrow_mut();
-        shared.outage = outage;
+        shared.is_in_outage = is_in_outage;
         let now_ms = shared.now_ms;
         shared.store.renew_all_leases(now_ms);
     }
 
-    /// Refuses a client from now on, or serves it again.
-    pub fn set_refused(&self, client: usize, refused: bool) {
+    /// Sets whether a client is refused.
+    pub fn set_refused(&self, client: usize, is_refused: bool) {
         let mut shared = self.0.borrow_mut();
-        if refused {
+        if is_refused {
             shared.refused_clients.insert(client);
         } else {
             shared.refused_clients.remove(&client);
         }
     }
 
-    /// Processes the oldest transaction that is delayed. Returns whether there was one.
+    /// Processes the oldest delayed transaction. Returns whether there was one.
     pub fn deliver_delayed(&self) -> bool {
         let mut shared = self.0.borrow_mut();
-        let Some(body) = shared.delayed.pop_front() else {
+        let Some(body) = shared.delayed_transactions.pop_front() else {
             return false;
         };
         shared.store.transact(&body);
         true
     }
 
-    /// Reads the store, past all clients.
+    /// Reads the store directly, not through a client.
     pub fn inspect<T>(&self, read: impl FnOnce(&InMemoryStore) -> T) -> T {
         read(&self.0.borrow().store)
     }
 
-    /// Changes the store, past all clients.
+    /// Changes the store directly, not through a client.
     pub fn modify<T>(&self, change: impl FnOnce(&mut InMemoryStore) -> T) -> T {
         change(&mut self.0.borrow_mut().store)
     }
@@ -120,19 +120,19 @@
 pub struct FaultyStore {
     shared: SharedStore,
     number: usize,
-    /// Faults of the next requests.
-    faults: VecDeque<Fault>,
+    /// Faults of the next requests, in order.
+    pending_faults: VecDeque<Fault>,
 }
 
 impl FaultyStore {
-    /// Adds a fault: it befalls the next request that has none yet.
+    /// Adds a fault for the first of the next requests that has none yet.
     pub fn inject(&mut self, fault: Fault) {
-        self.faults.push_back(fault);
+        self.pending_faults.push_back(fault);
     }
 
     fn process(&self, request: &HttpRequest) -> HttpResponse {
         let mut shared = self.shared.0.borrow_mut();
-        if shared.outage || shared.refused_clients.contains(&self.number) {
+        if shared.is_in_outage || shared.refused_clients.contains(&self.number) {
             return HttpResponse::unavailable();
         }
         let now_ms = shared.now_ms;
@@ -145,16 +145,20 @@
         store.handle(now_ms, request.method, &request.target, &body)
     }
 
-    fn delay(&self, txn: &Txn) {
+    fn delay_transaction(&self, txn: &Txn) {
         let body = decode(&encode(txn)).unwrap_or(Value::Null);
-        self.shared.0.borrow_mut().delayed.push_back(body);
+        self.shared
+            .0
+            .borrow_mut()
+            .delayed_transactions
+            .push_back(body);
     }
 }
 
 impl ConditionalStore for FaultyStore {
     fn execute(&mut self, request: &Request) -> Outcome {
         let http = request.render();
-        match self.faults.pop_front() {
+        match self.pending_faults.pop_front() {
             None => {
                 let response = self.process(&http);
                 Outcome::read(http.kind, response.status, &encode(&response.body))
@@ -165,7 +169,7 @@
             }
             Some(Fault::Delayed) => {
                 if let Request::Txn(txn) = request {
-                    self.delay(txn);
+                    self.delay_transaction(txn);
                 }
                 Outcome::Unknown
             }
--- a/crates/testkit/src/http.rs
+++ b/crates/testkit/src/http.rs
@@ -1,4 +1,5 @@
-//! A small HTTP server and client on loopback, with a thread for each connection. Bodies are CBOR.
+//! A small HTTP server and client for loopback addresses. The server has a thread for each connection. Bodies
+//! are CBOR.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -13,27 +14,27 @@
 
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(5);
-/// How many bytes are read at once.
+/// The most bytes that one read takes from a connection.
 const READ_CHUNK_BYTES: usize = 4096;
-/// What separates the head of a message from its body.
-const HEAD_END: &[u8] = b"\r\n\r\n";
+/// The blank line between the head of a message and its body.
+const HEAD_DELIMITER: &[u8] = b"\r\n\r\n";
 
 /// A response to a request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct HttpResponse {
-    /// Status code.
+    /// The status code.
     pub status: u16,
-    /// Body; null if it is empty or no CBOR.
+    /// The body; null if it is empty or not CBOR.
     pub body: Value,
 }
 
 impl HttpResponse {
-    /// Status 200 with a body.
+    /// A response with status 200 and a body.
     pub fn ok(body: Value) -> HttpResponse {
         HttpResponse { status: 200, body }
     }
 
-    /// A status alone.
+    /// A response without a body.
     pub fn without_body(status: u16) -> HttpResponse {
         HttpResponse {
             status,
@@ -41,7 +42,7 @@
         }
     }
 
-    /// A status with a text in the field `error`.
+    /// A response whose body has a text in the field `error`.
     pub fn error(status: u16, error: &str) -> HttpResponse {
         HttpResponse {
             status,
@@ -49,13 +50,14 @@
         }
     }
 
-    /// Status 503: the service is out of order.
+    /// A response with status 503 and no body.
     pub fn unavailable() -> HttpResponse {
         HttpResponse::without_body(503)
     }
 }
 
-/// Serves requests on a free port until the process ends. `handle` gets their methods, targets and bodies.
+/// Serves requests on a free port of the loopback address until the process ends, and returns the address.
+/// `handle` gets the method, target and body of each request.
 pub fn serve(
     handle: impl Fn(&str, &str, &Value) -> HttpResponse + Send + Sync + 'static,
 ) -> SocketAddr {
@@ -87,9 +89,10 @@
     }
 }
 
-/// Sends one request on a connection of its own. `None` if there was no response in time.
-pub fn call(to: SocketAddr, method: &str, target: &str, body: &[u8]) -> Option<HttpResponse> {
-    let mut stream = TcpStream::connect_timeout(&to, CONNECT_TIMEOUT).ok()?;
+/// Sends one request on a new connection. `None` if the connection fails, or no valid response arrives within
+/// the timeout.
+pub fn call(server: SocketAddr, method: &str, target: &str, body: &[u8]) -> Option<HttpResponse> {
+    let mut stream = TcpStream::connect_timeout(&server, CONNECT_TIMEOUT).ok()?;
     stream.set_read_timeout(Some(RESPONSE_TIMEOUT)).ok()?;
     let length = body.len();
     let head = format!(
@@ -104,14 +107,14 @@
     })
 }
 
-/// A request or response.
+/// A request or a response.
 struct Message {
     start_line: String,
     body: Value,
 }
 
-/// Reads the next message; `input` holds what was received beyond the one before. `None` if the connection
-/// ends first.
+/// Reads the next message. `input` holds the bytes received after the previous message. `None` if the
+/// connection ends before the message is complete.
 fn read_message(stream: &mut TcpStream, input: &mut Vec<u8>) -> Option<Message> {
     let mut chunk = [0; READ_CHUNK_BYTES];
     loop {
@@ -125,13 +128,13 @@
     }
 }
 
-/// Takes the message at the start of the input, if it is complete.
+/// Removes the message at the start of the input, if it is complete.
 fn take_message(input: &mut Vec<u8>) -> Option<Message> {
     let head_length = input
-        .windows(HEAD_END.len())
-        .position(|window| window == HEAD_END)?;
+        .windows(HEAD_DELIMITER.len())
+        .position(|window| window == HEAD_DELIMITER)?;
     let head = String::from_utf8_lossy(&input[..head_length]).into_owned();
-    let body_start = head_length + HEAD_END.len();
+    let body_start = head_length + HEAD_DELIMITER.len();
     let body_end = body_start + content_length(&head);
     let body = input.get(body_start..body_end)?;
     let message = Message {
--- a/crates/testkit/src/lib.rs
+++ b/crates/testkit/src/lib.rs
@@ -1,12 +1,12 @@
-//! Test doubles of the services around lichencrank. They speak the published protocols and hold everything
-//! in memory, on loopback or in simulated time.
+//! Test doubles of the services that lichencrank uses. They speak the published protocols and keep all data in
+//! memory, and run on loopback or in simulated time.
 //!
-//! - [`store`]: the key-value store as a pure function of requests and the time.
-//! - [`loopback`]: the store as a server.
-//! - [`faults`]: the store with clients whose requests and responses fail.
-//! - [`http`]: a small server and client.
-//! - [`values`]: CBOR values by field.
-//! - [`sync`]: locks in tests.
+//! - [`store`]: the key-value store, whose state depends only on requests and the given time.
+//! - [`loopback`]: the store as an HTTP server.
+//! - [`faults`]: the store with clients whose requests and responses can be made to fail.
+//! - [`http`]: a small HTTP server and client.
+//! - [`values`]: building and reading CBOR maps.
+//! - [`sync`]: locking mutexes in tests.
 
 pub mod faults;
 pub mod http;
--- a/crates/testkit/src/loopback.rs
+++ b/crates/testkit/src/loopback.rs
@@ -1,4 +1,4 @@
-//! The key-value store as a server on loopback.
+//! The key-value store as an HTTP server on loopback.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -12,30 +12,31 @@
 use crate::sync::lock;
 use crate::values::map;
 
-/// The limits of a store that a test does not care about.
-const LIMITS: Limits = Limits {
+/// The limits of stores whose test doesn't depend on them.
+const DEFAULT_LIMITS: Limits = Limits {
     max_value_bytes: 16 * 1024,
     max_changes: 16,
 };
-/// How often a watch looks for changes.
-const WATCH_INTERVAL: Duration = Duration::from_millis(10);
+/// Interval at which a watch checks for changes.
+const WATCH_CHECK_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Starts an empty store; while `unavailable` is set it answers 503 to everything.
+/// Starts a server with an empty store. While `unavailable` is set, it responds to each request with status 503.
 pub fn start_store(unavailable: Arc<AtomicBool>) -> SocketAddr {
     serve_store(
-        Arc::new(Mutex::new(InMemoryStore::new(LIMITS))),
+        Arc::new(Mutex::new(InMemoryStore::new(DEFAULT_LIMITS))),
         unavailable,
     )
 }
 
-/// Serves a store, which the caller can look into; while `unavailable` is set it answers 503 to everything.
+/// Serves a store, which the caller can inspect. While `unavailable` is set, the server responds to each request
+/// with status 503 and renews all leases.
 ///
-/// Beside the store's protocol, any request for `/replay` processes all transactions that were applied so
-/// far once more, as if copies of them arrived late, and answers with how many there were (`total`) and
-/// how many of them were carried out again (`applied`).
+/// In addition to the store's protocol, a request for `/replay` processes all transactions applied before it once
+/// more, as if copies of them arrived late. The response has their number (`total`) and the number of those
+/// that were applied again (`applied`).
 pub fn serve_store(store: Arc<Mutex<InMemoryStore>>, unavailable: Arc<AtomicBool>) -> SocketAddr {
-    let started = Instant::now();
-    let now_ms = move || started.elapsed().as_millis() as u64;
+    let started_at = Instant::now();
+    let now_ms = move || started_at.elapsed().as_millis() as u64;
     serve(move |method, target, body| {
         if unavailable.load(Ordering::SeqCst) {
             lock(&store).renew_all_leases(now_ms());
@@ -54,15 +55,15 @@
     target: &str,
     now_ms: impl Fn() -> u64,
 ) -> HttpResponse {
-    let until_ms = now_ms() + watch_timeout_ms(target);
+    let deadline_ms = now_ms() + watch_timeout_ms(target);
     loop {
         let mut store = lock(store);
         store.expire_leases(now_ms());
-        if let Some(response) = store.watch(target, now_ms() >= until_ms) {
+        if let Some(response) = store.watch(target, now_ms() >= deadline_ms) {
             return response;
         }
         drop(store);
-        thread::sleep(WATCH_INTERVAL);
+        thread::sleep(WATCH_CHECK_INTERVAL);
     }
 }
 
--- a/crates/testkit/src/store/change_log.rs
+++ b/crates/testkit/src/store/change_log.rs
@@ -1,15 +1,15 @@
-//! The changes that watches are answered from.
+//! The log of recent changes, from which watches are served.
 
 use ciborium::Value;
 
 use crate::values::map;
 
-/// How many changes are kept for watches.
-const MAX_CHANGES: usize = 10_000;
-/// Compaction moves all that is kept, so it waits until there are that many times as many.
+/// How many changes a compaction keeps for watches.
+const KEPT_CHANGES: usize = 10_000;
+/// Compaction moves all kept changes, so it waits until the log holds this many times [`KEPT_CHANGES`].
 const COMPACTION_FACTOR: usize = 2;
 
-/// A change of one key.
+/// The change of one key by a transaction or an expired lease.
 pub(super) struct Change {
     pub(super) revision: u64,
     pub(super) key: String,
@@ -18,7 +18,7 @@
 }
 
 impl Change {
-    /// Its form in the response to a watch.
+    /// The change as an event in the response to a watch.
     pub(super) fn to_event(&self) -> Value {
         let key = Value::from(self.key.as_str());
         let revision = ("stamp", Value::from(self.revision));
@@ -29,13 +29,13 @@
     }
 }
 
-/// The latest changes.
+/// The most recent changes of all keys.
 #[derive(Default)]
 pub(super) struct ChangeLog {
-    /// In the order of their revisions.
+    /// The kept changes, by ascending revision.
     changes: Vec<Change>,
-    /// Changes up to this revision are no longer kept.
-    compacted_until: u64,
+    /// The last revision whose changes are no longer kept.
+    compacted_revision: u64,
 }
 
 impl ChangeLog {
@@ -43,24 +43,24 @@
         self.changes.push(change);
     }
 
-    /// The changes after a revision; `None` if some of them are no longer kept.
+    /// The changes after a revision. `None` if some of them are no longer kept.
     pub(super) fn after(&self, revision: u64) -> Option<&[Change]> {
-        if revision < self.compacted_until {
+        if revision < self.compacted_revision {
             return None;
         }
-        let is_known = |change: &Change| change.revision <= revision;
-        let first = self.changes.partition_point(is_known);
+        let is_seen = |change: &Change| change.revision <= revision;
+        let first = self.changes.partition_point(is_seen);
         Some(&self.changes[first..])
     }
 
-    /// Drops the oldest changes, if there are far too many.
+    /// Drops the oldest changes once the log exceeds the compaction threshold.
     pub(super) fn compact(&mut self) {
-        if self.changes.len() < MAX_CHANGES * COMPACTION_FACTOR {
+        if self.changes.len() < KEPT_CHANGES * COMPACTION_FACTOR {
             return;
         }
-        let surplus = self.changes.len() - MAX_CHANGES;
+        let surplus = self.changes.len() - KEPT_CHANGES;
         if let Some(last) = self.changes.drain(..surplus).next_back() {
-            self.compacted_until = last.revision;
+            self.compacted_revision = last.revision;
         }
     }
 }
--- a/crates/testkit/src/store/leases.rs
+++ b/crates/testkit/src/store/leases.rs
@@ -1,12 +1,12 @@
-//! The leases of the store.
+//! The leases of the store, whose keys are deleted when they expire.
 
 use std::collections::BTreeMap;
 
-/// Id of a lease; 0 is none.
+/// Id of a lease. On the wire, 0 stands for none.
 pub(super) type LeaseId = u64;
 
 struct Lease {
-    /// How long it lasts without a renewal.
+    /// How long the lease lasts without a renewal.
     ttl_ms: u64,
     expires_at_ms: u64,
 }
@@ -17,7 +17,7 @@
     }
 }
 
-/// All leases that have not expired.
+/// All leases that have not been ended.
 #[derive(Default)]
 pub(super) struct LeaseTable {
     leases: BTreeMap<LeaseId, Lease>,
@@ -35,7 +35,7 @@
         self.last_id
     }
 
-    /// Returns whether there is such a lease.
+    /// Renews a lease. Returns whether it exists.
     pub(super) fn renew(&mut self, id: LeaseId, now_ms: u64) -> bool {
         let lease = self.leases.get_mut(&id);
         lease.map(|lease| lease.renew(now_ms)).is_some()
@@ -51,7 +51,7 @@
         self.leases.contains_key(&id)
     }
 
-    /// Leases whose time is up.
+    /// The leases that have expired by `now_ms` and are still in the table.
     pub(super) fn expired(&self, now_ms: u64) -> Vec<LeaseId> {
         let leases = self.leases.iter();
         let expired = leases.filter(|(_, lease)| lease.expires_at_ms <= now_ms);
--- a/crates/testkit/src/store/mod.rs
+++ b/crates/testkit/src/store/mod.rs
@@ -1,6 +1,6 @@
-//! The key-value store as a pure function of requests and the time: for servers on loopback and for
-//! simulated time. It speaks the published protocol, whose names stand here as they are on the wire.
-//! Times are in milliseconds since any fixed moment.
+//! The key-value store, for servers on loopback and for simulated time: its state depends only on requests and
+//! the given time. It speaks the published protocol and uses the names of the wire format. Times are in
+//! milliseconds since any fixed moment.
 
 mod change_log;
 mod leases;
@@ -19,36 +19,36 @@
 use target::{path, query};
 pub use transaction::NO_SUCH_LEASE;
 
-/// The limits of the store.
+/// The limits that the store enforces.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
     /// The largest value, in bytes of JSON.
     pub max_value_bytes: usize,
-    /// The most changes of a transaction.
+    /// The most changes in a transaction.
     pub max_changes: usize,
 }
 
-/// The most keys on a page.
-const MAX_PAGE: usize = 1000;
+/// The most keys on a page of a listing.
+const MAX_KEYS_PER_PAGE: usize = 1000;
 
-/// What is stored under a key.
+/// The value of a key, with its version and lease.
 struct Entry {
     value: Value,
-    /// The revision of its last change.
+    /// The revision of the key's last change.
     version: u64,
-    /// The lease that it is attached to.
+    /// The lease that the key is attached to.
     lease: Option<LeaseId>,
 }
 
 /// A key-value store in memory.
 pub struct InMemoryStore {
-    /// The number of transactions and lease expiries that changed a key.
+    /// The number of transactions that changed keys and of keys deleted with their leases.
     revision: u64,
     entries: BTreeMap<String, Entry>,
     leases: LeaseTable,
     changes: ChangeLog,
     limits: Limits,
-    /// The bodies of all transactions that were carried out and changed something.
+    /// The bodies of all committed transactions that had changes, oldest first.
     applied_transactions: Vec<Value>,
 }
 
@@ -86,13 +86,13 @@
                 let lease = self.leases.grant(number(body, "ttlMs"), now_ms);
                 HttpResponse::ok(map(vec![("hold", lease.into())]))
             }
-            ("GET", "/kv") => HttpResponse::ok(self.page(target)),
+            ("GET", "/kv") => HttpResponse::ok(self.list_page(target)),
             ("GET", _) => self.read_key(path.strip_prefix("/kv/").unwrap_or("")),
             _ => self.renew_or_end_lease(now_ms, method, path),
         }
     }
 
-    /// The response to a watch, once there are changes or its time is up; `None` until then.
+    /// The response to a watch once there are changes or the watch has timed out. `None` until then.
     pub fn watch(&self, target: &str, timed_out: bool) -> Option<HttpResponse> {
         let after = query(target, "after").parse().unwrap_or(0);
         let prefix = query(target, "prefix");
@@ -112,20 +112,20 @@
         ])))
     }
 
-    /// The response to a watch that does not wait.
+    /// The response to a watch that doesn't wait for changes.
     pub fn watch_without_waiting(&self, target: &str) -> HttpResponse {
         let response = self.watch(target, true);
         response.unwrap_or_else(HttpResponse::unavailable)
     }
 
-    /// Expires the leases whose time is up, and deletes their keys.
+    /// Ends the leases that have expired, and deletes their keys.
     pub fn expire_leases(&mut self, now_ms: u64) {
         for lease in self.leases.expired(now_ms) {
             self.end_lease(lease);
         }
     }
 
-    /// Gives all leases their full time again, as after an outage.
+    /// Renews all leases, as after an outage.
     pub fn renew_all_leases(&mut self, now_ms: u64) {
         self.leases.renew_all(now_ms);
     }
@@ -146,7 +146,7 @@
             .map(|(key, entry)| (key.as_str(), &entry.value))
     }
 
-    /// How many keys have a prefix.
+    /// The number of keys with a prefix.
     pub fn key_count(&self, prefix: &str) -> usize {
         let keys = self.entries.keys();
         keys.filter(|key| key.starts_with(prefix)).count()
@@ -157,7 +157,7 @@
         self.revision
     }
 
-    /// The bodies of all transactions that were carried out and changed something, in their order.
+    /// The bodies of all committed transactions that had changes, oldest first.
     pub fn applied_transactions(&self) -> &[Value] {
         &self.applied_transactions
     }
@@ -204,12 +204,12 @@
         }
     }
 
-    fn page(&self, target: &str) -> Value {
+    fn list_page(&self, target: &str) -> Value {
         let (prefix, after) = (query(target, "prefix"), query(target, "after"));
-        let limit: usize = query(target, "page").parse().unwrap_or(MAX_PAGE);
+        let limit: usize = query(target, "page").parse().unwrap_or(MAX_KEYS_PER_PAGE);
         let entries = self.entries.iter();
         let mut found = entries.filter(|(key, _)| key.starts_with(&prefix) && **key > after);
-        let page = found.by_ref().take(limit.min(MAX_PAGE));
+        let page = found.by_ref().take(limit.min(MAX_KEYS_PER_PAGE));
         let items: Vec<Value> = page.map(|(key, entry)| entry.to_item(key)).collect();
         map(vec![
             ("pairs", Value::Array(items)),
--- a/crates/testkit/src/store/target.rs
+++ b/crates/testkit/src/store/target.rs
@@ -1,11 +1,11 @@
-//! Request targets: path and query.
+//! Parsing of request targets into path and query.
 
-/// The path of a target.
+/// The path of a request target.
 pub(crate) fn path(target: &str) -> &str {
     target.split('?').next().unwrap_or("")
 }
 
-/// A parameter of a target's query, empty if there is none of that name.
+/// The value of a query parameter, empty if the target has no parameter of that name.
 pub(super) fn query(target: &str, name: &str) -> String {
     let query = target.split_once('?').map_or("", |(_, query)| query);
     let mut parameters = query
@@ -15,7 +15,7 @@
     found.map_or(String::new(), |(_, value)| value.to_owned())
 }
 
-/// How long a watch with that target waits for changes, in milliseconds.
+/// How long a watch with the given target waits for changes, in milliseconds.
 pub fn watch_timeout_ms(target: &str) -> u64 {
     query(target, "holdMs").parse().unwrap_or(0)
 }
--- a/crates/testkit/src/store/transaction.rs
+++ b/crates/testkit/src/store/transaction.rs
@@ -1,4 +1,4 @@
-//! Transactions: their limits, conditions and changes.
+//! Processing of transactions: their limits, conditions and changes.
 
 use ciborium::Value;
 
@@ -8,32 +8,32 @@
 use crate::http::HttpResponse;
 use crate::values::{get, list, map, number, text};
 
-/// How many conditions a transaction may have for each change that it may have.
-const CONDITIONS_PER_CHANGE: usize = 4;
+/// The most conditions in a transaction, as a multiple of the most changes.
+const MAX_CONDITIONS_PER_CHANGE: usize = 4;
 /// The largest transaction, in bytes of JSON.
 const MAX_TRANSACTION_BYTES: usize = 64 * 1024;
 
-/// The error with which a transaction is refused that attaches a key to a lease which has expired.
+/// The error of a transaction that is refused because it attaches a key to a lease that doesn't exist.
 pub const NO_SUCH_LEASE: &str = "no such lease";
 
 impl InMemoryStore {
-    /// Processes a transaction.
+    /// Applies a transaction if it is within the limits and all its conditions are met.
     pub fn transact(&mut self, body: &Value) -> HttpResponse {
         let changes = list(body, "apply");
         if self.exceeds_limits(body) {
             return HttpResponse::error(400, "too large");
         }
-        let mut leases = changes.iter().filter_map(attached_lease);
-        if leases.any(|lease| !self.leases.contains(lease)) {
+        let mut attached_leases = changes.iter().filter_map(attached_lease);
+        if attached_leases.any(|lease| !self.leases.contains(lease)) {
             return HttpResponse::error(400, NO_SUCH_LEASE);
         }
         let conditions = list(body, "if").iter();
-        let failed = conditions.filter(|condition| !self.is_met(condition));
-        let failed: Vec<Value> = failed
+        let unmet = conditions.filter(|condition| !self.is_met(condition));
+        let failed_keys: Vec<Value> = unmet
             .map(|condition| text(condition, "path").into())
             .collect();
-        if !failed.is_empty() {
-            let failed = ("failed", Value::Array(failed));
+        if !failed_keys.is_empty() {
+            let failed = ("failed", Value::Array(failed_keys));
             let body = map(vec![failed, ("ledgerRev", self.revision.into())]);
             return HttpResponse { status: 409, body };
         }
@@ -51,7 +51,7 @@
     fn exceeds_limits(&self, body: &Value) -> bool {
         let changes = list(body, "apply");
         let value_bytes = |change| get(change, "data").map_or(0, json_bytes);
-        list(body, "if").len() > self.limits.max_changes * CONDITIONS_PER_CHANGE
+        list(body, "if").len() > self.limits.max_changes * MAX_CONDITIONS_PER_CHANGE
             || changes.len() > self.limits.max_changes
             || changes
                 .iter()
@@ -65,7 +65,7 @@
         version == number(condition, "stamp")
     }
 
-    /// Carries out one change of the transaction that has the present revision.
+    /// Applies one change of the transaction that has the present revision.
     fn apply(&mut self, change: &Value) {
         let Some(key) = get(change, "set").and_then(Value::as_text) else {
             self.delete(text(change, "remove"));
@@ -86,7 +86,7 @@
     }
 }
 
-/// The lease that a change attaches its key to.
+/// The lease that a change attaches its key to, if any.
 fn attached_lease(change: &Value) -> Option<LeaseId> {
     let lease = number(change, "hold");
     (lease != 0).then_some(lease)
