--- a/tests/traces.rs
+++ b/tests/traces.rs
@@ -1,8 +1,9 @@
-//! Replays the kept traces in `tests/traces/`: what happened, and what the controller did about it.
+//! Replays the recorded traces in `tests/traces/`: sequences of events, and what the leader does in response.
 //!
-//! Lines that begin with `>` are the controller's doing; all others are events. A trace is right if
-//! replaying its events gives exactly its `>` lines. `UPDATE_TRACES=1 cargo test` writes them anew,
-//! for a person to read and judge before they are kept. `tests/traces/README.md` has the events.
+//! Lines that begin with `>` are the leader's output, lines that begin with `#` are comments, and all others are
+//! events. A trace passes if replaying its events gives exactly its `>` lines. `UPDATE_TRACES=1 cargo test`
+//! rewrites these lines; review the difference before committing it. `tests/traces/README.md` describes the
+//! events.
 
 use std::collections::BTreeMap;
 use std::fmt::Write;
@@ -29,34 +30,42 @@
 use std::time::Duration;
 
 const TERM: Term = Term(5);
-const FOREVER: Time = Time(u64::MAX);
+/// The end of a lease that never expires.
+const NO_EXPIRY: Time = Time(u64::MAX);
 
-fn machine(name: &str, cpus: f64, memory: f64, price: f64, zones: &[&str]) -> MachineType {
+fn machine_type(
+    name: &str,
+    cpus: f64,
+    memory_gb: f64,
+    on_demand_price: f64,
+    zones: &[&str],
+) -> MachineType {
     MachineType {
         name: name.into(),
         cpus: Amount(cpus),
         gpus: Amount(0.0),
-        memory_gb: Amount(memory),
+        memory_gb: Amount(memory_gb),
         cache_gb: Amount(50.0),
         fetch_gb_per_s: Amount(1.0),
-        on_demand_price: Amount(price),
-        spot_price: Amount(price / 3.0),
+        on_demand_price: Amount(on_demand_price),
+        spot_price: Amount(on_demand_price / 3.0),
         boot_s: Amount(30.0),
-        zones: zones.iter().map(|z| (*z).to_owned()).collect(),
+        zones: zones.iter().map(|zone| (*zone).to_owned()).collect(),
     }
 }
 
-fn team(name: &str, guaranteed: f64, limit: f64) -> Team {
+fn team(name: &str, guaranteed_cpus: f64, max_cpus: f64) -> Team {
     Team {
         name: name.into(),
-        cpus: Some(guaranteed),
-        cpus_max: Some(limit),
+        cpus: Some(guaranteed_cpus),
+        cpus_max: Some(max_cpus),
         gpus: None,
         gpus_max: None,
     }
 }
 
-fn rules() -> Policy {
+/// The policy of a trace that doesn't change it.
+fn default_policy() -> Policy {
     Policy {
         heartbeat_interval: Duration::from_secs(3),
         worker_lease: Duration::from_secs(16),
@@ -78,129 +87,134 @@
 
 /// A trace being replayed.
 struct Replay {
-    controller: Leader,
+    leader: Leader,
     now: Time,
-    version: u64,
-    out: String,
-    /// Direct commands without an answer, by machine.
-    commands: BTreeMap<String, (Incarnation, Vec<Command>)>,
-    /// Kind, zone and spot of the machines that a trace names.
-    machines: BTreeMap<String, (String, String, bool)>,
+    /// Version of the last write to the simulated state service.
+    store_version: u64,
+    /// The lines of the replayed trace.
+    output: String,
+    /// Direct commands that have not been answered, by host.
+    unanswered_commands: BTreeMap<String, (Incarnation, Vec<Command>)>,
+    /// Machine type, zone and spot flag of the hosts that the trace declares.
+    declared_hosts: BTreeMap<String, (String, String, bool)>,
 }
 
-fn id(number: &str) -> JobId {
-    JobId(number.parse().expect("a job's number"))
+fn job_id(number: &str) -> JobId {
+    JobId(number.parse().expect("a job number"))
 }
 
-fn host(name: &str) -> HostName {
+fn host_name(name: &str) -> HostName {
     HostName::new(name)
 }
 
-/// `7/0#1` is attempt 1 of task 0 of job 7.
-fn attempt(text: &str) -> (TaskId, Attempt) {
-    let (task, attempt) = text.split_once('#').expect("task#attempt");
-    let (job, index) = task.split_once('/').expect("job/index");
-    let index = index.parse().expect("an index");
+/// Parses an attempt: `7/0#1` is attempt 1 of task 0 of job 7.
+fn parse_attempt(text: &str) -> (TaskId, Attempt) {
+    let (task, attempt) = text.split_once('#').expect("TASK#ATTEMPT");
+    let (job, index) = task.split_once('/').expect("JOB/INDEX");
+    let index = index.parse().expect("a task index");
     (
         TaskId {
-            job: id(job),
+            job: job_id(job),
             index,
         },
-        Attempt(attempt.parse().expect("an attempt")),
+        Attempt(attempt.parse().expect("an attempt number")),
     )
 }
 
-fn show(task: TaskId, attempt: Attempt) -> String {
+fn format_attempt(task: TaskId, attempt: Attempt) -> String {
     format!("{}/{}#{attempt}", task.job.0, task.index)
 }
 
-fn show_order(order: &Command) -> String {
-    match order {
-        Command::Run { task, attempt } => format!("run {}", show(*task, *attempt)),
-        Command::Stop { task, attempt, .. } => format!("stop {}", show(*task, *attempt)),
-        Command::Clear { task, attempt } => format!("clear {}", show(*task, *attempt)),
+fn format_command(command: &Command) -> String {
+    match command {
+        Command::Run { task, attempt } => format!("run {}", format_attempt(*task, *attempt)),
+        Command::Stop { task, attempt, .. } => format!("stop {}", format_attempt(*task, *attempt)),
+        Command::Clear { task, attempt } => format!("clear {}", format_attempt(*task, *attempt)),
     }
 }
 
-fn show_orders(orders: &[Command]) -> String {
-    let orders: Vec<String> = orders.iter().map(show_order).collect();
-    if orders.is_empty() {
+fn format_commands(commands: &[Command]) -> String {
+    let commands: Vec<String> = commands.iter().map(format_command).collect();
+    if commands.is_empty() {
         "nothing".into()
     } else {
-        orders.join(", ")
+        commands.join(", ")
     }
 }
 
 impl Replay {
     fn new() -> Replay {
         let types = vec![
-            machine("small", 4.0, 16.0, 0.3, &["a", "b"]),
-            machine("big", 16.0, 64.0, 1.2, &["a"]),
+            machine_type("small", 4.0, 16.0, 0.3, &["a", "b"]),
+            machine_type("big", 16.0, 64.0, 1.2, &["a"]),
         ];
-        let mut controller = Leader::new(TERM, Version(1), rules(), types, Time(0));
-        controller.set_lease_valid_until(FOREVER);
+        let mut leader = Leader::new(TERM, Version(1), default_policy(), types, Time(0));
+        leader.set_lease_valid_until(NO_EXPIRY);
         Replay {
-            controller,
+            leader,
             now: Time(0),
-            version: 10,
-            out: String::new(),
-            commands: BTreeMap::new(),
-            machines: BTreeMap::new(),
+            store_version: 10,
+            output: String::new(),
+            unanswered_commands: BTreeMap::new(),
+            declared_hosts: BTreeMap::new(),
         }
     }
 
-    fn say(&mut self, line: &str) {
-        writeln!(self.out, "> {line}").expect("writing to a string");
+    fn print(&mut self, line: &str) {
+        writeln!(self.output, "> {line}").expect("writing to a string");
     }
 
-    fn acted(&mut self) {
-        for action in self.controller.take_actions() {
+    /// Prints what the leader requests of the node.
+    fn print_actions(&mut self) {
+        for action in self.leader.take_actions() {
             match action {
                 Action::SendCommands {
                     host,
-                    incarnation: session,
-                    commands: orders,
+                    incarnation,
+                    commands,
                     ..
                 } => {
-                    self.say(&format!("command {host}: {}", show_orders(&orders)));
-                    self.commands.insert(host.to_string(), (session, orders));
+                    self.print(&format!("command {host}: {}", format_commands(&commands)));
+                    self.unanswered_commands
+                        .insert(host.to_string(), (incarnation, commands));
                 }
-                Action::ScaleOut(r) => {
-                    let spot = if r.spot { "spot" } else { "ordinary" };
-                    let (request, count) = (&r.name, r.count);
-                    self.say(&format!(
-                        "rent {request}: {count} {} in {}, {spot}",
-                        r.machine_type, r.zone
+                Action::ScaleOut(request) => {
+                    let pricing = if request.spot { "spot" } else { "ordinary" };
+                    let (name, count) = (&request.name, request.count);
+                    self.print(&format!(
+                        "rent {name}: {count} {} in {}, {pricing}",
+                        request.machine_type, request.zone
                     ));
                 }
                 Action::ScaleIn(hosts) => {
                     let names: Vec<&str> = hosts.iter().map(HostName::as_str).collect();
-                    self.say(&format!("release {}", names.join(" ")));
+                    self.print(&format!("release {}", names.join(" ")));
                 }
                 Action::ForceRelease(hosts) => {
                     let names: Vec<&str> = hosts.iter().map(HostName::as_str).collect();
-                    self.say(&format!("remove {}", names.join(" ")));
+                    self.print(&format!("remove {}", names.join(" ")));
                 }
             }
         }
     }
 
-    fn checked(&mut self, result: Result<(), LeadershipLost>) {
+    fn print_leadership_loss(&mut self, result: Result<(), LeadershipLost>) {
         if let Err(LeadershipLost(term)) = result {
-            self.say(&format!("deposed by term {term}"));
+            self.print(&format!("deposed by term {term}"));
         }
     }
 
-    fn job(&mut self, words: &[&str]) {
+    /// Handles `job N …`.
+    fn on_job(&mut self, words: &[&str]) {
         let field = |name: &str| {
-            let at = words.iter().position(|w| *w == name)?;
-            words.get(at + 1).copied()
+            let index = words.iter().position(|word| *word == name)?;
+            words.get(index + 1).copied()
         };
         let number = |name: &str, default: f64| {
-            field(name).map_or(default, |v| v.parse().expect("a number"))
+            field(name).map_or(default, |value| value.parse().expect("a number"))
         };
         let spec = JobSpec {
-            id: id(words[0]),
+            id: job_id(words[0]),
             class: field("class").unwrap_or("work").into(),
             team: field("team").unwrap_or("open").into(),
             kind: if words.contains(&"service") {
@@ -228,117 +242,126 @@
             estimate_s: Amount(number("guess", 30.0)),
             checkpoint_s: Amount(number("saves", 0.0)),
             save_s: Amount(2.0),
-            deadline_s: field("due").map(|d| Amount(d.parse().expect("a number"))),
+            deadline_s: field("due").map(|value| Amount(value.parse().expect("a number"))),
         };
-        self.version += 1;
+        self.store_version += 1;
         let record = JobRecord {
             spec,
             submitted_at_ms: self.now.0,
             tasks_per_record: 4,
         };
-        self.controller.on_job(record, Version(self.version));
+        self.leader.on_job(record, Version(self.store_version));
     }
 
-    /// `vm-1 1/5 token 5: 7/0#1 running, 7/1#1 ended done`
-    fn report(&self, text: &str) -> WorkerHeartbeat {
+    /// Parses a heartbeat such as `vm-1 1/5 token 5: 7/0#1 running, 7/1#1 ended done`.
+    fn parse_heartbeat(&self, text: &str) -> WorkerHeartbeat {
         let (head, tasks) = text.split_once(':').unwrap_or((text, ""));
         let words: Vec<&str> = head.split_whitespace().collect();
-        let (session, tick) = words[1].split_once('/').expect("session/tick");
-        let after = |name: &str| {
-            let at = words.iter().position(|w| *w == name)?;
-            words.get(at + 1).and_then(|v| v.parse::<f64>().ok())
+        let (incarnation, sequence) = words[1].split_once('/').expect("INCARNATION/SEQUENCE");
+        let number_after = |name: &str| {
+            let index = words.iter().position(|word| *word == name)?;
+            words
+                .get(index + 1)
+                .and_then(|value| value.parse::<f64>().ok())
         };
-        let (kind, zone, spot) =
-            self.machines
-                .get(words[0])
-                .cloned()
-                .unwrap_or(("small".into(), "a".into(), true));
-        let tasks = tasks.split(',').filter(|t| !t.trim().is_empty()).map(|t| {
-            let words: Vec<&str> = t.split_whitespace().collect();
-            let (task, attempt) = attempt(words[0]);
-            let state = match words[1] {
-                "fetching" => AttemptState::Fetching,
-                "running" => AttemptState::Running,
-                "saving" => AttemptState::Saving,
-                _ => AttemptState::Ended,
-            };
-            let cause = words.get(2).map(|c| match *c {
-                "done" => EndReason::Done,
-                "halted" => EndReason::Stopped,
-                "error" => EndReason::Error,
-                "no_room" => EndReason::NoRoom,
-                _ => EndReason::Other,
+        let (machine_type, zone, spot) = self.declared_hosts.get(words[0]).cloned().unwrap_or((
+            "small".into(),
+            "a".into(),
+            true,
+        ));
+        let statuses = tasks
+            .split(',')
+            .filter(|status| !status.trim().is_empty())
+            .map(|status| {
+                let words: Vec<&str> = status.split_whitespace().collect();
+                let (task, attempt) = parse_attempt(words[0]);
+                let state = match words[1] {
+                    "fetching" => AttemptState::Fetching,
+                    "running" => AttemptState::Running,
+                    "saving" => AttemptState::Saving,
+                    _ => AttemptState::Ended,
+                };
+                let end_reason = words.get(2).map(|reason| match *reason {
+                    "done" => EndReason::Done,
+                    "halted" => EndReason::Stopped,
+                    "error" => EndReason::Error,
+                    "no_room" => EndReason::NoRoom,
+                    _ => EndReason::Other,
+                });
+                AttemptStatus {
+                    task,
+                    attempt,
+                    state,
+                    end_reason,
+                }
             });
-            AttemptStatus {
-                task,
-                attempt,
-                state,
-                end_reason: cause,
-            }
-        });
         WorkerHeartbeat {
-            host: host(words[0]),
+            host: host_name(words[0]),
             address: "127.0.0.1:9000".into(),
-            machine_type: kind,
+            machine_type,
             zone,
             spot,
-            incarnation: Incarnation(session.parse().expect("a session")),
-            sequence: SequenceNumber(tick.parse().expect("a tick")),
-            fencing_token: Term(after("token").unwrap_or(TERM.0 as f64) as u64),
-            notice_s: after("notice").map(Amount),
-            tasks: tasks.collect(),
+            incarnation: Incarnation(incarnation.parse().expect("an incarnation")),
+            sequence: SequenceNumber(sequence.parse().expect("a sequence number")),
+            fencing_token: Term(number_after("token").unwrap_or(TERM.0 as f64) as u64),
+            notice_s: number_after("notice").map(Amount),
+            tasks: statuses.collect(),
         }
     }
 
-    fn write(&mut self, how: &[&str]) {
-        let Some(txn) = self.controller.next_batch(16, true) else {
-            return self.say("nothing to write");
+    /// Handles `write …`: takes the next batch, prints it and reports its outcome to the leader.
+    fn write_batch(&mut self, outcome_words: &[&str]) {
+        let Some(txn) = self.leader.next_batch(16, true) else {
+            return self.print("nothing to write");
         };
         for change in &txn.changes {
             let line = match change {
                 Change::Put { key, value, .. } => match value.deserialized::<RunRecord>() {
-                    Ok(r) => {
-                        let booked: Vec<String> = r
+                    Ok(record) => {
+                        let allocations: Vec<String> = record
                             .allocations
                             .iter()
-                            .map(|b| {
-                                format!("{}#{}@{}/{}", b.offset, b.attempt, b.host, b.incarnation)
+                            .map(|entry| {
+                                format!(
+                                    "{}#{}@{}/{}",
+                                    entry.offset, entry.attempt, entry.host, entry.incarnation
+                                )
                             })
                             .collect();
-                        let done = r.done_count();
-                        format!("set {key}: {done} done, booked [{}]", booked.join(" "))
+                        let done = record.done_count();
+                        format!("set {key}: {done} done, booked [{}]", allocations.join(" "))
                     }
                     Err(_) => format!("set {key}"),
                 },
                 Change::Delete { key } => format!("remove {key}"),
             };
-            self.say(&line);
+            self.print(&line);
         }
-        let guards: Vec<String> = txn
+        let conditions: Vec<String> = txn
             .conditions
             .iter()
-            .map(|c| format!("{}={}", c.key, c.version))
+            .map(|condition| format!("{}={}", condition.key, condition.version))
             .collect();
-        self.say(&format!("if {}", guards.join(" ")));
+        self.print(&format!("if {}", conditions.join(" ")));
         let now = self.now;
-        let outcome = match how {
+        let outcome = match outcome_words {
             [] => {
-                self.version += 1;
-                Outcome::Committed(Version(self.version))
+                self.store_version += 1;
+                Outcome::Committed(Version(self.store_version))
             }
             ["lost"] => Outcome::Unknown,
             ["refused"] => Outcome::Refused,
             ["conflict", keys @ ..] => {
-                Outcome::Conflict(keys.iter().map(|k| (*k).to_owned()).collect())
+                Outcome::Conflict(keys.iter().map(|key| (*key).to_owned()).collect())
             }
-            other => panic!("write {other:?}?"),
+            other => panic!("unknown outcome of a write: {other:?}"),
         };
-        let result = self.controller.on_batch_outcome(outcome, now);
-        self.checked(result);
+        let result = self.leader.on_batch_outcome(outcome, now);
+        self.print_leadership_loss(result);
     }
 
-    fn run_record(&mut self, words: &[&str]) {
-        // `record 7 0 version 9 booked 0#1@vm-1/1 ... done 2`
+    /// Handles `record …`, for example `record 7 0 booked 0#1@vm-1/1`.
+    fn on_run_record(&mut self, words: &[&str]) {
         let mut record = RunRecord {
             tasks_per_record: 4,
             team: "open".into(),
@@ -346,197 +369,213 @@
             memory_gb: 2.0,
             ..RunRecord::default()
         };
-        let at = words
+        let entries_start = words
             .iter()
-            .position(|w| *w == "booked")
-            .map_or(words.len(), |p| p + 1);
-        for word in words[at.min(words.len())..]
+            .position(|word| *word == "booked")
+            .map_or(words.len(), |index| index + 1);
+        for word in words[entries_start.min(words.len())..]
             .iter()
-            .filter(|w| w.contains('@'))
+            .filter(|word| word.contains('@'))
         {
-            let (task, place) = word.split_once('@').expect("task@place");
-            let (offset, attempt) = task.split_once('#').expect("offset#attempt");
-            let (name, session) = place.split_once('/').expect("host/session");
+            let (task, worker) = word
+                .split_once('@')
+                .expect("OFFSET#ATTEMPT@HOST/INCARNATION");
+            let (offset, attempt) = task.split_once('#').expect("OFFSET#ATTEMPT");
+            let (host, incarnation) = worker.split_once('/').expect("HOST/INCARNATION");
             record.allocations.push(AllocationEntry {
                 offset: offset.parse().expect("an offset"),
-                attempt: Attempt(attempt.parse().expect("an attempt")),
-                host: host(name),
-                incarnation: Incarnation(session.parse().expect("an incarnation")),
+                attempt: Attempt(attempt.parse().expect("an attempt number")),
+                host: host_name(host),
+                incarnation: Incarnation(incarnation.parse().expect("an incarnation")),
             });
         }
         let id = RunRecordId {
-            job: id(words[0]),
+            job: job_id(words[0]),
             number: words[1].parse().expect("the number of a run record"),
         };
-        self.controller
-            .on_run_record(id, &record, Version(9), self.now);
+        self.leader.on_run_record(id, &record, Version(9), self.now);
     }
 
-    fn event(&mut self, line: &str) {
+    /// Passes one event to the leader, and prints what it does in response.
+    fn process_event(&mut self, line: &str) {
         let words: Vec<&str> = line.split_whitespace().collect();
         let rest = line.split_once(' ').map_or("", |(_, rest)| rest);
         let now = self.now;
         match words[0] {
             "at" => self.now = Time((words[1].parse::<f64>().expect("seconds") * 1000.0) as u64),
             "machine" => {
-                let spot = !words.contains(&"ordinary");
-                let is = (words[2].to_owned(), words[3].to_owned(), spot);
-                self.machines.insert(words[1].to_owned(), is);
+                let is_spot = !words.contains(&"ordinary");
+                let attributes = (words[2].to_owned(), words[3].to_owned(), is_spot);
+                self.declared_hosts.insert(words[1].to_owned(), attributes);
             }
-            "job" => self.job(&words[1..]),
-            "record" => self.run_record(&words[1..]),
+            "job" => self.on_job(&words[1..]),
+            "record" => self.on_run_record(&words[1..]),
             "records" => {
-                let mut rules = rules();
-                rules.max_queued_records_per_priority = words[1].parse().expect("a number");
-                let types = self.controller.machine_types().to_vec();
-                self.controller = Leader::new(TERM, Version(1), rules, types, Time(0));
-                self.controller.set_lease_valid_until(FOREVER);
+                let mut policy = default_policy();
+                policy.max_queued_records_per_priority = words[1].parse().expect("a number");
+                let types = self.leader.machine_types().to_vec();
+                self.leader = Leader::new(TERM, Version(1), policy, types, Time(0));
+                self.leader.set_lease_valid_until(NO_EXPIRY);
             }
-            "loaded" => self.controller.on_loaded(now),
-            "cancel" => self.controller.on_job_deleted(id(words[1]), now),
-            "told" => self.controller.on_cancellation(id(words[1]), now),
+            "loaded" => self.leader.on_loaded(now),
+            "cancel" => self.leader.on_job_deleted(job_id(words[1]), now),
+            "told" => self.leader.on_cancellation(job_id(words[1]), now),
             "done" => {
-                let over = OutcomeRecord {
+                let outcome = OutcomeRecord {
                     state: JobState::Done,
                     tasks: 1,
                 };
-                let id = id(words[1]);
-                self.controller.on_outcome_record(id, over, Version(9));
+                let id = job_id(words[1]);
+                self.leader.on_outcome_record(id, outcome, Version(9));
             }
             "report" => {
-                let report = self.report(rest);
-                match self.controller.on_heartbeat(&report, now) {
-                    Ok(orders) => self.say(&format!("answer: {}", show_orders(&orders))),
-                    Err(LeadershipLost(term)) => self.say(&format!("deposed by term {term}")),
+                let heartbeat = self.parse_heartbeat(rest);
+                match self.leader.on_heartbeat(&heartbeat, now) {
+                    Ok(commands) => self.print(&format!("answer: {}", format_commands(&commands))),
+                    Err(LeadershipLost(term)) => self.print(&format!("deposed by term {term}")),
                 }
             }
             "executed" | "unsent" | "held" | "lost" => {
-                let Some((session, orders)) = self.commands.remove(words[1]) else {
-                    return self.say("no command is open");
+                let Some((incarnation, commands)) = self.unanswered_commands.remove(words[1])
+                else {
+                    return self.print("no command is open");
                 };
                 let result = match words[0] {
-                    "executed" => CommandResult::Heartbeat(Box::new(self.report(rest))),
+                    "executed" => CommandResult::Heartbeat(Box::new(self.parse_heartbeat(rest))),
                     "unsent" => CommandResult::NotExecuted,
                     "held" => CommandResult::NotAttempted,
                     _ => CommandResult::NoResponse,
                 };
-                let name = host(words[1]);
-                let result = self
-                    .controller
-                    .on_command_result(&name, session, &orders, result, now);
-                self.checked(result);
+                let name = host_name(words[1]);
+                let result =
+                    self.leader
+                        .on_command_result(&name, incarnation, &commands, result, now);
+                self.print_leadership_loss(result);
             }
-            "write" => self.write(&words[1..]),
+            "write" => self.write_batch(&words[1..]),
             "reread" => {
                 let version = Version(words[1].parse().expect("a version"));
-                for id in self.controller.take_records_of_unknown_version() {
+                for id in self.leader.take_records_of_unknown_version() {
                     let version = Some(version);
-                    self.controller.on_run_record_version(id, version);
+                    self.leader.on_run_record_version(id, version);
                 }
             }
             "lease" => {
-                self.controller.set_lease_valid_until(match words[1] {
-                    "stands" => FOREVER,
+                self.leader.set_lease_valid_until(match words[1] {
+                    "stands" => NO_EXPIRY,
                     until => Time((until.parse::<f64>().expect("seconds") * 1000.0) as u64),
                 });
             }
-            "thaw" => self.controller.on_process_resumed(),
-            "tick" => self.controller.tick(now, now.0),
+            "thaw" => self.leader.on_process_resumed(),
+            "tick" => self.leader.tick(now, now.0),
             "rented" => {
                 let result = match &words[2..] {
                     ["unknown"] => ProvisionResult::Unknown,
                     ["none"] => ProvisionResult::NoCapacity,
-                    names => ProvisionResult::Provisioned(names.iter().map(|n| host(n)).collect()),
+                    names => ProvisionResult::Provisioned(
+                        names.iter().map(|name| host_name(name)).collect(),
+                    ),
                 };
-                self.controller.on_provision_result(words[1], result, now);
+                self.leader.on_provision_result(words[1], result, now);
             }
             "released" => {
-                let confirmed = !words.contains(&"unknown");
-                let names = [host(words[1])];
-                self.controller.on_release_result(&names, confirmed, now);
+                let is_confirmed = !words.contains(&"unknown");
+                let names = [host_name(words[1])];
+                self.leader.on_release_result(&names, is_confirmed, now);
             }
             "listed" => {
-                let status = match words[2] {
+                let state = match words[2] {
                     "running" => ListedHostState::Running,
                     "failed" => ListedHostState::Failed,
                     _ => ListedHostState::Starting,
                 };
-                let item = ListedHost {
-                    name: host(words[1]),
+                let listed_host = ListedHost {
+                    name: host_name(words[1]),
                     address: "127.0.0.1:9000".into(),
                     machine_type: "small".into(),
                     zone: "a".into(),
                     spot: true,
-                    state: status,
-                    age_s: Amount(words.get(4).map_or(0.0, |a| a.parse().expect("an age"))),
+                    state,
+                    age_s: Amount(
+                        words
+                            .get(4)
+                            .map_or(0.0, |age_s| age_s.parse().expect("an age")),
+                    ),
                 };
-                self.controller.on_host_list(&[item], now);
+                self.leader.on_host_list(&[listed_host], now);
             }
             "machines" => {
-                let known = self.controller.cluster().hosts().values();
-                let known: Vec<String> = known
-                    .map(|h| format!("{} {:?}", h.name, h.lifecycle))
+                let hosts = self.leader.cluster().hosts().values();
+                let hosts: Vec<String> = hosts
+                    .map(|host| format!("{} {:?}", host.name, host.lifecycle))
                     .collect();
-                self.say(&known.join(", "));
+                self.print(&hosts.join(", "));
             }
             "unheard" => {
-                let zones = words[1..].iter().map(|z| (*z).to_owned());
-                self.controller
+                let zones = words[1..].iter().map(|zone| (*zone).to_owned());
+                self.leader
                     .set_controller_reach(zones.collect(), BTreeMap::new());
             }
-            "show" => match self.controller.cluster().jobs().get(&id(words[1])) {
-                Some(j) => {
+            "show" => match self.leader.cluster().jobs().get(&job_id(words[1])) {
+                Some(job) => {
                     let line = format!(
                         "{:?}: {} waiting, {} booked, {} done",
-                        j.phase,
-                        j.waiting_count(),
-                        j.allocated_count,
-                        j.done_count
+                        job.phase,
+                        job.waiting_count(),
+                        job.allocated_count,
+                        job.done_count
                     );
-                    self.say(&line);
+                    self.print(&line);
                 }
-                None => self.say("forgotten"),
+                None => self.print("forgotten"),
             },
             other => panic!("unknown event {other:?}"),
         }
-        self.acted();
+        self.print_actions();
     }
 }
 
-fn replay(trace: &str) -> String {
+/// Replays a trace. Returns it with the lines that the leader's output now consists of.
+fn replay_trace(trace: &str) -> String {
     let mut replay = Replay::new();
-    for line in trace.lines().filter(|l| !l.starts_with('>')) {
-        writeln!(replay.out, "{line}").expect("writing to a string");
+    for line in trace.lines().filter(|line| !line.starts_with('>')) {
+        writeln!(replay.output, "{line}").expect("writing to a string");
         if !line.trim().is_empty() && !line.starts_with('#') {
-            replay.event(line);
+            replay.process_event(line);
         }
     }
-    replay.out
+    replay.output
 }
 
 #[test]
-fn kept_traces_replay_to_the_letter() {
+fn recorded_traces_replay_without_difference() {
     let dir = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/traces");
-    let mut wrong = Vec::new();
+    let mut mismatches = Vec::new();
     let mut count = 0;
     for entry in fs::read_dir(dir).expect("the traces") {
         let path = entry.expect("a trace").path();
-        if path.extension().is_none_or(|e| e != "trace") {
+        if path
+            .extension()
+            .is_none_or(|extension| extension != "trace")
+        {
             continue;
         }
         count += 1;
-        let kept = fs::read_to_string(&path).expect("a trace");
-        let replayed = replay(&kept);
-        if replayed == kept {
+        let recorded = fs::read_to_string(&path).expect("a trace");
+        let replayed = replay_trace(&recorded);
+        if replayed == recorded {
             continue;
         }
         if std::env::var_os("UPDATE_TRACES").is_some() {
             fs::write(&path, replayed).expect("writing a trace");
         } else {
-            let differs = kept.lines().zip(replayed.lines()).find(|(a, b)| a != b);
-            wrong.push(format!("{}: {differs:?}", path.display()));
+            let first_difference = recorded.lines().zip(replayed.lines()).find(|(a, b)| a != b);
+            mismatches.push(format!(
+                "{}: recorded and replayed line: {first_difference:?}",
+                path.display()
+            ));
         }
     }
     assert!(count >= 15, "only {count} traces were found");
-    assert!(wrong.is_empty(), "{}", wrong.join("\n"));
+    assert!(mismatches.is_empty(), "{}", mismatches.join("\n"));
 }
