--- a/crates/testkit/src/faults.rs
+++ b/crates/testkit/src/faults.rs
@@ -84,7 +84,7 @@
         shared.store.renew_all_leases(now_ms);
     }
 
-    /// Sets whether a client is refused.
+    /// Sets whether the store refuses to serve a client.
     pub fn set_refused(&self, client: usize, is_refused: bool) {
         let mut shared = self.0.borrow_mut();
         if is_refused {
--- a/crates/testkit/src/store/mod.rs
+++ b/crates/testkit/src/store/mod.rs
@@ -42,7 +42,7 @@
 
 /// A key-value store in memory.
 pub struct InMemoryStore {
-    /// The number of transactions that changed keys and of keys deleted with their leases.
+    /// Incremented by each transaction with changes, and by each key that is deleted with its lease.
     revision: u64,
     entries: BTreeMap<String, Entry>,
     leases: LeaseTable,
--- a/crates/zones/src/tracker.rs
+++ b/crates/zones/src/tracker.rs
@@ -205,7 +205,8 @@
             .then(|| self.record(now, wall_clock_ms))
     }
 
-    /// The record from which the next leader restores the zones. `wall_clock_ms` is `now` in milliseconds since the Unix epoch.
+    /// The record from which the next leader restores the zones. `wall_clock_ms` is `now` in milliseconds
+    /// since the Unix epoch.
     pub fn record(&self, now: Time, wall_clock_ms: u64) -> ZonesRecord {
         let zones = self.zones.iter();
         let zones = zones.map(|(name, zone)| {
--- a/crates/zones/src/zone.rs
+++ b/crates/zones/src/zone.rs
@@ -179,7 +179,8 @@
         }
     }
 
-    /// The record that is stored for the next leader. `wall_clock_ms` is `now` in milliseconds since the Unix epoch.
+    /// The record that is stored for the next leader. `wall_clock_ms` is `now` in milliseconds since the
+    /// Unix epoch.
     pub(crate) fn to_record(
         &self,
         name: &str,
--- a/tests/traces.rs
+++ b/tests/traces.rs
@@ -89,7 +89,7 @@
 struct Replay {
     leader: Leader,
     now: Time,
-    /// Version of the last write to the simulated state service.
+    /// Version of the last change in the simulated state service.
     store_version: u64,
     /// The lines of the replayed trace.
     output: String,
