--- a/crates/quota/tests/loopback.rs
+++ b/crates/quota/tests/loopback.rs
@@ -70,8 +70,8 @@
     let config = ClientConfig {
         name: ClientName::new(&format!("controller-{number}")),
         store_limits: StoreLimits {
-            value_bytes: limits().max_value_bytes,
-            changes: limits().max_changes,
+            max_value_bytes: limits().max_value_bytes,
+            max_changes: limits().max_changes,
             requests_per_second: 1e9,
             changes_per_second: 1e9,
         },
--- a/src/node/replies.rs
+++ b/src/node/replies.rs
@@ -17,14 +17,14 @@
         }
         if let Some(id) = self.relays.remove(&call) {
             let relayed = peer_messages::answer(peers::RELAY_PATH, result);
-            self.api.on_relayed(id, relayed, now);
+            self.api.on_relay_response(id, relayed, now);
             return;
         }
         if self.types_call == Some(call) {
             self.types_call = None;
             let types = result.ok().filter(|r| r.status == 200);
             if let Some(types) = types.and_then(|r| decode::<MachineTypes>(&r.body).ok()) {
-                self.types = types.types;
+                self.types = types.machine_types;
             }
             return;
         }
@@ -73,17 +73,17 @@
                 let certain = self.leadership.is_lease_valid(now);
                 let duties = self.duties.as_ref().filter(|_| certain);
                 let counts = |job| duties.and_then(|o| o.counts(job));
-                let view = View {
-                    counts: &counts,
-                    spare: self.store.has_spare_budget(now),
-                    answers: self.state_answers(now),
+                let view = NodeView {
+                    leader_task_counts: &counts,
+                    has_spare_store_budget: self.store.has_spare_budget(now),
+                    is_store_reachable: self.state_answers(now),
                 };
                 self.api.on_outcome(ask, outcome, &view, now);
             }
             Some(Purpose::Types) => {
                 if let Outcome::Item(Some(item)) = outcome {
                     if let Some(types) = item.record::<MachineTypes>() {
-                        self.types = types.types;
+                        self.types = types.machine_types;
                     }
                 } else {
                     self.ask_cloud_for_types();
@@ -95,7 +95,7 @@
     /// Before any leader has kept the types, every node asks the cloud itself.
     pub(super) fn ask_cloud_for_types(&mut self) {
         if self.types_call.is_none() && self.types.is_empty() {
-            let cloud = self.settings.outside.cloud;
+            let cloud = self.settings.service_addresses.cloud;
             let limit = Duration::from_secs(4);
             self.types_call = Some(self.net.call(cloud, "GET", "/machine_types", &[], limit));
         }
--- a/tests/api.rs
+++ b/tests/api.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use ciborium::Value;
-use lichencrank::node::api::{ApiAction, ApiServer, ApiStoreRequest, Client, View};
+use lichencrank::node::api::{ApiAction, ApiServer, Client, NodeView, StoreRequestPurpose};
 use lichencrank::protocol::cloud::MachineType;
 use lichencrank::protocol::users::JobState;
 use lichencrank::protocol::{decode, encode, Amount};
@@ -13,7 +13,7 @@
     self, AllocationEntry, JobRecord, OutcomeRecord, RunRecord, UnarchivedOutcome,
 };
 use lichencrank::storage::store::{Outcome, StoreRequest};
-use lichencrank::transport::ConnId;
+use lichencrank::transport::ConnectionId;
 use lichencrank::types::{Attempt, HostName, Incarnation, JobId, Time, Version};
 use lichencrank_store::outcome::RATE_LIMIT_PAUSE;
 use lichencrank_store::{value, Change, Item, Page};
@@ -22,7 +22,7 @@
 struct Desk {
     api: ApiServer,
     next: u64,
-    asked: Vec<(StoreRequest, ApiStoreRequest)>,
+    asked: Vec<(StoreRequest, StoreRequestPurpose)>,
     answers: BTreeMap<u64, (u16, String)>,
     relays: usize,
     /// Cancelled jobs that the leader is asked to take in hand.
@@ -38,11 +38,11 @@
         cpus: Amount(4.0),
         gpus: Amount(0.0),
         memory_gb: Amount(16.0),
-        cache_gb: Amount(50.0),
-        fetch_gb_per_s: Amount(1.0),
-        on_demand_price: Amount(0.3),
-        spot_price: Amount(0.1),
-        boot_s: Amount(30.0),
+        image_cache_gb: Amount(50.0),
+        image_fetch_gb_per_s: Amount(1.0),
+        on_demand_price_per_hour: Amount(0.3),
+        spot_price_per_hour: Amount(0.1),
+        boot_time_s: Amount(30.0),
         zones: vec!["a".into()],
     }]
 }
@@ -79,10 +79,10 @@
 fn open_team() -> Team {
     Team {
         name: "open".into(),
-        cpus: None,
-        cpus_max: None,
-        gpus: None,
-        gpus_max: None,
+        guaranteed_cpus: None,
+        max_cpus: None,
+        guaranteed_gpus: None,
+        max_gpus: None,
     }
 }
 
@@ -103,19 +103,19 @@
 
     fn client(&mut self) -> Client {
         self.next += 1;
-        let conn = ConnId {
+        let conn = ConnectionId {
             slot: 0,
             serial: self.next,
         };
-        let relayed = false;
-        Client { conn, relayed }
+        let is_relayed = false;
+        Client { conn, is_relayed }
     }
 
     fn pump(&mut self) {
-        self.api.pump();
-        for act in self.api.take_acts() {
+        self.api.send_shared_transactions();
+        for act in self.api.take_actions() {
             match act {
-                ApiAction::StoreRequest(_, ask, what) => self.asked.push((ask, what)),
+                ApiAction::SendStoreRequest(_, ask, what) => self.asked.push((ask, what)),
                 ApiAction::Respond(conn, response) => {
                     let fields: BTreeMap<String, Value> =
                         decode(&response.body).unwrap_or_default();
@@ -135,10 +135,10 @@
     /// The state service answers the oldest open request, if it asks as expected.
     fn reply(&mut self, outcome: Outcome) {
         let (_, what) = self.asked.remove(0);
-        let view = View {
-            counts: &|_| None,
-            spare: self.spare,
-            answers: self.answering,
+        let view = NodeView {
+            leader_task_counts: &|_| None,
+            has_spare_store_budget: self.spare,
+            is_store_reachable: self.answering,
         };
         self.api.on_outcome(what, outcome, &view, self.now);
         self.pump();
@@ -146,7 +146,7 @@
 
     fn poll(&mut self, job: u64) -> u64 {
         let client = self.client();
-        self.api.poll(client, &name(job), self.now);
+        self.api.query_status(client, &name(job), self.now);
         self.pump();
         client.conn.serial
     }
@@ -214,7 +214,7 @@
     let asked: Vec<u64> = (1..31)
         .map(|job| {
             let client = desk.client();
-            desk.api.poll(client, &name(job), desk.now);
+            desk.api.query_status(client, &name(job), desk.now);
             client.conn.serial
         })
         .collect();
@@ -224,10 +224,10 @@
         value,
         version: Version(7),
     };
-    let page = |items: Vec<Item>, more: bool| {
+    let page = |items: Vec<Item>, has_more: bool| {
         Outcome::Page(Page {
             items,
-            more,
+            has_more,
             revision: Version(9),
         })
     };
@@ -344,7 +344,7 @@
     let user = desk.poll(1);
     desk.reply(Outcome::Committed(Version(9)));
     assert!(matches!(&desk.asked[0].0, StoreRequest::Get(key) if key == "run/job-000001/00000"));
-    desk.reply(Outcome::Refused);
+    desk.reply(Outcome::Unavailable);
     assert_eq!(desk.answers[&user], (200, "queued".into()));
 }
 
@@ -365,7 +365,7 @@
 
     fn leader_says(&mut self, job: u64, acknowledged: bool) {
         self.api
-            .on_leader_answer(JobId(job), acknowledged, self.now);
+            .on_leader_response(JobId(job), acknowledged, self.now);
         self.pump();
     }
 }
@@ -378,7 +378,7 @@
     let mut desk = Desk::new();
     desk.accept(1..2, 7);
     let user = desk.cancel(1);
-    assert_eq!(desk.api.take_cancelled(), [JobId(1)]);
+    assert_eq!(desk.api.take_cancelled_jobs(), [JobId(1)]);
     assert_eq!(desk.acknowledged, [JobId(1)]);
     assert!(!desk.answers.contains_key(&user));
     desk.leader_says(1, true);
@@ -407,7 +407,7 @@
         }];
         Outcome::Page(Page {
             items,
-            more: false,
+            has_more: false,
             revision: Version(9),
         })
     };
@@ -500,7 +500,10 @@
     };
     let record: JobRecord = value.deserialized().expect("a description");
     assert!(records::json_size(&record) <= 2048);
-    assert_eq!(record.spec.machine_types, Some(vec!["small".to_owned()]));
+    assert_eq!(
+        record.spec.allowed_machine_types,
+        Some(vec!["small".to_owned()])
+    );
     desk.reply(Outcome::Committed(Version(7)));
     assert_eq!(desk.answers[&client.conn.serial].0, 201);
 }
@@ -513,10 +516,10 @@
         let mut desk = Desk::new();
         let team = Team {
             name: "open".into(),
-            cpus: None,
-            cpus_max: Some(3.0),
-            gpus: None,
-            gpus_max: None,
+            guaranteed_cpus: None,
+            max_cpus: Some(3.0),
+            guaranteed_gpus: None,
+            max_gpus: None,
         };
         desk.api = ApiServer::new(vec![team], 32.0, 24);
         let mut body: Value = decode(&description(1)).expect("a map");
--- a/tests/traces.rs
+++ b/tests/traces.rs
@@ -45,11 +45,11 @@
         cpus: Amount(cpus),
         gpus: Amount(0.0),
         memory_gb: Amount(memory_gb),
-        cache_gb: Amount(50.0),
-        fetch_gb_per_s: Amount(1.0),
-        on_demand_price: Amount(on_demand_price),
-        spot_price: Amount(on_demand_price / 3.0),
-        boot_s: Amount(30.0),
+        image_cache_gb: Amount(50.0),
+        image_fetch_gb_per_s: Amount(1.0),
+        on_demand_price_per_hour: Amount(on_demand_price),
+        spot_price_per_hour: Amount(on_demand_price / 3.0),
+        boot_time_s: Amount(30.0),
         zones: zones.iter().map(|zone| (*zone).to_owned()).collect(),
     }
 }
@@ -57,10 +57,10 @@
 fn team(name: &str, guaranteed_cpus: f64, max_cpus: f64) -> Team {
     Team {
         name: name.into(),
-        cpus: Some(guaranteed_cpus),
-        cpus_max: Some(max_cpus),
-        gpus: None,
-        gpus_max: None,
+        guaranteed_cpus: Some(guaranteed_cpus),
+        max_cpus: Some(max_cpus),
+        guaranteed_gpus: None,
+        max_gpus: None,
     }
 }
 
@@ -179,7 +179,7 @@
                         .insert(host.to_string(), (incarnation, commands));
                 }
                 Action::ScaleOut(request) => {
-                    let pricing = if request.spot { "spot" } else { "ordinary" };
+                    let pricing = if request.is_spot { "spot" } else { "ordinary" };
                     let (name, count) = (&request.name, request.count);
                     self.print(&format!(
                         "rent {name}: {count} {} in {}, {pricing}",
@@ -228,20 +228,20 @@
                 Some("low") => Priority::BestEffort,
                 _ => Priority::Normal,
             },
-            tasks: number("tasks", 1.0) as u64,
+            task_count: number("tasks", 1.0) as u64,
             cpus: Amount(number("cpus", 2.0)),
             gpus: Amount(0.0),
             memory_gb: Amount(number("memory", 2.0)),
             image: "img".into(),
             image_gb: Amount(1.0),
-            machine_types: None,
-            zone: field("zone").map(str::to_owned),
+            allowed_machine_types: None,
+            required_zone: field("zone").map(str::to_owned),
             same_zone: words.contains(&"together"),
             spread: words.contains(&"apart"),
-            spot: !words.contains(&"ordinary"),
-            estimate_s: Amount(number("guess", 30.0)),
-            checkpoint_s: Amount(number("saves", 0.0)),
-            save_s: Amount(2.0),
+            allows_spot: !words.contains(&"ordinary"),
+            estimated_run_time_s: Amount(number("guess", 30.0)),
+            checkpoint_interval_s: Amount(number("saves", 0.0)),
+            save_time_s: Amount(2.0),
             deadline_s: field("due").map(|value| Amount(value.parse().expect("a number"))),
         };
         self.store_version += 1;
@@ -282,10 +282,10 @@
                     _ => AttemptState::Ended,
                 };
                 let end_reason = words.get(2).map(|reason| match *reason {
-                    "done" => EndReason::Done,
+                    "done" => EndReason::Completed,
                     "halted" => EndReason::Stopped,
-                    "error" => EndReason::Error,
-                    "no_room" => EndReason::NoRoom,
+                    "error" => EndReason::Failed,
+                    "no_room" => EndReason::InsufficientResources,
                     _ => EndReason::Other,
                 });
                 AttemptStatus {
@@ -300,12 +300,12 @@
             address: "127.0.0.1:9000".into(),
             machine_type,
             zone,
-            spot,
+            is_spot: spot,
             incarnation: Incarnation(incarnation.parse().expect("an incarnation")),
-            sequence: SequenceNumber(sequence.parse().expect("a sequence number")),
+            sequence_number: SequenceNumber(sequence.parse().expect("a sequence number")),
             fencing_token: Term(number_after("token").unwrap_or(TERM.0 as f64) as u64),
-            notice_s: number_after("notice").map(Amount),
-            tasks: statuses.collect(),
+            reclaim_notice_s: number_after("notice").map(Amount),
+            attempts: statuses.collect(),
         }
     }
 
@@ -350,7 +350,7 @@
                 Outcome::Committed(Version(self.store_version))
             }
             ["lost"] => Outcome::Unknown,
-            ["refused"] => Outcome::Refused,
+            ["refused"] => Outcome::Unavailable,
             ["conflict", keys @ ..] => {
                 Outcome::Conflict(keys.iter().map(|key| (*key).to_owned()).collect())
             }
@@ -494,7 +494,7 @@
                     address: "127.0.0.1:9000".into(),
                     machine_type: "small".into(),
                     zone: "a".into(),
-                    spot: true,
+                    is_spot: true,
                     state,
                     age_s: Amount(
                         words
