--- a/tests/traces.rs
+++ b/tests/traces.rs
@@ -37,7 +37,7 @@
     name: &str,
     cpus: f64,
     memory_gb: f64,
-    on_demand_price: f64,
+    on_demand_price_per_hour: f64,
     zones: &[&str],
 ) -> MachineType {
     MachineType {
@@ -47,8 +47,8 @@
         memory_gb: Amount(memory_gb),
         image_cache_gb: Amount(50.0),
         image_fetch_gb_per_s: Amount(1.0),
-        on_demand_price_per_hour: Amount(on_demand_price),
-        spot_price_per_hour: Amount(on_demand_price / 3.0),
+        on_demand_price_per_hour: Amount(on_demand_price_per_hour),
+        spot_price_per_hour: Amount(on_demand_price_per_hour / 3.0),
         boot_time_s: Amount(30.0),
         zones: zones.iter().map(|zone| (*zone).to_owned()).collect(),
     }
@@ -264,7 +264,7 @@
                 .get(index + 1)
                 .and_then(|value| value.parse::<f64>().ok())
         };
-        let (machine_type, zone, spot) = self.declared_hosts.get(words[0]).cloned().unwrap_or((
+        let (machine_type, zone, is_spot) = self.declared_hosts.get(words[0]).cloned().unwrap_or((
             "small".into(),
             "a".into(),
             true,
@@ -300,7 +300,7 @@
             address: "127.0.0.1:9000".into(),
             machine_type,
             zone,
-            is_spot: spot,
+            is_spot,
             incarnation: Incarnation(incarnation.parse().expect("an incarnation")),
             sequence_number: SequenceNumber(sequence.parse().expect("a sequence number")),
             fencing_token: Term(number_after("token").unwrap_or(TERM.0 as f64) as u64),
