--- a/tests/simulated/cloud.rs
+++ b/tests/simulated/cloud.rs
@@ -8,11 +8,11 @@
 
 use super::clock::{seconds, SimTime};
 use super::faults::FaultWindow;
-use super::worker::MachineSpec;
+use super::worker::HostSpec;
 
 /// A machine that is or was rented.
 struct RentedMachine {
-    spec: MachineSpec,
+    spec: HostSpec,
     rented_at: SimTime,
     up_at: SimTime,
     gone_at: Option<SimTime>,
@@ -23,7 +23,7 @@
     machines: BTreeMap<String, RentedMachine>,
     /// The answers to requests to rent, by the key that makes a repeated one idempotent.
     rental_answers: BTreeMap<String, Value>,
-    rentable_machines: usize,
+    host_capacity: usize,
     list_lag: Duration,
     /// How long machines boot, where a scenario sets it.
     fixed_boot_time: Option<Duration>,
@@ -32,11 +32,11 @@
 
 impl Cloud {
     /// A cloud that rents so many machines in all, and whose list lags.
-    pub fn new(rentable_machines: usize, list_lag: Duration) -> Cloud {
+    pub fn new(host_capacity: usize, list_lag: Duration) -> Cloud {
         Cloud {
             machines: BTreeMap::new(),
             rental_answers: BTreeMap::new(),
-            rentable_machines,
+            host_capacity,
             list_lag,
             fixed_boot_time: None,
             outage: FaultWindow::default(),
@@ -72,7 +72,7 @@
     pub fn available_machines(&self) -> usize {
         let machines = self.machines.values();
         let rented = machines.filter(|machine| machine.gone_at.is_none()).count();
-        self.rentable_machines.saturating_sub(rented)
+        self.host_capacity.saturating_sub(rented)
     }
 
     /// The answer that a request to rent with that key got before.
@@ -86,14 +86,14 @@
     }
 
     /// A machine is rented now.
-    pub fn add(&mut self, spec: MachineSpec, now: SimTime, up_at: SimTime) {
+    pub fn add(&mut self, spec: HostSpec, now: SimTime, up_at: SimTime) {
         let machine = RentedMachine {
             spec: spec.clone(),
             rented_at: now,
             up_at,
             gone_at: None,
         };
-        self.machines.insert(spec.host, machine);
+        self.machines.insert(spec.name, machine);
     }
 
     /// A machine is gone now, unless it is already.
--- a/tests/simulated/deployment.rs
+++ b/tests/simulated/deployment.rs
@@ -67,7 +67,7 @@
 
 /// Machines that are up when the scenario starts.
 #[derive(Clone, Debug)]
-pub struct InitialMachines {
+pub struct InitialHosts {
     /// How many.
     pub count: usize,
     /// Their zone.
@@ -86,15 +86,15 @@
     /// How long a worker keeps its tasks without an answer to its heartbeats.
     pub worker_lease: Duration,
     /// By when the tasks of a cancelled job have to end.
-    pub cancellation_deadline: Duration,
+    pub cancellation_timeout: Duration,
     /// Limits of the key-value store at the start.
     pub store_limits: StoreLimits,
     /// Limits that come into force later; upgraded controllers know of them.
     pub next_store_limits: Option<LoweredStoreLimits>,
     /// By how much the cloud's list of machines lags.
-    pub machine_list_lag: Duration,
+    pub host_list_lag: Duration,
     /// How many machines the cloud rents in all.
-    pub rentable_machines: usize,
+    pub host_capacity: usize,
     /// About how long a machine boots.
     pub boot_time: Duration,
     /// The features file.
@@ -104,7 +104,7 @@
     /// The teams that may submit jobs.
     pub teams: Vec<Team>,
     /// Machines that are up when the scenario starts.
-    pub initial_machines: Vec<InitialMachines>,
+    pub initial_hosts: Vec<InitialHosts>,
 }
 
 impl Default for Deployment {
@@ -114,7 +114,7 @@
             zones: vec!["a".to_owned()],
             heartbeat_interval: Duration::from_secs(3),
             worker_lease: Duration::from_secs(16),
-            cancellation_deadline: Duration::from_secs(41),
+            cancellation_timeout: Duration::from_secs(41),
             store_limits: StoreLimits {
                 requests_per_second: 200.0,
                 writes_per_second: 100.0,
@@ -122,13 +122,13 @@
                 transaction_operations: 16,
             },
             next_store_limits: None,
-            machine_list_lag: Duration::from_secs(5),
-            rentable_machines: 0,
+            host_list_lag: Duration::from_secs(5),
+            host_capacity: 0,
             boot_time: Duration::from_secs(20),
             features: String::new(),
             tracks_zones: false,
             teams: Vec::new(),
-            initial_machines: Vec::new(),
+            initial_hosts: Vec::new(),
         }
     }
 }
@@ -159,7 +159,7 @@
         let limited = self.teams.iter();
         let limits = limited.filter_map(|team| Some((team.name.clone(), team.cpu_limit?)));
         Bounds {
-            cancellation_deadline: self.cancellation_deadline,
+            cancellation_deadline: self.cancellation_timeout,
             team_cpu_limits: limits.collect::<BTreeMap<_, _>>(),
         }
     }
@@ -198,10 +198,10 @@
                 "workers": {
                     "report_s": seconds(self.heartbeat_interval),
                     "lease_s": seconds(self.worker_lease),
-                    "cancel_s": seconds(self.cancellation_deadline),
+                    "cancel_s": seconds(self.cancellation_timeout),
                 },
                 "state": self.store_settings(knows_next_limits),
-                "cloud": {"rps": 20.0, "list_lag_s": seconds(self.machine_list_lag)},
+                "cloud": {"rps": 20.0, "list_lag_s": seconds(self.host_list_lag)},
                 "resources": {"sockets": 1000},
             }
         });
--- a/tests/simulated/event_queue.rs
+++ b/tests/simulated/event_queue.rs
@@ -80,7 +80,7 @@
     /// A user no longer waits for a response.
     UserTimeout(RequestId),
     /// Time passes for machines and their workers.
-    AdvanceMachines,
+    AdvanceHosts,
     /// Time passes for the key-value store.
     AdvanceStore,
     /// The checker judges what should have happened by now.
--- a/tests/simulated/fingerprint.rs
+++ b/tests/simulated/fingerprint.rs
@@ -66,7 +66,7 @@
 
     fn add_call(&mut self, call: &OutgoingCall) {
         let timeout_ms = call.timeout.as_millis() as u64;
-        ("call", call.id.0, call.to, timeout_ms).hash(&mut self.hasher);
+        ("call", call.id.0, call.server, timeout_ms).hash(&mut self.hasher);
         (&call.method, &call.target, &call.body).hash(&mut self.hasher);
     }
 
--- a/tests/simulated/fleet/messages.rs
+++ b/tests/simulated/fleet/messages.rs
@@ -57,7 +57,7 @@
             worker.boot(now, self.worker_lease);
             let spec = worker.spec();
             surroundings.context.observe(Observation::MachineUp {
-                host: spec.host.clone(),
+                host: spec.name.clone(),
                 zone: spec.zone.clone(),
                 is_spot: spec.is_spot,
                 cpus: MACHINE_TYPE.cpus,
@@ -217,7 +217,7 @@
 pub(super) fn observe_tasks(surroundings: &mut Surroundings, worker: &mut Worker) {
     let now = surroundings.context.now();
     for TaskEvent { task, change } in worker.take_task_events() {
-        let host = worker.spec().host.clone();
+        let host = worker.spec().name.clone();
         let Some(task) = TaskId::parse(&task) else {
             continue;
         };
--- a/tests/simulated/fleet/mod.rs
+++ b/tests/simulated/fleet/mod.rs
@@ -22,7 +22,7 @@
 use super::network::Network;
 use super::script::command::{MachineFault, ReplicaEnd};
 use super::users::Users;
-use super::worker::{MachineSpec, Worker};
+use super::worker::{HostSpec, Worker};
 use heartbeat_copies::HeartbeatCopies;
 use messages::observe_tasks;
 
@@ -64,7 +64,7 @@
     /// No machines yet.
     pub fn new(deployment: &Deployment) -> Fleet {
         Fleet {
-            cloud: Cloud::new(deployment.rentable_machines, deployment.machine_list_lag),
+            cloud: Cloud::new(deployment.host_capacity, deployment.host_list_lag),
             workers: BTreeMap::new(),
             machine_types: deployment.machine_types(),
             controller_count: deployment.controller_count,
@@ -82,7 +82,7 @@
     }
 
     /// The machine whose worker is at that address.
-    pub fn find_by_address(&self, address: &str) -> Option<&MachineSpec> {
+    pub fn find_by_address(&self, address: &str) -> Option<&HostSpec> {
         let mut specs = self.workers.values().map(Worker::spec);
         specs.find(|spec| spec.address == address)
     }
@@ -94,7 +94,7 @@
     }
 
     /// How many machines are in a zone.
-    pub fn machine_count(&self, zone: &str) -> usize {
+    pub fn host_count(&self, zone: &str) -> usize {
         self.workers_in(zone).count()
     }
 
@@ -107,7 +107,7 @@
 /// Machines come and go.
 impl Fleet {
     /// Rents a machine that is up at once.
-    pub fn add_machine_that_is_up(&mut self, context: &mut Context, zone: &str) {
+    pub fn add_running_host(&mut self, context: &mut Context, zone: &str) {
         self.add_machine(context, zone, false, Some(Duration::ZERO));
     }
 
@@ -122,8 +122,8 @@
         let boot_time = boot_time.unwrap_or_else(|| self.random_boot_time(context));
         let number = self.cloud.rental_count();
         let subnet = number / MACHINES_IN_A_SUBNET;
-        let spec = MachineSpec {
-            host: format!("vm-{number:06}"),
+        let spec = HostSpec {
+            name: format!("vm-{number:06}"),
             address: format!("10.1.{subnet}.{}:9000", 1 + number % MACHINES_IN_A_SUBNET),
             zone: zone.to_owned(),
             is_spot,
@@ -133,7 +133,7 @@
         let first_controller = NodeIndex(context.random().usize(0..self.controller_count));
         let up_at = now + boot_time;
         self.cloud.add(spec.clone(), now, up_at);
-        let host = spec.host.clone();
+        let host = spec.name.clone();
         let worker = Worker::new(spec, up_at, image_load_time, first_controller);
         self.workers.insert(host.clone(), worker);
         host
@@ -166,7 +166,7 @@
     }
 
     /// The machines that hold tasks of a job stand still.
-    pub fn pause_machines_of(&mut self, job: JobId, window: FaultWindow) {
+    pub fn pause_hosts_of(&mut self, job: JobId, window: FaultWindow) {
         let workers = self.workers.values_mut();
         for worker in workers.filter(|worker| worker.tasks().holds_job(job)) {
             worker.faults_mut().pause = window;
@@ -184,7 +184,7 @@
     }
 
     /// Some machines are at fault until that time: each with that probability, in one zone or in all.
-    pub fn inject(
+    pub fn inject_fault(
         &mut self,
         surroundings: &mut Surroundings,
         fault: MachineFault,
--- a/tests/simulated/fleet/rental.rs
+++ b/tests/simulated/fleet/rental.rs
@@ -95,7 +95,7 @@
         };
         let machines: BTreeMap<String, Vec<HeldTask>> = self
             .workers_in(&isolation.zone)
-            .map(|worker| (worker.spec().host.clone(), worker.tasks().held_tasks()))
+            .map(|worker| (worker.spec().name.clone(), worker.tasks().held_tasks()))
             .collect();
         let released = || hosts.iter().filter_map(|host| machines.get(host));
         if isolation.window.is_active(now) {
--- a/tests/simulated/script/parser.rs
+++ b/tests/simulated/script/parser.rs
@@ -6,7 +6,7 @@
 use super::{Expectation, ScheduledCommand, Script};
 use crate::simulated::clock::SimTime;
 use crate::simulated::deployment::{
-    Deployment, InitialMachines, LoweredStoreLimits, Team, MACHINE_TYPE,
+    Deployment, InitialHosts, LoweredStoreLimits, Team, MACHINE_TYPE,
 };
 use crate::simulated::history::Mark;
 
@@ -54,7 +54,7 @@
             "team" => self.deployment.teams.push(team(line)?),
             "quota" => self.enable_quota(line)?,
             "zones" => self.enable_zone_tracking(),
-            "machines" => self.deployment.initial_machines.push(machines(line)?),
+            "machines" => self.deployment.initial_hosts.push(machines(line)?),
             "calm" => self.faults_end_at = time_at(line, 1)?,
             "end" => self.end_at = time_at(line, 1)?,
             "never" => {
@@ -112,8 +112,8 @@
     let durations = [
         ("report", &mut deployment.heartbeat_interval),
         ("lease", &mut deployment.worker_lease),
-        ("cancel", &mut deployment.cancellation_deadline),
-        ("lag", &mut deployment.machine_list_lag),
+        ("cancel", &mut deployment.cancellation_timeout),
+        ("lag", &mut deployment.host_list_lag),
         ("boot", &mut deployment.boot_time),
     ];
     for (key, duration) in durations {
@@ -131,7 +131,7 @@
     let counts = [
         ("nodes", &mut deployment.controller_count),
         ("txn_ops", &mut limits.transaction_operations),
-        ("market", &mut deployment.rentable_machines),
+        ("market", &mut deployment.host_capacity),
     ];
     for (key, count) in counts {
         *count = line
@@ -170,12 +170,12 @@
 }
 
 /// `machines COUNT TYPE ZONE`
-fn machines(line: &Line) -> Result<InitialMachines, Problem> {
+fn machines(line: &Line) -> Result<InitialHosts, Problem> {
     let machine_type = line.argument(2)?;
     if machine_type != MACHINE_TYPE.name {
         return Err(unknown_word("machine type", machine_type));
     }
-    Ok(InitialMachines {
+    Ok(InitialHosts {
         count: line.number_at(1)? as usize,
         zone: line.argument(3)?.to_owned(),
     })
--- a/tests/simulated/simulation/commands.rs
+++ b/tests/simulated/simulation/commands.rs
@@ -123,7 +123,7 @@
             PlannedRequest::schedule_through(context, at, job, RequestKind::Cancel, node);
             if machine_pause > Duration::ZERO {
                 let window = self.window(machine_pause);
-                self.fleet.pause_machines_of(job, window);
+                self.fleet.pause_hosts_of(job, window);
             }
         }
     }
@@ -226,7 +226,7 @@
                 self.network.separate_zones(self.window(duration));
             }
             NetworkFault::IsolateZone { zone, duration } => {
-                let machine_count = self.fleet.machine_count(&zone);
+                let machine_count = self.fleet.host_count(&zone);
                 self.context.checker_mut().observe_isolation(machine_count);
                 self.network.isolate_zone(ZoneIsolation {
                     zone,
@@ -298,7 +298,7 @@
                 let until = self.context.now() + *duration;
                 let (fleet, mut surroundings) = self.fleet_and_surroundings();
                 let zone = zone.as_deref();
-                fleet.inject(&mut surroundings, *fault, *probability, zone, until);
+                fleet.inject_fault(&mut surroundings, *fault, *probability, zone, until);
             }
             MachineCommand::LateHeartbeats {
                 probability,
--- a/tests/simulated/simulation/mod.rs
+++ b/tests/simulated/simulation/mod.rs
@@ -87,14 +87,14 @@
             self.controllers.add(&self.deployment, node, settings);
             self.start_controller(node);
         }
-        for machines in &self.deployment.initial_machines {
+        for machines in &self.deployment.initial_hosts {
             for _ in 0..machines.count {
                 let zone = &machines.zone;
-                self.fleet.add_machine_that_is_up(&mut self.context, zone);
+                self.fleet.add_running_host(&mut self.context, zone);
             }
         }
         for event in [
-            Event::AdvanceMachines,
+            Event::AdvanceHosts,
             Event::AdvanceStore,
             Event::CheckLiveness,
         ] {
@@ -165,7 +165,7 @@
                 self.deliver_to_user(request, Some(response));
             }
             Event::UserTimeout(request) => self.deliver_to_user(request, None),
-            Event::AdvanceMachines => self.advance_machines(),
+            Event::AdvanceHosts => self.advance_machines(),
             Event::AdvanceStore => self.advance_store(),
             Event::CheckLiveness => self.check_liveness(),
             Event::ScriptCommand(command) => self.execute(*command),
@@ -196,7 +196,7 @@
         let (fleet, mut surroundings) = self.fleet_and_surroundings();
         fleet.advance(&mut surroundings);
         self.context
-            .schedule_after(MACHINE_STEP, Event::AdvanceMachines);
+            .schedule_after(MACHINE_STEP, Event::AdvanceHosts);
     }
 
     fn advance_store(&mut self) {
@@ -214,7 +214,7 @@
             return;
         };
         let now = self.context.now();
-        let admitted = embedder.advance(now, self.store.available_service(now));
+        let admitted = embedder.advance(now, self.store.available_contents(now));
         let checker = self.context.checker_mut();
         checker.observe_embedded_work(now, embedder.team(), embedder.used_cpus());
         for _ in 0..admitted {
@@ -285,7 +285,7 @@
         }
         let all_know_quota = self.upgrade.first_version() == Version::Current
             && self.controllers.all_run(Version::Current);
-        for difference in quota_audit::differences(self.store.service(), all_know_quota) {
+        for difference in quota_audit::differences(self.store.contents(), all_know_quota) {
             self.context.report(Invariant::QuotaAccounts, difference);
         }
     }
--- a/tests/simulated/simulation/routing.rs
+++ b/tests/simulated/simulation/routing.rs
@@ -17,7 +17,7 @@
 use crate::simulated::store::{Delivery, StoreOutcome, StoreResponse, WatchResponse};
 use crate::simulated::transport::{Outgoing, OutgoingCall};
 use crate::simulated::users::{Membership, PlannedRequest};
-use crate::simulated::worker::{HeartbeatId, MachineSpec};
+use crate::simulated::worker::{HeartbeatId, HostSpec};
 
 /// Time that a call to the cloud takes, in milliseconds, beside the latency of the network.
 const CLOUD_CALL_DELAY: Duration = Duration::from_millis(50);
@@ -127,12 +127,12 @@
         };
         self.context.schedule_after(call.timeout, timed_out);
         let latency = self.context.network_latency();
-        let address = call.to.to_string();
+        let address = call.server.to_string();
         if address == STORE_ADDRESS {
             self.call_store(handle, call, latency);
         } else if address == CLOUD_ADDRESS {
             self.call_cloud(handle, call, latency);
-        } else if let Some(peer) = self.controllers.find_by_internal_address(call.to) {
+        } else if let Some(peer) = self.controllers.find_by_internal_address(call.server) {
             self.call_controller(handle, call, peer, latency);
         } else if let Some(machine) = self.fleet.find_by_address(&address) {
             let machine = machine.clone();
@@ -146,14 +146,13 @@
         let Some(delay) = self.network.delay(now, node, RemoteEnd::Store, latency) else {
             return;
         };
-        let disturbance = self.store.disturb(&mut self.context, &call);
+        let faults = self.store.draw_faults(&mut self.context, &call);
         let arrival = Event::StoreRequest {
             call: handle,
             request: call,
-            delivery: disturbance.delivery,
+            delivery: faults.delivery,
         };
-        self.context
-            .schedule_after(delay + disturbance.delay, arrival);
+        self.context.schedule_after(delay + faults.delay, arrival);
     }
 
     fn call_cloud(&mut self, handle: CallHandle, call: OutgoingCall, latency: Duration) {
@@ -193,11 +192,11 @@
         &mut self,
         handle: CallHandle,
         call: &OutgoingCall,
-        machine: MachineSpec,
+        machine: HostSpec,
         latency: Duration,
     ) {
         let arrival = Event::WorkerCommand {
-            host: machine.host,
+            host: machine.name,
             call: handle,
             command: decode(&call.body).unwrap_or(Value::Null),
         };
--- a/tests/simulated/simulation/verdict.rs
+++ b/tests/simulated/simulation/verdict.rs
@@ -45,7 +45,7 @@
     pub(super) fn check_end(&mut self) {
         self.context.checker_mut().check_end(self.end_at);
         for prefix in RECORDS_OF_OPEN_WORK {
-            let count = self.store.service().key_count(prefix);
+            let count = self.store.contents().key_count(prefix);
             if count > 0 {
                 let details = format!("{count} records under {prefix} are left");
                 self.context.report(Invariant::RecordsAreCollected, details);
--- a/tests/simulated/store.rs
+++ b/tests/simulated/store.rs
@@ -28,7 +28,7 @@
 
 /// What the store's faults do to a request on its way.
 #[derive(Clone, Copy, Debug)]
-pub struct Disturbance {
+pub struct RequestFaults {
     /// By how much it arrives later.
     pub delay: Duration,
     /// Whether its answer gets back.
@@ -108,7 +108,7 @@
 
 /// The key-value store.
 pub struct KeyValueStore {
-    service: InMemoryStore,
+    contents: InMemoryStore,
     request_limiter: RateLimiter,
     write_limiter: RateLimiter,
     watches: Vec<Watch>,
@@ -135,7 +135,7 @@
     pub fn new(limits: StoreLimits) -> KeyValueStore {
         let service_limits = service_limits(limits.value_kilobytes, limits.transaction_operations);
         KeyValueStore {
-            service: InMemoryStore::new(service_limits),
+            contents: InMemoryStore::new(service_limits),
             request_limiter: RateLimiter::new(limits.requests_per_second),
             write_limiter: RateLimiter::new(limits.writes_per_second),
             watches: Vec::new(),
@@ -144,20 +144,20 @@
     }
 
     /// The contents.
-    pub fn service(&self) -> &InMemoryStore {
-        &self.service
+    pub fn contents(&self) -> &InMemoryStore {
+        &self.contents
     }
 
     /// The contents, for clients that no limit holds back; `None` during an outage.
-    pub fn available_service(&mut self, now: SimTime) -> Option<&mut InMemoryStore> {
+    pub fn available_contents(&mut self, now: SimTime) -> Option<&mut InMemoryStore> {
         let is_available = !self.faults.outage.is_active(now);
-        is_available.then_some(&mut self.service)
+        is_available.then_some(&mut self.contents)
     }
 
     /// Who leads.
     pub fn leader_record(&self) -> LeaderRecord {
-        let term = self.service.value("lead/term");
-        let holder = self.service.value("lead/holder");
+        let term = self.contents.value("lead/term");
+        let holder = self.contents.value("lead/holder");
         LeaderRecord {
             term: term.map_or(0, |record| number(record, "term")),
             holder: holder.map(|record| text(record, "node")),
@@ -193,28 +193,28 @@
     /// Lower limits come into force.
     pub fn lower_limits(&mut self, limits: LoweredStoreLimits) {
         let service = service_limits(limits.value_kilobytes, limits.transaction_operations);
-        self.service.set_limits(service);
+        self.contents.set_limits(service);
         self.write_limiter = RateLimiter::new(limits.writes_per_second);
     }
 
     /// What the store's faults do to a request that is sent now.
-    pub fn disturb(&self, context: &mut Context, call: &OutgoingCall) -> Disturbance {
-        let mut disturbance = Disturbance {
+    pub fn draw_faults(&self, context: &mut Context, call: &OutgoingCall) -> RequestFaults {
+        let mut faults = RequestFaults {
             delay: self.slowness(context),
             delivery: Delivery::Answered,
         };
         if !is_transaction(call) {
-            return disturbance;
+            return faults;
         }
         if context.occurs(self.faults.lost_answers) {
-            disturbance.delivery = Delivery::AnswerLost;
+            faults.delivery = Delivery::AnswerLost;
             context.mark(Mark::AnswerLost);
         } else if context.occurs(self.faults.late_writes) {
-            disturbance.delivery = Delivery::AnswerLost;
-            disturbance.delay += context.random_millis(LATE_WRITE_DELAY_MS);
+            faults.delivery = Delivery::AnswerLost;
+            faults.delay += context.random_millis(LATE_WRITE_DELAY_MS);
             context.mark(Mark::WriteDelayed);
         }
-        disturbance
+        faults
     }
 
     fn slowness(&self, context: &mut Context) -> Duration {
@@ -278,7 +278,9 @@
             return StoreOutcome::Refused(StoreResponse::without_body(429));
         }
         let time = now.as_millis();
-        let answer = self.service.handle(time, &call.method, &call.target, &body);
+        let answer = self
+            .contents
+            .handle(time, &call.method, &call.target, &body);
         if answer.status == 400 {
             note_rejection(context, node, &call.target, &answer.body, delivery);
         }
@@ -293,9 +295,9 @@
     pub fn advance(&mut self, now: SimTime) -> bool {
         let is_available = !self.faults.outage.is_active(now);
         if is_available {
-            self.service.expire_leases(now.as_millis());
+            self.contents.expire_leases(now.as_millis());
         } else {
-            self.service.renew_all_leases(now.as_millis());
+            self.contents.renew_all_leases(now.as_millis());
         }
         is_available
     }
@@ -309,7 +311,7 @@
             let answer = if is_refused {
                 None
             } else {
-                self.service.watch(&watch.target, is_due)
+                self.contents.watch(&watch.target, is_due)
             };
             match answer {
                 None => self.watches.push(watch),
--- a/tests/simulated/transport.rs
+++ b/tests/simulated/transport.rs
@@ -11,14 +11,14 @@
 use super::clock::{SimClock, SimTime};
 
 /// The time of day when a simulation starts, in milliseconds since 1970.
-const TIME_OF_DAY_AT_START_MS: u64 = 1_700_000_000_000;
+const WALL_CLOCK_AT_START_MS: u64 = 1_700_000_000_000;
 
 /// A call that a controller makes.
 pub struct OutgoingCall {
     /// Its number within the process.
     pub id: CallId,
     /// Whom it is for.
-    pub to: SocketAddr,
+    pub server: SocketAddr,
     /// The HTTP method.
     pub method: String,
     /// The path and the query.
@@ -80,7 +80,7 @@
 /// A call in terms that no version of the service owns.
 pub struct CallParameters<'a> {
     /// Whom it is for.
-    pub to: SocketAddr,
+    pub server: SocketAddr,
     /// The HTTP method.
     pub method: &'a str,
     /// The path and the query.
@@ -109,8 +109,8 @@
     }
 
     /// Milliseconds since 1970.
-    pub fn time_of_day_ms(&self) -> u64 {
-        TIME_OF_DAY_AT_START_MS + self.clock.now().as_millis()
+    pub fn wall_clock_ms(&self) -> u64 {
+        WALL_CLOCK_AT_START_MS + self.clock.now().as_millis()
     }
 
     /// Sends the response to a request.
@@ -126,7 +126,7 @@
         self.last_call += 1;
         self.outbox.push(Outgoing::Call(OutgoingCall {
             id: CallId(self.last_call),
-            to: call.to,
+            server: call.server,
             method: call.method.to_owned(),
             target: call.target.to_owned(),
             body: call.body.to_vec(),
@@ -142,7 +142,7 @@
     }
 
     fn wall_clock_ms(&self) -> u64 {
-        self.time_of_day_ms()
+        self.wall_clock_ms()
     }
 
     fn respond(&mut self, conn: ConnectionId, response: &Response) {
@@ -151,14 +151,14 @@
 
     fn call(
         &mut self,
-        to: SocketAddr,
+        server: SocketAddr,
         method: &str,
         target: &str,
         body: &[u8],
         limit: Duration,
     ) -> CallId {
         CallId(self.send_call(&CallParameters {
-            to,
+            server,
             method,
             target,
             body,
--- a/tests/simulated/worker/mod.rs
+++ b/tests/simulated/worker/mod.rs
@@ -25,9 +25,9 @@
 
 /// What is known of a machine from the moment when it is rented.
 #[derive(Clone, Debug)]
-pub struct MachineSpec {
+pub struct HostSpec {
     /// Its name.
-    pub host: String,
+    pub name: String,
     /// Where controllers reach its worker.
     pub address: String,
     /// The zone it is in.
@@ -36,11 +36,11 @@
     pub is_spot: bool,
 }
 
-impl MachineSpec {
+impl HostSpec {
     /// The fields of the protocol, with the name under the given key.
     pub fn fields(&self, name_key: &'static str) -> Fields {
         vec![
-            (name_key, self.host.as_str().into()),
+            (name_key, self.name.as_str().into()),
             ("address", self.address.as_str().into()),
             ("hosttype", MACHINE_TYPE.name.into()),
             ("hall", self.zone.as_str().into()),
@@ -59,7 +59,7 @@
 
 /// The worker of one machine.
 pub struct Worker {
-    spec: MachineSpec,
+    spec: HostSpec,
     up_at: SimTime,
     /// Whether the machine has come up.
     has_booted: bool,
@@ -88,7 +88,7 @@
 impl Worker {
     /// The worker of a machine that comes up at `up_at` and reports to that controller first.
     pub fn new(
-        spec: MachineSpec,
+        spec: HostSpec,
         up_at: SimTime,
         image_load_time: Duration,
         first_controller: NodeIndex,
@@ -113,7 +113,7 @@
     }
 
     /// What is known of the machine.
-    pub fn spec(&self) -> &MachineSpec {
+    pub fn spec(&self) -> &HostSpec {
         &self.spec
     }
 
@@ -274,7 +274,7 @@
     /// The last status goes out as a heartbeat.
     pub fn send_heartbeat(&mut self, now: SimTime) -> HeartbeatId {
         let heartbeat = HeartbeatId {
-            host: self.spec.host.clone(),
+            host: self.spec.name.clone(),
             tick: self.tick,
             sent_at: now,
         };
--- a/tests/upgrade/tests/rollout.rs
+++ b/tests/upgrade/tests/rollout.rs
@@ -34,7 +34,7 @@
                 }
 
                 fn time_of_day(&self) -> u64 {
-                    self.0.time_of_day_ms()
+                    self.0.wall_clock_ms()
                 }
 
                 fn respond(&mut self, conn: earlier::ConnId, response: &earlier::Response) {
@@ -60,7 +60,7 @@
                     limit: Duration,
                 ) -> earlier::CallId {
                     earlier::CallId(self.0.send_call(&CallParameters {
-                        to,
+                        server: to,
                         method,
                         target,
                         body,
