--- a/tests/simulated/cloud.rs
+++ b/tests/simulated/cloud.rs
@@ -1,4 +1,4 @@
-//! The cloud's side of machines: which are rented, and a list of them that lags.
+//! The cloud's records: the provisioned hosts, and a list of them that lags.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -10,32 +10,32 @@
 use super::faults::FaultWindow;
 use super::worker::HostSpec;
 
-/// A machine that is or was rented.
-struct RentedMachine {
+/// A host that is or was provisioned.
+struct ProvisionedHost {
     spec: HostSpec,
-    rented_at: SimTime,
+    provisioned_at: SimTime,
     up_at: SimTime,
-    gone_at: Option<SimTime>,
+    removed_at: Option<SimTime>,
 }
 
 /// The cloud.
 pub struct Cloud {
-    machines: BTreeMap<String, RentedMachine>,
-    /// The answers to requests to rent, by the key that makes a repeated one idempotent.
-    rental_answers: BTreeMap<String, Value>,
+    hosts: BTreeMap<String, ProvisionedHost>,
+    /// Responses to provisioning requests by their idempotency keys.
+    provisioning_responses: BTreeMap<String, Value>,
     host_capacity: usize,
     list_lag: Duration,
-    /// How long machines boot, where a scenario sets it.
+    /// The boot time, if the scenario sets it; otherwise it is random.
     fixed_boot_time: Option<Duration>,
     outage: FaultWindow,
 }
 
 impl Cloud {
-    /// A cloud that rents so many machines in all, and whose list lags.
+    /// A cloud that provides at most `host_capacity` hosts at the same time, and whose list of hosts lags.
     pub fn new(host_capacity: usize, list_lag: Duration) -> Cloud {
         Cloud {
-            machines: BTreeMap::new(),
-            rental_answers: BTreeMap::new(),
+            hosts: BTreeMap::new(),
+            provisioning_responses: BTreeMap::new(),
             host_capacity,
             list_lag,
             fixed_boot_time: None,
@@ -43,88 +43,91 @@
         }
     }
 
-    /// All requests are refused while this lasts.
+    /// Refuses all requests during the given window.
     pub fn start_outage(&mut self, window: FaultWindow) {
         self.outage = window;
     }
 
-    /// Whether all requests are refused now.
-    pub fn is_away(&self, now: SimTime) -> bool {
+    /// Whether the cloud refuses all requests now.
+    pub fn is_in_outage(&self, now: SimTime) -> bool {
         self.outage.is_active(now)
     }
 
-    /// Machines that are rented from now on boot that fast.
+    /// Sets the boot time of hosts that are provisioned from now on.
     pub fn set_boot_time(&mut self, boot_time: Duration) {
         self.fixed_boot_time = Some(boot_time);
     }
 
-    /// How long machines boot, if that is set.
+    /// The boot time, if the scenario has set it.
     pub fn fixed_boot_time(&self) -> Option<Duration> {
         self.fixed_boot_time
     }
 
-    /// How many machines have been rented so far.
-    pub fn rental_count(&self) -> usize {
-        self.machines.len()
+    /// Number of hosts provisioned so far, including removed ones.
+    pub fn provisioned_count(&self) -> usize {
+        self.hosts.len()
     }
 
-    /// How many machines may be rented now.
-    pub fn available_machines(&self) -> usize {
-        let machines = self.machines.values();
-        let rented = machines.filter(|machine| machine.gone_at.is_none()).count();
-        self.host_capacity.saturating_sub(rented)
+    /// Number of hosts that can be provisioned now.
+    pub fn available_hosts(&self) -> usize {
+        let hosts = self.hosts.values();
+        let present = hosts.filter(|host| host.removed_at.is_none()).count();
+        self.host_capacity.saturating_sub(present)
     }
 
-    /// The answer that a request to rent with that key got before.
-    pub fn earlier_rental_answer(&self, key: &str) -> Option<&Value> {
-        self.rental_answers.get(key)
+    /// The response to an earlier provisioning request with the given idempotency key.
+    pub fn provisioning_response(&self, key: &str) -> Option<&Value> {
+        self.provisioning_responses.get(key)
     }
 
-    /// Keeps the answer to a request to rent.
-    pub fn keep_rental_answer(&mut self, key: String, answer: Value) {
-        self.rental_answers.insert(key, answer);
+    /// Stores the response to a provisioning request.
+    pub fn keep_provisioning_response(&mut self, key: String, response: Value) {
+        self.provisioning_responses.insert(key, response);
     }
 
-    /// A machine is rented now.
+    /// Adds a host that is provisioned now.
     pub fn add(&mut self, spec: HostSpec, now: SimTime, up_at: SimTime) {
-        let machine = RentedMachine {
+        let host = ProvisionedHost {
             spec: spec.clone(),
-            rented_at: now,
+            provisioned_at: now,
             up_at,
-            gone_at: None,
+            removed_at: None,
         };
-        self.machines.insert(spec.name, machine);
+        self.hosts.insert(spec.name, host);
     }
 
-    /// A machine is gone now, unless it is already.
-    pub fn remove(&mut self, host: &str, now: SimTime) {
-        if let Some(machine) = self.machines.get_mut(host) {
-            machine.gone_at.get_or_insert(now);
+    /// Marks a host as removed now, unless it already is.
+    pub fn remove(&mut self, name: &str, now: SimTime) {
+        if let Some(host) = self.hosts.get_mut(name) {
+            host.removed_at.get_or_insert(now);
         }
     }
 
-    /// The list of machines, as it was some time ago.
+    /// The list of hosts as of `list_lag` ago. `target` may have the parameter `after`, the name after which the list
+    /// begins.
     pub fn list(&self, now: SimTime, target: &str) -> Value {
-        let seen_at = now.saturating_sub(self.list_lag);
+        let as_of = now.saturating_sub(self.list_lag);
         let query = target.split_once('?').map_or("", |(_, query)| query);
         let mut parameters = query.split('&');
         let after = parameters.find_map(|parameter| parameter.strip_prefix("after="));
-        let listed = self.machines.iter().filter(|(host, machine)| {
-            let is_gone = machine.gone_at.is_some_and(|gone_at| gone_at <= seen_at);
-            let is_on_page = after.is_none_or(|after| host.as_str() > after);
-            machine.rented_at <= seen_at && !is_gone && is_on_page
+        let listed = self.hosts.iter().filter(|(name, host)| {
+            let is_removed = host
+                .removed_at
+                .is_some_and(|removed_at| removed_at <= as_of);
+            let is_on_page = after.is_none_or(|after| name.as_str() > after);
+            host.provisioned_at <= as_of && !is_removed && is_on_page
         });
-        let hosts = listed.map(|(_, machine)| list_entry(machine, seen_at));
-        let hosts = Value::Array(hosts.collect());
+        let entries = listed.map(|(_, host)| list_entry(host, as_of));
+        let hosts = Value::Array(entries.collect());
         map(vec![("hosts", hosts), ("truncated", false.into())])
     }
 }
 
-fn list_entry(machine: &RentedMachine, seen_at: SimTime) -> Value {
-    let is_up = machine.up_at <= seen_at;
+fn list_entry(host: &ProvisionedHost, as_of: SimTime) -> Value {
+    let is_up = host.up_at <= as_of;
     let status = if is_up { "running" } else { "starting" };
-    let age = seen_at.since(machine.rented_at);
-    let mut fields = machine.spec.fields("ref");
+    let age = as_of.since(host.provisioned_at);
+    let mut fields = host.spec.fields("ref");
     fields.push(("status", status.into()));
     fields.push(("ageS", seconds(age).into()));
     map(fields)
--- a/tests/simulated/fleet/heartbeat_copies.rs
+++ b/tests/simulated/fleet/heartbeat_copies.rs
@@ -1,4 +1,4 @@
-//! Copies of heartbeats, which the network delivers late.
+//! Copies of heartbeats that the network delivers late.
 
 use std::time::Duration;
 
@@ -11,17 +11,17 @@
 use crate::simulated::ids::NodeIndex;
 use crate::simulated::network::Requester;
 
-/// The share of heartbeats that are kept for the next leader.
-const RETAINED_SHARE: f64 = 0.3;
-/// When retained heartbeats reach each controller after a takeover.
-const RETAINED_HEARTBEAT_DELAY: Duration = Duration::from_millis(5);
-const RETAINED_HEARTBEAT_SPREAD_MS: u64 = 600;
-/// The least delay of a late copy of a heartbeat; the most is two leases more.
-const LATE_HEARTBEAT_DELAY: Duration = Duration::from_secs(2);
+/// Probability with which a heartbeat is retained for the next leader.
+const RETENTION_PROBABILITY: f64 = 0.3;
+/// Shortest delay after a takeover until retained heartbeats reach a controller, and its random addition.
+const MIN_RETAINED_COPY_DELAY: Duration = Duration::from_millis(5);
+const RETAINED_COPY_SPREAD_MS: u64 = 600;
+/// Shortest delay of a late copy of a heartbeat. The longest is two worker leases more.
+const MIN_LATE_COPY_DELAY: Duration = Duration::from_secs(2);
 
-/// Which heartbeats are copied, and the copies that wait for a takeover.
+/// Which heartbeats are copied, and the copies that are retained until a takeover.
 pub struct HeartbeatCopies {
-    /// The lease of workers: copies come up to twice as late.
+    /// The lease of workers, which bounds the delay of late copies.
     worker_lease: Duration,
     late_copies: RandomFault,
     retention: RandomFault,
@@ -39,20 +39,20 @@
         }
     }
 
-    /// Copies of some heartbeats arrive late.
+    /// Delivers late copies of some heartbeats.
     pub fn start_late_copies(&mut self, fault: RandomFault) {
         self.late_copies = fault;
     }
 
-    /// Copies of some heartbeats are kept for the next leader while this lasts.
+    /// Retains copies of some heartbeats for the next leader, during the given window.
     pub fn start_retention(&mut self, window: FaultWindow) {
         self.retention = RandomFault {
-            probability: RETAINED_SHARE,
+            probability: RETENTION_PROBABILITY,
             window,
         };
     }
 
-    /// A heartbeat goes out to a controller.
+    /// Copies a heartbeat that is sent to a controller, if a fault applies to it.
     pub fn copy(&mut self, context: &mut Context, node: NodeIndex, request: &Request) {
         if context.occurs(self.retention) {
             self.retained.push(request.clone());
@@ -60,18 +60,18 @@
         if context.occurs(self.late_copies) {
             context.mark(Mark::HeartbeatDelayed);
             let lease_ms = self.worker_lease.as_millis() as u64;
-            let delay = LATE_HEARTBEAT_DELAY + context.random_millis(0..lease_ms * 2);
+            let delay = MIN_LATE_COPY_DELAY + context.random_millis(0..lease_ms * 2);
             context.schedule_after(delay, arrival(node, request));
         }
     }
 
-    /// After a takeover all controllers get the copies that were kept.
+    /// Sends the retained copies to all controllers after a takeover.
     pub fn send_retained(&mut self, context: &mut Context, controller_count: usize) {
         for request in std::mem::take(&mut self.retained) {
             context.mark(Mark::OldHeartbeatAtNewLeader);
             for node in (0..controller_count).map(NodeIndex) {
-                let spread = context.random_millis(0..RETAINED_HEARTBEAT_SPREAD_MS);
-                let delay = RETAINED_HEARTBEAT_DELAY + spread;
+                let spread = context.random_millis(0..RETAINED_COPY_SPREAD_MS);
+                let delay = MIN_RETAINED_COPY_DELAY + spread;
                 context.schedule_after(delay, arrival(node, &request));
             }
         }
--- a/tests/simulated/fleet/messages.rs
+++ b/tests/simulated/fleet/messages.rs
@@ -1,4 +1,4 @@
-//! What passes between workers and controllers: time for workers, heartbeats and commands.
+//! Advances the workers, and delivers heartbeats, their responses and commands.
 
 use ciborium::Value;
 use lichencrank::protocol::{decode, encode};
@@ -14,20 +14,21 @@
 use crate::simulated::network::{RemoteEnd, Requester};
 use crate::simulated::worker::{HeartbeatId, QueuedCommand, TaskChange, TaskEvent, Worker};
 
-/// Heartbeats go out after this share of the interval at least, and so much later at random.
-const LEAST_INTERVAL_SHARE: f64 = 0.75;
+/// Heartbeats are sent after at least the first share of the heartbeat interval, plus a random share of up to the
+/// second.
+const MIN_INTERVAL_SHARE: f64 = 0.75;
 const INTERVAL_SHARE_SPREAD: f64 = 0.5;
-/// When a worker reports to a controller that another one has named, in milliseconds.
+/// Delay of the heartbeat to a controller that another one has named as the leader, in milliseconds.
 const REDIRECTION_DELAY_MS: std::ops::Range<u64> = 0..500;
 
 impl Fleet {
-    /// Time passes for all machines.
+    /// Advances all hosts to the current time.
     pub fn advance(&mut self, surroundings: &mut Surroundings) {
         let now = surroundings.context.now();
-        for host in self.hosts() {
-            if self.workers[&host].is_preempted(now) {
+        for host in self.host_names() {
+            if self.workers[&host].is_reclaimed(now) {
                 surroundings.context.mark(Mark::MachinePreempted);
-                self.remove_machine(surroundings, &host);
+                self.remove_host(surroundings, &host);
                 continue;
             }
             self.with_worker(&host, |fleet, worker| {
@@ -36,11 +37,11 @@
         }
     }
 
-    pub(super) fn hosts(&self) -> Vec<String> {
+    pub(super) fn host_names(&self) -> Vec<String> {
         self.workers.keys().cloned().collect()
     }
 
-    /// Does something with a worker that is taken out of the fleet meanwhile.
+    /// Runs `action` with a worker that is removed from the fleet for the duration of the call.
     fn with_worker(&mut self, host: &str, action: impl FnOnce(&mut Fleet, &mut Worker)) {
         if let Some(mut worker) = self.workers.remove(host) {
             action(self, &mut worker);
@@ -73,7 +74,7 @@
             execute_command(surroundings, worker, call, &command);
         }
         let random = surroundings.context.random().f64();
-        let share = LEAST_INTERVAL_SHARE + INTERVAL_SHARE_SPREAD * random;
+        let share = MIN_INTERVAL_SHARE + INTERVAL_SHARE_SPREAD * random;
         let interval = scaled(self.heartbeat_interval, share);
         if worker.heartbeats_mut().is_due(now, interval) {
             self.send_heartbeat(surroundings, worker);
@@ -98,7 +99,7 @@
             body: encode(&status),
             close: false,
         };
-        if !worker.faults().lets_out(now) {
+        if !worker.faults().delivers_outbound(now) {
             return;
         }
         self.heartbeat_copies.copy(context, node, &request);
@@ -117,7 +118,7 @@
         network.send(context, node, RemoteEnd::Worker { zone }, latency, arrival);
     }
 
-    /// The response to a heartbeat arrives.
+    /// Delivers the response to a heartbeat.
     pub fn handle_heartbeat_response(
         &mut self,
         surroundings: &mut Surroundings,
@@ -126,7 +127,7 @@
     ) {
         self.with_worker(&heartbeat.host, |fleet, worker| {
             let now = surroundings.context.now();
-            let arrives = worker.faults().lets_in(now) && !worker.is_paused(now);
+            let arrives = worker.faults().delivers_inbound(now) && !worker.is_paused(now);
             if !arrives || !worker.heartbeats_mut().awaits(heartbeat) {
                 return;
             }
@@ -145,7 +146,7 @@
         });
     }
 
-    /// A controller says that another one leads.
+    /// Follows a response that names another controller as the leader.
     fn follow_redirection(
         &self,
         surroundings: &mut Surroundings,
@@ -153,18 +154,18 @@
         leader: &str,
     ) {
         let now = surroundings.context.now();
-        let named = surroundings.controllers.find_by_name(leader);
-        let present = worker.heartbeats_mut().controller(self.controller_count);
-        match named.filter(|named| *named != present) {
-            Some(named) => {
+        let named_leader = surroundings.controllers.find_by_name(leader);
+        let current = worker.heartbeats_mut().controller(self.controller_count);
+        match named_leader.filter(|named_leader| *named_leader != current) {
+            Some(named_leader) => {
                 let delay = surroundings.context.random_millis(REDIRECTION_DELAY_MS);
-                worker.heartbeats_mut().redirect(named, now + delay);
+                worker.heartbeats_mut().redirect(named_leader, now + delay);
             }
             None => worker.heartbeats_mut().try_next_controller(now),
         }
     }
 
-    /// A command of a controller arrives at a worker.
+    /// Delivers a controller's command to a worker.
     pub fn handle_command(
         &mut self,
         surroundings: &mut Surroundings,
@@ -174,7 +175,7 @@
     ) {
         self.with_worker(host, |_, worker| {
             let now = surroundings.context.now();
-            if !worker.has_booted() || !worker.faults().lets_in(now) {
+            if !worker.has_booted() || !worker.faults().delivers_inbound(now) {
                 return;
             }
             if worker.is_paused(now) {
@@ -213,7 +214,7 @@
     network.send(context, node, RemoteEnd::Worker { zone }, latency, arrival);
 }
 
-/// Tells the checker and the users what has happened to tasks.
+/// Reports the worker's task changes to the checker and the users.
 pub(super) fn observe_tasks(surroundings: &mut Surroundings, worker: &mut Worker) {
     let now = surroundings.context.now();
     for TaskEvent { task, change } in worker.take_task_events() {
--- a/tests/simulated/fleet/mod.rs
+++ b/tests/simulated/fleet/mod.rs
@@ -1,5 +1,4 @@
-//! The machines: the cloud that rents them, the worker on each, and what happens between them and the
-//! controllers.
+//! The hosts: the cloud that provisions them, the worker on each, and their messages to and from the controllers.
 
 mod heartbeat_copies;
 mod messages;
@@ -26,14 +25,14 @@
 use heartbeat_copies::HeartbeatCopies;
 use messages::observe_tasks;
 
-/// A machine boots in this share of the usual time at least, and in so much more at random.
-const LEAST_BOOT_SHARE: f64 = 0.6;
-const BOOT_SHARE_SPREAD: f64 = 0.9;
-const LEAST_IMAGE_LOAD_TIME: Duration = Duration::from_millis(300);
+/// A host boots in at least the first share of the deployment's boot time, plus a random share of up to the second.
+const MIN_BOOT_TIME_SHARE: f64 = 0.6;
+const BOOT_TIME_SHARE_SPREAD: f64 = 0.9;
+const MIN_IMAGE_LOAD_TIME: Duration = Duration::from_millis(300);
 const IMAGE_LOAD_SPREAD_MS: u64 = 900;
-const MACHINES_IN_A_SUBNET: usize = 250;
+const HOSTS_PER_SUBNET: usize = 250;
 
-/// What the machines deal with.
+/// The other components of the simulation that hosts interact with.
 pub struct Surroundings<'a> {
     /// Time, random numbers, history and checker.
     pub context: &'a mut Context,
@@ -41,27 +40,27 @@
     pub network: &'a Network,
     /// The controllers.
     pub controllers: &'a Controllers,
-    /// The users, who know their tasks and learn that they end.
+    /// The users, who know the profiles of tasks and are told when tasks complete.
     pub users: &'a mut Users,
 }
 
-/// All machines.
+/// All hosts with their workers, and the cloud.
 pub struct Fleet {
     cloud: Cloud,
-    /// The workers of the machines that are there, by the machines' names.
+    /// The workers of all present hosts, by the hosts' names.
     workers: BTreeMap<String, Worker>,
     machine_types: Value,
     controller_count: usize,
     boot_time: Duration,
     heartbeat_interval: Duration,
     worker_lease: Duration,
-    /// Whether releases in isolated zones are judged.
-    judges_zone_releases: bool,
+    /// Whether the checker judges releases in isolated zones.
+    checks_zone_releases: bool,
     heartbeat_copies: HeartbeatCopies,
 }
 
 impl Fleet {
-    /// No machines yet.
+    /// A fleet without hosts.
     pub fn new(deployment: &Deployment) -> Fleet {
         Fleet {
             cloud: Cloud::new(deployment.host_capacity, deployment.host_list_lag),
@@ -71,7 +70,7 @@
             boot_time: deployment.boot_time,
             heartbeat_interval: deployment.heartbeat_interval,
             worker_lease: deployment.worker_lease,
-            judges_zone_releases: deployment.tracks_zones,
+            checks_zone_releases: deployment.tracks_zones,
             heartbeat_copies: HeartbeatCopies::new(deployment.worker_lease),
         }
     }
@@ -81,19 +80,19 @@
         &mut self.cloud
     }
 
-    /// The machine whose worker is at that address.
+    /// The host whose worker has the given address.
     pub fn find_by_address(&self, address: &str) -> Option<&HostSpec> {
         let mut specs = self.workers.values().map(Worker::spec);
         specs.find(|spec| spec.address == address)
     }
 
-    /// The zone of a machine that is there.
+    /// The zone of a present host.
     pub fn zone_of(&self, host: &str) -> Option<&str> {
         let worker = self.workers.get(host)?;
         Some(&worker.spec().zone)
     }
 
-    /// How many machines are in a zone.
+    /// The number of present hosts in a zone.
     pub fn host_count(&self, zone: &str) -> usize {
         self.workers_in(zone).count()
     }
@@ -104,14 +103,14 @@
     }
 }
 
-/// Machines come and go.
+/// Adding and removing hosts.
 impl Fleet {
-    /// Rents a machine that is up at once.
+    /// Adds an on-demand host that is up at once.
     pub fn add_running_host(&mut self, context: &mut Context, zone: &str) {
-        self.add_machine(context, zone, false, Some(Duration::ZERO));
+        self.add_host(context, zone, false, Some(Duration::ZERO));
     }
 
-    fn add_machine(
+    fn add_host(
         &mut self,
         context: &mut Context,
         zone: &str,
@@ -120,16 +119,15 @@
     ) -> String {
         let now = context.now();
         let boot_time = boot_time.unwrap_or_else(|| self.random_boot_time(context));
-        let number = self.cloud.rental_count();
-        let subnet = number / MACHINES_IN_A_SUBNET;
+        let number = self.cloud.provisioned_count();
+        let subnet = number / HOSTS_PER_SUBNET;
         let spec = HostSpec {
             name: format!("vm-{number:06}"),
-            address: format!("10.1.{subnet}.{}:9000", 1 + number % MACHINES_IN_A_SUBNET),
+            address: format!("10.1.{subnet}.{}:9000", 1 + number % HOSTS_PER_SUBNET),
             zone: zone.to_owned(),
             is_spot,
         };
-        let image_load_time =
-            LEAST_IMAGE_LOAD_TIME + context.random_millis(0..IMAGE_LOAD_SPREAD_MS);
+        let image_load_time = MIN_IMAGE_LOAD_TIME + context.random_millis(0..IMAGE_LOAD_SPREAD_MS);
         let first_controller = NodeIndex(context.random().usize(0..self.controller_count));
         let up_at = now + boot_time;
         self.cloud.add(spec.clone(), now, up_at);
@@ -140,13 +138,13 @@
     }
 
     fn random_boot_time(&self, context: &mut Context) -> Duration {
-        let share = LEAST_BOOT_SHARE + BOOT_SHARE_SPREAD * context.random().f64();
+        let share = MIN_BOOT_TIME_SHARE + BOOT_TIME_SHARE_SPREAD * context.random().f64();
         let random = scaled(self.boot_time, share);
         self.cloud.fixed_boot_time().unwrap_or(random)
     }
 
-    /// The machine and all on it are gone.
-    fn remove_machine(&mut self, surroundings: &mut Surroundings, host: &str) {
+    /// Removes a host, which ends its tasks.
+    fn remove_host(&mut self, surroundings: &mut Surroundings, host: &str) {
         let now = surroundings.context.now();
         if let Some(mut worker) = self.workers.remove(host) {
             worker.shut_down();
@@ -160,12 +158,12 @@
 
 /// Faults.
 impl Fleet {
-    /// Copies of heartbeats that arrive late.
+    /// The faults that copy heartbeats.
     pub fn heartbeat_copies_mut(&mut self) -> &mut HeartbeatCopies {
         &mut self.heartbeat_copies
     }
 
-    /// The machines that hold tasks of a job stand still.
+    /// Pauses the workers of the hosts with tasks of a job.
     pub fn pause_hosts_of(&mut self, job: JobId, window: FaultWindow) {
         let workers = self.workers.values_mut();
         for worker in workers.filter(|worker| worker.tasks().holds_job(job)) {
@@ -173,7 +171,7 @@
         }
     }
 
-    /// Replicas of services end by themselves, each with that probability.
+    /// Ends replicas of services, each with the given probability, as if they had exited by themselves.
     pub fn end_replicas(&mut self, context: &mut Context, end: ReplicaEnd, probability: f64) {
         for worker in self.workers.values_mut() {
             let ended_count = worker.end_replicas(end, probability, context.random());
@@ -183,7 +181,8 @@
         }
     }
 
-    /// Some machines are at fault until that time: each with that probability, in one zone or in all.
+    /// Injects a fault into some hosts until the given time: into each with the given probability, in one zone or in all.
+    /// A reclaim notice says that the cloud reclaims the host at that time.
     pub fn inject_fault(
         &mut self,
         surroundings: &mut Surroundings,
@@ -192,7 +191,7 @@
         zone: Option<&str>,
         until: SimTime,
     ) {
-        for host in self.hosts() {
+        for host in self.host_names() {
             let Some(worker) = self.workers.get_mut(&host) else {
                 continue;
             };
@@ -206,9 +205,9 @@
                 MachineFault::InboundLoss => worker.faults_mut().inbound_loss = window,
                 MachineFault::OutboundLoss => worker.faults_mut().outbound_loss = window,
                 MachineFault::Isolation => worker.faults_mut().isolation = window,
-                MachineFault::Crash => self.remove_machine(surroundings, &host),
+                MachineFault::Crash => self.remove_host(surroundings, &host),
                 MachineFault::PreemptionNotice => {
-                    worker.give_notice(until);
+                    worker.give_reclaim_notice(until);
                     surroundings.context.mark(Mark::PreemptionNotice);
                 }
                 MachineFault::FailingTasks => worker.faults_mut().failing_tasks = window,
@@ -217,7 +216,7 @@
     }
 }
 
-/// A share of a duration, cut to whole milliseconds.
+/// A duration times a factor, truncated to whole milliseconds.
 fn scaled(duration: Duration, factor: f64) -> Duration {
     let milliseconds = duration.as_millis() as f64 * factor;
     Duration::from_millis(milliseconds as u64)
--- a/tests/simulated/fleet/rental.rs
+++ b/tests/simulated/fleet/rental.rs
@@ -1,4 +1,4 @@
-//! The cloud's requests: machines are rented and given up.
+//! Requests of controllers to the cloud, which provision and release hosts.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -15,15 +15,15 @@
 use crate::simulated::ids::CallHandle;
 use crate::simulated::transport::OutgoingCall;
 
-/// By then a leader has noticed that a zone is isolated.
-const ISOLATION_NOTICED_AFTER: Duration = Duration::from_secs(15);
-/// By then a healthy worker has sent a heartbeat after an isolation.
-const ZONE_RETURNED_AFTER: Duration = Duration::from_secs(8);
-/// Time that the cloud takes for an answer.
+/// Time after the start of an isolation by which a leader must have detected it.
+const ISOLATION_DETECTION_TIME: Duration = Duration::from_secs(15);
+/// Time after the end of an isolation by which every healthy worker has sent a heartbeat.
+const ZONE_RETURN_TIME: Duration = Duration::from_secs(8);
+/// Time that the cloud takes to process a request.
 const CLOUD_LATENCY: Duration = Duration::from_millis(20);
 
 impl Fleet {
-    /// Answers a controller's request to the cloud.
+    /// Processes a controller's request to the cloud.
     pub fn handle_cloud_request(
         &mut self,
         surroundings: &mut Surroundings,
@@ -34,9 +34,9 @@
         let body = decode(&request.body).unwrap_or(Value::Null);
         let path = request.target.split('?').next().unwrap_or("");
         let (status, answer) = match (request.method.as_str(), path) {
-            _ if self.cloud.is_away(now) => (503, error("trouble")),
+            _ if self.cloud.is_in_outage(now) => (503, error("trouble")),
             ("GET", "/machine_types") => (200, self.machine_types.clone()),
-            ("POST", "/hosts") => self.rent(surroundings, &body),
+            ("POST", "/hosts") => self.provision(surroundings, &body),
             ("POST", "/hosts/release") => {
                 let hosts = list(&body, "hosts").iter();
                 let hosts: Vec<String> = hosts
@@ -56,9 +56,10 @@
         surroundings.context.schedule_after(delay, reply);
     }
 
-    fn rent(&mut self, surroundings: &mut Surroundings, body: &Value) -> (u16, Value) {
+    /// Provisions hosts. A repeated request with the same idempotency key gets the earlier response.
+    fn provision(&mut self, surroundings: &mut Surroundings, body: &Value) -> (u16, Value) {
         let key = text(body, "ask");
-        if let Some(answer) = self.cloud.earlier_rental_answer(&key) {
+        if let Some(answer) = self.cloud.provisioning_response(&key) {
             return (200, answer.clone());
         }
         let is_spot = get(body, "loaners").and_then(Value::as_bool) == Some(true);
@@ -66,48 +67,49 @@
         if is_known_to_be_isolated(surroundings, &zone) {
             surroundings.context.mark(Mark::RentedInIsolatedZone);
         }
-        let available = self.cloud.available_machines() as u64;
+        let available = self.cloud.available_hosts() as u64;
         let count = number(body, "howMany").min(available);
         if count == 0 {
             return (503, error("no capacity"));
         }
         let hosts = (0..count).map(|_| {
-            let host = self.add_machine(surroundings.context, &zone, is_spot, None);
+            let host = self.add_host(surroundings.context, &zone, is_spot, None);
             Value::from(host)
         });
         let answer = map(vec![("hosts", Value::Array(hosts.collect()))]);
-        self.cloud.keep_rental_answer(key, answer.clone());
+        self.cloud.keep_provisioning_response(key, answer.clone());
         (200, answer)
     }
 
     fn release(&mut self, surroundings: &mut Surroundings, hosts: &[String]) {
-        self.judge_release(surroundings, hosts);
+        self.check_release(surroundings, hosts);
         for host in hosts {
-            self.remove_machine(surroundings, host);
+            self.remove_host(surroundings, host);
         }
     }
 
-    /// What the leader gives up of an isolated zone, or right after the isolation, is judged.
-    fn judge_release(&self, surroundings: &mut Surroundings, hosts: &[String]) {
+    /// Reports the release of hosts of an isolated zone to the checker, and marks releases of hosts with wanted tasks
+    /// right after an isolation.
+    fn check_release(&self, surroundings: &mut Surroundings, hosts: &[String]) {
         let now = surroundings.context.now();
         let Some(isolation) = surroundings.network.last_isolation() else {
             return;
         };
-        let machines: BTreeMap<String, Vec<HeldTask>> = self
+        let tasks_by_host: BTreeMap<String, Vec<HeldTask>> = self
             .workers_in(&isolation.zone)
             .map(|worker| (worker.spec().name.clone(), worker.tasks().held_tasks()))
             .collect();
-        let released = || hosts.iter().filter_map(|host| machines.get(host));
+        let released_tasks = || hosts.iter().filter_map(|host| tasks_by_host.get(host));
         if isolation.window.is_active(now) {
-            if self.judges_zone_releases {
-                for _ in released() {
+            if self.checks_zone_releases {
+                for _ in released_tasks() {
                     surroundings.context.mark(Mark::ReleasedInIsolatedZone);
                 }
                 let checker = surroundings.context.checker_mut();
-                checker.observe_zone_release(now, hosts, &machines);
+                checker.observe_zone_release(now, hosts, &tasks_by_host);
             }
-        } else if now < isolation.window.ends_at() + ZONE_RETURNED_AFTER {
-            for tasks in released() {
+        } else if now < isolation.window.ends_at() + ZONE_RETURN_TIME {
+            for tasks in released_tasks() {
                 if surroundings.context.checker().is_wanted_work(tasks) {
                     surroundings.context.mark(Mark::ReleasedAfterIsolation);
                 }
@@ -116,11 +118,12 @@
     }
 }
 
+/// Whether the zone has been isolated for longer than a leader needs to detect it.
 fn is_known_to_be_isolated(surroundings: &Surroundings, zone: &str) -> bool {
     let now = surroundings.context.now();
     let isolation = surroundings.network.last_isolation();
     surroundings.network.is_isolated(now, zone)
-        && isolation.is_some_and(|isolation| now > isolation.started_at + ISOLATION_NOTICED_AFTER)
+        && isolation.is_some_and(|isolation| now > isolation.started_at + ISOLATION_DETECTION_TIME)
 }
 
 fn error(message: &str) -> Value {
--- a/tests/simulated/worker/faults.rs
+++ b/tests/simulated/worker/faults.rs
@@ -1,31 +1,31 @@
-//! What can be wrong with a worker or its machine.
+//! The injected faults of one worker and its host.
 
 use crate::simulated::clock::SimTime;
 use crate::simulated::faults::FaultWindow;
 
-/// The faults of one machine; each lasts for a while.
+/// The faults of one host, each with the time when it ends.
 #[derive(Debug, Default)]
 pub struct WorkerFaults {
-    /// The worker stands still.
+    /// The worker is paused.
     pub pause: FaultWindow,
-    /// Nothing that is sent to the worker arrives.
+    /// Messages to the worker are lost.
     pub inbound_loss: FaultWindow,
-    /// No heartbeat arrives.
+    /// Heartbeats of the worker are lost.
     pub outbound_loss: FaultWindow,
-    /// Nothing that is sent to the worker arrives, and no heartbeat.
+    /// Messages to the worker and its heartbeats are lost.
     pub isolation: FaultWindow,
-    /// Every task that starts fails.
+    /// Every task fails when it starts.
     pub failing_tasks: FaultWindow,
 }
 
 impl WorkerFaults {
     /// Whether messages to the worker arrive.
-    pub fn lets_in(&self, now: SimTime) -> bool {
+    pub fn delivers_inbound(&self, now: SimTime) -> bool {
         !self.inbound_loss.is_active(now) && !self.isolation.is_active(now)
     }
 
-    /// Whether heartbeats arrive.
-    pub fn lets_out(&self, now: SimTime) -> bool {
+    /// Whether the worker's heartbeats arrive.
+    pub fn delivers_outbound(&self, now: SimTime) -> bool {
         !self.outbound_loss.is_active(now) && !self.isolation.is_active(now)
     }
 }
--- a/tests/simulated/worker/heartbeat_schedule.rs
+++ b/tests/simulated/worker/heartbeat_schedule.rs
@@ -7,47 +7,48 @@
 
 /// How long a worker waits for the response to a heartbeat.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(4);
-/// The least time between two heartbeats, if there is news.
-const LEAST_INTERVAL: Duration = Duration::from_millis(500);
-/// The time until a worker tries the next controller.
+/// The shortest interval between two heartbeats, which applies when the worker's status has changed.
+const MIN_INTERVAL: Duration = Duration::from_millis(500);
+/// The delay before a worker tries the next controller.
 const RETRY_INTERVAL: Duration = Duration::from_secs(1);
 
-/// A heartbeat in flight.
+/// Identifies a heartbeat that awaits its response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct HeartbeatId {
-    /// The worker's machine.
+    /// Name of the worker's host.
     pub host: String,
-    /// Its number within the worker's session.
-    pub tick: u64,
+    /// Its number within the worker's incarnation.
+    pub sequence_number: u64,
     /// When it was sent.
     pub sent_at: SimTime,
 }
 
-/// The heartbeats of one worker.
+/// Times and targets of one worker's heartbeats.
 #[derive(Debug)]
 pub struct HeartbeatSchedule {
-    /// The controller that gets the next heartbeat, counted on beyond the last one.
+    /// Target of the next heartbeat, as a node index modulo the number of controllers.
     next_controller: usize,
     in_flight: Option<HeartbeatId>,
     next_at: SimTime,
-    last_at: SimTime,
-    /// Something has changed since the last heartbeat.
-    has_news: bool,
+    last_sent_at: SimTime,
+    /// Whether the worker's status has changed since the last heartbeat.
+    has_changes: bool,
 }
 
 impl HeartbeatSchedule {
-    /// The first heartbeat goes to that controller, once [`HeartbeatSchedule::start`] is called.
+    /// Creates a schedule whose first heartbeat goes to the given controller once [`HeartbeatSchedule::start`] is
+    /// called.
     pub fn new(first_controller: NodeIndex) -> HeartbeatSchedule {
         HeartbeatSchedule {
             next_controller: first_controller.0,
             in_flight: None,
             next_at: SimTime::MAX,
-            last_at: SimTime::START,
-            has_news: false,
+            last_sent_at: SimTime::START,
+            has_changes: false,
         }
     }
 
-    /// The first heartbeat is due now.
+    /// Makes the first heartbeat due now.
     pub fn start(&mut self, now: SimTime) {
         self.next_at = now;
     }
@@ -57,12 +58,14 @@
         NodeIndex(self.next_controller % controller_count)
     }
 
-    /// Something has changed, which the next heartbeat tells.
-    pub fn note_news(&mut self) {
-        self.has_news = true;
+    /// Notes that the worker's status has changed, so that the next heartbeat is sent early.
+    pub fn note_change(&mut self) {
+        self.has_changes = true;
     }
 
-    /// Whether a heartbeat goes out now; the next one goes out an interval later, if there is no news.
+    /// Whether a heartbeat is due now. If so, the next one is due after `interval`, or earlier if the status changes.
+    /// None is due while the last one awaits its response; if that has timed out, this schedules a retry with the next
+    /// controller.
     pub fn is_due(&mut self, now: SimTime, interval: Duration) -> bool {
         if let Some(heartbeat) = &self.in_flight {
             if now >= heartbeat.sent_at + RESPONSE_TIMEOUT {
@@ -70,41 +73,41 @@
             }
             return false;
         }
-        let is_news_due = self.has_news && now >= self.last_at + LEAST_INTERVAL;
-        let is_due = now >= self.next_at || is_news_due;
+        let is_change_due = self.has_changes && now >= self.last_sent_at + MIN_INTERVAL;
+        let is_due = now >= self.next_at || is_change_due;
         if is_due {
-            self.has_news = false;
-            self.last_at = now;
+            self.has_changes = false;
+            self.last_sent_at = now;
             self.next_at = now + interval;
         }
         is_due
     }
 
-    /// A heartbeat goes out.
-    pub fn send(&mut self, heartbeat: HeartbeatId) {
+    /// Notes that a heartbeat is sent.
+    pub fn record_sent(&mut self, heartbeat: HeartbeatId) {
         self.in_flight = Some(heartbeat);
     }
 
-    /// Whether the worker waits for the response to that heartbeat.
+    /// Whether the worker still waits for the response to the given heartbeat.
     pub fn awaits(&self, heartbeat: &HeartbeatId) -> bool {
         let in_flight = self.in_flight.as_ref();
-        in_flight.is_some_and(|in_flight| in_flight.tick == heartbeat.tick)
+        in_flight.is_some_and(|in_flight| in_flight.sequence_number == heartbeat.sequence_number)
     }
 
-    /// The worker no longer waits for a response.
+    /// Stops waiting for a response.
     pub fn clear_in_flight(&mut self) {
         self.in_flight = None;
     }
 
-    /// The last controller was of no help: the next one gets a heartbeat a while later.
+    /// Sends the next heartbeat to the next controller, after `RETRY_INTERVAL`.
     pub fn try_next_controller(&mut self, now: SimTime) {
         self.in_flight = None;
         self.next_controller += 1;
-        self.has_news = false;
+        self.has_changes = false;
         self.next_at = now + RETRY_INTERVAL;
     }
 
-    /// The last controller has named another, which gets the next heartbeat.
+    /// Sends the next heartbeat to the controller that the last one has named as the leader.
     pub fn redirect(&mut self, controller: NodeIndex, next_at: SimTime) {
         self.in_flight = None;
         self.next_controller = controller.0;
--- a/tests/simulated/worker/mod.rs
+++ b/tests/simulated/worker/mod.rs
@@ -1,5 +1,5 @@
-//! The worker on a machine, as the protocol describes it, in simulated time: it runs tasks, sends
-//! heartbeats, obeys commands, and ends all tasks when its lease expires.
+//! The simulated worker of a host, which follows the worker protocol: it runs tasks, sends heartbeats, executes
+//! commands, and ends all tasks when its lease expires.
 
 mod faults;
 mod heartbeat_schedule;
@@ -20,24 +20,24 @@
 use task_runner::{AttemptId, TaskRunner};
 pub use task_runner::{ProfileLookup, TaskChange, TaskEvent, TaskProfile};
 
-/// So long after it came up a machine counts as new.
-const NEW_MACHINE_TIME: Duration = Duration::from_secs(3);
+/// How long a host counts as new after it has come up.
+const NEW_HOST_PERIOD: Duration = Duration::from_secs(3);
 
-/// What is known of a machine from the moment when it is rented.
+/// Properties of a host that are fixed when it is provisioned.
 #[derive(Clone, Debug)]
 pub struct HostSpec {
-    /// Its name.
+    /// Name of the host.
     pub name: String,
-    /// Where controllers reach its worker.
+    /// Address at which controllers reach its worker.
     pub address: String,
-    /// The zone it is in.
+    /// Zone of the host.
     pub zone: String,
-    /// Whether the cloud may take it away.
+    /// Whether it is a spot host, which the cloud may reclaim.
     pub is_spot: bool,
 }
 
 impl HostSpec {
-    /// The fields of the protocol, with the name under the given key.
+    /// The properties as fields of the protocol, with the name under the given key.
     pub fn fields(&self, name_key: &'static str) -> Fields {
         vec![
             (name_key, self.name.as_str().into()),
@@ -49,44 +49,44 @@
     }
 }
 
-/// A command of a controller that waits for a paused worker.
+/// A controller's command that arrived while the worker was paused.
 pub struct QueuedCommand {
-    /// The call with the command.
+    /// The call that carries the command.
     pub call: CallHandle,
     /// The command.
     pub command: Value,
 }
 
-/// The worker of one machine.
+/// The worker of one host.
 pub struct Worker {
     spec: HostSpec,
     up_at: SimTime,
-    /// Whether the machine has come up.
+    /// Whether the host has come up.
     has_booted: bool,
-    /// Grows whenever the lease expired.
-    session: u64,
-    /// Numbers the heartbeats of a session.
-    tick: u64,
-    /// The highest fencing token that the worker has seen.
+    /// Increases each time the lease expires.
+    incarnation: u64,
+    /// Number of the last status that was created in this incarnation.
+    sequence_number: u64,
+    /// Highest fencing token that the worker has seen.
     fencing_token: u64,
     lease: Duration,
-    /// When the last heartbeat was sent that renewed the lease.
+    /// When the last heartbeat that renewed the lease was sent.
     lease_renewed_at: SimTime,
     tasks: TaskRunner,
     heartbeats: HeartbeatSchedule,
     faults: WorkerFaults,
-    /// When the cloud takes the machine away, if it has given notice.
-    preempted_at: Option<SimTime>,
-    /// Whether the worker stood still when it was looked at last.
+    /// When the cloud reclaims the host, if it has given notice.
+    reclaim_at: Option<SimTime>,
+    /// Whether the worker was paused at the last [`Worker::update_pause`].
     was_paused: bool,
-    /// When the worker did something last.
-    advanced_at: SimTime,
-    /// Commands that arrived while the worker stood still.
+    /// When the worker was last seen not paused.
+    last_advanced_at: SimTime,
+    /// Commands that arrived while the worker was paused.
     queued_commands: Vec<QueuedCommand>,
 }
 
 impl Worker {
-    /// The worker of a machine that comes up at `up_at` and reports to that controller first.
+    /// Creates the worker of a host that comes up at `up_at`. Its first heartbeat goes to `first_controller`.
     pub fn new(
         spec: HostSpec,
         up_at: SimTime,
@@ -97,37 +97,37 @@
             spec,
             up_at,
             has_booted: false,
-            session: 1,
-            tick: 0,
+            incarnation: 1,
+            sequence_number: 0,
             fencing_token: 0,
             lease: Duration::ZERO,
             lease_renewed_at: SimTime::START,
             tasks: TaskRunner::new(image_load_time),
             heartbeats: HeartbeatSchedule::new(first_controller),
             faults: WorkerFaults::default(),
-            preempted_at: None,
+            reclaim_at: None,
             was_paused: false,
-            advanced_at: SimTime::START,
+            last_advanced_at: SimTime::START,
             queued_commands: Vec::new(),
         }
     }
 
-    /// What is known of the machine.
+    /// Properties of the host.
     pub fn spec(&self) -> &HostSpec {
         &self.spec
     }
 
-    /// When the machine comes up.
+    /// When the host comes up.
     pub fn up_at(&self) -> SimTime {
         self.up_at
     }
 
-    /// Whether the machine has come up.
+    /// Whether the host has come up.
     pub fn has_booted(&self) -> bool {
         self.has_booted
     }
 
-    /// The machine is up; the lease of its worker begins.
+    /// Brings the host up and starts the lease of its worker.
     pub fn boot(&mut self, now: SimTime, lease: Duration) {
         self.has_booted = true;
         self.up_at = now;
@@ -136,66 +136,66 @@
         self.heartbeats.start(now);
     }
 
-    /// Whether the machine has come up just now.
+    /// Whether the host came up less than `NEW_HOST_PERIOD` ago.
     pub fn is_new(&self, now: SimTime) -> bool {
-        self.has_booted && now < self.up_at + NEW_MACHINE_TIME
+        self.has_booted && now < self.up_at + NEW_HOST_PERIOD
     }
 
-    /// The tasks that are here.
+    /// The tasks on the host.
     pub fn tasks(&self) -> &TaskRunner {
         &self.tasks
     }
 
-    /// What has happened to tasks since the last time.
+    /// Takes the task changes since the last call.
     pub fn take_task_events(&mut self) -> Vec<TaskEvent> {
         self.tasks.take_events()
     }
 
-    /// The heartbeats that go out.
+    /// The heartbeat schedule.
     pub fn heartbeats_mut(&mut self) -> &mut HeartbeatSchedule {
         &mut self.heartbeats
     }
 
-    /// Faults of the machine.
+    /// The host's faults, to be changed.
     pub fn faults_mut(&mut self) -> &mut WorkerFaults {
         &mut self.faults
     }
 
-    /// Faults of the machine.
+    /// The host's faults.
     pub fn faults(&self) -> &WorkerFaults {
         &self.faults
     }
 
-    /// Time passes: images arrive, tasks end, the lease expires. Returns whether the lease has expired and
-    /// ended tasks.
+    /// Advances the worker to `now`: images are loaded, tasks end, the lease expires. Returns whether the lease has
+    /// expired and ended tasks.
     pub fn advance(&mut self, now: SimTime) -> bool {
         let lease_has_expired = now > self.lease_renewed_at + self.lease;
-        let held_work = self.tasks.holds_work();
+        let had_active_tasks = self.tasks.has_active_tasks();
         if lease_has_expired {
             self.expire_lease(now);
         }
         let tasks_fail = self.faults.failing_tasks.is_active(now);
         if self.tasks.advance(now, tasks_fail) {
-            self.heartbeats.note_news();
+            self.heartbeats.note_change();
         }
-        lease_has_expired && held_work
+        lease_has_expired && had_active_tasks
     }
 
     fn expire_lease(&mut self, now: SimTime) {
-        self.tasks.give_up_all();
-        self.session += 1;
-        self.tick = 0;
+        self.tasks.end_all();
+        self.incarnation += 1;
+        self.sequence_number = 0;
         self.lease_renewed_at = now;
         self.heartbeats.clear_in_flight();
-        self.heartbeats.note_news();
+        self.heartbeats.note_change();
     }
 
-    /// The machine is gone with all its tasks.
+    /// Ends all tasks, as the host is gone.
     pub fn shut_down(&mut self) {
-        self.tasks.give_up_all();
+        self.tasks.end_all();
     }
 
-    /// Replicas end by themselves, each with that probability. Returns how many did.
+    /// Ends each replica with the given probability, as if it had exited by itself. Returns how many ended.
     pub fn end_replicas(
         &mut self,
         end: ReplicaEnd,
@@ -204,50 +204,50 @@
     ) -> usize {
         let ended_count = self.tasks.end_replicas(end, probability, random);
         if ended_count > 0 {
-            self.heartbeats.note_news();
+            self.heartbeats.note_change();
         }
         ended_count
     }
 
-    /// The cloud gives notice that it takes the machine away.
-    pub fn give_notice(&mut self, preempted_at: SimTime) {
-        self.preempted_at = Some(preempted_at);
-        self.heartbeats.note_news();
+    /// Receives the cloud's notice that it will reclaim the host.
+    pub fn give_reclaim_notice(&mut self, reclaim_at: SimTime) {
+        self.reclaim_at = Some(reclaim_at);
+        self.heartbeats.note_change();
     }
 
-    /// Whether the cloud takes the machine away now.
-    pub fn is_preempted(&self, now: SimTime) -> bool {
-        self.preempted_at.is_some_and(|at| now >= at)
+    /// Whether the time has come at which the cloud reclaims the host.
+    pub fn is_reclaimed(&self, now: SimTime) -> bool {
+        self.reclaim_at.is_some_and(|at| now >= at)
     }
 }
 
-/// Standing still.
+/// Pauses.
 impl Worker {
-    /// Whether the worker stands still.
+    /// Whether the worker is paused.
     pub fn is_paused(&self, now: SimTime) -> bool {
         self.faults.pause.is_active(now)
     }
 
-    /// Notes whether the worker stands still, and returns that. When it goes on, its tasks have missed the
-    /// time in between.
+    /// Returns whether the worker is paused. At the end of a pause, its tasks are postponed by the duration of the
+    /// pause.
     pub fn update_pause(&mut self, now: SimTime) -> bool {
         if self.is_paused(now) {
             self.was_paused = true;
             return true;
         }
         if std::mem::take(&mut self.was_paused) {
-            self.tasks.postpone(now.since(self.advanced_at));
+            self.tasks.postpone(now.since(self.last_advanced_at));
         }
-        self.advanced_at = now;
+        self.last_advanced_at = now;
         false
     }
 
-    /// A command arrives while the worker stands still.
+    /// Queues a command that arrives while the worker is paused.
     pub fn queue_command(&mut self, command: QueuedCommand) {
         self.queued_commands.push(command);
     }
 
-    /// Takes the commands that arrived while the worker stood still.
+    /// Takes the commands that arrived while the worker was paused.
     pub fn take_queued_commands(&mut self) -> Vec<QueuedCommand> {
         std::mem::take(&mut self.queued_commands)
     }
@@ -255,35 +255,38 @@
 
 /// Messages to and from controllers.
 impl Worker {
-    /// The status of the machine and its tasks, for a heartbeat or the response to a command. Each has a
-    /// number of its own.
+    /// Status of the host and its tasks, for a heartbeat or the response to a command. Each call increments the
+    /// sequence number.
     pub fn status(&mut self, now: SimTime) -> Value {
-        self.tick += 1;
-        let notice = self.preempted_at.map(|at| seconds(at.since(now)));
+        self.sequence_number += 1;
+        let reclaim_notice_s = self.reclaim_at.map(|at| seconds(at.since(now)));
         let mut fields = self.spec.fields("host");
         fields.extend([
-            ("tenure", self.session.into()),
-            ("tick", self.tick.into()),
+            ("tenure", self.incarnation.into()),
+            ("tick", self.sequence_number.into()),
             ("baton", self.fencing_token.into()),
-            ("warningS", notice.map_or(Value::Null, Value::from)),
+            (
+                "warningS",
+                reclaim_notice_s.map_or(Value::Null, Value::from),
+            ),
             ("pieces", self.tasks.status()),
         ]);
         map(fields)
     }
 
-    /// The last status goes out as a heartbeat.
+    /// Notes that the last status is sent as a heartbeat.
     pub fn send_heartbeat(&mut self, now: SimTime) -> HeartbeatId {
         let heartbeat = HeartbeatId {
             host: self.spec.name.clone(),
-            tick: self.tick,
+            sequence_number: self.sequence_number,
             sent_at: now,
         };
-        self.heartbeats.send(heartbeat.clone());
+        self.heartbeats.record_sent(heartbeat.clone());
         heartbeat
     }
 
-    /// The leader has answered a heartbeat: this renews the lease, and the worker obeys the orders, unless the
-    /// lease has expired before.
+    /// Processes the leader's response to a heartbeat: renews the lease and executes the commands. The response is
+    /// ignored if the lease expired in the meantime or its fencing token is outdated.
     pub fn accept_heartbeat_response(
         &mut self,
         heartbeat: &HeartbeatId,
@@ -297,51 +300,54 @@
         self.heartbeats.clear_in_flight();
         if self.accepts_token(message) {
             self.lease_renewed_at = heartbeat.sent_at;
-            self.obey_orders(message, now, lookup);
+            self.execute_commands(message, now, lookup);
         }
     }
 
-    /// A direct command. Returns whether the worker has carried it out.
+    /// Executes commands that were sent directly, not in a heartbeat response. Returns `false` if they are for another
+    /// incarnation or their fencing token is outdated.
     pub fn execute_command(
         &mut self,
         message: &Value,
         now: SimTime,
         lookup: ProfileLookup,
     ) -> bool {
-        let is_for_session = number(message, "tenure") == self.session;
-        if !is_for_session || !self.accepts_token(message) {
+        let is_for_incarnation = number(message, "tenure") == self.incarnation;
+        if !is_for_incarnation || !self.accepts_token(message) {
             return false;
         }
-        self.obey_orders(message, now, lookup);
+        self.execute_commands(message, now, lookup);
         true
     }
 
+    /// Whether the message has a fencing token (0 is none) that is not lower than the highest one seen so far.
+    /// Remembers the token if so.
     fn accepts_token(&mut self, message: &Value) -> bool {
         let token = number(message, "baton");
         if token == 0 || token < self.fencing_token {
             return false;
         }
         if token > self.fencing_token {
-            self.heartbeats.note_news();
+            self.heartbeats.note_change();
         }
         self.fencing_token = token;
         true
     }
 
-    fn obey_orders(&mut self, message: &Value, now: SimTime, lookup: ProfileLookup) {
-        for order in list(message, "orders") {
+    fn execute_commands(&mut self, message: &Value, now: SimTime, lookup: ProfileLookup) {
+        for command in list(message, "orders") {
             let id = AttemptId {
-                task: text(order, "piece"),
-                number: number(order, "try"),
+                task: text(command, "piece"),
+                number: number(command, "try"),
             };
-            let has_effect = match text(order, "verb").as_str() {
+            let has_effect = match text(command, "verb").as_str() {
                 "run" => self.tasks.run(id, now, lookup),
                 "stop" => self.tasks.stop(&id),
                 "clear" => self.tasks.clear(&id),
                 _ => false,
             };
             if has_effect {
-                self.heartbeats.note_news();
+                self.heartbeats.note_change();
             }
         }
     }
--- a/tests/simulated/worker/task_runner.rs
+++ b/tests/simulated/worker/task_runner.rs
@@ -1,4 +1,5 @@
-//! The tasks on a machine: their images load, they run, end, and stay until the leader has acknowledged that.
+//! The task attempts on a host. An attempt loads its image, runs, ends, and is kept until the leader acknowledges
+//! its end.
 
 use std::time::Duration;
 
@@ -11,21 +12,21 @@
 use crate::simulated::ids::{JobId, TaskId};
 use crate::simulated::script::command::ReplicaEnd;
 
-/// What a worker knows of a task that it is told to run.
+/// What a task requires and how long it runs.
 #[derive(Clone, Copy, Debug)]
 pub struct TaskProfile {
-    /// The room that it takes.
+    /// CPUs that the task occupies.
     pub cpus: f64,
-    /// How long it runs; `None`: until it is stopped.
+    /// How long the task runs. `None` if it runs until it is stopped.
     pub run_time: Option<Duration>,
 }
 
-/// Finds the profile of a task by its name; `None` if there is no such task.
+/// Looks up the profile of a task by its name. `None` if there is no such task.
 pub type ProfileLookup<'a> = &'a dyn Fn(&str) -> Option<TaskProfile>;
 
-/// Why a task has ended, or never started.
+/// Why an attempt ended or was refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum EndCause {
+enum EndReason {
     Completed,
     Failed,
     Stopped,
@@ -34,16 +35,16 @@
     NoRoom,
 }
 
-impl EndCause {
-    /// The protocol's word.
+impl EndReason {
+    /// The value in the protocol.
     fn name(self) -> &'static str {
         match self {
-            EndCause::Completed => "done",
-            EndCause::Failed => "error",
-            EndCause::Stopped => "halted",
-            EndCause::UnknownTask => "no_such",
-            EndCause::AlreadyRunning => "in_use",
-            EndCause::NoRoom => "no_room",
+            EndReason::Completed => "done",
+            EndReason::Failed => "error",
+            EndReason::Stopped => "halted",
+            EndReason::UnknownTask => "no_such",
+            EndReason::AlreadyRunning => "in_use",
+            EndReason::NoRoom => "no_room",
         }
     }
 }
@@ -54,18 +55,18 @@
         until: SimTime,
     },
     Running {
-        /// `None`: until it is stopped.
+        /// `None` if the task runs until it is stopped.
         until: Option<SimTime>,
     },
-    Ended(EndCause),
+    Ended(EndReason),
 }
 
-/// A task and the number of the attempt at it.
+/// Identifies an attempt at a task.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AttemptId {
-    /// The task's name, as the worker was given it.
+    /// Name of the task, as given in the command.
     pub task: String,
-    /// The number.
+    /// Number of the attempt.
     pub number: u64,
 }
 
@@ -96,30 +97,30 @@
     }
 }
 
-/// What happened to a task.
+/// A change of a task's state on the host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TaskChange {
-    /// It takes room from now on, and waits for its image.
+    /// The host has reserved CPUs for the task and loads its image.
     Accepted,
-    /// It runs.
+    /// The task has started to run.
     Started,
-    /// It ended, or was given up before it started.
+    /// The task has ended, possibly before it started.
     Ended {
-        /// Whether it ran to its end.
+        /// Whether it ran to completion.
         is_complete: bool,
     },
 }
 
-/// A change of a task, by the name that the worker was given.
+/// A change of a task's state, with the task's name as given in the command.
 #[derive(Clone, Debug)]
 pub struct TaskEvent {
-    /// The task's name.
+    /// Name of the task.
     pub task: String,
-    /// What happened.
+    /// The change.
     pub change: TaskChange,
 }
 
-/// The tasks of one machine.
+/// The attempts on one host.
 #[derive(Debug)]
 pub struct TaskRunner {
     /// How long the image of a task takes to load.
@@ -129,7 +130,7 @@
 }
 
 impl TaskRunner {
-    /// A machine without tasks.
+    /// A host without tasks.
     pub fn new(image_load_time: Duration) -> TaskRunner {
         TaskRunner {
             image_load_time,
@@ -138,7 +139,7 @@
         }
     }
 
-    /// All tasks that are here, also those that have ended.
+    /// All tasks on the host, including ended ones that are not acknowledged yet.
     pub fn held_tasks(&self) -> Vec<HeldTask> {
         let held = |attempt: &TaskAttempt| {
             Some(HeldTask {
@@ -149,25 +150,25 @@
         self.attempts.iter().filter_map(held).collect()
     }
 
-    /// Whether a task of the job is here, or has ended here.
+    /// Whether the host has an attempt at a task of the job, active or ended.
     pub fn holds_job(&self, job: JobId) -> bool {
         let prefix = format!("{job}/");
         let mut attempts = self.attempts.iter();
         attempts.any(|attempt| attempt.id.task.starts_with(&prefix))
     }
 
-    /// Whether a task is here that has not ended.
-    pub fn holds_work(&self) -> bool {
+    /// Whether any attempt has not ended.
+    pub fn has_active_tasks(&self) -> bool {
         !self.attempts.iter().all(TaskAttempt::has_ended)
     }
 
-    /// The status of all tasks, for the leader.
+    /// Status of all attempts, as in the worker's heartbeats.
     pub fn status(&self) -> Value {
         let attempts = self.attempts.iter().map(TaskAttempt::fields);
         Value::Array(attempts.collect())
     }
 
-    /// What has happened to tasks since the last time.
+    /// Takes the events since the last call.
     pub fn take_events(&mut self) -> Vec<TaskEvent> {
         std::mem::take(&mut self.events)
     }
@@ -179,8 +180,8 @@
         });
     }
 
-    /// Time passes: images arrive, and tasks end. With `tasks_fail`, those that start fail. Returns whether
-    /// anything has changed.
+    /// Advances the attempts to `now`: images are loaded, and tasks end. With `tasks_fail`, tasks fail when they
+    /// start. Returns whether any attempt has changed.
     pub fn advance(&mut self, now: SimTime, tasks_fail: bool) -> bool {
         let mut has_changed = false;
         for index in 0..self.attempts.len() {
@@ -191,7 +192,7 @@
             if is_loaded {
                 self.start(now, index);
                 if tasks_fail {
-                    self.end(index, EndCause::Failed);
+                    self.end(index, EndReason::Failed);
                 }
             }
             let is_complete = matches!(
@@ -199,7 +200,7 @@
                 AttemptState::Running { until: Some(until) } if now >= until
             );
             if is_complete {
-                self.end(index, EndCause::Completed);
+                self.end(index, EndReason::Completed);
             }
             has_changed |= is_loaded || is_complete;
         }
@@ -214,16 +215,16 @@
         self.push_event(&task, TaskChange::Started);
     }
 
-    fn end(&mut self, index: usize, cause: EndCause) {
+    fn end(&mut self, index: usize, cause: EndReason) {
         let attempt = &mut self.attempts[index];
         attempt.state = AttemptState::Ended(cause);
         let task = attempt.id.task.clone();
-        let is_complete = cause == EndCause::Completed;
+        let is_complete = cause == EndReason::Completed;
         self.push_event(&task, TaskChange::Ended { is_complete });
     }
 
-    /// The machine is gone, or the worker's lease has expired: all tasks end.
-    pub fn give_up_all(&mut self) {
+    /// Ends and removes all attempts, as the host is gone or the worker's lease has expired.
+    pub fn end_all(&mut self) {
         for attempt in std::mem::take(&mut self.attempts) {
             if !attempt.has_ended() {
                 let change = TaskChange::Ended { is_complete: false };
@@ -232,7 +233,7 @@
         }
     }
 
-    /// All tasks have missed some time, in which the machine stood still.
+    /// Postpones the loading of images and the end of tasks by the duration of a pause.
     pub fn postpone(&mut self, duration: Duration) {
         for attempt in &mut self.attempts {
             match &mut attempt.state {
@@ -243,8 +244,8 @@
         }
     }
 
-    /// Replicas that run until they are stopped end by themselves, each with that probability. Returns how
-    /// many did.
+    /// Ends each running task that would run until it is stopped with the given probability, as if it had exited by
+    /// itself. Returns how many ended.
     pub fn end_replicas(
         &mut self,
         end: ReplicaEnd,
@@ -252,15 +253,15 @@
         random: &mut fastrand::Rng,
     ) -> usize {
         let cause = match end {
-            ReplicaEnd::Completed => EndCause::Completed,
-            ReplicaEnd::Failed => EndCause::Failed,
+            ReplicaEnd::Completed => EndReason::Completed,
+            ReplicaEnd::Failed => EndReason::Failed,
         };
         let mut ended_count = 0;
         for attempt in &mut self.attempts {
-            let is_endless = attempt.state == AttemptState::Running { until: None };
-            if is_endless && random.f64() < probability {
+            let runs_until_stopped = attempt.state == AttemptState::Running { until: None };
+            if runs_until_stopped && random.f64() < probability {
                 attempt.state = AttemptState::Ended(cause);
-                // A replica has no end to run to, whatever it exits with.
+                // A replica runs until it is stopped, so it never completes, whatever its exit status.
                 self.events.push(TaskEvent {
                     task: attempt.id.task.clone(),
                     change: TaskChange::Ended { is_complete: false },
@@ -272,19 +273,19 @@
     }
 }
 
-/// Orders of the leader.
+/// Commands of the leader.
 impl TaskRunner {
     fn position(&self, id: &AttemptId) -> Option<usize> {
         self.attempts.iter().position(|attempt| attempt.id == *id)
     }
 
-    /// An order to run a task. Returns whether it is new.
+    /// Executes a command to run a task. Returns `false` if the attempt already exists.
     pub fn run(&mut self, id: AttemptId, now: SimTime, lookup: ProfileLookup) -> bool {
         if self.position(&id).is_some() {
             return false;
         }
         let profile = lookup(&id.task);
-        let state = match self.reason_to_refuse(&id.task, profile) {
+        let state = match self.refusal_reason(&id.task, profile) {
             Some(cause) => AttemptState::Ended(cause),
             None => {
                 self.push_event(&id.task, TaskChange::Accepted);
@@ -304,34 +305,36 @@
         true
     }
 
-    fn reason_to_refuse(&self, task: &str, profile: Option<TaskProfile>) -> Option<EndCause> {
+    fn refusal_reason(&self, task: &str, profile: Option<TaskProfile>) -> Option<EndReason> {
         let Some(profile) = profile else {
-            return Some(EndCause::UnknownTask);
+            return Some(EndReason::UnknownTask);
         };
-        let is_present = |attempt: &TaskAttempt| attempt.id.task == task && !attempt.has_ended();
-        if self.attempts.iter().any(is_present) {
-            return Some(EndCause::AlreadyRunning);
+        let is_active_attempt =
+            |attempt: &TaskAttempt| attempt.id.task == task && !attempt.has_ended();
+        if self.attempts.iter().any(is_active_attempt) {
+            return Some(EndReason::AlreadyRunning);
         }
-        (profile.cpus > self.free_cpus()).then_some(EndCause::NoRoom)
+        (profile.cpus > self.free_cpus()).then_some(EndReason::NoRoom)
     }
 
     fn free_cpus(&self) -> f64 {
-        let present = self.attempts.iter().filter(|attempt| !attempt.has_ended());
-        MACHINE_TYPE.cpus - present.map(|attempt| attempt.profile.cpus).sum::<f64>()
+        let active = self.attempts.iter().filter(|attempt| !attempt.has_ended());
+        MACHINE_TYPE.cpus - active.map(|attempt| attempt.profile.cpus).sum::<f64>()
     }
 
-    /// An order to stop a task. Returns whether the attempt is here, ended or not.
+    /// Executes a command to stop a task. Returns whether the attempt exists, ended or not.
     pub fn stop(&mut self, id: &AttemptId) -> bool {
         let Some(index) = self.position(id) else {
             return false;
         };
         if !self.attempts[index].has_ended() {
-            self.end(index, EndCause::Stopped);
+            self.end(index, EndReason::Stopped);
         }
         true
     }
 
-    /// The leader has acknowledged the end of a task. Returns whether it was here, and had ended.
+    /// Executes a command to clear an ended attempt, by which the leader acknowledges its end. Returns whether there
+    /// was such an attempt.
     pub fn clear(&mut self, id: &AttemptId) -> bool {
         let index = self.position(id);
         let ended = index.filter(|index| self.attempts[*index].has_ended());
