--- a/tests/simulated/clock.rs
+++ b/tests/simulated/clock.rs
@@ -1,4 +1,4 @@
-//! Simulated time. It stands still while code runs and jumps from one event to the next.
+//! Simulated time. It doesn't advance while code runs, and jumps from one event to the next.
 
 use std::cell::Cell;
 use std::fmt;
@@ -6,17 +6,17 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// A moment of a simulation, in whole milliseconds since its start.
+/// A point in simulated time, in whole milliseconds since the start of the simulation.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct SimTime(u64);
 
 impl SimTime {
-    /// When the simulation starts.
+    /// The start of the simulation.
     pub const START: SimTime = SimTime(0);
-    /// Later than all that happens.
+    /// Later than any event.
     pub const MAX: SimTime = SimTime(u64::MAX);
 
-    /// The moment so many milliseconds after the start.
+    /// The time at the given number of milliseconds after the start.
     pub const fn from_millis(milliseconds: u64) -> SimTime {
         SimTime(milliseconds)
     }
@@ -26,12 +26,12 @@
         self.0
     }
 
-    /// How long this is after `earlier`; zero if it is before.
+    /// The duration since `earlier`. Zero if `earlier` is later than this time.
     pub fn since(self, earlier: SimTime) -> Duration {
         Duration::from_millis(self.0.saturating_sub(earlier.0))
     }
 
-    /// The moment so long before, or the start if there is none.
+    /// The time that is earlier by `duration`, but not before the start.
     pub fn saturating_sub(self, duration: Duration) -> SimTime {
         SimTime(self.0.saturating_sub(duration.as_millis() as u64))
     }
@@ -45,7 +45,7 @@
     }
 }
 
-/// Seconds, to the millisecond.
+/// Writes the time in seconds with three decimal places.
 impl fmt::Display for SimTime {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         let seconds = format!("{}.{:03} s", self.0 / 1000, self.0 % 1000);
@@ -53,29 +53,29 @@
     }
 }
 
-/// The clock of a simulation. Its clones show the same time.
+/// The clock of a simulation. Clones share the time.
 #[derive(Clone, Debug, Default)]
 pub struct SimClock(Rc<Cell<SimTime>>);
 
 impl SimClock {
-    /// The present moment.
+    /// The current time.
     pub fn now(&self) -> SimTime {
         self.0.get()
     }
 
-    /// Moves the clock and all its clones.
+    /// Sets the time of the clock and all its clones.
     pub fn advance_to(&self, time: SimTime) {
         self.0.set(time);
     }
 }
 
-/// A number of seconds as a duration, cut to whole milliseconds.
+/// Converts seconds to a duration, truncated to whole milliseconds.
 pub fn duration_from_seconds(seconds: f64) -> Duration {
     Duration::from_millis((seconds * 1000.0) as u64)
 }
 
-/// A duration of whole milliseconds in seconds, rounded once: unlike `Duration::as_secs_f64`, which adds
-/// two rounded numbers.
+/// Converts a duration of whole milliseconds to seconds with a single rounding. `Duration::as_secs_f64` adds two
+/// rounded numbers.
 pub fn seconds(duration: Duration) -> f64 {
     duration.as_millis() as f64 / 1000.0
 }
--- a/tests/simulated/context.rs
+++ b/tests/simulated/context.rs
@@ -1,4 +1,4 @@
-//! What all parts of a simulation use: time and events, random numbers, the history and the checker.
+//! What all components of a simulation share: time and events, random numbers, the history and the checker.
 
 use std::ops::Range;
 use std::time::Duration;
@@ -9,12 +9,12 @@
 use super::faults::RandomFault;
 use super::history::{History, Mark};
 
-/// The random delays of a message, in milliseconds.
+/// Random part of the network latency of a message.
 const NETWORK_LATENCY_MS: Range<u64> = 0..3;
-const LEAST_NETWORK_LATENCY: Duration = Duration::from_millis(1);
+const MIN_NETWORK_LATENCY: Duration = Duration::from_millis(1);
 
-/// Time, events, random numbers, history and checker of one simulation. All random numbers come from one
-/// generator, so that a seed determines a run.
+/// The state that all components of a simulation share. All random numbers come from one generator, so that a seed
+/// determines the run.
 pub struct Context {
     queue: EventQueue,
     random: fastrand::Rng,
@@ -23,7 +23,7 @@
 }
 
 impl Context {
-    /// A context in which nothing has happened.
+    /// Creates a context with an empty history.
     pub fn new(queue: EventQueue, seed: u64, checker: Checker) -> Context {
         Context {
             queue,
@@ -33,48 +33,48 @@
         }
     }
 
-    /// The present time.
+    /// The current time.
     pub fn now(&self) -> SimTime {
         self.queue.now()
     }
 
-    /// Adds an event at a given time.
+    /// Schedules an event at the given time.
     pub fn schedule(&mut self, at: SimTime, event: Event) {
         self.queue.schedule(at, event);
     }
 
-    /// Adds an event that takes place when the delay has passed.
+    /// Schedules an event after the given delay.
     pub fn schedule_after(&mut self, delay: Duration, event: Event) {
         let at = self.now() + delay;
         self.schedule(at, event);
     }
 
-    /// The next event up to `end`, at whose time it is from now on.
+    /// Takes the next event and advances the time to it. `None` if no event is scheduled until `end`.
     pub fn next_event(&mut self, end: SimTime) -> Option<Event> {
         self.queue.pop(end)
     }
 
-    /// A number for a connection. Connections and events are numbered together.
+    /// A new serial number for a connection. Connections and events share one sequence of numbers.
     pub fn next_connection_number(&mut self) -> u64 {
         self.queue.next_sequence_number()
     }
 
-    /// The random numbers of the simulation.
+    /// The random number generator of the simulation.
     pub fn random(&mut self) -> &mut fastrand::Rng {
         &mut self.random
     }
 
-    /// A random number of milliseconds.
+    /// A random duration within a range of milliseconds.
     pub fn random_millis(&mut self, range: Range<u64>) -> Duration {
         Duration::from_millis(self.random.u64(range))
     }
 
-    /// How long a message takes.
+    /// Draws the network latency of a message.
     pub fn network_latency(&mut self) -> Duration {
-        LEAST_NETWORK_LATENCY + self.random_millis(NETWORK_LATENCY_MS)
+        MIN_NETWORK_LATENCY + self.random_millis(NETWORK_LATENCY_MS)
     }
 
-    /// Whether a fault hits this time. Draws no random number once the fault is over.
+    /// Draws whether a random fault applies now. No random number is drawn while the fault is inactive.
     pub fn occurs(&mut self, fault: RandomFault) -> bool {
         fault.window.is_active(self.now()) && self.random.f64() < fault.probability
     }
@@ -85,35 +85,35 @@
         self.history.note(now, line.as_ref());
     }
 
-    /// Sets a mark.
+    /// Records that a marked event has taken place.
     pub fn mark(&mut self, mark: Mark) {
         let now = self.now();
         self.history.mark(now, mark);
     }
 
-    /// Lines and marks so far.
+    /// The history so far.
     pub fn history(&self) -> &History {
         &self.history
     }
 
-    /// Tells the checker what happened.
+    /// Reports an observation to the checker.
     pub fn observe(&mut self, observation: Observation) {
         let now = self.now();
         self.checker.observe(now, observation);
     }
 
-    /// Tells the checker of a violation that it can't see itself.
+    /// Reports a violation that the checker can't detect from its observations.
     pub fn report(&mut self, invariant: Invariant, details: String) {
         let now = self.now();
         self.checker.report(now, invariant, details);
     }
 
-    /// What the checker knows.
+    /// The checker.
     pub fn checker(&self) -> &Checker {
         &self.checker
     }
 
-    /// The checker, for what is not an [`Observation`].
+    /// The checker, for reports that are not an [`Observation`].
     pub fn checker_mut(&mut self) -> &mut Checker {
         &mut self.checker
     }
--- a/tests/simulated/controllers.rs
+++ b/tests/simulated/controllers.rs
@@ -1,4 +1,4 @@
-//! The controllers: their processes, which can end, stand still and start again with another version.
+//! The controllers and their processes, which can be killed, paused, and restarted with another version.
 
 use std::net::SocketAddr;
 
@@ -22,15 +22,15 @@
     /// The version that its next process runs.
     version: Version,
     process: Option<Box<dyn Process>>,
-    /// Counts its processes.
+    /// Number of processes that have been started on the node.
     generation: u64,
     outbox: Outbox,
     started_at: SimTime,
-    /// Its process stands still until then.
+    /// The process is paused until this time.
     paused_until: SimTime,
-    /// What arrived while the process stood still.
+    /// Events that arrived while the process was paused.
     backlog: Vec<TransportEvent>,
-    /// When its process has to run again.
+    /// When the process has to run again.
     wakeup_at: SimTime,
 }
 
@@ -45,7 +45,7 @@
 }
 
 impl Controllers {
-    /// No controllers yet.
+    /// Creates an empty set of controllers.
     pub fn new(launcher: Launcher, features: String, clock: SimClock) -> Controllers {
         Controllers {
             nodes: Vec::new(),
@@ -74,7 +74,7 @@
         });
     }
 
-    /// How many nodes there are.
+    /// Number of nodes.
     pub fn count(&self) -> usize {
         self.nodes.len()
     }
@@ -84,13 +84,13 @@
         (0..self.nodes.len()).map(NodeIndex)
     }
 
-    /// The node with that name.
+    /// The node with the given name.
     pub fn find_by_name(&self, name: &str) -> Option<NodeIndex> {
         let position = self.nodes.iter().position(|node| node.name == name);
         position.map(NodeIndex)
     }
 
-    /// The node that the other controllers reach at that address.
+    /// The node that the other controllers reach at the given address.
     pub fn find_by_internal_address(&self, address: SocketAddr) -> Option<NodeIndex> {
         let mut nodes = self.nodes.iter();
         let position = nodes.position(|node| node.internal_address == address);
@@ -105,12 +105,12 @@
         }
     }
 
-    /// The version that a node runs, or starts with next.
+    /// The version that the node runs, or will run when it starts next.
     pub fn version(&self, node: NodeIndex) -> Version {
         self.nodes[node.0].version
     }
 
-    /// Whether all nodes run that version now.
+    /// Whether all nodes run, or will run when they start next, the given version.
     pub fn all_run(&self, version: Version) -> bool {
         self.nodes.iter().all(|node| node.version == version)
     }
@@ -120,20 +120,20 @@
         self.nodes[node.0].process.is_some()
     }
 
-    /// Whether the node has a process that does not stand still.
+    /// Whether the node has a process that is not paused.
     pub fn is_running(&self, node: NodeIndex, now: SimTime) -> bool {
         let node = &self.nodes[node.0];
         node.process.is_some() && now >= node.paused_until
     }
 
-    /// Replaces what the node's next process starts with.
+    /// Sets the version and the settings file of the node's next process.
     pub fn install(&mut self, node: NodeIndex, version: Version, settings: String) {
         let node = &mut self.nodes[node.0];
         node.version = version;
         node.settings = settings;
     }
 
-    /// Lets a node's process stand still.
+    /// Pauses a node's process until the given time.
     pub fn pause(&mut self, node: NodeIndex, until: SimTime) {
         self.nodes[node.0].paused_until = until;
     }
@@ -143,10 +143,11 @@
         self.nodes[node.0].process = None;
     }
 
-    /// Starts a process, unless the node has one. Returns what it sends at once.
-    pub fn start(&mut self, context: &mut Context, index: NodeIndex) -> Vec<Outgoing> {
+    /// Starts a process on a node that has none. Returns the messages that it sends in its first run. A random number
+    /// is drawn even if the node has a process.
+    pub fn start(&mut self, context: &mut Context, node_index: NodeIndex) -> Vec<Outgoing> {
         let incarnation = context.random().u64(..);
-        let node = &mut self.nodes[index.0];
+        let node = &mut self.nodes[node_index.0];
         if node.process.is_some() {
             return Vec::new();
         }
@@ -163,11 +164,12 @@
             incarnation,
         }));
         let version = node.version;
-        context.note(format!("node {index} starts, {version:?} version"));
-        self.run(context, index, None)
+        context.note(format!("node {node_index} starts, {version:?} version"));
+        self.run(context, node_index, None)
     }
 
-    /// Lets a process do what is due, if the timer is still its last one. Returns what it sends.
+    /// Runs the work of a process that is due, unless the process has been replaced or its timer was postponed. Returns
+    /// the messages that it sends.
     pub fn run_timer(&mut self, context: &mut Context, process: ProcessId) -> Vec<Outgoing> {
         let is_last_process = self.last_process(process.node) == process;
         let is_due = self.nodes[process.node.0].wakeup_at <= context.now();
@@ -178,16 +180,17 @@
         }
     }
 
-    /// Gives a process an event to take in, and lets it do what is due. Returns what it sends.
+    /// Lets a process handle an event and run the work that is due. Returns the messages that it sends. If the process
+    /// is paused, the event is queued.
     pub fn run(
         &mut self,
         context: &mut Context,
-        index: NodeIndex,
+        node_index: NodeIndex,
         event: Option<TransportEvent>,
     ) -> Vec<Outgoing> {
         let now = context.now();
-        let id = self.last_process(index);
-        let node = &mut self.nodes[index.0];
+        let id = self.last_process(node_index);
+        let node = &mut self.nodes[node_index.0];
         let Some(process) = &mut node.process else {
             return Vec::new();
         };
@@ -197,10 +200,10 @@
             context.schedule(node.wakeup_at, Event::ControllerTimer(id));
             return Vec::new();
         }
-        self.log_headings.print(index, now);
+        self.log_headings.print(node_index, now);
         let events = std::mem::take(&mut node.backlog).into_iter().chain(event);
         for event in events {
-            self.fingerprint.add_received(now, index, &event);
+            self.fingerprint.add_received(now, node_index, &event);
             process.handle_event(event);
         }
         process.run_due_work();
@@ -209,21 +212,22 @@
         context.schedule(node.wakeup_at, Event::ControllerTimer(id));
         let messages = node.outbox.take();
         for message in &messages {
-            self.fingerprint.add_sent(now, index, message);
+            self.fingerprint.add_sent(now, node_index, message);
         }
         messages
     }
 
-    /// The hash of every message that a controller has sent or received.
+    /// The hash of all messages that controllers have sent or received.
     pub fn fingerprint(&self) -> u64 {
         self.fingerprint.value()
     }
 }
 
-/// Lines in the log that tell which node logs from there on, and the simulated time. They are printed if
-/// `LOG_LEVEL` is set.
+/// Headings in the log output with the node that writes the log lines that follow, and the simulated time. They are
+/// printed if `LOG_LEVEL` is set.
 struct LogHeadings {
     is_enabled: bool,
+    /// The node and the time of the last heading.
     last: Option<(NodeIndex, SimTime)>,
 }
 
--- a/tests/simulated/deployment.rs
+++ b/tests/simulated/deployment.rs
@@ -1,4 +1,4 @@
-//! The deployment that a scenario plays in: controllers, zones, limits and teams.
+//! The deployment of a scenario: controllers, zones, limits and teams.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -12,21 +12,21 @@
 use super::clock::seconds;
 use super::ids::NodeIndex;
 
-/// Where controllers find the key-value store.
+/// Address of the key-value store.
 pub const STORE_ADDRESS: &str = "10.2.0.1:2379";
-/// Where controllers find the cloud.
+/// Address of the cloud's API.
 pub const CLOUD_ADDRESS: &str = "10.2.0.2:8443";
 
-/// A kind of machine that the cloud rents.
+/// A machine type of the cloud.
 #[derive(Clone, Copy, Debug)]
 pub struct MachineType {
-    /// Its name.
+    /// Name of the machine type.
     pub name: &'static str,
-    /// CPUs for tasks.
+    /// CPUs of a host that tasks can use.
     pub cpus: f64,
 }
 
-/// The only machine type.
+/// The machine type of all hosts.
 pub const MACHINE_TYPE: MachineType = MachineType {
     name: "c8",
     cpus: 8.0,
@@ -35,75 +35,75 @@
 /// A team of users.
 #[derive(Clone, Debug)]
 pub struct Team {
-    /// Its name.
+    /// Name of the team.
     pub name: String,
-    /// The most CPUs that it may use.
+    /// Most CPUs that the team may use at the same time. `None` if it has no limit.
     pub cpu_limit: Option<f64>,
 }
 
-/// What the key-value store takes.
+/// The limits of the key-value store.
 #[derive(Clone, Copy, Debug)]
 pub struct StoreLimits {
-    /// Requests in a second.
+    /// Most requests per second.
     pub requests_per_second: f64,
-    /// Changes in a second.
+    /// Most changes per second.
     pub writes_per_second: f64,
-    /// The largest value, in units of 1024 bytes of JSON.
+    /// Size of the largest value, in units of 1024 bytes of JSON.
     pub value_kilobytes: f64,
-    /// The most changes in a transaction.
+    /// Most changes in a transaction.
     pub transaction_operations: usize,
 }
 
-/// Limits of the key-value store that come into force during a scenario.
+/// Limits of the key-value store that are applied during a scenario.
 #[derive(Clone, Copy, Debug)]
 pub struct LoweredStoreLimits {
-    /// The largest value, in units of 1024 bytes of JSON.
+    /// Size of the largest value, in units of 1024 bytes of JSON.
     pub value_kilobytes: f64,
-    /// The most changes in a transaction.
+    /// Most changes in a transaction.
     pub transaction_operations: usize,
-    /// Changes in a second.
+    /// Most changes per second.
     pub writes_per_second: f64,
 }
 
-/// Machines that are up when the scenario starts.
+/// Hosts of one zone that are up when the scenario starts.
 #[derive(Clone, Debug)]
 pub struct InitialHosts {
-    /// How many.
+    /// Number of hosts.
     pub count: usize,
-    /// Their zone.
+    /// Zone of the hosts.
     pub zone: String,
 }
 
 /// The deployment of a scenario.
 #[derive(Clone, Debug)]
 pub struct Deployment {
-    /// How many controllers there are, in the zones by turns.
+    /// Number of controllers, which are assigned to the zones in turn.
     pub controller_count: usize,
     /// Names of the zones.
     pub zones: Vec<String>,
-    /// The time from one heartbeat of a worker to the next.
+    /// Interval between the heartbeats of a worker.
     pub heartbeat_interval: Duration,
-    /// How long a worker keeps its tasks without an answer to its heartbeats.
+    /// How long a worker keeps its tasks without a response from the leader to its heartbeats.
     pub worker_lease: Duration,
-    /// By when the tasks of a cancelled job have to end.
+    /// Time from the confirmation of a job's cancellation until its tasks have to have ended.
     pub cancellation_timeout: Duration,
     /// Limits of the key-value store at the start.
     pub store_limits: StoreLimits,
-    /// Limits that come into force later; upgraded controllers know of them.
+    /// Limits that are applied later. The settings of upgraded controllers announce them.
     pub next_store_limits: Option<LoweredStoreLimits>,
-    /// By how much the cloud's list of machines lags.
+    /// Lag of the cloud's list of hosts.
     pub host_list_lag: Duration,
-    /// How many machines the cloud rents in all.
+    /// Most hosts that the cloud provides at the same time.
     pub host_capacity: usize,
-    /// About how long a machine boots.
+    /// Approximate time that a host takes to boot.
     pub boot_time: Duration,
-    /// The features file.
+    /// Contents of the features file.
     pub features: String,
-    /// Whether the leader tracks zones.
+    /// Whether the feature `zones` is enabled, with which the leader tracks the state of zones.
     pub tracks_zones: bool,
     /// The teams that may submit jobs.
     pub teams: Vec<Team>,
-    /// Machines that are up when the scenario starts.
+    /// Hosts that are up when the scenario starts.
     pub initial_hosts: Vec<InitialHosts>,
 }
 
@@ -149,22 +149,22 @@
         format!("node-{node}")
     }
 
-    /// Where the other controllers reach a controller.
+    /// Address at which the other controllers reach a controller.
     pub fn internal_address(&self, node: NodeIndex) -> SocketAddr {
-        SocketAddr::from((host_of(node), 8081))
+        SocketAddr::from((ip_address_of(node), 8081))
     }
 
-    /// What the checker has to know.
+    /// The limits of the deployment that the checker enforces.
     pub fn bounds(&self) -> Bounds {
-        let limited = self.teams.iter();
-        let limits = limited.filter_map(|team| Some((team.name.clone(), team.cpu_limit?)));
+        let teams = self.teams.iter();
+        let limits = teams.filter_map(|team| Some((team.name.clone(), team.cpu_limit?)));
         Bounds {
             cancellation_deadline: self.cancellation_timeout,
             team_cpu_limits: limits.collect::<BTreeMap<_, _>>(),
         }
     }
 
-    /// The cloud's list of machine types.
+    /// The cloud's list of machine types, as in its protocol.
     pub fn machine_types(&self) -> Value {
         let MachineType { name, cpus } = MACHINE_TYPE;
         let zones = self.zones.iter().map(|zone| zone.as_str().into()).collect();
@@ -183,12 +183,12 @@
         map(vec![("hosttypes", Value::Array(vec![machine_type]))])
     }
 
-    /// The settings file of a controller. With `knows_next_limits` it tells of limits to come.
+    /// The settings file of a controller. With `knows_next_limits` it announces [`Deployment::next_store_limits`].
     pub fn settings_file(&self, node: NodeIndex, knows_next_limits: bool) -> String {
         let settings = json!({
             "host_name": self.name_of(node),
             "area": self.zone_of(node),
-            "front": SocketAddr::from((host_of(node), 8080)),
+            "front": SocketAddr::from((ip_address_of(node), 8080)),
             "internal_addr": self.internal_address(node),
             "others": self.peer_settings(node),
             "outside": {"cloud": CLOUD_ADDRESS, "state": STORE_ADDRESS},
@@ -248,6 +248,6 @@
     }
 }
 
-fn host_of(node: NodeIndex) -> [u8; 4] {
+fn ip_address_of(node: NodeIndex) -> [u8; 4] {
     [10, 0, 0, node.0 as u8 + 1]
 }
--- a/tests/simulated/event_queue.rs
+++ b/tests/simulated/event_queue.rs
@@ -1,4 +1,4 @@
-//! What is to happen in a simulation, ordered by time.
+//! The events of a simulation and the queue that orders them by time.
 
 use std::collections::BTreeMap;
 
@@ -14,22 +14,22 @@
 use super::users::PlannedRequest;
 use super::worker::HeartbeatId;
 
-/// Something that happens at a given time.
+/// An event of the simulation.
 pub enum Event {
-    /// A controller has work that is due.
+    /// A controller process wakes up to do work that is due.
     ControllerTimer(ProcessId),
     /// A request arrives at a controller.
     ControllerRequest {
         /// The controller.
         node: NodeIndex,
-        /// On which of its listeners.
+        /// The listener that receives the request.
         listener: ListenerKind,
-        /// Who waits for the response.
+        /// Who awaits the response.
         requester: Requester,
         /// The request.
         request: Request,
     },
-    /// The outcome of a call arrives at the controller that made it.
+    /// The result of a call arrives at the controller that made it.
     ControllerReply {
         /// The call.
         call: CallHandle,
@@ -40,23 +40,23 @@
     StoreRequest {
         /// The call.
         call: CallHandle,
-        /// What it asks for.
+        /// The request.
         request: OutgoingCall,
-        /// Whether its answer gets back.
+        /// Whether the answer reaches the caller.
         delivery: Delivery,
     },
     /// A call arrives at the cloud.
     CloudRequest {
         /// The call.
         call: CallHandle,
-        /// What it asks for.
+        /// The request.
         request: OutgoingCall,
     },
     /// A command of a controller arrives at a worker.
     WorkerCommand {
-        /// The worker's machine.
+        /// Name of the worker's host.
         host: String,
-        /// The call with the command.
+        /// The call that carries the command.
         call: CallHandle,
         /// The command.
         command: Value,
@@ -77,25 +77,25 @@
         /// The response.
         response: Response,
     },
-    /// A user no longer waits for a response.
+    /// A user's request times out.
     UserTimeout(RequestId),
-    /// Time passes for machines and their workers.
+    /// Hosts and their workers are advanced to the current time.
     AdvanceHosts,
-    /// Time passes for the key-value store.
+    /// The key-value store is advanced to the current time.
     AdvanceStore,
-    /// The checker judges what should have happened by now.
+    /// The checker checks the liveness invariants.
     CheckLiveness,
-    /// A command of the script is carried out.
+    /// A command of the scenario is executed.
     ScriptCommand(Box<Command>),
-    /// A controller process starts, unless the node has one.
+    /// A controller process is started, unless the node has one.
     StartController(NodeIndex),
     /// The next controller is upgraded.
     UpgradeNext(UpgradeOrder),
-    /// A controller goes back to the version before, if it was upgraded.
+    /// A controller is rolled back, if it was upgraded.
     RollBack(NodeIndex),
 }
 
-/// Events by their time; those of the same time take place in the order in which they were scheduled.
+/// A queue of events, ordered by time. Events of the same time are ordered as they were scheduled.
 pub struct EventQueue {
     clock: SimClock,
     pending: BTreeMap<(SimTime, u64), Event>,
@@ -103,7 +103,7 @@
 }
 
 impl EventQueue {
-    /// An empty queue; the clock shows the time of the last event that was taken.
+    /// Creates an empty queue. It sets the clock to the time of each event that is taken.
     pub fn new(clock: SimClock) -> EventQueue {
         EventQueue {
             clock,
@@ -112,25 +112,25 @@
         }
     }
 
-    /// The time of the last event that was taken.
+    /// The current time, which is that of the last event taken.
     pub fn now(&self) -> SimTime {
         self.clock.now()
     }
 
-    /// Adds an event; one that lies in the past takes place now.
+    /// Schedules an event at the given time, or now if that time is in the past.
     pub fn schedule(&mut self, at: SimTime, event: Event) {
         let sequence_number = self.next_sequence_number();
         let at = at.max(self.now());
         self.pending.insert((at, sequence_number), event);
     }
 
-    /// A number that no event has. Connections are numbered by it too.
+    /// A new sequence number. Events and connections share one sequence.
     pub fn next_sequence_number(&mut self) -> u64 {
         self.last_sequence_number += 1;
         self.last_sequence_number
     }
 
-    /// Takes the next event and moves the clock to its time. `None` if that is after `end`.
+    /// Takes the next event and advances the clock to its time. `None` if there is no event until `end`.
     pub fn pop(&mut self, end: SimTime) -> Option<Event> {
         let entry = self.pending.first_entry()?;
         let (time, _) = *entry.key();
--- a/tests/simulated/fleet/mod.rs
+++ b/tests/simulated/fleet/mod.rs
@@ -181,8 +181,8 @@
         }
     }
 
-    /// Injects a fault into some hosts until the given time: into each with the given probability, in one zone or in all.
-    /// A reclaim notice says that the cloud reclaims the host at that time.
+    /// Injects a fault into some hosts until the given time: into each with the given probability, in one zone or in
+    /// all. With a preemption notice, the cloud reclaims the host at that time.
     pub fn inject_fault(
         &mut self,
         surroundings: &mut Surroundings,
--- a/tests/simulated/ids.rs
+++ b/tests/simulated/ids.rs
@@ -1,11 +1,11 @@
-//! Identities within a simulation. Jobs and tasks have types of their own here, so that the checker does
-//! not depend on how the service reads their names.
+//! Ids used in a simulation. Jobs and tasks have their own types here, so that the checker doesn't depend on how the
+//! service parses their names.
 
 use std::fmt;
 
 use lichencrank::transport::CallId;
 
-/// A job, by the number in its name.
+/// A job, identified by the number in its name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct JobId(pub u64);
 
@@ -18,14 +18,14 @@
 /// One task of a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TaskId {
-    /// The job that the task is a part of.
+    /// The job of the task.
     pub job: JobId,
-    /// Its number within the job, from 0.
+    /// Index of the task in its job, from 0.
     pub index: u32,
 }
 
 impl TaskId {
-    /// Reads a name such as `job-000001/2`.
+    /// Parses a name such as `job-000001/2`.
     pub fn parse(name: &str) -> Option<TaskId> {
         let (job, index) = name.strip_prefix("job-")?.split_once('/')?;
         let job = JobId(job.parse().ok()?);
@@ -40,7 +40,7 @@
     }
 }
 
-/// A controller node, by its position in the deployment, from 0.
+/// A controller node, identified by its position in the deployment, from 0.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct NodeIndex(pub usize);
 
@@ -50,21 +50,21 @@
     }
 }
 
-/// One process of a controller node. What is meant for an earlier process of the node is not for it.
+/// One process of a controller node. Events that are addressed to an earlier process of the node don't reach it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ProcessId {
     /// The node that the process runs on.
     pub node: NodeIndex,
-    /// Counts the processes of the node, from 1.
+    /// Number of the process among those of its node, from 1.
     pub generation: u64,
 }
 
 /// A call that a controller process has made.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct CallHandle {
-    /// The caller.
+    /// The process that made the call.
     pub process: ProcessId,
-    /// The call's number within the process.
+    /// Id of the call within the process.
     pub call: CallId,
 }
 
--- a/tests/simulated/job_template.rs
+++ b/tests/simulated/job_template.rs
@@ -1,4 +1,4 @@
-//! What the jobs of a scenario look like, and how users write them in their requests.
+//! Templates of a scenario's jobs, and the submissions that users make from them.
 
 use std::time::Duration;
 
@@ -10,43 +10,43 @@
 use super::clock::seconds;
 use super::ids::JobId;
 
-/// A job as a scenario describes it.
+/// Properties of the jobs that a command of a scenario submits.
 #[derive(Clone, Debug)]
 pub struct JobTemplate {
-    /// The team that the job belongs to.
+    /// Team of the job.
     pub team: String,
-    /// How urgent it is, in the protocol's words.
+    /// Priority of the job, as in the protocol.
     pub priority: String,
-    /// How many tasks it has.
+    /// Number of tasks.
     pub task_count: u32,
-    /// CPUs that each task takes.
+    /// CPUs of each task.
     pub cpus_per_task: f64,
-    /// About how long each task runs.
+    /// Expected run time of each task.
     pub run_time: Duration,
-    /// The only zone in which its tasks may run.
+    /// The only zone in which the tasks may run. `None` allows all zones.
     pub zone: Option<String>,
-    /// All its tasks have to run in one zone, whichever that is.
+    /// Whether all tasks have to run in the same zone.
     pub single_zone: bool,
-    /// Its tasks have to be spread over zones.
+    /// Whether the tasks have to be spread over zones.
     pub spread_over_zones: bool,
-    /// Its tasks may run on spot machines.
+    /// Whether the tasks may run on spot hosts.
     pub allows_spot: bool,
-    /// Its tasks are replicas, which run until the job is cancelled.
+    /// Whether the job is a service, whose tasks are replicas that run until the job is cancelled.
     pub is_service: bool,
-    /// How long each replica of a service runs before it ends by itself.
+    /// How long each replica of a service runs before it ends by itself. `None` if it doesn't.
     pub replica_run_time: Option<Duration>,
 }
 
 /// Why a job must be rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Defect {
-    /// No machine is large enough for a task.
+    /// A task needs more CPUs than any host has.
     TooLarge,
-    /// A field is missing.
+    /// The submission lacks a field.
     MissingField,
 }
 
-/// More than any machine has.
+/// More CPUs than any host has.
 const TOO_MANY_CPUS: f64 = 4000.0;
 
 impl JobTemplate {
@@ -67,7 +67,7 @@
         }
     }
 
-    /// What the checker has to know of such a job.
+    /// The properties of such a job that the checker needs.
     pub fn spec(&self, defect: Option<Defect>) -> JobSpec {
         JobSpec {
             team: self.team.clone(),
@@ -84,11 +84,11 @@
         }
     }
 
-    /// The body of the request that submits such a job.
+    /// The body of the request that submits a job with the given id.
     pub fn request_body(&self, job: JobId, defect: Option<Defect>) -> Vec<u8> {
         let shape = if self.is_service { "service" } else { "sweep" };
         let zone = self.zone.as_deref().map_or(Value::Null, Value::from);
-        let expected_seconds = if self.is_service {
+        let expected_run_time_s = if self.is_service {
             0.0
         } else {
             seconds(self.run_time)
@@ -114,7 +114,7 @@
             ("samePlace", self.single_zone.into()),
             ("apart", self.spread_over_zones.into()),
             ("loaners", self.allows_spot.into()),
-            ("guessS", expected_seconds.into()),
+            ("guessS", expected_run_time_s.into()),
             ("snapshotS", 0.0.into()),
             ("stashS", 0.0.into()),
             ("dueS", Value::Null),
--- a/tests/simulated/load_balancer.rs
+++ b/tests/simulated/load_balancer.rs
@@ -5,8 +5,8 @@
 use super::ids::NodeIndex;
 use super::network::{Network, RemoteEnd};
 
-/// Chooses a controller that accepts connections, at random; `None` if there is none. Draws one random number
-/// in any case.
+/// Chooses a controller at random among those that accept connections. `None` if there is none. Draws exactly one
+/// random number in either case.
 pub fn choose_controller(
     context: &mut Context,
     controllers: &Controllers,
--- a/tests/simulated/network.rs
+++ b/tests/simulated/network.rs
@@ -1,4 +1,4 @@
-//! The simulated network: which messages arrive, and when; which calls and requests are open.
+//! The simulated network: the delay and loss of messages, and the calls and requests that await a response.
 
 use std::collections::{BTreeSet, HashMap};
 use std::time::Duration;
@@ -11,7 +11,7 @@
 use super::script::command::LinkKind;
 use super::worker::HeartbeatId;
 
-/// Who waits for the response to a request at a controller.
+/// Who awaits the response to a request to a controller.
 #[derive(Clone, Debug)]
 pub enum Requester {
     /// Another controller.
@@ -20,7 +20,7 @@
     Worker(HeartbeatId),
     /// A user.
     User(RequestId),
-    /// The request is a late copy: nobody waits.
+    /// Nobody, as the request is a late copy.
     Nobody,
 }
 
@@ -31,9 +31,9 @@
     Store,
     /// Another controller.
     Controller(NodeIndex),
-    /// A worker in that zone.
+    /// A worker.
     Worker {
-        /// The zone.
+        /// Zone of its host.
         zone: &'a str,
     },
     /// A user.
@@ -51,50 +51,50 @@
     }
 }
 
-/// Some connections of a controller are cut.
+/// A partition between a controller and other components.
 #[derive(Debug)]
 pub struct Partition {
     /// The controller.
     pub node: NodeIndex,
-    /// Which connections.
+    /// To which kinds of components its connections are cut.
     pub links: Vec<LinkKind>,
-    /// How long the partition lasts.
+    /// When the partition is active.
     pub window: FaultWindow,
-    /// Messages arrive when the partition ends; otherwise they are lost.
+    /// Whether messages are held back until the partition ends. Otherwise they are lost.
     pub holds_messages: bool,
 }
 
 impl Partition {
     fn cuts(&self, now: SimTime, node: NodeIndex, remote: RemoteEnd) -> bool {
-        let is_end = self.node == node
+        let is_partitioned_node = self.node == node
             || matches!(remote, RemoteEnd::Controller(other) if other == self.node);
-        is_end && self.window.is_active(now) && self.links.contains(&remote.kind())
+        is_partitioned_node && self.window.is_active(now) && self.links.contains(&remote.kind())
     }
 }
 
-/// A zone that reaches nothing outside.
+/// The isolation of a zone, whose controllers and hosts reach nothing outside.
 #[derive(Clone, Debug)]
 pub struct ZoneIsolation {
     /// The zone.
     pub zone: String,
     /// When it began.
     pub started_at: SimTime,
-    /// How long it lasts.
+    /// When it is active.
     pub window: FaultWindow,
 }
 
-/// Calls in flight, open requests, and faults of the network.
+/// Calls and requests that await a response, and faults of the network.
 #[derive(Debug)]
 pub struct Network {
     /// The zone of each controller.
     controller_zones: Vec<String>,
-    /// Calls whose callers still wait.
+    /// Calls whose callers await the result.
     open_calls: BTreeSet<CallHandle>,
-    /// Who waits for a response, by the process that has the request and the connection's number.
+    /// The requester of each open request, by the process that received it and the serial number of the connection.
     open_requests: HashMap<(ProcessId, u64), Requester>,
     partitions: Vec<Partition>,
     zone_separation: FaultWindow,
-    /// The last isolation of a zone.
+    /// The most recent isolation of a zone.
     isolation: Option<ZoneIsolation>,
 }
 
@@ -136,18 +136,18 @@
         &self.controller_zones[node.0]
     }
 
-    /// Whether the zone reaches nothing outside now.
+    /// Whether the zone is isolated now.
     pub fn is_isolated(&self, now: SimTime, zone: &str) -> bool {
         let isolation = self.isolation.as_ref();
         isolation.is_some_and(|isolation| isolation.zone == zone && isolation.window.is_active(now))
     }
 
-    /// Whether the two zones can't reach each other now.
+    /// Whether two zones are cut off from each other now.
     fn are_separated(&self, now: SimTime, one: &str, other: &str) -> bool {
-        let is_cut = self.zone_separation.is_active(now)
+        let are_disconnected = self.zone_separation.is_active(now)
             || self.is_isolated(now, one)
             || self.is_isolated(now, other);
-        one != other && is_cut
+        one != other && are_disconnected
     }
 
     fn is_cut_by_zones(&self, now: SimTime, node: NodeIndex, remote: RemoteEnd) -> bool {
@@ -159,8 +159,8 @@
         }
     }
 
-    /// How long a message between a controller and the other end takes, if it takes `latency` on a network
-    /// without faults. `None` if it is lost.
+    /// The delay of a message between a controller and the other end, where `latency` is the delay without faults.
+    /// `None` if the message is lost.
     pub fn delay(
         &self,
         now: SimTime,
@@ -172,7 +172,8 @@
         let mut partitions = self.partitions.iter();
         match partitions.find(|partition| partition.cuts(now, node, remote)) {
             Some(partition) if partition.holds_messages => {
-                // A held message arrives although zones are separated meanwhile, but for those of workers.
+                // A message that is held back arrives even if its zones are separated, unless it is to or from a
+                // worker.
                 let is_lost = is_cut_by_zones && matches!(remote, RemoteEnd::Worker { .. });
                 (!is_lost).then(|| partition.window.ends_at().since(now) + latency)
             }
@@ -181,7 +182,7 @@
         }
     }
 
-    /// Whether messages between a controller and the other end arrive now.
+    /// Whether messages sent now between a controller and the other end arrive.
     pub fn is_connected(&self, now: SimTime, node: NodeIndex, remote: RemoteEnd) -> bool {
         let delay = self.delay(now, node, remote, Duration::ZERO);
         delay.is_some()
@@ -201,27 +202,28 @@
         }
     }
 
-    /// A controller waits for the outcome of a call.
+    /// Records that a controller awaits the result of a call.
     pub fn open_call(&mut self, call: CallHandle) {
         self.open_calls.insert(call);
     }
 
-    /// The outcome of a call is there. `false` if the caller no longer waits.
+    /// Records that the result of a call has arrived. Returns `false` if the caller no longer awaits it.
     pub fn close_call(&mut self, call: CallHandle) -> bool {
         self.open_calls.remove(&call)
     }
 
-    /// A process is gone with the calls that it waited for.
+    /// Removes the calls of a process that has ended.
     pub fn drop_calls_of(&mut self, process: ProcessId) {
         self.open_calls.retain(|call| call.process != process);
     }
 
-    /// A process has received a request.
+    /// Records that a process has received a request.
     pub fn open_request(&mut self, process: ProcessId, connection: u64, requester: Requester) {
         self.open_requests.insert((process, connection), requester);
     }
 
-    /// A process responds to a request. `None` if it has done so before.
+    /// Records that a process responds to a request, and returns the requester. `None` if the process has already
+    /// responded.
     pub fn close_request(&mut self, process: ProcessId, connection: u64) -> Option<Requester> {
         self.open_requests.remove(&(process, connection))
     }
--- a/tests/simulated/process.rs
+++ b/tests/simulated/process.rs
@@ -1,6 +1,5 @@
-//! A controller process behind one interface, whatever version of the service it runs. The simulation knows
-//! the version that is tested; a crate that links an earlier one brings a launcher of its own
-//! (`tests/upgrade/`).
+//! The interface of a controller process, which is the same for all versions of the service. The simulation itself
+//! launches the version under test; a crate that links an earlier version brings its own launcher (`tests/upgrade/`).
 
 use std::time::Duration;
 
@@ -11,22 +10,22 @@
 
 use super::transport::SimTransport;
 
-/// Which code a process runs.
+/// Which version of the service a process runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Version {
-    /// The code of this checkout.
+    /// The version of this checkout.
     Current,
-    /// A version that upgrades start from.
+    /// An earlier version, from which upgrades start.
     Earlier,
 }
 
-/// What the simulation needs of a controller process.
+/// A controller process.
 pub trait Process {
-    /// Takes in a request or a reply.
+    /// Handles a request or the result of a call.
     fn handle_event(&mut self, event: TransportEvent);
-    /// Does all that is due.
+    /// Does all work that is due.
     fn run_due_work(&mut self);
-    /// How long after its start the process has to run again.
+    /// When the process has to run next, as a duration since its start.
     fn next_wakeup(&self) -> Duration;
 }
 
@@ -44,34 +43,34 @@
     }
 }
 
-/// What a process starts with.
+/// The configuration of a process.
 pub struct ProcessConfig {
-    /// Which code it runs.
+    /// The version that it runs.
     pub version: Version,
-    /// The settings file.
+    /// Contents of the settings file.
     pub settings: String,
-    /// The features file, for versions that know it.
+    /// Contents of the features file. Versions without such a file ignore it.
     pub features: String,
-    /// How it reaches the rest of the simulation.
+    /// The transport to the other components of the simulation.
     pub transport: SimTransport,
-    /// A random number that tells the process from others of its node.
+    /// A random number that distinguishes the process from other processes of its node.
     pub incarnation: u64,
 }
 
 /// Starts a process.
 pub type Launch = fn(ProcessConfig) -> Box<dyn Process>;
 
-/// How processes start.
+/// How the processes of a simulation are started.
 #[derive(Clone, Copy)]
 pub struct Launcher {
-    /// What all of them run when the simulation starts.
+    /// The version that all processes run at the start of the simulation.
     pub first_version: Version,
-    /// Starts a process of either version.
+    /// Starts a process of the version in its configuration.
     pub launch: Launch,
 }
 
 impl Launcher {
-    /// Knows the version of this checkout only.
+    /// A launcher that can only start the version of this checkout.
     pub fn current() -> Launcher {
         Launcher {
             first_version: Version::Current,
@@ -85,10 +84,12 @@
     assert_eq!(
         config.version,
         Version::Current,
-        "the launcher knows no other"
+        "this launcher can't start an earlier version"
     );
-    let settings = Settings::parse(&config.settings).expect("the settings of a scenario");
-    let features = Features::parse(&config.features).expect("the features of a scenario");
+    let settings =
+        Settings::parse(&config.settings).expect("the settings file of a scenario is valid");
+    let features =
+        Features::parse(&config.features).expect("the features file of a scenario is valid");
     let tuning = Tuning::default();
     let mut node = Node::new(settings, tuning, config.transport, config.incarnation);
     node.switch_on(features);
--- a/tests/simulated/rate_limiter.rs
+++ b/tests/simulated/rate_limiter.rs
@@ -1,8 +1,8 @@
-//! A token bucket: a service that takes so many requests in a second.
+//! A rate limiter that is a token bucket.
 
 use super::clock::{seconds, SimTime};
 
-/// A bucket that holds the tokens of one second.
+/// A token bucket whose capacity is the number of tokens per second.
 #[derive(Debug)]
 pub struct RateLimiter {
     tokens_per_second: f64,
@@ -11,7 +11,7 @@
 }
 
 impl RateLimiter {
-    /// A full bucket.
+    /// Creates a full bucket.
     pub fn new(tokens_per_second: f64) -> RateLimiter {
         RateLimiter {
             tokens_per_second,
@@ -20,7 +20,7 @@
         }
     }
 
-    /// Takes so many tokens, if they are there.
+    /// Takes the given number of tokens if the bucket has them. Returns whether it did.
     pub fn try_take(&mut self, now: SimTime, tokens: f64) -> bool {
         let elapsed_seconds = seconds(now.since(self.refilled_at));
         let refilled = self.tokens + elapsed_seconds * self.tokens_per_second;
--- a/tests/simulated/store.rs
+++ b/tests/simulated/store.rs
@@ -1,5 +1,5 @@
-//! The key-value store as controllers meet it: its contents behind rate limits, outages, watches that are
-//! held open, and answers that come late or get lost.
+//! The simulated key-value store: an in-memory store with rate limits, watches, outages, slow requests and lost
+//! answers.
 
 use std::time::Duration;
 
@@ -17,30 +17,30 @@
 use super::rate_limiter::RateLimiter;
 use super::transport::OutgoingCall;
 
-/// Whether the answer to a request gets back.
+/// Whether the answer to a request reaches the caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Delivery {
-    /// It does.
+    /// The answer is delivered.
     Answered,
-    /// The request is carried out, and the answer is lost.
+    /// The request is processed, and the answer is lost.
     AnswerLost,
 }
 
-/// What the store's faults do to a request on its way.
+/// The faults of the store that apply to one request.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestFaults {
-    /// By how much it arrives later.
+    /// Additional delay until the request arrives.
     pub delay: Duration,
-    /// Whether its answer gets back.
+    /// Whether the answer reaches the caller.
     pub delivery: Delivery,
 }
 
-/// How late a write of [`Mark::WriteDelayed`] arrives, in milliseconds.
+/// Additional delay of a write that is marked as [`Mark::WriteDelayed`].
 const LATE_WRITE_DELAY_MS: std::ops::Range<u64> = 2000..12_000;
 
-const BYTES_IN_A_KILOBYTE: f64 = 1024.0;
+const BYTES_PER_KILOBYTE: f64 = 1024.0;
 
-/// An answer with its HTTP status.
+/// An answer of the store.
 pub struct StoreResponse {
     /// The HTTP status.
     pub status: u16,
@@ -57,40 +57,41 @@
     }
 }
 
-/// What becomes of a request at the store.
+/// The result of a request at the store.
 pub enum StoreOutcome {
-    /// There is no answer yet, or never.
+    /// There is no answer yet, or there never is one.
     Unanswered,
-    /// The request is refused by a limit or a fault.
+    /// The request is refused because of a rate limit or a fault.
     Refused(StoreResponse),
-    /// The store has carried out the request, or has judged it.
+    /// The store has processed the request, successfully or not.
     Processed(StoreResponse),
 }
 
-/// A watch that is held open.
+/// A watch that waits for changes.
 struct Watch {
     call: CallHandle,
     target: String,
+    /// When the watch is answered even without changes.
     held_until: SimTime,
 }
 
 /// The answer to a watch.
 pub struct WatchResponse {
-    /// The watch.
+    /// The call that made the watch.
     pub call: CallHandle,
     /// The answer.
     pub response: StoreResponse,
 }
 
-/// Who leads, by the store's records.
+/// The leadership as recorded in the store.
 pub struct LeaderRecord {
-    /// The term of the last leader.
+    /// The last term. 0 before the first.
     pub term: u64,
-    /// The name of the node that holds the leadership.
+    /// Name of the node that holds the leadership, if any.
     pub holder: Option<String>,
 }
 
-/// A controller whose requests are refused.
+/// A controller whose requests the store refuses.
 struct RefusedNode {
     node: NodeIndex,
     window: FaultWindow,
@@ -115,9 +116,9 @@
     faults: Faults,
 }
 
-fn service_limits(value_kilobytes: f64, transaction_operations: usize) -> Limits {
+fn in_memory_store_limits(value_kilobytes: f64, transaction_operations: usize) -> Limits {
     Limits {
-        max_value_bytes: (value_kilobytes * BYTES_IN_A_KILOBYTE) as usize,
+        max_value_bytes: (value_kilobytes * BYTES_PER_KILOBYTE) as usize,
         max_changes: transaction_operations,
     }
 }
@@ -133,9 +134,10 @@
 impl KeyValueStore {
     /// An empty store.
     pub fn new(limits: StoreLimits) -> KeyValueStore {
-        let service_limits = service_limits(limits.value_kilobytes, limits.transaction_operations);
+        let store_limits =
+            in_memory_store_limits(limits.value_kilobytes, limits.transaction_operations);
         KeyValueStore {
-            contents: InMemoryStore::new(service_limits),
+            contents: InMemoryStore::new(store_limits),
             request_limiter: RateLimiter::new(limits.requests_per_second),
             write_limiter: RateLimiter::new(limits.writes_per_second),
             watches: Vec::new(),
@@ -148,13 +150,13 @@
         &self.contents
     }
 
-    /// The contents, for clients that no limit holds back; `None` during an outage.
+    /// The contents, for clients to which the rate limits don't apply. `None` during an outage.
     pub fn available_contents(&mut self, now: SimTime) -> Option<&mut InMemoryStore> {
         let is_available = !self.faults.outage.is_active(now);
         is_available.then_some(&mut self.contents)
     }
 
-    /// Who leads.
+    /// The leadership as recorded in the store.
     pub fn leader_record(&self) -> LeaderRecord {
         let term = self.contents.value("lead/term");
         let holder = self.contents.value("lead/holder");
@@ -164,43 +166,44 @@
         }
     }
 
-    /// All requests are refused while this lasts.
+    /// Refuses all requests during the given window.
     pub fn start_outage(&mut self, window: FaultWindow) {
         self.faults.outage = window;
     }
 
-    /// A controller's requests are refused while this lasts.
+    /// Refuses a controller's requests during the given window.
     pub fn refuse(&mut self, node: NodeIndex, window: FaultWindow) {
         self.faults.refused_nodes.push(RefusedNode { node, window });
     }
 
-    /// Requests are slow while this lasts.
+    /// Delays all requests during the given window, each by at least half of `max_delay`.
     pub fn slow_down(&mut self, max_delay: Duration, window: FaultWindow) {
         self.faults.max_delay = max_delay;
         self.faults.slow_requests = window;
     }
 
-    /// Answers to transactions get lost.
+    /// Lets the answers to some transactions be lost.
     pub fn lose_answers(&mut self, fault: RandomFault) {
         self.faults.lost_answers = fault;
     }
 
-    /// Transactions arrive late, and their answers get lost.
+    /// Lets some transactions arrive late and their answers be lost.
     pub fn delay_writes(&mut self, fault: RandomFault) {
         self.faults.late_writes = fault;
     }
 
-    /// Lower limits come into force.
+    /// Applies lower limits from now on.
     pub fn lower_limits(&mut self, limits: LoweredStoreLimits) {
-        let service = service_limits(limits.value_kilobytes, limits.transaction_operations);
-        self.contents.set_limits(service);
+        let store_limits =
+            in_memory_store_limits(limits.value_kilobytes, limits.transaction_operations);
+        self.contents.set_limits(store_limits);
         self.write_limiter = RateLimiter::new(limits.writes_per_second);
     }
 
-    /// What the store's faults do to a request that is sent now.
+    /// Draws the faults that apply to a request that is sent now.
     pub fn draw_faults(&self, context: &mut Context, call: &OutgoingCall) -> RequestFaults {
         let mut faults = RequestFaults {
-            delay: self.slowness(context),
+            delay: self.slow_request_delay(context),
             delivery: Delivery::Answered,
         };
         if !is_transaction(call) {
@@ -217,12 +220,12 @@
         faults
     }
 
-    fn slowness(&self, context: &mut Context) -> Duration {
+    fn slow_request_delay(&self, context: &mut Context) -> Duration {
         if !self.faults.slow_requests.is_active(context.now()) {
             return Duration::ZERO;
         }
-        let most = self.faults.max_delay.as_millis() as u64;
-        context.random_millis(most / 2..most + 1)
+        let max_delay_ms = self.faults.max_delay.as_millis() as u64;
+        context.random_millis(max_delay_ms / 2..max_delay_ms + 1)
     }
 
     fn refuses(&self, now: SimTime, node: NodeIndex) -> bool {
@@ -230,7 +233,7 @@
         refused.any(|refused| refused.node == node && refused.window.is_active(now))
     }
 
-    /// Takes in a request that has arrived.
+    /// Handles a request that has arrived: applies faults and limits, and processes it or opens a watch.
     pub fn handle(
         &mut self,
         context: &mut Context,
@@ -241,7 +244,7 @@
         let now = context.now();
         let node = handle.process.node;
         if self.faults.outage.is_active(now) || self.refuses(now, node) {
-            // A watch stays open, and is never answered.
+            // A watch is not refused: it stays open and is never answered.
             return if is_watch(&call) {
                 StoreOutcome::Unanswered
             } else {
@@ -282,7 +285,7 @@
             .contents
             .handle(time, &call.method, &call.target, &body);
         if answer.status == 400 {
-            note_rejection(context, node, &call.target, &answer.body, delivery);
+            mark_bad_request(context, node, &call.target, &answer.body, delivery);
         }
         StoreOutcome::Processed(StoreResponse {
             status: answer.status,
@@ -290,8 +293,7 @@
         })
     }
 
-    /// Time passes: leases expire. During an outage they have their full time again instead, and the result
-    /// is `false`.
+    /// Ends the leases that have expired. During an outage it renews all leases instead, and returns `false`.
     pub fn advance(&mut self, now: SimTime) -> bool {
         let is_available = !self.faults.outage.is_active(now);
         if is_available {
@@ -302,16 +304,16 @@
         is_available
     }
 
-    /// Closes the watches that have news or have been held for long enough.
+    /// Removes the watches that have changes to report or have timed out, and returns their answers.
     pub fn take_watch_responses(&mut self, now: SimTime) -> Vec<WatchResponse> {
         let mut responses = Vec::new();
         for watch in std::mem::take(&mut self.watches) {
             let is_refused = self.refuses(now, watch.call.process.node);
-            let is_due = now >= watch.held_until;
+            let has_timed_out = now >= watch.held_until;
             let answer = if is_refused {
                 None
             } else {
-                self.contents.watch(&watch.target, is_due)
+                self.contents.watch(&watch.target, has_timed_out)
             };
             match answer {
                 None => self.watches.push(watch),
@@ -328,9 +330,9 @@
     }
 }
 
-/// The store answers 400. To a claim of the leadership that is carried out so late that its lease has expired
-/// it can't but do so; any other such request must not have been sent.
-fn note_rejection(
+/// Notes and marks that the store answers 400. This is expected only for a claim of the leadership that is delayed
+/// until its lease has expired. Any other request that is answered with 400 must not have been sent.
+fn mark_bad_request(
     context: &mut Context,
     node: NodeIndex,
     target: &str,
--- a/tests/simulated/transport.rs
+++ b/tests/simulated/transport.rs
@@ -1,4 +1,5 @@
-//! The seam between a controller process and the simulation.
+//! The transport on which controller processes run in the simulation: it implements the service's network interface
+//! by collecting outgoing messages, which the simulation delivers.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -10,14 +11,14 @@
 
 use super::clock::{SimClock, SimTime};
 
-/// The time of day when a simulation starts, in milliseconds since 1970.
+/// Wall clock time at the start of a simulation, in milliseconds since the Unix epoch.
 const WALL_CLOCK_AT_START_MS: u64 = 1_700_000_000_000;
 
 /// A call that a controller makes.
 pub struct OutgoingCall {
-    /// Its number within the process.
+    /// Id of the call, unique within the process.
     pub id: CallId,
-    /// Whom it is for.
+    /// Address of the server.
     pub server: SocketAddr,
     /// The HTTP method.
     pub method: String,
@@ -25,12 +26,12 @@
     pub target: String,
     /// The body, empty if there is none.
     pub body: Vec<u8>,
-    /// How long the caller waits.
+    /// How long the caller waits for the response.
     pub timeout: Duration,
 }
 
 impl OutgoingCall {
-    /// What the called side receives.
+    /// The request that the server receives.
     pub fn into_request(self) -> Request {
         Request {
             method: self.method,
@@ -41,20 +42,20 @@
     }
 }
 
-/// What a controller sends.
+/// A message that a controller sends.
 pub enum Outgoing {
     /// The response to a request.
     Response {
-        /// The connection on which the request came.
+        /// The connection on which the request was received.
         connection: ConnectionId,
         /// The response.
         response: Response,
     },
-    /// A call.
+    /// A request to a server.
     Call(OutgoingCall),
 }
 
-/// What a process has sent since somebody looked. Its clones share one content.
+/// Messages that a process has sent and the simulation has not taken yet. Clones share the messages.
 #[derive(Clone, Default)]
 pub struct Outbox(Rc<RefCell<Vec<Outgoing>>>);
 
@@ -63,7 +64,7 @@
         self.0.borrow_mut().push(message);
     }
 
-    /// Takes all that was sent, in its order.
+    /// Takes all messages, in the order in which they were sent.
     pub fn take(&self) -> Vec<Outgoing> {
         self.0.take()
     }
@@ -77,9 +78,9 @@
     outbox: Outbox,
 }
 
-/// A call in terms that no version of the service owns.
+/// The parameters of a call, in types that do not depend on the version of the service.
 pub struct CallParameters<'a> {
-    /// Whom it is for.
+    /// Address of the server.
     pub server: SocketAddr,
     /// The HTTP method.
     pub method: &'a str,
@@ -87,12 +88,12 @@
     pub target: &'a str,
     /// The body, empty if there is none.
     pub body: &'a [u8],
-    /// How long the caller waits.
+    /// How long the caller waits for the response.
     pub timeout: Duration,
 }
 
 impl SimTransport {
-    /// The transport of a process that starts now and sends to `outbox`.
+    /// Creates the transport of a process that starts now and sends to `outbox`.
     pub fn new(clock: SimClock, outbox: Outbox) -> SimTransport {
         SimTransport {
             started_at: clock.now(),
@@ -108,7 +109,7 @@
         uptime.as_millis() as u64
     }
 
-    /// Milliseconds since 1970.
+    /// The wall clock, in milliseconds since the Unix epoch.
     pub fn wall_clock_ms(&self) -> u64 {
         WALL_CLOCK_AT_START_MS + self.clock.now().as_millis()
     }
@@ -121,7 +122,7 @@
         });
     }
 
-    /// Makes a call and returns its number.
+    /// Makes a call and returns its id.
     pub fn send_call(&mut self, call: &CallParameters) -> u64 {
         self.last_call += 1;
         self.outbox.push(Outgoing::Call(OutgoingCall {
@@ -145,8 +146,8 @@
         self.wall_clock_ms()
     }
 
-    fn respond(&mut self, conn: ConnectionId, response: &Response) {
-        self.send_response(conn, response.clone());
+    fn respond(&mut self, connection: ConnectionId, response: &Response) {
+        self.send_response(connection, response.clone());
     }
 
     fn call(
@@ -155,14 +156,14 @@
         method: &str,
         target: &str,
         body: &[u8],
-        limit: Duration,
+        timeout: Duration,
     ) -> CallId {
         CallId(self.send_call(&CallParameters {
             server,
             method,
             target,
             body,
-            timeout: limit,
+            timeout,
         }))
     }
 
--- a/tests/simulated/users/answers.rs
+++ b/tests/simulated/users/answers.rs
@@ -1,11 +1,11 @@
-//! What users make of responses: they learn of their jobs, and plan what to send next.
+//! How users process responses: they update what they know of their jobs, and schedule their next requests.
 
 use std::ops::Range;
 use std::time::Duration;
 
 use lichencrank::transport::Response;
 
-use super::request::{PlannedRequest, ReadResponse};
+use super::request::{ParsedResponse, PlannedRequest};
 use super::{PendingRequest, Users};
 use crate::simulated::checker::{AnsweredRequest, JobAnswer, Observation, RequestKind};
 use crate::simulated::context::Context;
@@ -13,35 +13,35 @@
 use crate::simulated::history::Mark;
 use crate::simulated::ids::{JobId, NodeIndex, RequestId};
 
-/// How long users repeat a submission that got no answer. A cancellation is repeated without end, as the
-/// job may run until it is confirmed.
-const SUBMISSION_RETRIES: Duration = Duration::from_secs(60);
-/// The least and the most time between two attempts, in seconds, whatever the response asks for.
-const LEAST_RETRY_PAUSE_S: u32 = 1;
-const MOST_RETRY_PAUSE_S: u32 = 30;
+/// How long users repeat a submission that got no answer. A cancellation is repeated without limit, as the job may
+/// run until its cancellation is confirmed.
+const SUBMISSION_RETRY_PERIOD: Duration = Duration::from_secs(60);
+/// Shortest and longest delay between two attempts, in seconds. They bound the delay that a response asks for.
+const MIN_RETRY_DELAY_S: u32 = 1;
+const MAX_RETRY_DELAY_S: u32 = 30;
 const FIRST_POLL_DELAY_MS: Range<u64> = 1000..5000;
 const POLL_INTERVAL: Duration = Duration::from_secs(5);
-const POLL_INTERVAL_OF_FINAL_JOBS: Duration = Duration::from_secs(20);
+const FINAL_JOB_POLL_INTERVAL: Duration = Duration::from_secs(20);
 const POLL_INTERVAL_SPREAD_MS: Range<u64> = 0..1000;
-/// When users of whom a share cancels do so, after the job was accepted.
+/// Delay from the acceptance of a job to its cancellation, if its user cancels it.
 const CANCELLATION_DELAY_MS: Range<u64> = 0..8000;
-/// In a burst users send so many polls to each node, and with this probability cancel the job.
-const POLLS_IN_A_BURST: usize = 3;
+/// Polls that users send to each node in a burst, and the probability that they cancel the job in it.
+const POLLS_PER_NODE_IN_BURST: usize = 3;
 const BURST_SPREAD_MS: Range<u64> = 1..26;
 const CANCELLATION_IN_BURST_PROBABILITY: f64 = 0.2;
-const CANCELLATION_IN_BURST_MS: Range<u64> = 0..20;
+const CANCELLATION_IN_BURST_DELAY_MS: Range<u64> = 0..20;
 
-/// What users are told of the cluster's members.
+/// What the processing of responses needs to know about the controllers.
 #[derive(Clone, Copy, Debug)]
 pub struct Membership {
-    /// How many controllers there are.
+    /// Number of controllers.
     pub controller_count: usize,
-    /// Which of them leads.
+    /// The node that leads, or was the last to lead.
     pub leader: Option<NodeIndex>,
 }
 
 impl Users {
-    /// A response arrives, or the user no longer waits for one.
+    /// Processes a response, or the end of the time that the user waits for one.
     pub fn handle_response(
         &mut self,
         context: &mut Context,
@@ -53,7 +53,7 @@
             return;
         };
         let PlannedRequest { job, kind, .. } = pending.planned;
-        let response = ReadResponse::new(response);
+        let response = ParsedResponse::new(response);
         let answer = response.answer();
         note_response(context, &pending, &response);
         let is_running = context.checker().running_task_count(job) > 0;
@@ -64,13 +64,13 @@
             answer,
         }));
         mark_answer(context, kind, answer);
-        self.learn(context, &pending, answer, is_running, membership);
+        self.update_job(context, &pending, answer, is_running, membership);
         let retry_after_s = response.retry_after_s;
         self.plan_next_request(context, pending.planned, answer, retry_after_s);
     }
 
-    /// What a user learns of a job from an answer.
-    fn learn(
+    /// Updates what the user knows of the job, and schedules the requests that follow from it.
+    fn update_job(
         &mut self,
         context: &mut Context,
         pending: &PendingRequest,
@@ -108,7 +108,7 @@
         }
     }
 
-    /// Users poll all nodes within milliseconds, repeat the submission, and some cancel.
+    /// While bursts are active: polls all nodes and repeats the submission within milliseconds, and cancels some jobs.
     fn send_burst(&self, context: &mut Context, job: JobId, controller_count: usize) {
         let now = context.now();
         if !self.bursts.is_active(now) {
@@ -116,7 +116,7 @@
         }
         context.mark(Mark::PollBurst);
         for node in (0..controller_count).map(NodeIndex) {
-            for _ in 0..POLLS_IN_A_BURST {
+            for _ in 0..POLLS_PER_NODE_IN_BURST {
                 let at = now + context.random_millis(BURST_SPREAD_MS);
                 PlannedRequest::schedule_once(context, at, job, RequestKind::Poll, Some(node));
             }
@@ -124,12 +124,12 @@
             PlannedRequest::schedule_once(context, at, job, RequestKind::Submit, Some(node));
         }
         if context.random().f64() < CANCELLATION_IN_BURST_PROBABILITY {
-            let at = now + context.random_millis(CANCELLATION_IN_BURST_MS);
+            let at = now + context.random_millis(CANCELLATION_IN_BURST_DELAY_MS);
             PlannedRequest::schedule(context, at, job, RequestKind::Cancel);
         }
     }
 
-    /// Polls go on without end; other requests are repeated until they have an answer.
+    /// Schedules the next poll, or the next attempt of a request that has no answer yet.
     fn plan_next_request(
         &self,
         context: &mut Context,
@@ -145,7 +145,7 @@
         if planned.kind == RequestKind::Poll {
             let is_final = self.jobs.get(&id).is_some_and(|job| job.is_final);
             let interval = if is_final {
-                POLL_INTERVAL_OF_FINAL_JOBS
+                FINAL_JOB_POLL_INTERVAL
             } else {
                 POLL_INTERVAL
             };
@@ -155,29 +155,29 @@
         }
         let is_answered = !matches!(answer, JobAnswer::Unanswered | JobAnswer::Unknown);
         let is_given_up =
-            planned.kind == RequestKind::Submit && now > first_attempt_at + SUBMISSION_RETRIES;
+            planned.kind == RequestKind::Submit && now > first_attempt_at + SUBMISSION_RETRY_PERIOD;
         if is_answered || is_given_up {
             return;
         }
-        let pause_s = retry_after_s.unwrap_or(LEAST_RETRY_PAUSE_S);
-        let pause_s = pause_s.clamp(LEAST_RETRY_PAUSE_S, MOST_RETRY_PAUSE_S);
+        let retry_delay_s = retry_after_s.unwrap_or(MIN_RETRY_DELAY_S);
+        let retry_delay_s = retry_delay_s.clamp(MIN_RETRY_DELAY_S, MAX_RETRY_DELAY_S);
         let repeated = PlannedRequest {
             node: None,
             ..planned
         };
-        let pause = Duration::from_secs(u64::from(pause_s));
-        context.schedule_after(pause, Event::UserRequest(repeated));
+        let retry_delay = Duration::from_secs(u64::from(retry_delay_s));
+        context.schedule_after(retry_delay, Event::UserRequest(repeated));
     }
 }
 
-/// Adds a response to the history, other than a poll without an answer.
-fn note_response(context: &mut Context, pending: &PendingRequest, response: &ReadResponse) {
+/// Adds a response to the history, except for unanswered polls.
+fn note_response(context: &mut Context, pending: &PendingRequest, response: &ParsedResponse) {
     let PlannedRequest { job, kind, .. } = pending.planned;
     if response.answer() == JobAnswer::Unanswered && kind == RequestKind::Poll {
         return;
     }
     let node = pending.node;
-    let ReadResponse {
+    let ParsedResponse {
         status, job_status, ..
     } = response;
     context.note(format!(
--- a/tests/simulated/users/mod.rs
+++ b/tests/simulated/users/mod.rs
@@ -23,25 +23,28 @@
 pub use request::PlannedRequest;
 
 const POLL_TIMEOUT: Duration = Duration::from_secs(2);
-const CHANGE_TIMEOUT: Duration = Duration::from_secs(5);
-/// Submissions of one command spread over this time.
+/// How long users wait for the response to a submission or a cancellation.
+const SUBMIT_OR_CANCEL_TIMEOUT: Duration = Duration::from_secs(5);
+/// Random delay of each submission of a command.
 const SUBMISSION_SPREAD_MS: Range<u64> = 0..100;
-/// When users cancel a job as its last task ends.
-const COMPLETION_RACE_MS: Range<u64> = 0..300;
+/// Delay from the completion of a job's last task to its cancellation, if the cancellation is to race with the
+/// completion.
+const CANCELLATION_AT_COMPLETION_DELAY_MS: Range<u64> = 0..300;
+/// Delay from that cancellation to the poll that follows it.
 const POLL_AFTER_COMPLETION_RACE: Duration = Duration::from_millis(3);
-/// A task that runs for its expected time takes this share of it at least, and so much more at random.
-const LEAST_RUN_TIME_SHARE: f64 = 0.8;
+/// A task runs for at least the first share of its expected run time, plus a random share of up to the second.
+const MIN_RUN_TIME_SHARE: f64 = 0.8;
 const RUN_TIME_SHARE_SPREAD: f64 = 0.4;
-/// The time from one invalid job to the next.
+/// Interval between the submissions of invalid jobs.
 const INVALID_JOB_INTERVAL: Duration = Duration::from_millis(50);
-/// When repeated requests go out beside invalid jobs.
+/// Delays of the repeated submissions, and of the cancellations of finished jobs, that accompany invalid jobs.
 const REPEATED_SUBMISSION_DELAY: Duration = Duration::from_millis(10);
 const LATE_CANCELLATION_DELAY: Duration = Duration::from_millis(20);
 
-/// A request whose user still waits.
+/// A request whose user waits for the response.
 struct PendingRequest {
     planned: PlannedRequest,
-    /// The controller that got it.
+    /// The controller to which it was sent.
     node: NodeIndex,
     sent_at: SimTime,
 }
@@ -53,14 +56,14 @@
     completed_task_count: u32,
     is_invalid: bool,
     is_accepted: bool,
-    /// The user was told that it is done or cancelled.
+    /// Whether the user was told that the job is done or cancelled.
     is_final: bool,
     cancellation_requested: bool,
-    /// The user cancels it a while after it was accepted.
+    /// Whether the user cancels the job some time after its acceptance.
     is_to_be_cancelled: bool,
 }
 
-/// All users with their jobs.
+/// All users with their jobs and pending requests.
 #[derive(Default)]
 pub struct Users {
     jobs: BTreeMap<JobId, UserJob>,
@@ -74,7 +77,7 @@
 }
 
 impl Users {
-    /// What workers learn of a task.
+    /// The profile that a worker needs to run a task. `None` if there is no such task, or its job is invalid.
     pub fn task_profile(&self, task: &str) -> Option<TaskProfile> {
         let TaskId { job, index } = TaskId::parse(task)?;
         let job = self.jobs.get(&job)?;
@@ -87,20 +90,20 @@
         self.last_confirmer
     }
 
-    /// Users poll in bursts while this lasts.
+    /// Lets users poll in bursts during the given window.
     pub fn poll_in_bursts(&mut self, window: FaultWindow) {
         self.bursts = window;
     }
 
-    /// Users cancel some jobs as their last task ends.
+    /// Lets users cancel some jobs when their last task completes.
     pub fn cancel_at_completion(&mut self, fault: RandomFault) {
         self.cancellation_at_completion = fault;
     }
 }
 
-/// What users decide to do.
+/// Submissions and cancellations.
 impl Users {
-    /// Users submit jobs, of which they cancel a share later.
+    /// Schedules submissions of jobs. Users cancel the given share of them later.
     pub fn submit_jobs(
         &mut self,
         context: &mut Context,
@@ -116,8 +119,8 @@
         }
     }
 
-    /// Users submit jobs that must be rejected, repeat all submissions that were accepted, and cancel jobs
-    /// that are over.
+    /// Schedules submissions of invalid jobs, which must be rejected, repeated submissions of all accepted jobs, and
+    /// cancellations of jobs that are done or cancelled.
     pub fn submit_invalid_jobs(&mut self, context: &mut Context, team: &str, count: u64) {
         let now = context.now();
         let template = JobTemplate::small(team);
@@ -141,6 +144,7 @@
         }
     }
 
+    /// Creates a job, tells the checker about it, and schedules its submission.
     fn plan_job(
         &mut self,
         context: &mut Context,
@@ -174,7 +178,8 @@
         PlannedRequest::schedule(context, submitted_at, id, RequestKind::Submit);
     }
 
-    /// Jobs that are neither over nor cancelled, in random order: those with running tasks, or all.
+    /// Jobs that are not known to be over and whose cancellation has not been requested, in random order: all of them
+    /// with `include_waiting`, otherwise only those with running tasks.
     pub fn choose_jobs_to_cancel(
         &self,
         context: &mut Context,
@@ -190,7 +195,8 @@
         chosen
     }
 
-    /// A replica of a service has ended, or a task of another job is complete.
+    /// Notes that a task has run to completion. Some users cancel their job when its last task completes. A replica
+    /// of a service never completes its job; that it ended is only marked.
     pub fn handle_completed_task(&mut self, context: &mut Context, id: JobId) {
         if context.checker().is_service(id) {
             context.mark(Mark::ReplicaEnded);
@@ -206,7 +212,7 @@
         context.mark(Mark::LastTaskDone);
         if context.occurs(self.cancellation_at_completion) {
             context.mark(Mark::CancelledAtCompletion);
-            let at = context.now() + context.random_millis(COMPLETION_RACE_MS);
+            let at = context.now() + context.random_millis(CANCELLATION_AT_COMPLETION_DELAY_MS);
             PlannedRequest::schedule(context, at, id, RequestKind::Cancel);
             PlannedRequest::schedule_once(context, at, id, RequestKind::Submit, None);
             let poll_at = at + POLL_AFTER_COMPLETION_RACE;
@@ -215,26 +221,26 @@
     }
 }
 
-/// How long a task of such a job runs.
+/// Chooses the run time of the tasks of a job. `None` if they run until they are stopped.
 fn run_time(context: &mut Context, template: &JobTemplate) -> Option<Duration> {
     if template.is_service {
         return template.replica_run_time;
     }
-    let share = LEAST_RUN_TIME_SHARE + RUN_TIME_SHARE_SPREAD * context.random().f64();
+    let share = MIN_RUN_TIME_SHARE + RUN_TIME_SHARE_SPREAD * context.random().f64();
     let milliseconds = template.run_time.as_millis() as f64 * share;
     Some(Duration::from_millis(milliseconds as u64))
 }
 
 /// Sending requests.
 impl Users {
-    /// A user sends a request. `balanced`: the load balancer's choice; without one, and without a node in
-    /// the request, nobody gets it.
+    /// Sends a user's request to its node, or else to the load balancer's choice. Without either it is not sent, and
+    /// times out.
     pub fn send(
         &mut self,
         context: &mut Context,
         network: &Network,
         planned: PlannedRequest,
-        balanced: Option<NodeIndex>,
+        balancer_choice: Option<NodeIndex>,
     ) {
         let now = context.now();
         let Some(job) = self.jobs.get_mut(&planned.job) else {
@@ -247,7 +253,7 @@
         let request = planned.to_http(&job.request_body);
         self.last_request += 1;
         let id = RequestId(self.last_request);
-        let node = planned.node.or(balanced);
+        let node = planned.node.or(balancer_choice);
         let pending = PendingRequest {
             planned,
             node: node.unwrap_or(NodeIndex(0)),
@@ -278,6 +284,6 @@
 fn response_timeout(kind: RequestKind) -> Duration {
     match kind {
         RequestKind::Poll => POLL_TIMEOUT,
-        RequestKind::Submit | RequestKind::Cancel => CHANGE_TIMEOUT,
+        RequestKind::Submit | RequestKind::Cancel => SUBMIT_OR_CANCEL_TIMEOUT,
     }
 }
--- a/tests/simulated/users/request.rs
+++ b/tests/simulated/users/request.rs
@@ -1,4 +1,4 @@
-//! Requests of users: when they are sent, what they look like in HTTP, and what the responses mean.
+//! Requests of users: their scheduling, their HTTP form, and the meaning of the responses.
 
 use ciborium::Value;
 use lichencrank::protocol::decode;
@@ -11,26 +11,26 @@
 use crate::simulated::event_queue::Event;
 use crate::simulated::ids::{JobId, NodeIndex};
 
-/// A request that a user is about to send.
+/// A request that a user will send.
 #[derive(Clone, Copy, Debug)]
 pub struct PlannedRequest {
-    /// The job that it is about.
+    /// The job of the request.
     pub job: JobId,
     /// What is requested.
     pub kind: RequestKind,
-    /// The controller that gets the request; `None`: the load balancer's choice.
+    /// The controller that gets the request. `None` leaves the choice to the load balancer.
     pub node: Option<NodeIndex>,
-    /// When the first attempt was planned. `None` if the request is sent once, whatever comes of it.
+    /// When the first attempt is sent. `None` if the request is sent only once, whatever its response.
     pub first_attempt_at: Option<SimTime>,
 }
 
 impl PlannedRequest {
-    /// Schedules a request that is repeated until it has an answer.
+    /// Schedules a request that is repeated until it is answered; polls are repeated without end.
     pub fn schedule(context: &mut Context, at: SimTime, job: JobId, kind: RequestKind) {
         PlannedRequest::schedule_through(context, at, job, kind, None);
     }
 
-    /// The same, with a controller that gets the first attempt.
+    /// Like [`PlannedRequest::schedule`], with a controller that gets the first attempt.
     pub fn schedule_through(
         context: &mut Context,
         at: SimTime,
@@ -47,7 +47,7 @@
         context.schedule(at, Event::UserRequest(request));
     }
 
-    /// Schedules a request that is sent once.
+    /// Schedules a request that is sent only once.
     pub fn schedule_once(
         context: &mut Context,
         at: SimTime,
@@ -81,23 +81,23 @@
     }
 }
 
-/// A response as a user reads it.
-pub struct ReadResponse {
-    /// The HTTP status; 0 if there was no response in time.
+/// The parts of a response that matter to a user.
+pub struct ParsedResponse {
+    /// The HTTP status. 0 if there was no response in time.
     pub status: u16,
-    /// The status of the job, in the protocol's word; empty if there is none.
+    /// The status of the job, as in the protocol. Empty if the response has none.
     pub job_status: String,
-    /// Seconds until the user may try again, if the response asks for that.
+    /// Seconds after which the user may retry, if the response says so.
     pub retry_after_s: Option<u32>,
 }
 
-impl ReadResponse {
-    /// Reads a response; `None` if there was none in time.
-    pub fn new(response: Option<Response>) -> ReadResponse {
+impl ParsedResponse {
+    /// Parses a response, which is `None` if there was none in time.
+    pub fn new(response: Option<Response>) -> ParsedResponse {
         let status = response.as_ref().map_or(0, |response| response.status);
         let retry_after_s = response.as_ref().and_then(|response| response.retry_after);
         let body: Option<Value> = response.and_then(|response| decode(&response.body).ok());
-        ReadResponse {
+        ParsedResponse {
             status,
             job_status: body.map_or(String::new(), |body| text(&body, "status")),
             retry_after_s,
