--- a/tests/simulated/fleet/heartbeat_copies.rs
+++ b/tests/simulated/fleet/heartbeat_copies.rs
@@ -29,7 +29,7 @@
 }
 
 impl HeartbeatCopies {
-    /// No heartbeats are copied.
+    /// Copies no heartbeats until a fault starts.
     pub fn new(worker_lease: Duration) -> HeartbeatCopies {
         HeartbeatCopies {
             worker_lease,
--- a/tests/simulated/fleet/messages.rs
+++ b/tests/simulated/fleet/messages.rs
@@ -14,8 +14,8 @@
 use crate::simulated::network::{RemoteEnd, Requester};
 use crate::simulated::worker::{HeartbeatId, QueuedCommand, TaskChange, TaskEvent, Worker};
 
-/// Heartbeats are sent after at least the first share of the heartbeat interval, plus a random share of up to the
-/// second.
+/// The interval between two heartbeats is that of the deployment times a random factor, which is at least
+/// `MIN_INTERVAL_SHARE` and less than the sum of both constants.
 const MIN_INTERVAL_SHARE: f64 = 0.75;
 const INTERVAL_SHARE_SPREAD: f64 = 0.5;
 /// Delay of the heartbeat to a controller that another one has named as the leader, in milliseconds.
--- a/tests/simulated/fleet/mod.rs
+++ b/tests/simulated/fleet/mod.rs
@@ -25,7 +25,8 @@
 use heartbeat_copies::HeartbeatCopies;
 use messages::observe_tasks;
 
-/// A host boots in at least the first share of the deployment's boot time, plus a random share of up to the second.
+/// The boot time of a host is that of the deployment times a random factor, which is at least `MIN_BOOT_TIME_SHARE` and
+/// less than the sum of both constants.
 const MIN_BOOT_TIME_SHARE: f64 = 0.6;
 const BOOT_TIME_SHARE_SPREAD: f64 = 0.9;
 const MIN_IMAGE_LOAD_TIME: Duration = Duration::from_millis(300);
--- a/tests/simulated/fleet/rental.rs
+++ b/tests/simulated/fleet/rental.rs
@@ -1,4 +1,4 @@
-//! Requests of controllers to the cloud, which provision and release hosts.
+//! Requests of controllers to the cloud, by which they provision, release and list hosts.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
--- a/tests/simulated/network.rs
+++ b/tests/simulated/network.rs
@@ -111,22 +111,22 @@
         }
     }
 
-    /// A partition begins.
+    /// Starts a partition.
     pub fn partition(&mut self, partition: Partition) {
         self.partitions.push(partition);
     }
 
-    /// No zone reaches another while this lasts.
+    /// Cuts all zones off from each other during the given window.
     pub fn separate_zones(&mut self, window: FaultWindow) {
         self.zone_separation = window;
     }
 
-    /// A zone is isolated.
+    /// Isolates a zone, which ends any earlier isolation.
     pub fn isolate_zone(&mut self, isolation: ZoneIsolation) {
         self.isolation = Some(isolation);
     }
 
-    /// The last isolation of a zone, which may be over.
+    /// The most recent isolation of a zone, which may have ended.
     pub fn last_isolation(&self) -> Option<&ZoneIsolation> {
         self.isolation.as_ref()
     }
--- a/tests/simulated/users/mod.rs
+++ b/tests/simulated/users/mod.rs
@@ -32,7 +32,8 @@
 const CANCELLATION_AT_COMPLETION_DELAY_MS: Range<u64> = 0..300;
 /// Delay from that cancellation to the poll that follows it.
 const POLL_AFTER_COMPLETION_RACE: Duration = Duration::from_millis(3);
-/// A task runs for at least the first share of its expected run time, plus a random share of up to the second.
+/// The run time of a task is its expected run time times a random factor, which is at least `MIN_RUN_TIME_SHARE` and
+/// less than the sum of both constants.
 const MIN_RUN_TIME_SHARE: f64 = 0.8;
 const RUN_TIME_SHARE_SPREAD: f64 = 0.4;
 /// Interval between the submissions of invalid jobs.
--- a/tests/simulated/worker/mod.rs
+++ b/tests/simulated/worker/mod.rs
@@ -79,7 +79,7 @@
     reclaim_at: Option<SimTime>,
     /// Whether the worker was paused at the last [`Worker::update_pause`].
     was_paused: bool,
-    /// When the worker was last seen not paused.
+    /// Time of the last [`Worker::update_pause`] at which the worker was not paused.
     last_advanced_at: SimTime,
     /// Commands that arrived while the worker was paused.
     queued_commands: Vec<QueuedCommand>,
