--- a/tests/simulated/checker/mod.rs
+++ b/tests/simulated/checker/mod.rs
@@ -140,7 +140,7 @@
                 }
             }
             Observation::RequestAnswered(request) => self.observe_answer(now, &request),
-            Observation::MachineUp {
+            Observation::HostUp {
                 host,
                 zone,
                 is_spot,
@@ -149,7 +149,7 @@
                 let machine = MachineRecord::new(zone, is_spot, cpus);
                 self.view.add_machine(host, machine);
             }
-            Observation::MachineGone(host) => self.view.remove_machine(&host),
+            Observation::HostGone(host) => self.view.remove_machine(&host),
             Observation::TaskAccepted { host, task } => self.view.accept_task(&host, task),
             Observation::TaskStarted { host, task } => self.observe_start(now, &host, task),
             Observation::TaskEnded {
--- a/tests/simulated/checker/observation.rs
+++ b/tests/simulated/checker/observation.rs
@@ -104,7 +104,7 @@
     /// A user's request was answered, or was not in time.
     RequestAnswered(AnsweredRequest),
     /// A machine is up, and its worker is about to send its first heartbeat.
-    MachineUp {
+    HostUp {
         /// Name of the machine.
         host: String,
         /// The zone it is in.
@@ -115,7 +115,7 @@
         cpus: f64,
     },
     /// The machine with that name is gone.
-    MachineGone(String),
+    HostGone(String),
     /// A worker has accepted a task: it takes room from now on, and starts once its image is there.
     TaskAccepted {
         /// Name of the machine.
--- a/tests/simulated/fleet/messages.rs
+++ b/tests/simulated/fleet/messages.rs
@@ -56,7 +56,7 @@
         if !worker.has_booted() {
             worker.boot(now, self.worker_lease);
             let spec = worker.spec();
-            surroundings.context.observe(Observation::MachineUp {
+            surroundings.context.observe(Observation::HostUp {
                 host: spec.host.clone(),
                 zone: spec.zone.clone(),
                 is_spot: spec.is_spot,
--- a/tests/simulated/fleet/mod.rs
+++ b/tests/simulated/fleet/mod.rs
@@ -20,7 +20,7 @@
 use super::history::Mark;
 use super::ids::{JobId, NodeIndex};
 use super::network::Network;
-use super::script::command::{MachineFault, ReplicaEnd};
+use super::script::command::{HostFault, ReplicaEnd};
 use super::users::Users;
 use super::worker::{MachineSpec, Worker};
 use heartbeat_copies::HeartbeatCopies;
@@ -151,7 +151,7 @@
         if let Some(mut worker) = self.workers.remove(host) {
             worker.shut_down();
             observe_tasks(surroundings, &mut worker);
-            let gone = Observation::MachineGone(host.to_owned());
+            let gone = Observation::HostGone(host.to_owned());
             surroundings.context.observe(gone);
         }
         self.cloud.remove(host, now);
@@ -187,7 +187,7 @@
     pub fn inject(
         &mut self,
         surroundings: &mut Surroundings,
-        fault: MachineFault,
+        fault: HostFault,
         probability: f64,
         zone: Option<&str>,
         until: SimTime,
@@ -202,16 +202,16 @@
             }
             let window = FaultWindow::until(until);
             match fault {
-                MachineFault::Pause => worker.faults_mut().pause = window,
-                MachineFault::InboundLoss => worker.faults_mut().inbound_loss = window,
-                MachineFault::OutboundLoss => worker.faults_mut().outbound_loss = window,
-                MachineFault::Isolation => worker.faults_mut().isolation = window,
-                MachineFault::Crash => self.remove_machine(surroundings, &host),
-                MachineFault::PreemptionNotice => {
+                HostFault::Pause => worker.faults_mut().pause = window,
+                HostFault::InboundLoss => worker.faults_mut().inbound_loss = window,
+                HostFault::OutboundLoss => worker.faults_mut().outbound_loss = window,
+                HostFault::Isolation => worker.faults_mut().isolation = window,
+                HostFault::Crash => self.remove_machine(surroundings, &host),
+                HostFault::PreemptionNotice => {
                     worker.give_notice(until);
                     surroundings.context.mark(Mark::PreemptionNotice);
                 }
-                MachineFault::FailingTasks => worker.faults_mut().failing_tasks = window,
+                HostFault::FailingTasks => worker.faults_mut().failing_tasks = window,
             }
         }
     }
--- a/tests/simulated/script/command.rs
+++ b/tests/simulated/script/command.rs
@@ -19,7 +19,7 @@
     /// A fault of the cloud.
     Cloud(CloudFault),
     /// What happens to machines, their workers and tasks.
-    Machines(MachineCommand),
+    Hosts(HostCommand),
 }
 
 /// Which controllers a command is about; who leads is known only when it is carried out.
@@ -223,7 +223,7 @@
 
 /// A fault of a machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum MachineFault {
+pub enum HostFault {
     /// It stands still.
     Pause,
     /// Nothing that is sent to it arrives.
@@ -251,11 +251,11 @@
 
 /// What happens to machines, their workers and tasks.
 #[derive(Clone, Debug)]
-pub enum MachineCommand {
+pub enum HostCommand {
     /// Machines are at fault.
     Fault {
         /// Which fault.
-        fault: MachineFault,
+        fault: HostFault,
         /// The probability for each machine.
         probability: f64,
         /// The only zone with faulty machines.
--- a/tests/simulated/script/command_parser.rs
+++ b/tests/simulated/script/command_parser.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use super::command::{
-    CloudFault, Command, ControllerCommand, LinkKind, MachineCommand, MachineFault, NetworkFault,
+    CloudFault, Command, ControllerCommand, HostCommand, HostFault, LinkKind, NetworkFault,
     NodeSelector, ReplicaEnd, StoreFault, UpgradeOrder, UserCommand,
 };
 use super::error::{unknown_word, Problem};
@@ -33,8 +33,8 @@
     if let Some(fault) = cloud_fault(line)? {
         return Ok(Command::Cloud(fault));
     }
-    if let Some(command) = machine_command(line)? {
-        return Ok(Command::Machines(command));
+    if let Some(command) = host_command(line)? {
+        return Ok(Command::Hosts(command));
     }
     Err(Problem::UnknownKeyword(line.keyword().to_owned()))
 }
@@ -203,21 +203,21 @@
     Ok(Some(parsed))
 }
 
-fn machine_command(line: &Line) -> Result<Option<MachineCommand>, Problem> {
+fn host_command(line: &Line) -> Result<Option<HostCommand>, Problem> {
     let duration = duration(line)?;
     let parsed = match line.keyword() {
-        "machines" => MachineCommand::Fault {
-            fault: machine_fault(line.argument(1)?)?,
+        "machines" => HostCommand::Fault {
+            fault: host_fault(line.argument(1)?)?,
             probability: line.number_of("share")?.unwrap_or(1.0),
             zone: line.value_of("zone").map(str::to_owned),
             duration,
         },
-        "late-reports" => MachineCommand::LateHeartbeats {
+        "late-reports" => HostCommand::LateHeartbeats {
             probability: line.number_at(1)?,
             duration,
         },
-        "keep-reports" => MachineCommand::RetainHeartbeats { duration },
-        "end-replicas" => MachineCommand::EndReplicas {
+        "keep-reports" => HostCommand::RetainHeartbeats { duration },
+        "end-replicas" => HostCommand::EndReplicas {
             probability: line.number_at(1)?,
             end: if line.has("error") {
                 ReplicaEnd::Failed
@@ -230,15 +230,15 @@
     Ok(Some(parsed))
 }
 
-fn machine_fault(word: &str) -> Result<MachineFault, Problem> {
+fn host_fault(word: &str) -> Result<HostFault, Problem> {
     match word {
-        "hang" => Ok(MachineFault::Pause),
-        "deaf" => Ok(MachineFault::InboundLoss),
-        "mute" => Ok(MachineFault::OutboundLoss),
-        "cut" => Ok(MachineFault::Isolation),
-        "die" => Ok(MachineFault::Crash),
-        "notice" => Ok(MachineFault::PreemptionNotice),
-        "sick" => Ok(MachineFault::FailingTasks),
+        "hang" => Ok(HostFault::Pause),
+        "deaf" => Ok(HostFault::InboundLoss),
+        "mute" => Ok(HostFault::OutboundLoss),
+        "cut" => Ok(HostFault::Isolation),
+        "die" => Ok(HostFault::Crash),
+        "notice" => Ok(HostFault::PreemptionNotice),
+        "sick" => Ok(HostFault::FailingTasks),
         other => Err(unknown_word("fault of machines", other)),
     }
 }
--- a/tests/simulated/simulation/commands.rs
+++ b/tests/simulated/simulation/commands.rs
@@ -12,7 +12,7 @@
 use crate::simulated::network::{Partition, ZoneIsolation};
 use crate::simulated::process::Version;
 use crate::simulated::script::command::{
-    CloudFault, Command, ControllerCommand, MachineCommand, NetworkFault, NodeSelector, StoreFault,
+    CloudFault, Command, ControllerCommand, HostCommand, NetworkFault, NodeSelector, StoreFault,
     UpgradeOrder, UserCommand,
 };
 use crate::simulated::users::PlannedRequest;
@@ -34,7 +34,7 @@
             Command::Network(fault) => self.inject_network_fault(fault),
             Command::Store(fault) => self.inject_store_fault(fault),
             Command::Cloud(fault) => self.inject_cloud_fault(&fault),
-            Command::Machines(command) => self.execute_machine_command(&command),
+            Command::Hosts(command) => self.execute_host_command(&command),
         }
     }
 
@@ -287,9 +287,9 @@
 
 /// Machines.
 impl Simulation {
-    fn execute_machine_command(&mut self, command: &MachineCommand) {
+    fn execute_host_command(&mut self, command: &HostCommand) {
         match command {
-            MachineCommand::Fault {
+            HostCommand::Fault {
                 fault,
                 probability,
                 zone,
@@ -300,18 +300,18 @@
                 let zone = zone.as_deref();
                 fleet.inject(&mut surroundings, *fault, *probability, zone, until);
             }
-            MachineCommand::LateHeartbeats {
+            HostCommand::LateHeartbeats {
                 probability,
                 duration,
             } => {
                 let fault = self.random_fault(*probability, *duration);
                 self.fleet.heartbeat_copies_mut().start_late_copies(fault);
             }
-            MachineCommand::RetainHeartbeats { duration } => {
+            HostCommand::RetainHeartbeats { duration } => {
                 let window = self.window(*duration);
                 self.fleet.heartbeat_copies_mut().start_retention(window);
             }
-            MachineCommand::EndReplicas { probability, end } => {
+            HostCommand::EndReplicas { probability, end } => {
                 let context = &mut self.context;
                 self.fleet.end_replicas(context, *end, *probability);
             }
--- a/tests/simulation_checker.rs
+++ b/tests/simulation_checker.rs
@@ -56,13 +56,13 @@
         };
         history.observe(0, Observation::JobPlanned { job: JOB, spec });
         for (host, zone) in [("m1", "a"), ("m2", "a"), ("m3", "b")] {
-            let machine_up = Observation::MachineUp {
+            let host_up = Observation::HostUp {
                 host: host.into(),
                 zone: zone.into(),
                 is_spot: host == "m2",
                 cpus: 8.0,
             };
-            history.observe(0, machine_up);
+            history.observe(0, host_up);
         }
         history
     }
