--- a/tests/cluster.rs
+++ b/tests/cluster.rs
@@ -1,7 +1,8 @@
-//! Failure scenarios, played by several real controllers in simulated time. `tests/scenarios/README.md`
-//! describes the scripts. A failure prints the seed and the history of the run.
+//! Failure scenarios: several controllers run the service's own code in simulated time.
+//! `tests/scenarios/README.md` describes the scenario files. A failure prints the seed and the end of the run's
+//! history.
 //!
-//! `CLUSTER_SEEDS=100..200` plays other seeds than those of the table below.
+//! `CLUSTER_SEEDS=100..200` runs other seeds than those in the list below.
 
 mod simulated;
 
@@ -22,7 +23,7 @@
     assert!(failures.is_empty(), "{}", failures.join("\n\n"));
 }
 
-/// Defines one test for each scenario file, which plays it with each of the seeds.
+/// Defines one test for each scenario file, which runs it with each of the seeds.
 macro_rules! scenarios {
     ($($name:ident: $seeds:expr;)*) => {
         $(
--- a/tests/fingerprints.rs
+++ b/tests/fingerprints.rs
@@ -1,11 +1,11 @@
-//! Prints one fingerprint for each scenario and seed, over every message between controllers and stand-ins. A
-//! change that must not affect behaviour leaves every line as it was:
+//! Prints a fingerprint for each scenario and seed: a hash of every message that a controller sends or receives.
+//! A change that must not affect behaviour has to leave every line as it was:
 //!
 //! ```text
 //! cargo test --release --test fingerprints -- --ignored --nocapture > before.txt
 //! ```
 //!
-//! `FINGERPRINT_SEEDS=1..5` plays other seeds, `FINGERPRINT_SCENARIOS=gap,limits` only those scenarios.
+//! `FINGERPRINT_SEEDS=1..5` runs other seeds, `FINGERPRINT_SCENARIOS=gap,limits` only these scenarios.
 
 #[allow(dead_code, reason = "the cluster test uses the rest of the simulation")]
 mod simulated;
@@ -26,7 +26,7 @@
     }
 }
 
-/// The selected scenarios, in the order of their names.
+/// The selected scenarios, sorted by name.
 fn scenarios() -> Vec<Scenario> {
     let directory = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/scenarios");
     scenario_names(&directory)
@@ -47,7 +47,7 @@
 }
 
 #[test]
-#[ignore = "compares the behaviour of two versions by hand"]
+#[ignore = "prints fingerprints, to be compared by hand between two versions"]
 fn print_fingerprints() {
     let seeds = seeds_from_environment("FINGERPRINT_SEEDS").unwrap_or(DEFAULT_SEEDS);
     let scenarios = scenarios();
@@ -55,13 +55,15 @@
         .iter()
         .flat_map(|scenario| seeds.clone().map(move |seed| (scenario, seed)))
         .collect();
-    let next = AtomicUsize::new(0);
+    let next_run = AtomicUsize::new(0);
     let lines = Mutex::new(Vec::new());
-    let threads = std::thread::available_parallelism().map_or(1, usize::from);
+    let thread_count = std::thread::available_parallelism().map_or(1, usize::from);
     std::thread::scope(|scope| {
-        for _ in 0..threads {
+        for _ in 0..thread_count {
             scope.spawn(|| {
-                while let Some((scenario, seed)) = runs.get(next.fetch_add(1, Ordering::Relaxed)) {
+                while let Some((scenario, seed)) =
+                    runs.get(next_run.fetch_add(1, Ordering::Relaxed))
+                {
                     let line = fingerprint_line(scenario, *seed);
                     lines.lock().expect("no thread panicked").push(line);
                 }
--- a/tests/simulated/checker/answers.rs
+++ b/tests/simulated/checker/answers.rs
@@ -1,5 +1,5 @@
-//! Invariants of what users are told. Each function judges one answer by one invariant, before the answer
-//! is taken in, and returns what is wrong.
+//! Invariants of the answers that users get. Each function checks one answer against one invariant, before
+//! the answer is recorded, and returns a description of the violation.
 
 use crate::simulated::clock::SimTime;
 
@@ -17,35 +17,38 @@
     (Invariant::InvalidJobsAreRejected, invalid_job_is_accepted),
 ];
 
-/// A final answer stays, and nobody's job is cancelled unasked.
+/// A final status doesn't change, and a job is reported as cancelled only if a user requested that.
 fn answer_regresses(job: &JobRecord, request: &AnsweredRequest) -> Option<String> {
     let (done_at, cancelled_at) = (job.reported_done_at, job.reported_cancelled_at);
-    // Only a request that was sent after the final answer came must not get an older one.
+    // A request that was sent before the final answer arrived may still be answered with an older status.
     let was_known = |final_at: Option<SimTime>| final_at.is_some_and(|at| at < request.sent_at);
     let id = request.job;
     match request.answer {
         JobAnswer::Open if was_known(done_at) || was_known(cancelled_at) => Some(format!(
-            "{id} is open after done at {done_at:?}, cancelled at {cancelled_at:?}"
+            "{id} is reported open after it was reported done at {done_at:?}, cancelled at {cancelled_at:?}"
         )),
         JobAnswer::Done if cancelled_at.is_some() => {
-            Some(format!("{id} is done after it was cancelled"))
+            Some(format!("{id} is reported done after it was reported cancelled"))
         }
         JobAnswer::Cancelled if done_at.is_some() => {
-            Some(format!("{id} is cancelled after it was done"))
+            Some(format!("{id} is reported cancelled after it was reported done"))
         }
         JobAnswer::Cancelled if !job.cancellation_requested => {
-            Some(format!("{id} is cancelled, which nobody requested"))
+            Some(format!("{id} is reported cancelled, which nobody requested"))
         }
         _ => None,
     }
 }
 
-/// A job is done when all its tasks have run to their end; a service never is.
+/// A job is reported as done only after all its tasks have run to their end, and a service never is.
 fn done_too_early(job: &JobRecord, request: &AnsweredRequest) -> Option<String> {
     let is_wrong = request.answer == JobAnswer::Done && (!job.is_complete() || job.spec.is_service);
     is_wrong.then(|| {
-        let (complete, all) = (job.completed_tasks.len(), job.spec.task_count);
-        format!("{} is done with {complete} of {all} tasks", request.job)
+        let (complete, total) = (job.completed_tasks.len(), job.spec.task_count);
+        format!(
+            "{} is reported done with {complete} of {total} tasks complete",
+            request.job
+        )
     })
 }
 
@@ -56,11 +59,21 @@
         JobAnswer::Rejected => job.is_accepted && request.kind == RequestKind::Submit,
         _ => false,
     };
-    is_wrong.then(|| format!("{} was accepted and is {:?}", request.job, request.answer))
+    is_wrong.then(|| {
+        format!(
+            "{} was accepted, but answered with {:?}",
+            request.job, request.answer
+        )
+    })
 }
 
-/// A request that lacks a field or can't run anywhere is not accepted.
+/// A job that lacks a field or fits no host is not accepted.
 fn invalid_job_is_accepted(job: &JobRecord, request: &AnsweredRequest) -> Option<String> {
     let is_wrong = job.spec.is_invalid && request.answer == JobAnswer::Open;
-    is_wrong.then(|| format!("{} lacks a field or can't run anywhere", request.job))
+    is_wrong.then(|| {
+        format!(
+            "{} is accepted although it lacks a field or fits no host",
+            request.job
+        )
+    })
 }
--- a/tests/simulated/checker/cluster_view.rs
+++ b/tests/simulated/checker/cluster_view.rs
@@ -1,4 +1,4 @@
-//! The cluster as the checker has observed it, from users and workers alone.
+//! The state of the cluster as far as users and workers have observed it.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,21 +7,21 @@
 
 use super::observation::{AnsweredRequest, JobAnswer, JobSpec};
 
-/// A job and what its user was told of it.
+/// A job and the answers that its user got.
 #[derive(Debug)]
 pub(super) struct JobRecord {
     pub(super) spec: JobSpec,
     pub(super) is_accepted: bool,
     pub(super) cancellation_requested: bool,
-    /// When a user was first told that it is done.
+    /// When a user was first told that the job is done.
     pub(super) reported_done_at: Option<SimTime>,
-    /// When a user was first told that it is cancelled.
+    /// When a user was first told that the job is cancelled.
     pub(super) reported_cancelled_at: Option<SimTime>,
     pub(super) completed_tasks: BTreeSet<u32>,
-    /// When the last answer came, or a complaint about the lack of one.
+    /// When the last answer arrived, or the last violation for the lack of one was reported.
     pub(super) last_answer_at: SimTime,
     pub(super) last_request_unanswered: bool,
-    /// Since when one of its tasks waits although a machine has room for it.
+    /// Since when one of its tasks has been waiting although a host has capacity for it.
     pub(super) startable_since: Option<SimTime>,
 }
 
@@ -40,7 +40,7 @@
         }
     }
 
-    /// Whether the job was accepted and nobody wants it cancelled.
+    /// Whether the job was accepted and no user has requested to cancel it.
     pub(super) fn is_wanted(&self) -> bool {
         self.is_accepted && !self.cancellation_requested
     }
@@ -50,7 +50,7 @@
         self.completed_tasks.len() >= self.spec.task_count as usize
     }
 
-    /// Takes in what a user was told.
+    /// Records what a user was told.
     pub(super) fn record_answer(&mut self, now: SimTime, request: &AnsweredRequest) {
         self.last_request_unanswered = request.answer == JobAnswer::Unanswered;
         if !self.last_request_unanswered {
@@ -69,42 +69,42 @@
     }
 }
 
-/// A machine that is up.
+/// A host that is up.
 #[derive(Debug)]
-pub(super) struct MachineRecord {
+pub(super) struct HostRecord {
     pub(super) zone: String,
     pub(super) is_spot: bool,
-    cpus: f64,
+    total_cpus: f64,
     accepted_tasks: BTreeSet<TaskId>,
     used_cpus: f64,
 }
 
-impl MachineRecord {
-    pub(super) fn new(zone: String, is_spot: bool, cpus: f64) -> MachineRecord {
-        MachineRecord {
+impl HostRecord {
+    pub(super) fn new(zone: String, is_spot: bool, total_cpus: f64) -> HostRecord {
+        HostRecord {
             zone,
             is_spot,
-            cpus,
+            total_cpus,
             accepted_tasks: BTreeSet::new(),
             used_cpus: 0.0,
         }
     }
 
     pub(super) fn free_cpus(&self) -> f64 {
-        self.cpus - self.used_cpus
+        self.total_cpus - self.used_cpus
     }
 }
 
-/// Jobs, machines, and which task runs where.
+/// Jobs, hosts, and which task runs where.
 #[derive(Debug, Default)]
 pub(super) struct ClusterView {
     jobs: BTreeMap<JobId, JobRecord>,
-    machines: BTreeMap<String, MachineRecord>,
-    /// The machines on which each task runs: more than one is a violation.
+    hosts: BTreeMap<String, HostRecord>,
+    /// The hosts on which each task runs. More than one is a violation.
     hosts_of_tasks: BTreeMap<TaskId, Vec<String>>,
-    /// CPUs of each team's running tasks.
+    /// CPUs of each team's running tasks, by the team's name.
     task_cpus: BTreeMap<String, f64>,
-    /// CPUs of each team's work in embedding programs.
+    /// CPUs of each team's admissions in programs that embed the quota library, by the team's name.
     embedded_cpus: BTreeMap<String, f64>,
     started_task_count: u64,
 }
@@ -131,34 +131,34 @@
         self.jobs.iter_mut().map(|(job, record)| (*job, record))
     }
 
-    pub(super) fn add_machine(&mut self, host: String, machine: MachineRecord) {
-        self.machines.insert(host, machine);
+    pub(super) fn add_host(&mut self, host: String, record: HostRecord) {
+        self.hosts.insert(host, record);
     }
 
-    pub(super) fn remove_machine(&mut self, host: &str) {
-        self.machines.remove(host);
+    pub(super) fn remove_host(&mut self, host: &str) {
+        self.hosts.remove(host);
     }
 
-    pub(super) fn machine(&self, host: &str) -> Option<&MachineRecord> {
-        self.machines.get(host)
+    pub(super) fn host(&self, host: &str) -> Option<&HostRecord> {
+        self.hosts.get(host)
     }
 
-    pub(super) fn machines(&self) -> impl Iterator<Item = &MachineRecord> {
-        self.machines.values()
+    pub(super) fn hosts(&self) -> impl Iterator<Item = &HostRecord> {
+        self.hosts.values()
     }
 
-    /// A machine keeps room for a task from now on.
+    /// Records that a host has accepted a task: the task uses the host's CPUs from now on.
     pub(super) fn accept_task(&mut self, host: &str, task: TaskId) {
         let job = self.jobs.get(&task.job);
         let cpus = job.map_or(0.0, |job| job.spec.cpus_per_task);
-        if let Some(machine) = self.machines.get_mut(host) {
-            if machine.accepted_tasks.insert(task) {
-                machine.used_cpus += cpus;
+        if let Some(record) = self.hosts.get_mut(host) {
+            if record.accepted_tasks.insert(task) {
+                record.used_cpus += cpus;
             }
         }
     }
 
-    /// A task runs on that machine from now on. Returns those where it ran already.
+    /// Records that a task starts on a host. Returns the hosts on which it was running already.
     pub(super) fn start_task(&mut self, host: &str, task: TaskId) -> Vec<String> {
         self.started_task_count += 1;
         let hosts = self.hosts_of_tasks.entry(task).or_default();
@@ -171,16 +171,17 @@
         earlier_hosts
     }
 
+    /// Records that a host no longer runs a task, or has given up one that it had accepted.
     pub(super) fn end_task(&mut self, host: &str, task: TaskId, is_complete: bool) {
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
         };
-        if let Some(machine) = self.machines.get_mut(host) {
-            if machine.accepted_tasks.remove(&task) {
-                machine.used_cpus -= job.spec.cpus_per_task;
+        if let Some(record) = self.hosts.get_mut(host) {
+            if record.accepted_tasks.remove(&task) {
+                record.used_cpus -= job.spec.cpus_per_task;
             }
         }
-        // A replica that ended has to run again: it is never complete.
+        // A replica of a service is never complete: one that has ended has to run again.
         if is_complete && !job.spec.is_service {
             job.completed_tasks.insert(task.index);
         }
@@ -194,19 +195,19 @@
         }
     }
 
-    /// Forgets where a task runs, once a violation has been reported for it.
+    /// Forgets on which hosts a task runs, so that a violation is reported only once.
     pub(super) fn forget_hosts(&mut self, task: TaskId) {
         self.hosts_of_tasks.remove(&task);
     }
 
-    /// All tasks that run, with their machines.
+    /// All running tasks, with their hosts.
     pub(super) fn running_tasks(&self) -> impl Iterator<Item = (TaskId, &[String])> {
         let tasks = self.hosts_of_tasks.iter();
         let running = tasks.filter(|(_, hosts)| !hosts.is_empty());
         running.map(|(task, hosts)| (*task, hosts.as_slice()))
     }
 
-    /// The tasks of a job that run, with their machines.
+    /// The running tasks of a job, with their hosts.
     pub(super) fn running_tasks_of(&self, job: JobId) -> impl Iterator<Item = (TaskId, &[String])> {
         let first = TaskId { job, index: 0 };
         let last = TaskId {
@@ -218,11 +219,11 @@
         running.map(|(task, hosts)| (*task, hosts.as_slice()))
     }
 
-    /// The zone of each running task of the job, as far as its machine is still there.
+    /// The zone of each running task of the job, without tasks whose host is gone.
     pub(super) fn zones_of_running_tasks(&self, job: JobId) -> Vec<&str> {
         let hosts = self.running_tasks_of(job).flat_map(|(_, hosts)| hosts);
         hosts
-            .filter_map(|host| Some(self.machines.get(host)?.zone.as_str()))
+            .filter_map(|host| Some(self.hosts.get(host)?.zone.as_str()))
             .collect()
     }
 
@@ -230,7 +231,7 @@
         self.embedded_cpus.insert(team.to_owned(), cpus);
     }
 
-    /// CPUs that a team uses, in tasks and in embedding programs.
+    /// CPUs that a team uses for tasks, and in programs that embed the quota library.
     pub(super) fn team_cpus(&self, team: &str) -> f64 {
         let in_tasks = self.task_cpus.get(team).copied().unwrap_or(0.0);
         in_tasks + self.embedded_cpus.get(team).copied().unwrap_or(0.0)
--- a/tests/simulated/checker/liveness.rs
+++ b/tests/simulated/checker/liveness.rs
@@ -1,20 +1,20 @@
-//! Invariants that time alone can violate: what has to happen, and by when.
+//! Liveness: invariants that are violated when something doesn't happen in time.
 
 use std::time::Duration;
 
 use crate::simulated::clock::SimTime;
 use crate::simulated::ids::{JobId, TaskId};
 
-use super::cluster_view::{ClusterView, JobRecord, MachineRecord};
-use super::execution::{is_overdue_cancellation, most_in_one_zone};
+use super::cluster_view::{ClusterView, HostRecord, JobRecord};
+use super::execution::{is_overdue_cancellation, max_tasks_per_zone};
 use super::observation::Bounds;
 
-/// How long an accepted job may go without an answer once all faults are over.
+/// How long requests about an accepted job may go unanswered after the last fault has ended.
 const UNANSWERED_LIMIT: Duration = Duration::from_secs(75);
-/// How long a task may wait beside a machine with room for it once all faults are over.
+/// How long a task may wait while a host has capacity for it, after the last fault has ended.
 const STARVATION_LIMIT: Duration = Duration::from_secs(90);
 
-/// Tasks of cancelled jobs that still run after their deadline. Each is reported once.
+/// Describes tasks of cancelled jobs that still run after their deadline. Each is reported once.
 pub(super) fn overdue_cancellations(
     view: &mut ClusterView,
     now: SimTime,
@@ -27,7 +27,14 @@
     let overdue: Vec<(TaskId, String)> = view
         .running_tasks()
         .filter(|(task, _)| is_overdue(*task))
-        .map(|(task, hosts)| (task, format!("{task} still runs on {hosts:?}")))
+        .map(|(task, hosts)| {
+            (
+                task,
+                format!(
+                    "{task} still runs on {hosts:?} after the deadline of its job's cancellation"
+                ),
+            )
+        })
         .collect();
     let report = |(task, details)| {
         view.forget_hosts(task);
@@ -36,7 +43,7 @@
     overdue.into_iter().map(report).collect()
 }
 
-/// Accepted jobs about which nobody gets an answer any more.
+/// Describes accepted jobs about which users get no answers any more.
 pub(super) fn unanswered_jobs(
     view: &mut ClusterView,
     now: SimTime,
@@ -45,8 +52,8 @@
     let mut unanswered = Vec::new();
     for (id, job) in view.jobs_mut() {
         let without_answer = now.since(job.last_answer_at.max(faults_end_at));
-        let is_asked_for = job.is_accepted && job.last_request_unanswered;
-        if is_asked_for && without_answer > UNANSWERED_LIMIT {
+        let is_awaiting_answer = job.is_accepted && job.last_request_unanswered;
+        if is_awaiting_answer && without_answer > UNANSWERED_LIMIT {
             job.last_answer_at = now;
             unanswered.push(format!("{id} has had no answer for {without_answer:?}"));
         }
@@ -54,7 +61,8 @@
     unanswered
 }
 
-/// Jobs with a task that waits although there has been a machine with room for it all the while.
+/// Describes jobs with a task that has been waiting for too long although some host had capacity for it all
+/// that time.
 pub(super) fn starving_jobs(
     view: &mut ClusterView,
     now: SimTime,
@@ -75,13 +83,15 @@
         let since = *job.startable_since.get_or_insert(now);
         if now.since(since) > STARVATION_LIMIT {
             job.startable_since = None;
-            starving.push(format!("{id} waits beside a machine with room for it"));
+            starving.push(format!(
+                "{id} has a waiting task for which a host has capacity"
+            ));
         }
     }
     starving
 }
 
-/// Whether a task of the job waits and could start on some machine.
+/// Whether a task of the job waits and could start on some host.
 fn is_startable(view: &ClusterView, bounds: &Bounds, id: JobId, job: &JobRecord) -> bool {
     if !job.is_wanted() {
         return false;
@@ -95,18 +105,18 @@
     if !is_waiting || !is_within_limit {
         return false;
     }
-    let allows_machine = |machine: &MachineRecord| {
-        let in_same_zone = zones.iter().filter(|zone| **zone == machine.zone).count();
-        machine.free_cpus() >= spec.cpus_per_task
-            && (spec.allows_spot || !machine.is_spot)
-            && spec.zone.as_ref().is_none_or(|zone| *zone == machine.zone)
+    let can_run_on = |host: &HostRecord| {
+        let in_same_zone = zones.iter().filter(|zone| **zone == host.zone).count();
+        host.free_cpus() >= spec.cpus_per_task
+            && (spec.allows_spot || !host.is_spot)
+            && spec.zone.as_ref().is_none_or(|zone| *zone == host.zone)
             && !(spec.single_zone && in_same_zone < zones.len())
-            && !(spec.spread_over_zones && in_same_zone >= most_in_one_zone(spec.task_count))
+            && !(spec.spread_over_zones && in_same_zone >= max_tasks_per_zone(spec.task_count))
     };
-    view.machines().any(allows_machine)
+    view.hosts().any(can_run_on)
 }
 
-/// Accepted jobs that are neither complete nor cancelled at the end.
+/// The names of accepted jobs that are neither complete nor cancelled. Services are left out.
 pub(super) fn unfinished_jobs(view: &ClusterView) -> Vec<String> {
     let is_unfinished =
         |job: &JobRecord| !job.spec.is_service && job.is_wanted() && !job.is_complete();
--- a/tests/simulated/checker/mod.rs
+++ b/tests/simulated/checker/mod.rs
@@ -1,5 +1,6 @@
-//! Judges every event by the rules of the protocol, from what users were told and what workers really ran,
-//! never from the service's own view. Each invariant is a function of one of the modules below.
+//! Checks every event of a simulation against the invariants of the protocol. The checker relies on what users
+//! were told and on what workers really ran, never on the service's own view. Each invariant is a function of
+//! one of the modules below.
 
 mod answers;
 mod cluster_view;
@@ -13,53 +14,53 @@
 
 use super::clock::SimTime;
 use super::ids::{JobId, TaskId};
-use cluster_view::{ClusterView, MachineRecord};
+use cluster_view::{ClusterView, HostRecord};
 pub use observation::{AnsweredRequest, Bounds, JobAnswer, JobSpec, Observation, RequestKind};
-use zone_release::{HeldWork, ZoneReleases};
+use zone_release::{HeldTaskCounts, ZoneReleases};
 
-/// What must hold at all times.
+/// A property that must hold in every run. Violations are printed with the variant's name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Invariant {
-    /// A task runs on one machine at a time.
+    /// A task runs on at most one host at a time.
     TaskRunsOnce,
     /// A team uses no more than its limit.
     TeamLimit,
-    /// The accounts of the teams' limits add up.
+    /// The quota records of the teams agree with each other and with the allocations.
     QuotaAccounts,
-    /// A task runs where its job allows.
+    /// A task runs only on hosts and in zones that its job allows.
     Placement,
     /// Tasks of a cancelled job end by their deadline, and none starts after it.
     CancelledWorkEnds,
-    /// A job that was accepted stays known, and requests about it are answered.
+    /// A job that was accepted is never answered with 404, and requests about it are answered in time.
     AcceptedJobsStayKnown,
-    /// Nothing is answered or run for jobs that nobody submitted.
+    /// No job is reported as accepted, and no task runs, unless a user submitted the job.
     OnlySubmittedJobs,
-    /// A job is reported as done when all its tasks are complete.
+    /// A job is reported as done only after all its tasks are complete.
     DoneOnlyWhenComplete,
-    /// A final answer stays, and is `cancelled` for cancelled jobs only.
+    /// A final status doesn't change, and a job is reported as cancelled only if a user requested that.
     AnswersNeverRegress,
-    /// Requests that lack a field or can't run anywhere are not accepted.
+    /// Jobs that lack a field or fit no host are not accepted.
     InvalidJobsAreRejected,
-    /// No task waits for long while a machine has room for it.
+    /// No task waits for long while a host has capacity for it.
     NoStarvation,
-    /// Machines of an isolated zone are given up within a budget, those with urgent work first.
+    /// Hosts of an isolated zone are released within a budget, those with urgent tasks first.
     ZoneRelease,
-    /// A scenario runs some work.
+    /// At least one task starts in a scenario.
     SomeWorkRuns,
-    /// All accepted jobs are complete or cancelled at the end.
+    /// All accepted jobs are complete or cancelled at the end of the scenario.
     JobsFinish,
-    /// The key-value store holds no records of work that is over.
+    /// At the end of the scenario the key-value store holds no records of open jobs.
     RecordsAreCollected,
 }
 
-/// An invariant that did not hold.
+/// A case in which an invariant did not hold.
 #[derive(Clone, Debug)]
 pub struct Violation {
     /// The invariant.
     pub invariant: Invariant,
-    /// When it was noticed.
-    pub at: SimTime,
-    /// What was seen.
+    /// When the checker detected the violation.
+    pub detected_at: SimTime,
+    /// What violated it, for people to read.
     pub details: String,
 }
 
@@ -67,10 +68,13 @@
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         let Violation {
             invariant,
-            at,
+            detected_at,
             details,
         } = self;
-        write!(formatter, "{invariant:?} violated at {at}: {details}")
+        write!(
+            formatter,
+            "{invariant:?} violated at {detected_at}: {details}"
+        )
     }
 }
 
@@ -79,22 +83,22 @@
 pub struct HeldTask {
     /// The task.
     pub task: TaskId,
-    /// It has ended, and the worker waits for the leader to acknowledge that.
+    /// Whether the task has ended. The worker holds it until the leader acknowledges the end.
     pub has_ended: bool,
 }
 
-/// Collects observations and the violations that they show.
+/// Records observations, and the violations that they reveal.
 pub struct Checker {
     bounds: Bounds,
     view: ClusterView,
     zone_releases: ZoneReleases,
-    /// When all faults of the scenario are over.
+    /// When the last fault of the scenario ends.
     faults_end_at: SimTime,
     violations: Vec<Violation>,
 }
 
 impl Checker {
-    /// A checker of a scenario whose faults are over at `faults_end_at`.
+    /// A checker for a scenario whose last fault ends at `faults_end_at`.
     pub fn new(bounds: Bounds, faults_end_at: SimTime) -> Checker {
         Checker {
             bounds,
@@ -105,16 +109,16 @@
         }
     }
 
-    /// All violations so far, in the order in which they were noticed.
+    /// All violations so far, in the order in which they were detected.
     pub fn violations(&self) -> &[Violation] {
         &self.violations
     }
 
-    /// Notes a violation that somebody else has noticed.
+    /// Records a violation. Also called by parts that check an invariant themselves.
     pub fn report(&mut self, now: SimTime, invariant: Invariant, details: String) {
         self.violations.push(Violation {
             invariant,
-            at: now,
+            detected_at: now,
             details,
         });
     }
@@ -130,7 +134,7 @@
         }
     }
 
-    /// Takes in something that happened, and judges it.
+    /// Records an event, and checks the invariants that it can violate.
     pub fn observe(&mut self, now: SimTime, observation: Observation) {
         match observation {
             Observation::JobPlanned { job, spec } => self.view.add_job(job, spec, now),
@@ -146,10 +150,10 @@
                 is_spot,
                 cpus,
             } => {
-                let machine = MachineRecord::new(zone, is_spot, cpus);
-                self.view.add_machine(host, machine);
+                let record = HostRecord::new(zone, is_spot, cpus);
+                self.view.add_host(host, record);
             }
-            Observation::HostGone(host) => self.view.remove_machine(&host),
+            Observation::HostGone(host) => self.view.remove_host(&host),
             Observation::TaskAccepted { host, task } => self.view.accept_task(&host, task),
             Observation::TaskStarted { host, task } => self.observe_start(now, &host, task),
             Observation::TaskEnded {
@@ -168,26 +172,27 @@
             }
             return;
         };
-        let wrong: Vec<(Invariant, String)> = answers::ANSWER_CHECKS
+        let violations: Vec<(Invariant, String)> = answers::ANSWER_CHECKS
             .iter()
             .filter_map(|(invariant, check)| Some((*invariant, check(job, request)?)))
             .collect();
         job.record_answer(now, request);
-        for (invariant, details) in wrong {
+        for (invariant, details) in violations {
             self.report(now, invariant, details);
         }
     }
 
     fn observe_start(&mut self, now: SimTime, host: &str, task: TaskId) {
         let earlier_hosts = self.view.start_task(host, task);
-        let runs_twice = execution::runs_twice(task, host, &earlier_hosts);
-        self.report_all(now, Invariant::TaskRunsOnce, runs_twice);
+        let duplicate = execution::duplicate_run(task, host, &earlier_hosts);
+        self.report_all(now, Invariant::TaskRunsOnce, duplicate);
         let Some(job) = self.view.job_mut(task.job) else {
             let details = format!("{task} starts on {host}");
             return self.report(now, Invariant::OnlySubmittedJobs, details);
         };
         if job.spec.replicas_keep_ending {
-            // The pauses between its attempts are bounded: it starts over and over.
+            // Some replica of such a job always waits for its next attempt. The pauses between attempts are
+            // bounded, so each start shows that the job doesn't starve.
             job.startable_since = None;
         }
         let team = job.spec.team.clone();
@@ -197,75 +202,81 @@
             self.report(now, Invariant::CancelledWorkEnds, details);
         }
         self.check_team_limit(now, &team);
-        let is_misplaced = execution::is_misplaced(&self.view, task, host);
-        self.report_all(now, Invariant::Placement, is_misplaced);
+        let violation = execution::placement_violation(&self.view, task, host);
+        self.report_all(now, Invariant::Placement, violation);
     }
 
     fn check_team_limit(&mut self, now: SimTime, team: &str) {
-        let exceeds = execution::exceeds_team_limit(&self.view, &self.bounds, team);
-        self.report_all(now, Invariant::TeamLimit, exceeds);
+        let violation = execution::team_limit_violation(&self.view, &self.bounds, team);
+        self.report_all(now, Invariant::TeamLimit, violation);
     }
 
-    /// An embedding program's work takes so much of a team's limit from now on.
+    /// Records how many CPUs of a team's limit the program that embeds the quota library uses now, and checks
+    /// the limit.
     pub fn observe_embedded_work(&mut self, now: SimTime, team: &str, cpus: f64) {
         self.view.set_embedded_cpus(team, cpus);
         self.check_team_limit(now, team);
     }
 
-    /// A zone of so many machines is isolated from now on.
-    pub fn observe_isolation(&mut self, machine_count: usize) {
-        self.zone_releases.isolation_starts(machine_count);
+    /// Records that a zone with `host_count` hosts is isolated from now on.
+    pub fn observe_isolation(&mut self, host_count: usize) {
+        self.zone_releases.start_isolation(host_count);
     }
 
-    /// The leader gives up machines of an isolated zone. `machines`: what each machine of the zone holds.
+    /// Checks a request of the leader to release hosts of an isolated zone. `zone_hosts`: the tasks that each
+    /// host of the zone holds, by the host's name.
     pub fn observe_zone_release(
         &mut self,
         now: SimTime,
         released: &[String],
-        machines: &BTreeMap<String, Vec<HeldTask>>,
+        zone_hosts: &BTreeMap<String, Vec<HeldTask>>,
     ) {
-        let mut staying: BTreeMap<String, HeldWork> = machines
+        let mut remaining: BTreeMap<String, HeldTaskCounts> = zone_hosts
             .iter()
-            .map(|(host, tasks)| (host.clone(), self.held_work(tasks)))
+            .map(|(host, tasks)| (host.clone(), self.held_task_counts(tasks)))
             .collect();
         let released_together: BTreeSet<String> = released.iter().cloned().collect();
         for host in released {
-            let Some(held) = staying.remove(host) else {
+            let Some(held) = remaining.remove(host) else {
                 continue;
             };
-            let verdict = self
-                .zone_releases
-                .judge(now, host, held, &staying, &released_together);
-            if let Err(wrong) = verdict {
-                self.report(now, Invariant::ZoneRelease, wrong.to_string());
+            let verdict = self.zone_releases.record_and_check(
+                now,
+                host,
+                held,
+                &remaining,
+                &released_together,
+            );
+            if let Err(violation) = verdict {
+                self.report(now, Invariant::ZoneRelease, violation.to_string());
             }
         }
     }
 
-    fn held_work(&self, tasks: &[HeldTask]) -> HeldWork {
-        let mut held = HeldWork::default();
+    fn held_task_counts(&self, tasks: &[HeldTask]) -> HeldTaskCounts {
+        let mut held = HeldTaskCounts::default();
         for HeldTask { task, has_ended } in tasks {
             if self.is_cancellation_requested(task.job) {
                 held.cancelled += 1;
             } else if !self.is_urgent(task.job) {
                 held.other += 1;
             } else if *has_ended {
-                held.urgent_ended += 1;
+                held.ended_urgent += 1;
             } else {
-                held.urgent += 1;
+                held.running_urgent += 1;
             }
         }
         held
     }
 
-    /// Whether some of the tasks are wanted and none is cancelled, as far as is known of tasks that have
-    /// not ended or are not urgent.
+    /// Whether a host that holds these tasks should be kept for them: none belongs to a job that a user has
+    /// requested to cancel, and at least one is not an urgent task that has ended.
     pub fn is_wanted_work(&self, tasks: &[HeldTask]) -> bool {
-        let held = self.held_work(tasks);
-        held.cancelled == 0 && held.urgent + held.other > 0
+        let held = self.held_task_counts(tasks);
+        held.cancelled == 0 && held.running_urgent + held.other > 0
     }
 
-    /// Judges by the invariants that time alone can violate.
+    /// Checks the invariants that are violated when something doesn't happen in time.
     pub fn check_liveness(&mut self, now: SimTime) {
         let (view, bounds) = (&mut self.view, &self.bounds);
         let overdue = liveness::overdue_cancellations(view, now, bounds);
@@ -276,7 +287,7 @@
         self.report_all(now, Invariant::NoStarvation, starving);
     }
 
-    /// Judges the end of a scenario.
+    /// Checks the invariants that must hold at the end of a scenario.
     pub fn check_end(&mut self, now: SimTime) {
         if self.view.started_task_count() == 0 {
             let details = "no task was started".to_owned();
@@ -288,7 +299,7 @@
         }
     }
 
-    /// Whether every team that has a limit uses all of it, and there is such a team.
+    /// Whether there are teams with a limit and each of them uses all of it.
     pub fn are_limits_exhausted(&self) -> bool {
         let limits = &self.bounds.team_cpu_limits;
         let is_exhausted = |(team, limit): (&String, &f64)| self.view.team_cpus(team) >= *limit;
@@ -311,7 +322,7 @@
         self.view.job(job).is_some_and(|job| job.spec.is_service)
     }
 
-    /// How many tasks of the job run on some machine now.
+    /// How many tasks of the job run now.
     pub fn running_task_count(&self, job: JobId) -> usize {
         self.view.running_tasks_of(job).count()
     }
--- a/tests/simulated/checker/observation.rs
+++ b/tests/simulated/checker/observation.rs
@@ -1,4 +1,4 @@
-//! What the checker is told: what users asked and were answered, and what machines did.
+//! What the checker is told: the requests of users with their answers, and what happens on hosts.
 
 use std::time::Duration;
 
@@ -10,26 +10,26 @@
 pub struct JobSpec {
     /// The team that the job belongs to.
     pub team: String,
-    /// How many tasks it has.
+    /// How many tasks the job has.
     pub task_count: u32,
-    /// CPUs that each task takes.
+    /// CPUs that each task uses.
     pub cpus_per_task: f64,
-    /// The only zone in which its tasks may run.
+    /// The only zone in which the tasks may run; `None` if all zones are allowed.
     pub zone: Option<String>,
-    /// All its tasks have to run in one zone, whichever that is.
+    /// All tasks have to run in one zone, whichever that is.
     pub single_zone: bool,
-    /// At most half of its tasks, rounded up, may run in one zone.
+    /// At most half of the tasks, rounded up, may run in one zone.
     pub spread_over_zones: bool,
-    /// Its tasks may run on spot machines.
+    /// The tasks may run on spot hosts.
     pub allows_spot: bool,
-    /// Its tasks are replicas, which run until the job is cancelled: it is never done.
+    /// The tasks are replicas, which run until the job is cancelled: the job is never done.
     pub is_service: bool,
-    /// Its replicas end by themselves wherever they run, so that some of them wait for their next
-    /// attempt at all times.
+    /// The replicas end by themselves wherever they run, so that some replica waits for its next attempt at
+    /// all times.
     pub replicas_keep_ending: bool,
-    /// The request lacks a field, or no machine is large enough: the job must not be accepted.
+    /// The submission lacks a field, or no host is large enough: the job must not be accepted.
     pub is_invalid: bool,
-    /// Of high or critical priority.
+    /// The job is of high or critical priority.
     pub is_urgent: bool,
 }
 
@@ -42,16 +42,16 @@
     Done,
     /// The job is cancelled.
     Cancelled,
-    /// 404: there is no such job.
+    /// Status 404: the controllers know no such job.
     Unknown,
-    /// 400 or 422: the request is refused for good.
+    /// Status 400 or 422: the request is rejected, and retries would be too.
     Rejected,
-    /// Any other status, or none in time.
+    /// Any other status, or no response in time.
     Unanswered,
 }
 
 impl JobAnswer {
-    /// Whether the answer tells that the job was accepted.
+    /// Whether the answer implies that the job was accepted.
     pub fn is_acceptance(self) -> bool {
         matches!(
             self,
@@ -59,7 +59,7 @@
         )
     }
 
-    /// Whether the job is over.
+    /// Whether the answer says that the job is over.
     pub fn is_final(self) -> bool {
         matches!(self, JobAnswer::Done | JobAnswer::Cancelled)
     }
@@ -70,16 +70,16 @@
 pub enum RequestKind {
     /// To run a job.
     Submit,
-    /// To learn the status of a job.
+    /// To get the status of a job.
     Poll,
     /// To cancel a job.
     Cancel,
 }
 
-/// A user's request and what came of it.
+/// A user's request and its answer.
 #[derive(Clone, Copy, Debug)]
 pub struct AnsweredRequest {
-    /// The job that it was about.
+    /// The job that the request was about.
     pub job: JobId,
     /// What was requested.
     pub kind: RequestKind,
@@ -89,63 +89,63 @@
     pub answer: JobAnswer,
 }
 
-/// Something that the checker judges or has to know.
+/// An event that the checker checks, or needs to know in order to check others.
 #[derive(Clone, Debug)]
 pub enum Observation {
-    /// A user wants a job to run, and is about to submit it.
+    /// A user is about to submit a job.
     JobPlanned {
         /// The job.
         job: JobId,
-        /// What it needs.
+        /// The properties of the job.
         spec: JobSpec,
     },
     /// A user sends the first request to cancel the job.
     CancellationRequested(JobId),
-    /// A user's request was answered, or was not in time.
+    /// A user's request was answered, or has timed out.
     RequestAnswered(AnsweredRequest),
-    /// A machine is up, and its worker is about to send its first heartbeat.
+    /// A host is up, and its worker is about to send its first heartbeat.
     HostUp {
-        /// Name of the machine.
+        /// Name of the host.
         host: String,
-        /// The zone it is in.
+        /// The zone of the host.
         zone: String,
-        /// Whether the cloud may take it away.
+        /// Whether this is a spot host, which the cloud may preempt.
         is_spot: bool,
         /// CPUs for tasks.
         cpus: f64,
     },
-    /// The machine with that name is gone.
+    /// The host with this name is gone.
     HostGone(String),
-    /// A worker has accepted a task: it takes room from now on, and starts once its image is there.
+    /// A worker has accepted a task. The task uses CPUs from now on, and starts once its image is loaded.
     TaskAccepted {
-        /// Name of the machine.
+        /// Name of the host.
         host: String,
         /// The task.
         task: TaskId,
     },
     /// A task starts to run.
     TaskStarted {
-        /// Name of the machine.
+        /// Name of the host.
         host: String,
         /// The task.
         task: TaskId,
     },
-    /// A task ended, or the machine that had accepted it gave it up.
+    /// A task ended, or the host that had accepted it gave it up.
     TaskEnded {
-        /// Name of the machine.
+        /// Name of the host.
         host: String,
         /// The task.
         task: TaskId,
-        /// Whether it ran to its end.
+        /// Whether the task ran to its end.
         is_complete: bool,
     },
 }
 
-/// What the rules of the deployment allow.
+/// Bounds that depend on the settings of the deployment.
 #[derive(Clone, Debug)]
 pub struct Bounds {
-    /// By when the tasks of a job that is reported as cancelled have ended.
+    /// The time after the first report that a job is cancelled by which all its tasks have to end.
     pub cancellation_deadline: Duration,
-    /// The most CPUs of each team that has a limit.
+    /// The CPU limit of each team that has one, by the team's name.
     pub team_cpu_limits: std::collections::BTreeMap<String, f64>,
 }
--- a/tests/simulated/embedder.rs
+++ b/tests/simulated/embedder.rs
@@ -1,4 +1,4 @@
-//! A program that embeds the quota library beside the simulated controllers.
+//! A program other than the controllers that embeds the quota library and so shares the teams' limits with them.
 
 use std::time::Duration;
 
@@ -12,16 +12,16 @@
 
 use super::clock::SimTime;
 
-/// What an embedding program asks for, over and over.
+/// The admissions that the program requests, again and again.
 #[derive(Clone, Debug)]
 pub struct AdmissionDemand {
     /// The team whose limit it uses.
     pub team: String,
-    /// How many admissions it keeps running or waiting.
+    /// How many admissions the program keeps running or pending.
     pub admission_count: usize,
-    /// CPUs of each.
+    /// CPUs of each admission.
     pub cpus: f64,
-    /// How long each runs.
+    /// How long each admission is used.
     pub run_time: Duration,
 }
 
@@ -30,7 +30,7 @@
     ends_at: SimTime,
 }
 
-/// An embedding program.
+/// A program that embeds the quota library.
 pub struct Embedder {
     client: QuotaClient,
     demand: AdmissionDemand,
@@ -39,7 +39,7 @@
 }
 
 impl Embedder {
-    /// A program that starts now.
+    /// A program that has requested nothing yet.
     pub fn new(demand: AdmissionDemand) -> Embedder {
         let config = ClientConfig {
             name: ClientName::new("depot-tool"),
@@ -67,27 +67,27 @@
         &self.demand.team
     }
 
-    /// CPUs of the work that runs.
+    /// CPUs of the running admissions.
     pub fn used_cpus(&self) -> f64 {
         self.running.len() as f64 * self.demand.cpus
     }
 
-    /// Does what is due, with one request to the key-value store at the most; `store` is `None` during an
-    /// outage. Returns how many admissions began.
+    /// Ends and requests admissions as they are due, and sends at most one request to the key-value store; `store`
+    /// is `None` during an outage. Returns how many admissions started.
     pub fn advance(&mut self, now: SimTime, store: Option<&mut InMemoryStore>) -> usize {
-        self.end_work(now);
+        self.end_admissions(now);
         while self.running.len() + self.client.pending_count() < self.demand.admission_count {
             self.request_admission();
         }
         self.send_request(now, store);
-        self.start_admitted_work(now)
+        self.start_admissions(now)
     }
 
-    fn end_work(&mut self, now: SimTime) {
-        let is_over = |admission: &RunningAdmission| admission.ends_at <= now;
+    fn end_admissions(&mut self, now: SimTime) {
+        let has_ended = |admission: &RunningAdmission| admission.ends_at <= now;
         let (ended, running) = std::mem::take(&mut self.running)
             .into_iter()
-            .partition(is_over);
+            .partition(has_ended);
         self.running = running;
         let ended: Vec<RunningAdmission> = ended;
         for admission in ended {
@@ -119,21 +119,21 @@
             None => Outcome::Unavailable,
             Some(store) => {
                 let body = decode(&http.body).unwrap_or(ciborium::Value::Null);
-                let answer = store.handle(now.as_millis(), http.method, &http.target, &body);
-                Outcome::read(http.kind, answer.status, &encode(&answer.body))
+                let response = store.handle(now.as_millis(), http.method, &http.target, &body);
+                Outcome::read(http.kind, response.status, &encode(&response.body))
             }
         };
         self.client.on_outcome(time, outcome);
     }
 
-    fn start_admitted_work(&mut self, now: SimTime) -> usize {
-        let running_before = self.running.len();
+    fn start_admissions(&mut self, now: SimTime) -> usize {
+        let previous_count = self.running.len();
         for event in self.client.take_events() {
             if let QuotaEvent::Admitted(id) = event {
                 let ends_at = now + self.demand.run_time;
                 self.running.push(RunningAdmission { id, ends_at });
             }
         }
-        self.running.len() - running_before
+        self.running.len() - previous_count
     }
 }
--- a/tests/simulated/faults.rs
+++ b/tests/simulated/faults.rs
@@ -1,34 +1,34 @@
-//! Faults that last for a while.
+//! Faults that last for a limited time.
 
 use super::clock::SimTime;
 
-/// A fault that lasts until a given time. By default it is over.
+/// A fault that lasts until a given time. The default is a fault that is over.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct FaultWindow {
     ends_at: SimTime,
 }
 
 impl FaultWindow {
-    /// A fault from now to that time.
+    /// A fault that lasts from now until `ends_at`.
     pub fn until(ends_at: SimTime) -> FaultWindow {
         FaultWindow { ends_at }
     }
 
-    /// Whether the fault still lasts.
+    /// Whether the fault is not over yet.
     pub fn is_active(self, now: SimTime) -> bool {
         now < self.ends_at
     }
 
-    /// When it is over.
+    /// When the fault ends.
     pub fn ends_at(self) -> SimTime {
         self.ends_at
     }
 }
 
-/// A fault that hits some messages, at random, while it lasts. By default it is over.
+/// A fault that affects some messages, chosen at random, while it lasts. The default is a fault that is over.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RandomFault {
-    /// The probability for each message.
+    /// The probability that it affects a message.
     pub probability: f64,
     /// How long the fault lasts.
     pub window: FaultWindow,
--- a/tests/simulated/fingerprint.rs
+++ b/tests/simulated/fingerprint.rs
@@ -1,6 +1,6 @@
-//! A fingerprint of a simulated run: a hash over every message that a controller sent or received, with its
-//! bytes, the controller and the simulated time. Two runs with the same fingerprint behaved alike on the
-//! wire.
+//! The fingerprint of a run: a hash over every message that a controller sent or received, with its content,
+//! the controller and the simulated time. Two runs with the same fingerprint exchanged the same messages. What
+//! is hashed must not change, or fingerprints of two versions can't be compared.
 
 use std::hash::{DefaultHasher, Hash, Hasher};
 
@@ -10,7 +10,7 @@
 use super::ids::NodeIndex;
 use super::transport::{Outgoing, OutgoingCall};
 
-/// The running hash. It is comparable between builds by one toolchain, not between toolchains.
+/// The hash of the messages so far. Values are comparable between builds of the same toolchain only.
 #[derive(Default)]
 pub struct Fingerprint {
     hasher: DefaultHasher,
@@ -22,7 +22,7 @@
         self.hasher.finish()
     }
 
-    /// Takes in a message that arrived at a controller.
+    /// Adds a message that arrived at a controller.
     pub fn add_received(&mut self, now: SimTime, node: NodeIndex, event: &TransportEvent) {
         ("received", now.as_millis(), node.0).hash(&mut self.hasher);
         match event {
@@ -49,7 +49,7 @@
         }
     }
 
-    /// Takes in a message that a controller sent.
+    /// Adds a message that a controller sent.
     pub fn add_sent(&mut self, now: SimTime, node: NodeIndex, message: &Outgoing) {
         ("sent", now.as_millis(), node.0).hash(&mut self.hasher);
         match message {
--- a/tests/simulated/history.rs
+++ b/tests/simulated/history.rs
@@ -1,20 +1,20 @@
-//! What happened in a run: lines for people to read, and marks for scenarios to count.
+//! The log of a run: lines for people to read, and marks, which scenarios count.
 
 use std::collections::BTreeMap;
 
 use super::clock::SimTime;
 
-/// Defines the marks with their names in scripts.
+/// Defines the marks, each with its name in scenario files.
 macro_rules! marks {
     ($($(#[$doc:meta])* $mark:ident = $name:literal,)*) => {
-        /// Something that scenarios can expect to take place, or not to.
+        /// A kind of event that a scenario can expect to occur, or not to occur.
         #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
         pub enum Mark {
             $($(#[$doc])* $mark,)*
         }
 
         impl Mark {
-            /// The mark with that name in scripts.
+            /// The mark with this name in scenario files.
             pub fn from_name(name: &str) -> Option<Mark> {
                 match name {
                     $($name => Some(Mark::$mark),)*
@@ -28,77 +28,78 @@
 marks! {
     /// A user was told that a job is done.
     JobDone = "done",
-    /// A request was rejected for good.
+    /// A user's request was rejected with status 400 or 422.
     RequestRejected = "refused",
-    /// A request got no answer in time, or none that helps.
+    /// A user's request got no response in time, or an error other than 400, 404 and 422.
     RequestUnanswered = "unanswered",
-    /// The same, of a request to cancel.
+    /// A request to cancel got no response in time, or an error other than 400, 404 and 422.
     CancellationUnanswered = "unconfirmed",
     /// A user cancels a job with running tasks.
     RunningJobCancelled = "running-cancelled",
     /// A user was told that a job is cancelled.
     CancellationConfirmed = "confirmed",
-    /// The same, while tasks of the job still run.
+    /// A user was told that a job is cancelled, while tasks of the job still run.
     ConfirmedWhileRunning = "confirmed-while-running",
-    /// The same, by a node that does not lead.
+    /// A user was told by a follower that a job is cancelled.
     ConfirmedByFollower = "confirmed-by-another",
-    /// The last task of a job is complete.
+    /// The last task of a job has run to its end.
     LastTaskDone = "last-task-done",
-    /// A user cancels a job as its last task ends.
+    /// A user cancels a job just as its last task ends.
     CancelledAtCompletion = "cancelled-at-its-end",
-    /// Users poll and repeat a submission in a burst.
+    /// Users send a burst of polls and repeated submissions to all nodes.
     PollBurst = "close-look",
     /// A replica of a service ended by itself.
     ReplicaEnded = "replica-ended",
-    /// All teams use all of their limits.
+    /// Every team with a limit uses all of it.
     LimitsExhausted = "at-limit",
-    /// An embedding program got an admission.
+    /// The program that embeds the quota library got an admission.
     EmbedderAdmitted = "embedded",
-    /// A leader has won its term.
+    /// A node has become the leader of a new term.
     Takeover = "takeover",
-    /// Another node leads although nothing kept the leader from going on.
+    /// Another node leads, although the previous leader was running and its zone was not isolated.
     NeedlessTakeover = "moved",
     /// A controller process was killed.
     ControllerKilled = "killed",
     /// A controller was upgraded.
     ControllerUpgraded = "upgraded",
-    /// A controller went back to the version before.
+    /// A controller was rolled back to the first version.
     ControllerRolledBack = "rolled-back",
-    /// A leader of the earlier version follows one of this version.
+    /// A leader of the earlier version follows one of the current version.
     EarlierVersionTookOver = "earlier-after-current",
-    /// A leader of this version follows one of the earlier version.
+    /// A leader of the current version follows one of the earlier version.
     CurrentVersionTookOver = "current-after-earlier",
-    /// The key-value store answers 400 to a request that must not have been sent.
+    /// The key-value store answers 400 to a request that a controller must not send.
     StoreRejectedRequest = "refused-by-state",
-    /// The same, to a claim of the leadership that was carried out after its lease had expired.
+    /// The key-value store answers 400 to a claim of leadership that arrived after its lease had expired.
     LateClaim = "late-claim",
-    /// The key-value store answers 429.
+    /// The key-value store answers 429: a rate limit is exceeded.
     StoreOverBudget = "over-budget",
-    /// A transaction is carried out and its answer is lost.
+    /// The response to a transaction is lost after the transaction was processed.
     AnswerLost = "lost-answer",
-    /// A transaction is carried out late and its answer is lost.
+    /// A transaction is processed late, and its response is lost.
     WriteDelayed = "late-write",
-    /// The cloud gives notice that it takes a machine away.
+    /// The cloud announces that it will preempt a host.
     PreemptionNotice = "notice",
-    /// The cloud has taken away a machine after its notice.
+    /// The cloud has preempted a host after the announcement.
     MachinePreempted = "taken",
-    /// Something happened to a task on a machine that has just come up.
+    /// A task was accepted, started or ended on a host that has just booted.
     WorkOnNewMachine = "work-on-a-new-machine",
-    /// Tasks of a worker ended with its lease.
+    /// A worker's lease expired, which ended its tasks.
     WorkerLeaseExpired = "lease-ended",
     /// A copy of a heartbeat arrives late.
     HeartbeatDelayed = "late-report",
-    /// Copies of heartbeats to the leader before reach the controllers.
+    /// A copy of a heartbeat from before a takeover is sent to all controllers after it.
     OldHeartbeatAtNewLeader = "old-report-at-new-leader",
-    /// A machine of the isolated zone is given up.
+    /// The leader releases a host of an isolated zone.
     ReleasedInIsolatedZone = "given-up-in-cut",
-    /// A machine with wanted work is given up right after its zone has returned.
+    /// The leader releases a host with wanted tasks right after the isolation of its zone has ended.
     ReleasedAfterIsolation = "given-up-after-return",
-    /// A machine is rented in an isolated zone, after a leader must have noticed the isolation.
+    /// A host is provisioned in an isolated zone after the time by which a leader must have noticed the
+    /// isolation.
     RentedInIsolatedZone = "rented-in-cut-zone",
 }
 
-/// Lines and marks of a run.
+/// The lines and marks of a run.
 #[derive(Debug, Default)]
 pub struct History {
     lines: Vec<String>,
@@ -106,24 +107,24 @@
 }
 
 impl History {
-    /// Adds a line.
+    /// Adds a line, with the simulated time.
     pub fn note(&mut self, now: SimTime, line: &str) {
         self.lines.push(format!("{now:>11} {line}"));
     }
 
-    /// Sets a mark.
+    /// Records that a mark was set.
     pub fn mark(&mut self, now: SimTime, mark: Mark) {
         self.marks.entry(mark).or_default().push(now);
     }
 
-    /// How often a mark was set in that time, both ends included.
-    pub fn count(&self, mark: Mark, from: SimTime, to: SimTime) -> usize {
+    /// How often a mark was set from `start` to `end`, both included.
+    pub fn count(&self, mark: Mark, start: SimTime, end: SimTime) -> usize {
         let times = self.marks.get(&mark).map_or(&[][..], Vec::as_slice);
-        let in_time = times.iter().filter(|time| (from..=to).contains(time));
-        in_time.count()
+        let in_range = times.iter().filter(|time| (start..=end).contains(time));
+        in_range.count()
     }
 
-    /// The last lines.
+    /// The last `count` lines.
     pub fn last_lines(&self, count: usize) -> &[String] {
         &self.lines[self.lines.len().saturating_sub(count)..]
     }
--- a/tests/simulated/leadership.rs
+++ b/tests/simulated/leadership.rs
@@ -1,4 +1,4 @@
-//! Who leads, as the key-value store's records tell.
+//! Which controller leads, according to the records in the key-value store.
 
 use super::controllers::Controllers;
 use super::history::Mark;
@@ -6,55 +6,56 @@
 use super::process::Version;
 use super::store::LeaderRecord;
 
-/// What a look at the records shows.
+/// What has changed since the records were read last.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LeadershipChange {
-    /// The leader before, if another node holds the leadership now.
-    pub replaced: Option<NodeIndex>,
+    /// The previous leader, if another node holds the leadership now.
+    pub replaced_leader: Option<NodeIndex>,
     /// Whether a new term has begun.
     pub is_new_term: bool,
 }
 
-/// The last leader.
+/// The last known leader and term.
 #[derive(Debug, Default)]
 pub struct Leadership {
     term: u64,
     leader: Option<NodeIndex>,
-    /// What the leader of the last term ran.
-    version: Option<Version>,
+    /// The version that the leader of the last term ran.
+    leader_version: Option<Version>,
 }
 
 impl Leadership {
-    /// The node that leads, or was the last to lead.
+    /// The present leader, or the last one if the leadership is vacant.
     pub fn leader(&self) -> Option<NodeIndex> {
         self.leader
     }
 
-    /// The last term.
+    /// The number of the last term.
     pub fn term(&self) -> u64 {
         self.term
     }
 
-    /// Takes in what the records say.
+    /// Compares the records with the last known state, and updates that.
     pub fn update(&mut self, record: &LeaderRecord, controllers: &Controllers) -> LeadershipChange {
         let holder = record.holder.as_deref();
         let holder = holder.and_then(|name| controllers.find_by_name(name));
-        let mut replaced = None;
+        let mut replaced_leader = None;
         if let Some(holder) = holder {
-            let before = self.leader.replace(holder);
-            replaced = before.filter(|before| *before != holder);
+            let previous = self.leader.replace(holder);
+            replaced_leader = previous.filter(|previous| *previous != holder);
         }
         let is_new_term = record.term != self.term;
         self.term = record.term;
         LeadershipChange {
-            replaced,
+            replaced_leader,
             is_new_term,
         }
     }
 
-    /// The leader of a new term runs that version. Returns the mark to set if the one before ran another.
-    pub fn note_version(&mut self, version: Version) -> Option<Mark> {
-        match (self.version.replace(version), version) {
+    /// Records which version the leader of a new term runs. Returns the mark to set if the previous leader ran
+    /// another version.
+    pub fn record_leader_version(&mut self, version: Version) -> Option<Mark> {
+        match (self.leader_version.replace(version), version) {
             (Some(Version::Current), Version::Earlier) => Some(Mark::EarlierVersionTookOver),
             (Some(Version::Earlier), Version::Current) => Some(Mark::CurrentVersionTookOver),
             _ => None,
--- a/tests/simulated/mod.rs
+++ b/tests/simulated/mod.rs
@@ -1,21 +1,20 @@
-//! Deterministic simulation of a cluster: several real controllers in one thread and in simulated time,
-//! against stand-ins for the key-value store, the cloud, machines with their workers, and users. A seed
-//! determines every delay and fault, so a failed run can be repeated. The controllers are the service's own
-//! code; nothing that it does is done here a second time.
+//! Deterministic simulation of a cluster. Several controllers run the service's own code in one thread and in
+//! simulated time; the key-value store, the cloud, hosts with their workers, and users are simulated. A seed
+//! determines every delay and fault, so that a failed run can be repeated.
 //!
-//! | modules | job |
+//! | modules | purpose |
 //! | --- | --- |
-//! | [`simulation`] | owns the parts below, hands events to them, carries out the script, judges the run |
-//! | [`event_queue`], [`clock`], [`context`] | what happens next, and when; what all parts share |
-//! | [`controllers`], [`process`], [`transport`] | controller processes and the seam to the service |
-//! | [`network`], [`load_balancer`] | latency, partitions, calls in flight |
+//! | [`simulation`] | event loop: owns the parts, dispatches events, executes the script |
+//! | [`event_queue`], [`clock`], [`context`] | scheduled events; simulated time; state that all parts share |
+//! | [`controllers`], [`process`], [`transport`] | controller processes, and their interface to the service |
+//! | [`network`], [`load_balancer`] | latency, partitions, load balancing, calls in flight |
 //! | [`store`], [`rate_limiter`] | the key-value store with its limits and faults |
-//! | [`fleet`], [`cloud`], [`worker`] | machines: rented, running tasks, sending heartbeats |
+//! | [`fleet`], [`cloud`], [`worker`] | hosts: provisioned by the cloud, running tasks, sending heartbeats |
 //! | [`users`], [`job_template`] | users with their jobs and requests |
-//! | [`embedder`], [`quota_audit`] | a program beside the controllers that shares their limits |
-//! | [`leadership`], [`rolling_upgrade`] | who leads, who is upgraded |
-//! | [`script`], [`deployment`], [`runner`] | scenario files |
-//! | [`checker`], [`history`], [`fingerprint`] | what a run has to show |
+//! | [`embedder`], [`quota_audit`] | a program that embeds the quota library; the audit of the quota records |
+//! | [`leadership`], [`rolling_upgrade`] | which controller leads, which ones are upgraded |
+//! | [`script`], [`deployment`], [`runner`] | scenario files: parser, simulated deployment, runner |
+//! | [`checker`], [`history`], [`fingerprint`] | invariants; a log and counters of each run; a hash of all messages |
 
 pub mod checker;
 pub mod clock;
--- a/tests/simulated/quota_audit.rs
+++ b/tests/simulated/quota_audit.rs
@@ -1,4 +1,5 @@
-//! The audit of what controllers and embedding programs have charged to the teams' limits together.
+//! Audits the quota records: what the controllers, and programs that embed the quota library, have charged to
+//! the teams' limits in total.
 
 use lichencrank::storage::records::RunRecord;
 use lichencrank_quota::leader::LEADER;
@@ -6,24 +7,26 @@
 use lichencrank_store::{Item, Version};
 use lichencrank_testkit::InMemoryStore;
 
-/// Everything in the records that does not add up. After a leader of a version without the feature its charges
-/// may exceed its allowance until the next leader has taken them in: unless `all_know_quota`, that is left
-/// out.
-pub fn differences(store: &InMemoryStore, all_know_quota: bool) -> Vec<String> {
-    let differences = ledger(store).audit().into_iter();
-    differences
-        .filter(|difference| all_know_quota || !may_follow_from_earlier_leader(difference))
-        .map(|difference| difference.to_string())
+/// Describes each discrepancy in the records. A leader whose version doesn't support quota allocates without
+/// charging its allowance, so its usage may exceed the allowance and the limit until the next leader has
+/// accounted for it. Such discrepancies are reported only if `all_support_quota`.
+pub fn discrepancies(store: &InMemoryStore, all_support_quota: bool) -> Vec<String> {
+    let discrepancies = ledger(store).audit().into_iter();
+    discrepancies
+        .filter(|discrepancy| all_support_quota || !may_follow_from_earlier_leader(discrepancy))
+        .map(|discrepancy| discrepancy.to_string())
         .collect()
 }
 
-fn may_follow_from_earlier_leader(difference: &Discrepancy) -> bool {
+/// Whether a leader without quota support can have caused the discrepancy.
+fn may_follow_from_earlier_leader(discrepancy: &Discrepancy) -> bool {
     matches!(
-        difference,
+        discrepancy,
         Discrepancy::AllowanceExceeded { .. } | Discrepancy::LimitExceeded { .. }
     )
 }
 
+/// The ledger of all quota records, with the usage of the leader's allocations according to the run records.
 fn ledger(store: &InMemoryStore) -> Ledger {
     let mut ledger = Ledger::default();
     for (key, value) in store.values_with_prefix("quota/") {
--- a/tests/simulated/rolling_upgrade.rs
+++ b/tests/simulated/rolling_upgrade.rs
@@ -1,20 +1,20 @@
-//! Rolling upgrades: which controllers are upgraded, and which is next.
+//! Rolling upgrades: which controllers are upgraded, and which one is next.
 
 use super::ids::NodeIndex;
 use super::network::Network;
 use super::process::Version;
 use super::script::command::UpgradeOrder;
 
-/// How far an upgrade has got.
+/// The progress of an upgrade.
 pub struct RollingUpgrade {
-    /// What controllers run that are not upgraded.
+    /// The version of controllers that are not upgraded.
     first_version: Version,
-    /// Whether each controller is upgraded.
+    /// Whether each controller is upgraded, by its index.
     is_upgraded: Vec<bool>,
 }
 
 impl RollingUpgrade {
-    /// No controller is upgraded.
+    /// An upgrade that has not started.
     pub fn new(first_version: Version, controller_count: usize) -> RollingUpgrade {
         RollingUpgrade {
             first_version,
@@ -22,18 +22,19 @@
         }
     }
 
-    /// What controllers run that are not upgraded.
+    /// The version of controllers that are not upgraded.
     pub fn first_version(&self) -> Version {
         self.first_version
     }
 
-    /// Whether a controller's settings tell of the limits to come. Where a real earlier version runs, they
-    /// are in all settings files; else only upgraded controllers know of them.
+    /// Whether a controller's settings file contains the next limits of the key-value store. If the first version
+    /// is an earlier one, all settings files contain them. Otherwise an upgrade only changes the settings, so only
+    /// those of upgraded controllers contain them.
     pub fn knows_next_limits(&self, node: NodeIndex) -> bool {
         self.is_upgraded[node.0] || self.first_version == Version::Earlier
     }
 
-    /// Chooses the next controller, which counts as upgraded from now on. `None` if all are.
+    /// Chooses the next controller and marks it as upgraded. `None` if all controllers are upgraded.
     pub fn upgrade_next(
         &mut self,
         order: &UpgradeOrder,
@@ -41,22 +42,23 @@
         network: &Network,
     ) -> Option<NodeIndex> {
         let nodes = (0..self.is_upgraded.len()).map(NodeIndex);
-        let mut left: Vec<NodeIndex> = nodes.filter(|node| !self.is_upgraded[node.0]).collect();
+        let mut remaining: Vec<NodeIndex> =
+            nodes.filter(|node| !self.is_upgraded[node.0]).collect();
         let leads = |node: &NodeIndex| Some(*node) == leader;
         match order {
             UpgradeOrder::ByPosition => {}
-            UpgradeOrder::LeaderFirst => left.sort_by_key(|node| !leads(node)),
-            UpgradeOrder::LeaderLast => left.sort_by_key(leads),
+            UpgradeOrder::LeaderFirst => remaining.sort_by_key(|node| !leads(node)),
+            UpgradeOrder::LeaderLast => remaining.sort_by_key(leads),
             UpgradeOrder::ZoneFirst(zone) => {
-                left.sort_by_key(|node| network.zone_of(*node) != zone);
+                remaining.sort_by_key(|node| network.zone_of(*node) != zone);
             }
         }
-        let next = left.first().copied()?;
+        let next = remaining.first().copied()?;
         self.is_upgraded[next.0] = true;
         Some(next)
     }
 
-    /// A controller goes back to the first version. `false` if it is not upgraded.
+    /// Marks a controller as not upgraded any more. `false` if it was not upgraded.
     pub fn roll_back(&mut self, node: NodeIndex) -> bool {
         std::mem::take(&mut self.is_upgraded[node.0])
     }
--- a/tests/simulated/runner.rs
+++ b/tests/simulated/runner.rs
@@ -1,4 +1,4 @@
-//! Loads scenario files and plays them, one simulation for each seed.
+//! Loads scenario files and runs them, with one simulation for each seed.
 
 use std::ops::Range;
 use std::path::Path;
@@ -15,7 +15,7 @@
 }
 
 impl Scenario {
-    /// Reads `<directory>/<name>.scenario`; panics if that is no valid scenario.
+    /// Reads `<directory>/<name>.scenario`. Panics if the file is missing or not valid.
     pub fn load(directory: &Path, name: &str) -> Scenario {
         let path = directory.join(format!("{name}.scenario"));
         let text = std::fs::read_to_string(&path)
@@ -28,12 +28,12 @@
         }
     }
 
-    /// A simulation of the scenario.
+    /// Creates a simulation of the scenario, which has not run yet.
     pub fn simulation(&self, seed: u64, launcher: Launcher) -> Simulation {
         Simulation::new(&self.script, seed, launcher)
     }
 
-    /// Plays the scenario with each seed. Returns one description for each run that failed.
+    /// Runs the scenario with each seed. Returns one description for each run that failed.
     pub fn failures(&self, seeds: Range<u64>, launcher: Launcher) -> Vec<String> {
         let failure = |seed| {
             let error = self.simulation(seed, launcher).run().err()?;
@@ -43,11 +43,11 @@
     }
 }
 
-/// The names of all scenario files of a directory, sorted.
+/// The names of all scenario files in a directory, without extension, sorted.
 pub fn scenario_names(directory: &Path) -> Vec<String> {
     let entries = std::fs::read_dir(directory)
         .unwrap_or_else(|error| panic!("{}: {error}", directory.display()));
-    let paths = entries.map(|entry| entry.expect("an entry of the directory").path());
+    let paths = entries.map(|entry| entry.expect("a readable directory entry").path());
     let mut names: Vec<String> = paths
         .filter(|path| {
             path.extension()
@@ -59,7 +59,8 @@
     names
 }
 
-/// The seeds in an environment variable, such as `100..200`; `None` if it is not set.
+/// The range of seeds in an environment variable, such as `100..200`; `None` if the variable is not set. Panics
+/// if its value is not a range.
 pub fn seeds_from_environment(variable: &str) -> Option<Range<u64>> {
     let text = std::env::var(variable).ok()?;
     let range = text.split_once("..").and_then(|(first, end)| {
@@ -70,7 +71,7 @@
     Some(range.unwrap_or_else(|| panic!("{variable} is {text}, not a range such as 100..200")))
 }
 
-/// Starts the log of the controllers at the level in `LOG_LEVEL`; without it they log nothing.
+/// Initializes the logging of the controllers with the level in `LOG_LEVEL`. Without it nothing is logged.
 pub fn start_logging() {
     let level = std::env::var("LOG_LEVEL").ok();
     lichencrank::logging::init(level.as_deref().or(Some("off")));
--- a/tests/simulated/script/command.rs
+++ b/tests/simulated/script/command.rs
@@ -1,4 +1,4 @@
-//! What a scenario can bring about, grouped by the part of the simulation that carries it out.
+//! The commands of scenarios, grouped by the part of the simulation that they affect.
 
 use std::time::Duration;
 
@@ -8,9 +8,9 @@
 /// One command of a scenario.
 #[derive(Clone, Debug)]
 pub enum Command {
-    /// What users do.
+    /// A command for users.
     Users(UserCommand),
-    /// What happens to controller processes.
+    /// A command for controller processes.
     Controllers(ControllerCommand),
     /// A fault of the network.
     Network(NetworkFault),
@@ -18,124 +18,125 @@
     Store(StoreFault),
     /// A fault of the cloud.
     Cloud(CloudFault),
-    /// What happens to machines, their workers and tasks.
+    /// A command for hosts, their workers and tasks.
     Hosts(HostCommand),
 }
 
-/// Which controllers a command is about; who leads is known only when it is carried out.
+/// Selects the controllers that a command affects. It is resolved when the command is executed, as only then is
+/// known who leads.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NodeSelector {
-    /// The node that leads.
+    /// The leader.
     Leader,
-    /// One node that does not lead, at random.
+    /// One follower, chosen at random.
     OneFollower,
-    /// All nodes that do not lead.
+    /// All followers.
     AllFollowers,
-    /// The node that was the last to confirm a cancellation.
+    /// The last node that confirmed a cancellation to a user.
     LastConfirmer,
     /// All nodes.
     All,
 }
 
-/// What users do.
+/// A command for users.
 #[derive(Clone, Debug)]
 pub enum UserCommand {
-    /// They submit jobs.
+    /// Users submit jobs.
     Submit {
-        /// How many.
+        /// The number of jobs.
         count: u64,
-        /// The time from one to the next.
+        /// The time between two submissions.
         interval: Duration,
-        /// What each job looks like.
+        /// The properties of each job.
         template: JobTemplate,
-        /// The share of jobs that their users cancel a while after they were accepted.
+        /// The share of the jobs that users cancel some seconds after the job was accepted.
         cancelled_share: f64,
     },
-    /// They submit jobs that must be rejected, repeat all submissions that were accepted, and cancel jobs
-    /// that are over.
+    /// Users submit jobs that must be rejected, repeat all submissions that were accepted, and cancel jobs that
+    /// are over.
     SubmitInvalid {
-        /// How many jobs that must be rejected.
+        /// The number of jobs that must be rejected.
         count: u64,
     },
-    /// They cancel jobs.
+    /// Users cancel jobs.
     Cancel {
-        /// How many jobs at the most.
+        /// The largest number of jobs to cancel.
         count: usize,
-        /// The nodes to which they send their requests.
+        /// Selects the node that gets each request: the first one, if several nodes are selected.
         through: NodeSelector,
-        /// Jobs of which no task runs are cancelled too.
+        /// Whether jobs without running tasks may be cancelled too.
         include_waiting: bool,
-        /// For so long the machines of the cancelled jobs are paused.
-        machine_pause: Duration,
+        /// How long the hosts of the cancelled jobs are paused; zero if they aren't.
+        host_pause: Duration,
     },
-    /// They poll and repeat submissions in bursts on every change of a job.
+    /// Users send a burst of polls and repeated submissions whenever a job is accepted or over.
     PollInBursts {
         /// For how long from now on.
         duration: Duration,
     },
-    /// They cancel jobs as their last task ends.
+    /// Users cancel jobs just as their last task ends.
     CancelAtCompletion {
         /// The probability for each job.
         probability: f64,
         /// For how long from now on.
         duration: Duration,
     },
-    /// A program that embeds the quota library starts beside the controllers.
+    /// A program that embeds the quota library starts.
     StartEmbedder(AdmissionDemand),
 }
 
-/// What happens to controller processes.
+/// A command for controller processes.
 #[derive(Clone, Debug)]
 pub enum ControllerCommand {
-    /// Their processes end, and start again later.
+    /// Processes are killed, and start again later.
     Kill {
-        /// Which.
+        /// The affected controllers.
         nodes: NodeSelector,
         /// The time until they start again.
         restart_after: Duration,
     },
-    /// Their processes stand still while time goes on.
+    /// Processes are suspended while simulated time goes on.
     Pause {
-        /// Which.
+        /// The affected controllers.
         nodes: NodeSelector,
         /// For how long.
         duration: Duration,
     },
-    /// One node after the other comes back upgraded.
+    /// The nodes are upgraded one after the other.
     Upgrade {
         /// The time from one node to the next.
         interval: Duration,
-        /// Which node is next.
+        /// The order of the nodes.
         order: UpgradeOrder,
     },
-    /// Nodes that are upgraded go back to the version before, one after the other.
+    /// Upgraded nodes are rolled back to the first version, one after the other.
     RollBack {
         /// The time from one node to the next.
         interval: Duration,
     },
 }
 
-/// Which controller is upgraded next.
+/// The order in which controllers are upgraded.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum UpgradeOrder {
     /// By their position in the deployment.
     ByPosition,
-    /// Whichever leads at that time.
+    /// At each step the current leader, if it is not upgraded yet.
     LeaderFirst,
-    /// Whichever does not lead at that time.
+    /// At each step a follower, as long as one is not upgraded yet.
     LeaderLast,
-    /// All nodes of that zone before the others.
+    /// All nodes of this zone before the others.
     ZoneFirst(String),
 }
 
-/// What a controller can lose its connections to.
+/// The connections of a controller, by the kind of remote end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LinkKind {
     /// The key-value store.
     Store,
     /// The other controllers.
     Controllers,
-    /// The workers on machines.
+    /// The workers on hosts.
     Workers,
     /// The users.
     Users,
@@ -146,21 +147,21 @@
 pub enum NetworkFault {
     /// Controllers lose some of their connections.
     Partition {
-        /// Which controllers.
+        /// The affected controllers.
         nodes: NodeSelector,
-        /// Their connections to what.
+        /// Which of their connections are affected.
         links: Vec<LinkKind>,
         /// For how long.
         duration: Duration,
-        /// Messages arrive when the partition ends; otherwise they are lost.
+        /// Whether messages are delivered when the partition ends; otherwise they are lost.
         holds_messages: bool,
     },
-    /// No zone reaches another.
+    /// No zone can reach another one.
     SeparateZones {
         /// For how long.
         duration: Duration,
     },
-    /// A zone with its controllers and machines reaches nothing outside.
+    /// A zone, with its controllers and hosts, can reach nothing outside.
     IsolateZone {
         /// The zone.
         zone: String,
@@ -172,105 +173,105 @@
 /// A fault of the key-value store.
 #[derive(Clone, Debug)]
 pub enum StoreFault {
-    /// It refuses the requests of some controllers.
+    /// The store refuses the requests of some controllers.
     RefuseRequests {
-        /// Which controllers.
+        /// The affected controllers.
         nodes: NodeSelector,
         /// For how long.
         duration: Duration,
     },
-    /// It refuses all requests.
+    /// The store refuses all requests.
     Outage {
         /// For how long.
         duration: Duration,
     },
-    /// Requests take long.
+    /// Requests to the store are delayed.
     SlowRequests {
-        /// The most that a request is delayed by; half of that is the least.
+        /// The longest delay of a request; the shortest is half of it.
         max_delay: Duration,
-        /// For how long requests are delayed.
+        /// For how long.
         duration: Duration,
     },
-    /// Transactions are carried out and their answers are lost.
+    /// Transactions are processed, but their responses are lost.
     LostAnswers {
         /// The probability for each transaction.
         probability: f64,
         /// For how long.
         duration: Duration,
     },
-    /// Transactions are carried out seconds later, and their answers are lost.
+    /// Transactions are processed seconds late, and their responses are lost.
     LateWrites {
         /// The probability for each transaction.
         probability: f64,
         /// For how long.
         duration: Duration,
     },
-    /// Its limits fall to the next ones of the deployment.
+    /// The store's limits are lowered to the `next_store_limits` of the deployment.
     LowerLimits,
 }
 
 /// A fault of the cloud.
 #[derive(Clone, Debug)]
 pub enum CloudFault {
-    /// It refuses all requests.
+    /// The cloud refuses all requests.
     Outage {
         /// For how long.
         duration: Duration,
     },
-    /// Machines that are rented from now on boot that fast.
+    /// Hosts that are provisioned from now on boot in this time.
     SetBootTime(Duration),
 }
 
-/// A fault of a machine.
+/// A fault of a host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HostFault {
-    /// It stands still.
+    /// The worker is suspended.
     Pause,
-    /// Nothing that is sent to it arrives.
+    /// Messages to the host are lost.
     InboundLoss,
-    /// No heartbeat that it sends arrives.
+    /// Heartbeats from the host are lost.
     OutboundLoss,
-    /// It neither receives nor sends anything.
+    /// Messages to the host and heartbeats from it are lost.
     Isolation,
-    /// It is gone at once.
+    /// The host is gone at once.
     Crash,
-    /// The cloud gives notice, and takes the machine away when the time is over.
+    /// The cloud announces that it will preempt the host, and does so after the duration of the fault.
     PreemptionNotice,
-    /// Every task that it starts fails.
+    /// Every task that starts on the host fails.
     FailingTasks,
 }
 
 /// Why replicas end by themselves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReplicaEnd {
-    /// They exit as if their work was done.
+    /// They exit as if they were complete.
     Completed,
     /// They fail.
     Failed,
 }
 
-/// What happens to machines, their workers and tasks.
+/// A command for hosts, their workers and tasks.
 #[derive(Clone, Debug)]
 pub enum HostCommand {
-    /// Machines are at fault.
+    /// Hosts become faulty.
     Fault {
         /// Which fault.
         fault: HostFault,
-        /// The probability for each machine.
+        /// The probability for each host.
         probability: f64,
-        /// The only zone with faulty machines.
+        /// The only zone with faulty hosts; `None` if all zones have some.
         zone: Option<String>,
-        /// For how long, or the time of the notice.
+        /// How long the fault lasts, or the time from the announcement of a preemption to the preemption.
         duration: Duration,
     },
-    /// Copies of heartbeats arrive late.
+    /// Copies of some heartbeats arrive late, in addition to the heartbeats themselves.
     LateHeartbeats {
         /// The probability for each heartbeat.
         probability: f64,
         /// For how long.
         duration: Duration,
     },
-    /// Copies of some heartbeats are kept and reach the controllers after the next takeover.
+    /// Copies of some heartbeats are retained, and reach all controllers after the next takeover.
     RetainHeartbeats {
         /// For how long.
         duration: Duration,
--- a/tests/simulated/script/command_parser.rs
+++ b/tests/simulated/script/command_parser.rs
@@ -1,4 +1,4 @@
-//! Reads the commands of scripts.
+//! Parses the commands of scenario files.
 
 use std::time::Duration;
 
@@ -16,7 +16,7 @@
 const DEFAULT_RESTART_AFTER: Duration = Duration::from_secs(3);
 const DEFAULT_UPGRADE_INTERVAL: Duration = Duration::from_secs(10);
 
-/// Reads a command, without its time.
+/// Parses a command, without the time at which it is executed.
 pub(super) fn command(line: &Line) -> Result<Command, Problem> {
     if let Some(command) = user_command(line)? {
         return Ok(Command::Users(command));
@@ -59,7 +59,7 @@
             count: line.number_at(1)? as usize,
             through: node_selector(line.value_of("through").unwrap_or("other"))?,
             include_waiting: line.has("any"),
-            machine_pause: line.duration_of("hang")?.unwrap_or(Duration::ZERO),
+            host_pause: line.duration_of("hang")?.unwrap_or(Duration::ZERO),
         },
         "looks" => UserCommand::PollInBursts {
             duration: duration(line)?,
@@ -162,7 +162,7 @@
         "peers" => Ok(LinkKind::Controllers),
         "workers" => Ok(LinkKind::Workers),
         "users" => Ok(LinkKind::Users),
-        other => Err(unknown_word("kind of link", other)),
+        other => Err(unknown_word("link kind", other)),
     }
 }
 
@@ -239,7 +239,7 @@
         "die" => Ok(HostFault::Crash),
         "notice" => Ok(HostFault::PreemptionNotice),
         "sick" => Ok(HostFault::FailingTasks),
-        other => Err(unknown_word("fault of machines", other)),
+        other => Err(unknown_word("host fault", other)),
     }
 }
 
@@ -250,6 +250,6 @@
         "others" => Ok(NodeSelector::AllFollowers),
         "confirmer" => Ok(NodeSelector::LastConfirmer),
         "all" => Ok(NodeSelector::All),
-        other => Err(unknown_word("choice of nodes", other)),
+        other => Err(unknown_word("node selector", other)),
     }
 }
--- a/tests/simulated/script/error.rs
+++ b/tests/simulated/script/error.rs
@@ -1,8 +1,8 @@
-//! What can be wrong with a script.
+//! Errors in scenario files.
 
 use std::fmt;
 
-/// A line of a script that has no meaning.
+/// A line of a scenario file that can't be parsed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ScriptError {
     /// Number of the line, from 1.
@@ -12,9 +12,9 @@
 
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum Problem {
-    /// The keyword of a line, or of its command, is not known.
+    /// The keyword of a statement or command is not known.
     UnknownKeyword(String),
-    /// An argument is none of the words that may stand in its place.
+    /// An argument is none of the words that are valid in its place.
     UnknownWord {
         expected: &'static str,
         found: String,
@@ -31,19 +31,19 @@
         match &self.problem {
             Problem::UnknownKeyword(word) => write!(formatter, "unknown keyword {word}"),
             Problem::UnknownWord { expected, found } => {
-                write!(formatter, "{found} is no {expected}")
+                write!(formatter, "{found} is not a known {expected}")
             }
             Problem::MissingArgument { position } => {
                 write!(formatter, "argument {position} is missing")
             }
-            Problem::NotANumber(word) => write!(formatter, "{word} is no number"),
+            Problem::NotANumber(word) => write!(formatter, "{word} is not a number"),
         }
     }
 }
 
 impl std::error::Error for ScriptError {}
 
-/// A word that has no meaning in its place.
+/// The problem that `found` is not a word of the kind that is expected in its place.
 pub(super) fn unknown_word(expected: &'static str, found: &str) -> Problem {
     let found = found.to_owned();
     Problem::UnknownWord { expected, found }
--- a/tests/simulated/script/lexer.rs
+++ b/tests/simulated/script/lexer.rs
@@ -1,26 +1,26 @@
-//! Splits a script into lines and words, and finds arguments among them.
+//! Splits the lines of a scenario file into words, and looks up arguments among them.
 
 use std::time::Duration;
 
 use super::error::Problem;
 use crate::simulated::clock::duration_from_seconds;
 
-/// The words of one line, without comments. The first is the keyword of a statement or command; the others
-/// are arguments by position, or pairs of a key and its value, or flags.
+/// The words of one line, without comments. The first word is the keyword of a statement or command; the others
+/// are positional arguments, pairs of a key and its value, or flags.
 #[derive(Clone, Debug)]
 pub(super) struct Line<'a> {
     words: Vec<&'a str>,
 }
 
 impl<'a> Line<'a> {
-    /// Splits a line; `None` if there is nothing but a comment in it.
+    /// Splits a line into words; `None` if it is empty but for a comment.
     pub(super) fn parse(text: &'a str) -> Option<Line<'a>> {
         let statement = text.split('#').next().unwrap_or("");
         let words: Vec<&str> = statement.split_whitespace().collect();
         (!words.is_empty()).then_some(Line { words })
     }
 
-    /// The line without its first words.
+    /// The line without its first `count` words.
     pub(super) fn without(&self, count: usize) -> Line<'a> {
         let words = self.words.iter().skip(count).copied().collect();
         Line { words }
@@ -31,7 +31,7 @@
         self.words.first().copied().unwrap_or("")
     }
 
-    /// The argument at a position; the keyword is at 0.
+    /// The word at a position; the keyword is at 0.
     pub(super) fn argument(&self, position: usize) -> Result<&'a str, Problem> {
         let word = self.words.get(position).copied();
         word.ok_or(Problem::MissingArgument { position })
@@ -42,27 +42,27 @@
         number(self.argument(position)?)
     }
 
-    /// The argument at a position in seconds.
+    /// The argument at a position as a duration, which is written in seconds.
     pub(super) fn duration_at(&self, position: usize) -> Result<Duration, Problem> {
         self.number_at(position).map(duration_from_seconds)
     }
 
-    /// Whether a word is in the line.
+    /// Whether the line contains a flag.
     pub(super) fn has(&self, flag: &str) -> bool {
         self.words.contains(&flag)
     }
 
-    /// The word after a key.
+    /// The value of a key: the word after it.
     pub(super) fn value_of(&self, key: &str) -> Option<&'a str> {
         self.words_after(key).first().copied()
     }
 
-    /// The number after a key.
+    /// The value of a key as a number.
     pub(super) fn number_of(&self, key: &str) -> Result<Option<f64>, Problem> {
         self.value_of(key).map(number).transpose()
     }
 
-    /// The number of seconds after a key.
+    /// The value of a key as a duration, which is written in seconds.
     pub(super) fn duration_of(&self, key: &str) -> Result<Option<Duration>, Problem> {
         let seconds = self.number_of(key)?;
         Ok(seconds.map(duration_from_seconds))
--- a/tests/simulated/script/mod.rs
+++ b/tests/simulated/script/mod.rs
@@ -1,5 +1,5 @@
-//! Scenario scripts. `tests/scenarios/README.md` lists their words; [`parser`] and [`command_parser`] map
-//! them to the terms of the simulation.
+//! Scripts: the content of scenario files. `tests/scenarios/README.md` describes the words that they consist of;
+//! [`parser`] and [`command_parser`] map these to the terms of the simulation.
 
 pub mod command;
 mod command_parser;
@@ -12,46 +12,47 @@
 use super::history::Mark;
 use command::Command;
 
-/// A command and its time.
+/// A command and the time from which it may be executed.
 #[derive(Clone, Debug)]
 pub struct ScheduledCommand {
-    /// When it is carried out, or from when on it may be.
-    pub at: SimTime,
-    /// What is to happen.
+    /// The time of execution; for a command that waits for a takeover, the earliest one.
+    pub not_before: SimTime,
+    /// The command.
     pub command: Command,
 }
 
-/// What the history of a run has to show for the run to count.
+/// A condition on the marks of a run, without which the run fails: a scenario has to bring about what it is
+/// meant to test.
 #[derive(Clone, Copy, Debug)]
 pub enum Expectation {
     /// The mark is never set.
     Never(Mark),
-    /// The mark is set so often.
+    /// The mark is set a minimum number of times within a time range.
     AtLeast {
         /// The mark.
         mark: Mark,
-        /// The least number of times.
+        /// The minimum number of times.
         count: usize,
-        /// The times count from here.
-        from: SimTime,
-        /// The times count to here.
-        to: SimTime,
+        /// Start of the time range, included.
+        range_start: SimTime,
+        /// End of the time range, included.
+        range_end: SimTime,
     },
 }
 
-/// A scenario: a deployment, what happens to it, and what has to come of that.
+/// A scenario: a deployment, the commands to execute, and the expected results.
 #[derive(Clone, Debug)]
 pub struct Script {
-    /// Where the scenario plays.
+    /// The deployment to simulate.
     pub deployment: Deployment,
-    /// What happens when.
+    /// Commands to execute at a given time.
     pub commands: Vec<ScheduledCommand>,
-    /// What happens as soon as a leader has won its term at the given time or later.
+    /// Commands to execute at the first takeover at the given time or later.
     pub takeover_commands: Vec<ScheduledCommand>,
-    /// When all faults are over.
+    /// When the last fault ends.
     pub faults_end_at: SimTime,
     /// When the run ends.
     pub end_at: SimTime,
-    /// What has to have taken place by then.
+    /// What must have happened in the run, and what must not.
     pub expectations: Vec<Expectation>,
 }
--- a/tests/simulated/script/parser.rs
+++ b/tests/simulated/script/parser.rs
@@ -1,4 +1,5 @@
-//! Reads scripts. Their words are known here and in the parser of commands, and nowhere else.
+//! Parses scenario files, except for their commands. Only this module and [`super::command_parser`] know the
+//! words of scenario files.
 
 use super::command_parser::command;
 use super::error::{unknown_word, Problem, ScriptError};
@@ -10,16 +11,16 @@
 };
 use crate::simulated::history::Mark;
 
-/// The team of jobs that name none. It is there, without a limit, if a script lists no teams.
+/// The team of jobs without a `team` argument. It exists, without a limit, if a script lists no teams.
 pub(super) const DEFAULT_TEAM: &str = "t1";
 const DEFAULT_NEXT_TRANSACTION_OPERATIONS: usize = 5;
 const DEFAULT_NEXT_WRITES_PER_SECOND: f64 = 20.0;
 
 impl Script {
-    /// Reads a script.
+    /// Parses the text of a scenario file.
     ///
     /// # Errors
-    /// The first line that has no meaning.
+    /// Returns the first line that is not valid.
     pub fn parse(text: &str) -> Result<Script, ScriptError> {
         let mut script = Script {
             deployment: Deployment::default(),
@@ -33,11 +34,11 @@
             let Some(line) = Line::parse(line) else {
                 continue;
             };
-            let in_line = |problem| ScriptError {
+            let error_in_line = |problem| ScriptError {
                 line_number: index + 1,
                 problem,
             };
-            script.add_statement(&line).map_err(in_line)?;
+            script.add_statement(&line).map_err(error_in_line)?;
         }
         if script.deployment.teams.is_empty() {
             script.deployment.teams.push(Team {
@@ -91,7 +92,7 @@
         let interval = line.duration_at(4)?;
         let command = command(&line.without(5))?;
         let repeated = (0..count).map(|number| ScheduledCommand {
-            at: first + interval * number,
+            not_before: first + interval * number,
             command: command.clone(),
         });
         self.commands.extend(repeated);
@@ -183,20 +184,20 @@
 
 /// `expect MARK COUNT [from T] [to T]`
 fn at_least(line: &Line) -> Result<Expectation, Problem> {
-    let from = line.duration_of("from")?;
-    let to = line.duration_of("to")?;
+    let start = line.duration_of("from")?;
+    let end = line.duration_of("to")?;
     Ok(Expectation::AtLeast {
         mark: mark(line.argument(1)?)?,
         count: line.number_at(2)? as usize,
-        from: from.map_or(SimTime::START, |from| SimTime::START + from),
-        to: to.map_or(SimTime::MAX, |to| SimTime::START + to),
+        range_start: start.map_or(SimTime::START, |start| SimTime::START + start),
+        range_end: end.map_or(SimTime::MAX, |end| SimTime::START + end),
     })
 }
 
 /// `at T COMMAND…` and `takeover-after T COMMAND…`
 fn scheduled_command(line: &Line) -> Result<ScheduledCommand, Problem> {
     Ok(ScheduledCommand {
-        at: time_at(line, 1)?,
+        not_before: time_at(line, 1)?,
         command: command(&line.without(2))?,
     })
 }
--- a/tests/simulated/simulation/commands.rs
+++ b/tests/simulated/simulation/commands.rs
@@ -1,4 +1,4 @@
-//! Carries out the commands of a script.
+//! Executes the commands of a scenario.
 
 use std::time::Duration;
 
@@ -17,15 +17,15 @@
 };
 use crate::simulated::users::PlannedRequest;
 
-/// How long a controller is down when its version is replaced.
+/// How long a controller is down during an upgrade or a rollback.
 const UPGRADE_RESTART_TIME: Duration = Duration::from_secs(2);
-/// Cancellations of one command spread over this time, in milliseconds.
+/// The requests of one [`UserCommand::Cancel`] are spread over this time.
 const CANCELLATION_SPREAD_MS: u64 = 200;
-/// The team of invalid jobs.
+/// The team of the jobs that [`UserCommand::SubmitInvalid`] submits.
 const INVALID_JOB_TEAM: &str = "t1";
 
 impl Simulation {
-    /// Carries out a command now.
+    /// Executes a command now.
     pub(super) fn execute(&mut self, command: Command) {
         self.context.note(format!("{command:?}"));
         match command {
@@ -38,18 +38,19 @@
         }
     }
 
-    fn window(&self, duration: Duration) -> FaultWindow {
+    /// A fault that starts now and lasts for `duration`.
+    fn fault_window(&self, duration: Duration) -> FaultWindow {
         FaultWindow::until(self.context.now() + duration)
     }
 
     fn random_fault(&self, probability: f64, duration: Duration) -> RandomFault {
         RandomFault {
             probability,
-            window: self.window(duration),
+            window: self.fault_window(duration),
         }
     }
 
-    /// The nodes that a selector means now.
+    /// The nodes that a selector refers to at present.
     fn select_nodes(&mut self, selector: NodeSelector) -> Vec<NodeIndex> {
         let leader = self.leadership.leader().unwrap_or(NodeIndex(0));
         let nodes = self.controllers.indices();
@@ -67,7 +68,7 @@
     }
 }
 
-/// Users.
+/// Commands for users.
 impl Simulation {
     fn execute_user_command(&mut self, command: UserCommand) {
         let context = &mut self.context;
@@ -88,10 +89,10 @@
                 count,
                 through,
                 include_waiting,
-                machine_pause,
-            } => self.cancel_jobs(count, through, include_waiting, machine_pause),
+                host_pause,
+            } => self.cancel_jobs(count, through, include_waiting, host_pause),
             UserCommand::PollInBursts { duration } => {
-                let window = self.window(duration);
+                let window = self.fault_window(duration);
                 self.users.poll_in_bursts(window);
             }
             UserCommand::CancelAtCompletion {
@@ -110,7 +111,7 @@
         count: usize,
         through: NodeSelector,
         include_waiting: bool,
-        machine_pause: Duration,
+        host_pause: Duration,
     ) {
         let jobs = self
             .users
@@ -118,18 +119,18 @@
         for job in jobs.into_iter().take(count) {
             let node = self.select_nodes(through).first().copied();
             let spread = self.context.random_millis(0..CANCELLATION_SPREAD_MS);
-            let at = self.context.now() + spread;
+            let sent_at = self.context.now() + spread;
             let context = &mut self.context;
-            PlannedRequest::schedule_through(context, at, job, RequestKind::Cancel, node);
-            if machine_pause > Duration::ZERO {
-                let window = self.window(machine_pause);
+            PlannedRequest::schedule_through(context, sent_at, job, RequestKind::Cancel, node);
+            if host_pause > Duration::ZERO {
+                let window = self.fault_window(host_pause);
                 self.fleet.pause_machines_of(job, window);
             }
         }
     }
 }
 
-/// Controllers.
+/// Commands for controllers.
 impl Simulation {
     fn execute_controller_command(&mut self, command: ControllerCommand) {
         match command {
@@ -194,7 +195,7 @@
         }
     }
 
-    /// The controller's process ends and comes back with that version and its settings.
+    /// Kills the controller's process. It restarts with the given version, and with settings for it.
     fn replace_version(&mut self, node: NodeIndex, version: Version) {
         let settings = self.settings_file(node);
         self.controllers.install(node, version, settings);
@@ -202,7 +203,7 @@
     }
 }
 
-/// Network, key-value store and cloud.
+/// Faults of the network, the key-value store and the cloud.
 impl Simulation {
     fn inject_network_fault(&mut self, fault: NetworkFault) {
         match fault {
@@ -212,7 +213,7 @@
                 duration,
                 holds_messages,
             } => {
-                let window = self.window(duration);
+                let window = self.fault_window(duration);
                 for node in self.select_nodes(nodes) {
                     self.network.partition(Partition {
                         node,
@@ -223,15 +224,15 @@
                 }
             }
             NetworkFault::SeparateZones { duration } => {
-                self.network.separate_zones(self.window(duration));
+                self.network.separate_zones(self.fault_window(duration));
             }
             NetworkFault::IsolateZone { zone, duration } => {
-                let machine_count = self.fleet.machine_count(&zone);
-                self.context.checker_mut().observe_isolation(machine_count);
+                let host_count = self.fleet.machine_count(&zone);
+                self.context.checker_mut().observe_isolation(host_count);
                 self.network.isolate_zone(ZoneIsolation {
                     zone,
                     started_at: self.context.now(),
-                    window: self.window(duration),
+                    window: self.fault_window(duration),
                 });
             }
         }
@@ -240,16 +241,16 @@
     fn inject_store_fault(&mut self, fault: StoreFault) {
         match fault {
             StoreFault::RefuseRequests { nodes, duration } => {
-                let window = self.window(duration);
+                let window = self.fault_window(duration);
                 for node in self.select_nodes(nodes) {
                     self.store.refuse(node, window);
                 }
             }
-            StoreFault::Outage { duration } => self.store.start_outage(self.window(duration)),
+            StoreFault::Outage { duration } => self.store.start_outage(self.fault_window(duration)),
             StoreFault::SlowRequests {
                 max_delay,
                 duration,
-            } => self.store.slow_down(max_delay, self.window(duration)),
+            } => self.store.slow_down(max_delay, self.fault_window(duration)),
             StoreFault::LostAnswers {
                 probability,
                 duration,
@@ -275,7 +276,7 @@
     fn inject_cloud_fault(&mut self, fault: &CloudFault) {
         match fault {
             CloudFault::Outage { duration } => {
-                let window = self.window(*duration);
+                let window = self.fault_window(*duration);
                 self.fleet.cloud_mut().start_outage(window);
             }
             CloudFault::SetBootTime(boot_time) => {
@@ -285,7 +286,7 @@
     }
 }
 
-/// Machines.
+/// Commands for hosts.
 impl Simulation {
     fn execute_host_command(&mut self, command: &HostCommand) {
         match command {
@@ -308,7 +309,7 @@
                 self.fleet.heartbeat_copies_mut().start_late_copies(fault);
             }
             HostCommand::RetainHeartbeats { duration } => {
-                let window = self.window(*duration);
+                let window = self.fault_window(*duration);
                 self.fleet.heartbeat_copies_mut().start_retention(window);
             }
             HostCommand::EndReplicas { probability, end } => {
--- a/tests/simulated/simulation/mod.rs
+++ b/tests/simulated/simulation/mod.rs
@@ -1,4 +1,4 @@
-//! A run of one scenario with one seed: the parts of the simulation, and the loop over its events.
+//! The simulation of one scenario with one seed: it owns the simulated parts and runs the event loop.
 
 mod commands;
 mod routing;
@@ -26,12 +26,14 @@
 use super::users::Users;
 use verdict::RunFailure;
 
-/// How often time passes for machines, and for the store; how often the checker looks.
-const MACHINE_STEP: Duration = Duration::from_millis(50);
-const STORE_STEP: Duration = Duration::from_millis(10);
+/// Interval at which the hosts advance to the present time.
+const HOST_ADVANCE_INTERVAL: Duration = Duration::from_millis(50);
+/// Interval at which the key-value store and the program that embeds the quota library advance.
+const STORE_ADVANCE_INTERVAL: Duration = Duration::from_millis(10);
+/// Interval at which the checker looks for what has not happened in time, and quota records are audited.
 const LIVENESS_CHECK_INTERVAL: Duration = Duration::from_millis(250);
 
-/// A simulation. Each part keeps its own state; what one part does to another goes through here.
+/// A simulation. Each part keeps its own state; all interaction between parts goes through this type.
 pub struct Simulation {
     context: Context,
     deployment: Deployment,
@@ -43,14 +45,14 @@
     embedder: Option<Embedder>,
     leadership: Leadership,
     upgrade: RollingUpgrade,
-    /// Commands that wait for a takeover.
+    /// Commands that wait for a takeover at their time or later.
     takeover_commands: Vec<ScheduledCommand>,
     expectations: Vec<Expectation>,
     end_at: SimTime,
 }
 
 impl Simulation {
-    /// A simulation in which the controllers and the first machines of the scenario have started.
+    /// Creates a simulation in which the controllers and the initial hosts of the scenario have started.
     pub fn new(script: &Script, seed: u64, launcher: Launcher) -> Simulation {
         let deployment = script.deployment.clone();
         let clock = SimClock::default();
@@ -81,7 +83,7 @@
     }
 
     fn start_deployment(&mut self) {
-        // One after the other: those that start early can't reach the late ones yet.
+        // Controllers start one after the other: the first ones can't reach the later ones yet.
         for node in self.deployment.controllers() {
             let settings = self.settings_file(node);
             self.controllers.add(&self.deployment, node, settings);
@@ -103,16 +105,21 @@
     }
 
     fn schedule_commands(&mut self, commands: &[ScheduledCommand]) {
-        for ScheduledCommand { at, command } in commands {
+        for ScheduledCommand {
+            not_before,
+            command,
+        } in commands
+        {
             let command = Box::new(command.clone());
-            self.context.schedule(*at, Event::ScriptCommand(command));
+            self.context
+                .schedule(*not_before, Event::ScriptCommand(command));
         }
     }
 
-    /// Plays the scenario to its end, or to the first violation.
+    /// Runs the scenario to its end, or to the first violation.
     ///
     /// # Errors
-    /// The violations and missed expectations, with the history.
+    /// Returns the violations and unmet expectations, with the end of the history.
     pub fn run(&mut self) -> Result<(), RunFailure> {
         while let Some(event) = self.context.next_event(self.end_at) {
             self.handle(event);
@@ -175,7 +182,7 @@
         }
     }
 
-    /// The machines, and what they deal with.
+    /// The hosts, and the other parts that they interact with.
     fn fleet_and_surroundings(&mut self) -> (&mut Fleet, Surroundings<'_>) {
         let surroundings = Surroundings {
             context: &mut self.context,
@@ -196,7 +203,7 @@
         let (fleet, mut surroundings) = self.fleet_and_surroundings();
         fleet.advance(&mut surroundings);
         self.context
-            .schedule_after(MACHINE_STEP, Event::AdvanceMachines);
+            .schedule_after(HOST_ADVANCE_INTERVAL, Event::AdvanceMachines);
     }
 
     fn advance_store(&mut self) {
@@ -206,7 +213,8 @@
             self.answer_watches();
         }
         self.advance_embedder();
-        self.context.schedule_after(STORE_STEP, Event::AdvanceStore);
+        self.context
+            .schedule_after(STORE_ADVANCE_INTERVAL, Event::AdvanceStore);
     }
 
     fn advance_embedder(&mut self) {
@@ -214,19 +222,22 @@
             return;
         };
         let now = self.context.now();
-        let admitted = embedder.advance(now, self.store.available_service(now));
+        let admission_count = embedder.advance(now, self.store.available_service(now));
         let checker = self.context.checker_mut();
         checker.observe_embedded_work(now, embedder.team(), embedder.used_cpus());
-        for _ in 0..admitted {
+        for _ in 0..admission_count {
             self.context.mark(Mark::EmbedderAdmitted);
         }
     }
 
-    /// Takes in who leads, by the store's records.
+    /// Reads from the store's records who leads, and reacts to changes.
     fn observe_leadership(&mut self) {
         let record = self.store.leader_record();
         let change = self.leadership.update(&record, &self.controllers);
-        if change.replaced.is_some_and(|node| self.could_lead_on(node)) {
+        if change
+            .replaced_leader
+            .is_some_and(|node| self.is_able_to_lead(node))
+        {
             self.context.mark(Mark::NeedlessTakeover);
         }
         if change.is_new_term {
@@ -234,8 +245,8 @@
         }
     }
 
-    /// Whether nothing keeps a node from leading.
-    fn could_lead_on(&self, node: NodeIndex) -> bool {
+    /// Whether a node's process is running and its zone is not isolated.
+    fn is_able_to_lead(&self, node: NodeIndex) -> bool {
         let now = self.context.now();
         let zone = self.network.zone_of(node);
         self.controllers.is_running(node, now) && !self.network.is_isolated(now, zone)
@@ -246,7 +257,7 @@
         let leader = self.leadership.leader();
         if let Some(leader) = leader {
             let version = self.controllers.version(leader);
-            if let Some(mark) = self.leadership.note_version(version) {
+            if let Some(mark) = self.leadership.record_leader_version(version) {
                 self.context.mark(mark);
             }
         }
@@ -256,7 +267,7 @@
         let now = self.context.now();
         let (due, waiting) = std::mem::take(&mut self.takeover_commands)
             .into_iter()
-            .partition(|scheduled| scheduled.at <= now);
+            .partition(|scheduled| scheduled.not_before <= now);
         self.takeover_commands = waiting;
         let due: Vec<ScheduledCommand> = due;
         for scheduled in due {
@@ -278,15 +289,15 @@
             .schedule_after(LIVENESS_CHECK_INTERVAL, Event::CheckLiveness);
     }
 
-    /// Judges what the records say of the teams' limits.
+    /// Checks that the quota records agree with each other and with the allocations.
     fn audit_quota(&mut self) {
         if self.deployment.features.is_empty() {
             return;
         }
-        let all_know_quota = self.upgrade.first_version() == Version::Current
+        let all_support_quota = self.upgrade.first_version() == Version::Current
             && self.controllers.all_run(Version::Current);
-        for difference in quota_audit::differences(self.store.service(), all_know_quota) {
-            self.context.report(Invariant::QuotaAccounts, difference);
+        for discrepancy in quota_audit::discrepancies(self.store.service(), all_support_quota) {
+            self.context.report(Invariant::QuotaAccounts, discrepancy);
         }
     }
 }
--- a/tests/simulated/simulation/routing.rs
+++ b/tests/simulated/simulation/routing.rs
@@ -1,4 +1,4 @@
-//! Messages between controllers and everything else.
+//! Routes messages between controllers and the other simulated parts.
 
 use std::time::Duration;
 
@@ -19,8 +19,9 @@
 use crate::simulated::users::{Membership, PlannedRequest};
 use crate::simulated::worker::{HeartbeatId, MachineSpec};
 
-/// Time that a call to the cloud takes, in milliseconds, beside the latency of the network.
+/// The least time that a call to the cloud takes, in addition to the network latency.
 const CLOUD_CALL_DELAY: Duration = Duration::from_millis(50);
+/// Calls to the cloud take up to this much longer than [`CLOUD_CALL_DELAY`], at random.
 const CLOUD_CALL_SPREAD_MS: u64 = 100;
 
 /// Running controllers.
@@ -121,11 +122,11 @@
             call: call.id,
         };
         self.network.open_call(handle);
-        let timed_out = Event::ControllerReply {
+        let timeout = Event::ControllerReply {
             call: handle,
             result: Err(CallError::Lost),
         };
-        self.context.schedule_after(call.timeout, timed_out);
+        self.context.schedule_after(call.timeout, timeout);
         let latency = self.context.network_latency();
         let address = call.to.to_string();
         if address == STORE_ADDRESS {
@@ -134,9 +135,9 @@
             self.call_cloud(handle, call, latency);
         } else if let Some(peer) = self.controllers.find_by_internal_address(call.to) {
             self.call_controller(handle, call, peer, latency);
-        } else if let Some(machine) = self.fleet.find_by_address(&address) {
-            let machine = machine.clone();
-            self.call_worker(handle, &call, machine, latency);
+        } else if let Some(host_spec) = self.fleet.find_by_address(&address) {
+            let host_spec = host_spec.clone();
+            self.call_worker(handle, &call, host_spec, latency);
         }
     }
 
@@ -193,16 +194,16 @@
         &mut self,
         handle: CallHandle,
         call: &OutgoingCall,
-        machine: MachineSpec,
+        host_spec: MachineSpec,
         latency: Duration,
     ) {
         let arrival = Event::WorkerCommand {
-            host: machine.host,
+            host: host_spec.host,
             call: handle,
             command: decode(&call.body).unwrap_or(Value::Null),
         };
         let remote = RemoteEnd::Worker {
-            zone: &machine.zone,
+            zone: &host_spec.zone,
         };
         let node = handle.process.node;
         self.network
@@ -234,7 +235,7 @@
         users.send(context, network, planned, balanced);
     }
 
-    /// Without a response the user no longer waits for one.
+    /// Passes a response to the user. `None` means that the request has timed out.
     pub(super) fn deliver_to_user(&mut self, request: RequestId, response: Option<Response>) {
         let membership = Membership {
             controller_count: self.controllers.count(),
--- a/tests/simulated/simulation/verdict.rs
+++ b/tests/simulated/simulation/verdict.rs
@@ -1,4 +1,4 @@
-//! The verdict on a run: what must hold at its end, and what must have taken place.
+//! The result of a run: the checks at its end, and whether the expectations of the scenario were met.
 
 use std::fmt;
 
@@ -7,17 +7,17 @@
 use crate::simulated::clock::SimTime;
 use crate::simulated::script::Expectation;
 
-/// How much of the history a failure shows.
+/// Number of history lines that are printed for a failed run.
 const SHOWN_HISTORY_LINES: usize = 150;
-/// Where the store holds the records of work that is not over.
-const RECORDS_OF_OPEN_WORK: [&str; 2] = ["run/", "live/"];
+/// Key prefixes of the records of open jobs. At the end of a scenario none may be left.
+const OPEN_JOB_PREFIXES: [&str; 2] = ["run/", "live/"];
 
 /// Why a run failed.
 #[derive(Debug)]
 pub struct RunFailure {
     violations: Vec<Violation>,
     unmet_expectations: Vec<String>,
-    /// The last lines of the history.
+    /// The last lines of the run's history.
     history: Vec<String>,
     fingerprint: u64,
 }
@@ -31,7 +31,10 @@
             writeln!(formatter, "{violation}")?;
         }
         for expectation in &self.unmet_expectations {
-            writeln!(formatter, "the scenario was missed: {expectation}")?;
+            writeln!(
+                formatter,
+                "expectation of the scenario not met: {expectation}"
+            )?;
         }
         write!(
             formatter,
@@ -44,10 +47,10 @@
 impl Simulation {
     pub(super) fn check_end(&mut self) {
         self.context.checker_mut().check_end(self.end_at);
-        for prefix in RECORDS_OF_OPEN_WORK {
+        for prefix in OPEN_JOB_PREFIXES {
             let count = self.store.service().key_count(prefix);
             if count > 0 {
-                let details = format!("{count} records under {prefix} are left");
+                let details = format!("{count} records with the prefix {prefix} are left");
                 self.context.report(Invariant::RecordsAreCollected, details);
             }
         }
@@ -73,16 +76,17 @@
         let unmet = |expectation: &Expectation| match *expectation {
             Expectation::Never(mark) => {
                 let seen = history.count(mark, SimTime::START, SimTime::MAX);
-                (seen > 0).then(|| format!("{mark:?} took place {seen} times"))
+                (seen > 0).then(|| format!("{mark:?} occurred {seen} times, expected never"))
             }
             Expectation::AtLeast {
                 mark,
                 count,
-                from,
-                to,
+                range_start,
+                range_end,
             } => {
-                let seen = history.count(mark, from, to);
-                (seen < count).then(|| format!("{mark:?} took place {seen} times, not {count}"))
+                let seen = history.count(mark, range_start, range_end);
+                (seen < count)
+                    .then(|| format!("{mark:?} occurred {seen} times, expected at least {count}"))
             }
         };
         self.expectations.iter().filter_map(unmet).collect()
--- a/tests/simulation_checker.rs
+++ b/tests/simulation_checker.rs
@@ -1,4 +1,4 @@
-//! The checker of the simulation reports each kind of violation, and none in a correct history.
+//! Tests of the simulation's checker: it reports each kind of violation, and none in a correct run.
 
 #[allow(dead_code, reason = "the cluster test uses the rest of the simulation")]
 mod simulated;
@@ -17,7 +17,8 @@
 const CANCELLATION_DEADLINE: Duration = Duration::from_secs(40);
 const FAULTS_END_MS: u64 = 50_000;
 
-/// A checker with one planned job, machines m1 and m2 in zone a, and m3 in zone b. Times are milliseconds.
+/// A checker that has observed one planned job, hosts m1 and m2 in zone a, and m3 in zone b; m2 is a spot host.
+/// All times are in milliseconds.
 struct History {
     checker: Checker,
 }
@@ -39,11 +40,12 @@
 }
 
 impl History {
-    /// The job has two tasks of 2 CPUs, which is all that its team may use.
+    /// With a job of two tasks of 2 CPUs each, which together use all of its team's limit.
     fn new() -> History {
         History::with_job(|_| ())
     }
 
+    /// Like [`History::new`], with a change to the job.
     fn with_job(change: impl Fn(&mut JobSpec)) -> History {
         let mut spec = job_spec();
         change(&mut spec);
@@ -90,6 +92,7 @@
         self.request(10, RequestKind::Submit, JobAnswer::Open);
     }
 
+    /// A user cancels the job and is told so at 40 ms.
     fn cancel(&mut self) {
         self.observe(30, Observation::CancellationRequested(JOB));
         self.request(40, RequestKind::Cancel, JobAnswer::Cancelled);
@@ -122,19 +125,20 @@
         self.observe(0, Observation::JobPlanned { job, spec });
     }
 
-    /// The leader gives up `released` of an isolated zone, of which `machines` hold a task of the job each.
-    fn release(&mut self, at: u64, released: &str, machines: &[&str]) {
+    /// The leader releases a host of an isolated zone; each of `zone_hosts` holds a task of the job.
+    fn release(&mut self, at: u64, released: &str, zone_hosts: &[&str]) {
         let task = HeldTask {
             task: TaskId { job: JOB, index: 0 },
             has_ended: false,
         };
-        let machines: BTreeMap<String, Vec<HeldTask>> = machines
+        let zone_hosts: BTreeMap<String, Vec<HeldTask>> = zone_hosts
             .iter()
             .map(|host| ((*host).to_owned(), vec![task]))
             .collect();
         let now = SimTime::from_millis(at);
         let released = [released.to_owned()];
-        self.checker.observe_zone_release(now, &released, &machines);
+        self.checker
+            .observe_zone_release(now, &released, &zone_hosts);
     }
 
     /// Polls the job each second, checks liveness half a second later, and expects no violation.
@@ -165,13 +169,16 @@
     #[track_caller]
     fn expect_violation(&self, expected: Invariant) {
         let violations = self.checker.violations();
-        let invariants: Vec<Invariant> = violations.iter().map(|v| v.invariant).collect();
+        let invariants: Vec<Invariant> = violations
+            .iter()
+            .map(|violation| violation.invariant)
+            .collect();
         assert_eq!(invariants, [expected], "{violations:?}");
     }
 }
 
 #[test]
-fn a_correct_history_violates_nothing() {
+fn a_correct_run_violates_nothing() {
     let mut history = History::new();
     history.accept();
     history.start_task(20, "m1", 0);
@@ -187,7 +194,7 @@
 }
 
 #[test]
-fn a_task_on_two_machines_is_reported() {
+fn a_task_on_two_hosts_is_reported() {
     let mut history = History::new();
     history.start_task(20, "m1", 0);
     history.start_task(30, "m2", 0);
@@ -210,7 +217,7 @@
 }
 
 #[test]
-fn a_task_on_an_unwanted_spot_machine_is_reported() {
+fn a_task_on_an_unwanted_spot_host_is_reported() {
     let mut history = History::with_job(|job| job.allows_spot = false);
     history.start_task(20, "m2", 0);
     history.expect_violation(Invariant::Placement);
@@ -233,7 +240,7 @@
 }
 
 #[test]
-fn cancelled_work_that_outlives_its_deadline_is_reported() {
+fn a_cancelled_task_that_outlives_its_deadline_is_reported() {
     let mut history = History::new();
     history.start_task(20, "m1", 0);
     history.cancel();
@@ -244,7 +251,7 @@
 }
 
 #[test]
-fn cancelled_work_that_starts_after_its_deadline_is_reported() {
+fn a_cancelled_task_that_starts_after_its_deadline_is_reported() {
     let mut history = History::new();
     history.cancel();
     history.start_task(40_041, "m1", 0);
@@ -337,7 +344,7 @@
 }
 
 #[test]
-fn a_task_that_waits_beside_a_free_machine_is_reported() {
+fn a_task_that_waits_despite_free_capacity_is_reported() {
     let mut history = History::new();
     history.accept();
     history.poll_without_violation(0..141);
@@ -346,7 +353,7 @@
 }
 
 #[test]
-fn a_task_may_wait_for_room_in_its_zone() {
+fn a_task_may_wait_for_capacity_in_its_zone() {
     let mut history = History::with_job(|job| job.zone = Some("c".into()));
     history.accept();
     history.poll_without_violation(0..170);
@@ -368,7 +375,8 @@
 fn too_many_releases_in_an_isolated_zone_are_reported() {
     let mut history = History::new();
     history.checker.observe_isolation(1);
-    // A new leader's two bursts of two, six within a minute, and one in excess.
+    // The budget for one minute: two bursts of two hosts, as a leader may have taken over, six hosts at the
+    // steady rate, and one for a host that fails by itself.
     for second in 0..11 {
         history.release(second * 1000, "m1", &["m1"]);
     }
@@ -389,7 +397,7 @@
 }
 
 #[test]
-fn a_release_before_that_of_urgent_work_is_reported() {
+fn a_release_before_that_of_a_host_with_urgent_tasks_is_reported() {
     let mut history = History::new();
     let urgent_job = JobId(2);
     history.plan_urgent_job(urgent_job);
@@ -399,16 +407,18 @@
             has_ended: false,
         }]
     };
-    let machines = BTreeMap::from([
+    let zone_hosts = BTreeMap::from([
         ("m1".to_owned(), held(JOB)),
         ("m2".to_owned(), held(urgent_job)),
     ]);
     let now = SimTime::from_millis(1000);
     let both = ["m1".to_owned(), "m2".to_owned()];
-    history.checker.observe_zone_release(now, &both, &machines);
+    history
+        .checker
+        .observe_zone_release(now, &both, &zone_hosts);
     history.expect_no_violation();
     history
         .checker
-        .observe_zone_release(now, &both[..1], &machines);
+        .observe_zone_release(now, &both[..1], &zone_hosts);
     history.expect_violation(Invariant::ZoneRelease);
 }
