--- a/tests/simulated/script/command_parser.rs
+++ b/tests/simulated/script/command_parser.rs
@@ -1,9 +1,9 @@
-//! Reads the commands of scripts.
+//! Parses the commands of scenario files.
 
 use std::time::Duration;
 
 use super::command::{
-    CloudFault, Command, ControllerCommand, LinkKind, MachineCommand, MachineFault, NetworkFault,
+    CloudFault, Command, ControllerCommand, HostCommand, HostFault, LinkKind, NetworkFault,
     NodeSelector, ReplicaEnd, StoreFault, UpgradeOrder, UserCommand,
 };
 use super::error::{unknown_word, Problem};
@@ -16,7 +16,7 @@
 const DEFAULT_RESTART_AFTER: Duration = Duration::from_secs(3);
 const DEFAULT_UPGRADE_INTERVAL: Duration = Duration::from_secs(10);
 
-/// Reads a command, without its time.
+/// Parses a command, without the time at which it is executed.
 pub(super) fn command(line: &Line) -> Result<Command, Problem> {
     if let Some(command) = user_command(line)? {
         return Ok(Command::Users(command));
@@ -33,8 +33,8 @@
     if let Some(fault) = cloud_fault(line)? {
         return Ok(Command::Cloud(fault));
     }
-    if let Some(command) = machine_command(line)? {
-        return Ok(Command::Machines(command));
+    if let Some(command) = host_command(line)? {
+        return Ok(Command::Hosts(command));
     }
     Err(Problem::UnknownKeyword(line.keyword().to_owned()))
 }
@@ -59,7 +59,7 @@
             count: line.number_at(1)? as usize,
             through: node_selector(line.value_of("through").unwrap_or("other"))?,
             include_waiting: line.has("any"),
-            machine_pause: line.duration_of("hang")?.unwrap_or(Duration::ZERO),
+            host_pause: line.duration_of("hang")?.unwrap_or(Duration::ZERO),
         },
         "looks" => UserCommand::PollInBursts {
             duration: duration(line)?,
@@ -162,7 +162,7 @@
         "peers" => Ok(LinkKind::Controllers),
         "workers" => Ok(LinkKind::Workers),
         "users" => Ok(LinkKind::Users),
-        other => Err(unknown_word("kind of link", other)),
+        other => Err(unknown_word("link kind", other)),
     }
 }
 
@@ -203,21 +203,21 @@
     Ok(Some(parsed))
 }
 
-fn machine_command(line: &Line) -> Result<Option<MachineCommand>, Problem> {
+fn host_command(line: &Line) -> Result<Option<HostCommand>, Problem> {
     let duration = duration(line)?;
     let parsed = match line.keyword() {
-        "machines" => MachineCommand::Fault {
-            fault: machine_fault(line.argument(1)?)?,
+        "machines" => HostCommand::Fault {
+            fault: host_fault(line.argument(1)?)?,
             probability: line.number_of("share")?.unwrap_or(1.0),
             zone: line.value_of("zone").map(str::to_owned),
             duration,
         },
-        "late-reports" => MachineCommand::LateHeartbeats {
+        "late-reports" => HostCommand::LateHeartbeats {
             probability: line.number_at(1)?,
             duration,
         },
-        "keep-reports" => MachineCommand::RetainHeartbeats { duration },
-        "end-replicas" => MachineCommand::EndReplicas {
+        "keep-reports" => HostCommand::RetainHeartbeats { duration },
+        "end-replicas" => HostCommand::EndReplicas {
             probability: line.number_at(1)?,
             end: if line.has("error") {
                 ReplicaEnd::Failed
@@ -230,16 +230,16 @@
     Ok(Some(parsed))
 }
 
-fn machine_fault(word: &str) -> Result<MachineFault, Problem> {
+fn host_fault(word: &str) -> Result<HostFault, Problem> {
     match word {
-        "hang" => Ok(MachineFault::Pause),
-        "deaf" => Ok(MachineFault::InboundLoss),
-        "mute" => Ok(MachineFault::OutboundLoss),
-        "cut" => Ok(MachineFault::Isolation),
-        "die" => Ok(MachineFault::Crash),
-        "notice" => Ok(MachineFault::PreemptionNotice),
-        "sick" => Ok(MachineFault::FailingTasks),
-        other => Err(unknown_word("fault of machines", other)),
+        "hang" => Ok(HostFault::Pause),
+        "deaf" => Ok(HostFault::InboundLoss),
+        "mute" => Ok(HostFault::OutboundLoss),
+        "cut" => Ok(HostFault::Isolation),
+        "die" => Ok(HostFault::Crash),
+        "notice" => Ok(HostFault::PreemptionNotice),
+        "sick" => Ok(HostFault::FailingTasks),
+        other => Err(unknown_word("host fault", other)),
     }
 }
 
@@ -250,6 +250,6 @@
         "others" => Ok(NodeSelector::AllFollowers),
         "confirmer" => Ok(NodeSelector::LastConfirmer),
         "all" => Ok(NodeSelector::All),
-        other => Err(unknown_word("choice of nodes", other)),
+        other => Err(unknown_word("node selector", other)),
     }
 }
