--- a/tests/budget.rs
+++ b/tests/budget.rs
@@ -64,8 +64,8 @@
     waits_ms
 }
 
-/// A backlog of submissions and records of the leader, beyond both rate limits, used to leave status queries
-/// unanswered as long as it lasted, and their jobs counted as lost.
+/// While there was a backlog of submissions and records of the leader beyond both rate limits, status queries used to
+/// get no response, and their jobs counted as lost.
 #[test]
 fn status_queries_are_sent_beside_a_backlog_of_writes() {
     let mut store = StoreClient::new(40.0, 12.0);
@@ -145,8 +145,8 @@
     );
 }
 
-/// Three nodes that each used half of a rate limit exceeded it together, and lease renewals were refused with
-/// everything else. The rates that nodes use settle within the limit, and a node that is the only one with demand
+/// Three nodes that each used half of a rate limit exceeded it together, and the state service refused their requests,
+/// lease renewals included. The nodes' rates have to settle within the limit, and a node that is the only one with demand
 /// gets all of it.
 #[test]
 fn nodes_share_a_rate_limit_by_their_demand() {
--- a/tests/leadership.rs
+++ b/tests/leadership.rs
@@ -144,8 +144,8 @@
     assert_eq!(action, Some(ElectionAction::StepDown));
 }
 
-/// A restarted process must not take the leader's record of its earlier process for its own, but may end that lease at
-/// once.
+/// A restarted process must not take the leader's record of the node's earlier process for its own, but may end that
+/// process's lease at once.
 #[test]
 fn a_restarted_process_ends_the_lease_of_its_earlier_process() {
     let mut election = follower("n0", 2);
@@ -241,7 +241,7 @@
     );
 }
 
-/// A node that is badly placed claims a free key after its campaign delay and no later.
+/// A node that is badly placed to lead claims the free key once its campaign delay has passed, neither earlier nor later.
 #[test]
 fn the_campaign_delay_postpones_the_claim() {
     let mut election = follower("n0", 1);
@@ -260,8 +260,8 @@
     );
 }
 
-/// A node may answer workers on behalf of a leader that it cannot reach only if the state service has recently
-/// confirmed that leader; after that the fencing token may be outdated.
+/// A node may respond to workers on behalf of a leader that it cannot reach only if the state service has recently
+/// confirmed that leader; later the fencing token may be outdated.
 #[test]
 fn a_confirmation_of_the_leader_expires() {
     let mut election = follower("n0", 1);
@@ -277,10 +277,10 @@
     assert_eq!(election.confirmed_leader(Time(3400)), None);
 }
 
-/// While the state service does not respond, the node waits for the response or for its timeout. An event loop that
-/// instead turned a hundred thousand times a second used up the node's CPU share and delayed its responses to workers.
+/// While the state service does not respond, the node waits for the response or for the timeout. An event loop that
+/// instead woke up a hundred thousand times a second used up the node's CPU share and delayed its responses to workers.
 #[test]
-fn a_request_in_flight_is_waited_for() {
+fn a_request_in_flight_is_awaited() {
     let mut election = follower("n0", 1);
     assert_eq!(election.tick(Time(1000)), Some(ElectionAction::ReadRecords));
     let wakeup_at = election.next_wakeup();
@@ -337,8 +337,8 @@
     assert!(election.is_lease_valid(Time(4000)));
 }
 
-/// After the leadership was given up, a read in flight may still show the own key: the ended lease must not count as
-/// valid, and the outcome of its renewal must not count for a later lease.
+/// After a node has resigned, a read in flight may still show its own key: the ended lease must not count as valid, and
+/// the outcome of a renewal of it must not count for a later lease.
 #[test]
 fn an_ended_lease_is_not_valid() {
     let mut election = leader();
--- a/tests/quota_leader.rs
+++ b/tests/quota_leader.rs
@@ -45,7 +45,7 @@
     }
 }
 
-fn job_record(number: u64, team: &str, tasks: u64) -> JobRecord {
+fn job_record(number: u64, team: &str, task_count: u64) -> JobRecord {
     JobRecord {
         spec: JobSpec {
             id: JobId(number),
@@ -53,7 +53,7 @@
             team: team.into(),
             kind: JobKind::Array,
             priority: Priority::Normal,
-            task_count: tasks,
+            task_count,
             cpus: Amount(2.0),
             gpus: Amount(0.0),
             memory_gb: Amount(1.0),
@@ -110,7 +110,8 @@
         harness
     }
 
-    /// The host sends a heartbeat in which all allocated tasks run, and the leader decides.
+    /// The host sends a heartbeat in which all allocated tasks run, and the leader makes its decisions. Returns the
+    /// commands of the response.
     fn send_heartbeat(&mut self) -> Vec<Command> {
         self.now = Time(self.now.0 + 3000);
         self.heartbeat_sequence += 1;
@@ -179,10 +180,10 @@
         committed
     }
 
-    fn submit(&mut self, number: u64, team: &str, tasks: u64) {
+    fn submit(&mut self, number: u64, team: &str, task_count: u64) {
         self.store_revision += 1;
         self.leader.on_job(
-            job_record(number, team, tasks),
+            job_record(number, team, task_count),
             Version(self.store_revision),
         );
     }
@@ -244,8 +245,8 @@
     assert_eq!(harness.allocated_count(2), 1);
 }
 
-/// Tasks of the same priority that another team runs beyond its guarantee are stopped for tasks within a guarantee, and
-/// no more of them than needed.
+/// For tasks within a team's guarantee, tasks of the same priority that another team runs beyond its own guarantee are
+/// stopped, and no more of them than needed.
 #[test]
 fn borrowed_work_is_preempted_for_a_guarantee() {
     let mut harness = Harness::new();
--- a/tests/record_split.rs
+++ b/tests/record_split.rs
@@ -28,7 +28,7 @@
 const OLD_TASKS_PER_RECORD: u32 = 256;
 const NOW: Time = Time(10_000);
 
-/// By task: the number of its current attempt and the host, or the number of its last attempt and no host.
+/// For each task the number of its current attempt and the host, or the number of its last attempt and no host.
 type TaskAttempts = BTreeMap<u32, (u64, Option<String>)>;
 
 fn host_name(index: u32) -> HostName {
@@ -71,14 +71,14 @@
         max_value_bytes: 16 * 1024,
         max_changes: 16,
     });
-    let description = JobRecord {
+    let job_record = JobRecord {
         spec: spec(),
         submitted_at_ms: 1000,
         tasks_per_record: OLD_TASKS_PER_RECORD,
     };
     let mut changes = vec![
         put("lead/holder", map(vec![])),
-        put(&records::live_key(JOB), value(&description)),
+        put(&records::live_key(JOB), value(&job_record)),
     ];
     for number in 0..2 {
         let first = number * OLD_TASKS_PER_RECORD;
@@ -173,7 +173,7 @@
     let mut leader = Leader::new(Term(5), Version(leader_key_version), policy(), types, NOW);
     leader.set_lease_valid_until(Time(u64::MAX));
     for (_, data, version) in list_items(store, "live/") {
-        let record: JobRecord = data.deserialized().expect("a description");
+        let record: JobRecord = data.deserialized().expect("a job record");
         leader.on_job(record, Version(version));
     }
     for (key, data, version) in list_items(store, "run/") {
@@ -202,22 +202,22 @@
     attempts
 }
 
-/// The attempts that a leader of the version in production would read: the number of tasks per record in the job's
-/// description says which records are in force.
+/// The attempts that a leader of the version in production would read. The number of tasks per record in the job's record
+/// determines which run records are valid: those with higher numbers are ignored.
 fn attempts_in_records(store: &mut InMemoryStore) -> TaskAttempts {
-    let description: JobRecord = list_items(store, "live/")[0]
+    let job_record: JobRecord = list_items(store, "live/")[0]
         .1
         .deserialized()
-        .expect("a description");
+        .expect("a job record");
     let mut attempts = TaskAttempts::new();
     for (key, data, _) in list_items(store, "run/") {
         let RunRecordId { number, .. } =
             records::parse_run_key(&key).expect("the key of a run record");
-        if number >= TASK_COUNT.div_ceil(description.tasks_per_record) {
+        if number >= TASK_COUNT.div_ceil(job_record.tasks_per_record) {
             continue;
         }
         let record: RunRecord = data.deserialized().expect("a run record");
-        let first = number * description.tasks_per_record;
+        let first = number * job_record.tasks_per_record;
         for entry in record.attempted {
             attempts.insert(first + entry.offset, (entry.last_attempt.0, None));
         }
@@ -264,7 +264,7 @@
 
 /// Commits the leader's next batch; false if there is none. The store must not refuse any.
 fn commit_next_batch(leader: &mut Leader, store: &mut InMemoryStore) -> bool {
-    // A call that finds a record above the size limit may return no batch; the next one begins to split it.
+    // A call that finds a record above the size limit may return no batch; the next call begins to split that record.
     let batch = leader.next_batch(5, true);
     let batch = batch.or_else(|| leader.next_batch(5, true));
     let Some(txn) = batch else {
@@ -316,12 +316,12 @@
             assert_kept(&attempts_in_records(&mut store));
         }
         assert_kept(&attempts_of_leader(&next_leader));
-        let description: JobRecord = list_items(&mut store, "live/")[0]
+        let job_record: JobRecord = list_items(&mut store, "live/")[0]
             .1
             .deserialized()
-            .expect("a description");
+            .expect("a job record");
         assert!(
-            description.tasks_per_record < OLD_TASKS_PER_RECORD,
+            job_record.tasks_per_record < OLD_TASKS_PER_RECORD,
             "after {steps_of_first_leader} steps"
         );
         for (key, data, _) in list_items(&mut store, "run/") {
--- a/tests/size.rs
+++ b/tests/size.rs
@@ -1,5 +1,5 @@
 //! A job with as many tasks as the protocol allows: every record and transaction stays within the state service's
-//! limits, a new leader completes what the one before began, and only the outcome is left in the store.
+//! limits, a new leader completes the job that its predecessor began, and only the outcome is left in the store.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -63,7 +63,7 @@
             max_gpus: None,
         }],
         tuning: Tuning {
-            // No host is returned as idle during the test.
+            // No host is released as idle during the test.
             idle_release_s: 86_400.0,
             ..Tuning::default()
         },
@@ -268,7 +268,7 @@
         );
         now = now.after(Duration::from_millis(500));
         if round_count == 120 {
-            // The leader fails in the middle of the job, with whatever it had in flight.
+            // The leader fails in the middle of the job, and whatever it had in flight is lost.
             assert!(
                 leader.cluster().jobs()[&JOB].done_count > 1000
                     && leader.cluster().jobs()[&JOB].allocated_count > 0
--- a/tests/versions.rs
+++ b/tests/versions.rs
@@ -1,6 +1,6 @@
-//! Compatibility of versions that run side by side in a rolling upgrade: this version reads what earlier versions sent and
-//! stored, and they can read what it writes. `tests/versions/` holds bytes of earlier versions; its README describes how
-//! they were recorded.
+//! Compatibility of versions that run side by side in a rolling upgrade: this version can read what earlier versions send
+//! and store, and they can read what it writes. `tests/versions/` holds recorded bytes of earlier versions; its README
+//! describes how they were recorded.
 
 use borsh::{BorshDeserialize, BorshSerialize};
 use ciborium::Value;
@@ -115,9 +115,9 @@
     extended.push(0);
     let result = peers::decode::<PeerHeartbeat>(&extended);
     assert_eq!(result, Err(DecodeError::TrailingBytes(1)));
-    for cut in 0..HEARTBEAT_BYTES.len() {
-        let result = peers::decode::<PeerHeartbeat>(&HEARTBEAT_BYTES[..cut]);
-        assert!(matches!(result, Err(DecodeError::Malformed(_))), "{cut}");
+    for length in 0..HEARTBEAT_BYTES.len() {
+        let result = peers::decode::<PeerHeartbeat>(&HEARTBEAT_BYTES[..length]);
+        assert!(matches!(result, Err(DecodeError::Malformed(_))), "{length}");
     }
     assert!(peers::decode::<RelayedRequest>(b"\x09\0\0\0\0").is_err());
     assert!(peers::decode::<CancelledJobs>(b"\xff\xff\xff\xff").is_err());
@@ -163,7 +163,7 @@
     chunk: u32,
 }
 
-/// Fields of a job specification by their stored names.
+/// Fields of a job specification, by their stored names.
 type SpecFields = std::collections::BTreeMap<String, Value>;
 
 /// The value that is stored for a record in JSON.
@@ -381,8 +381,8 @@
 #[test]
 fn truncated_extended_and_random_input_is_an_error() {
     fn check<T: borsh::BorshDeserialize + Debug>(bytes: &[u8], random: &mut fastrand::Rng) {
-        for cut in 0..bytes.len() {
-            let result = peers::decode::<T>(&bytes[..cut]);
+        for length in 0..bytes.len() {
+            let result = peers::decode::<T>(&bytes[..length]);
             assert!(
                 matches!(result, Err(DecodeError::Malformed(_))),
                 "{result:?}"
@@ -421,8 +421,8 @@
 }
 
 fn check_record(bytes: &[u8], random: &mut fastrand::Rng) {
-    for cut in 0..bytes.len() {
-        assert!(decode::<Value>(&bytes[..cut]).is_err());
+    for length in 0..bytes.len() {
+        assert!(decode::<Value>(&bytes[..length]).is_err());
     }
     assert!(decode::<Value>(&[bytes, &[0]].concat()).is_err());
     for _ in 0..200 {
@@ -461,18 +461,18 @@
         1_700_000_000_000
     }
 
-    fn respond(&mut self, conn: ConnectionId, response: &Response) {
-        let sent_response = (conn.serial, response.status);
+    fn respond(&mut self, connection: ConnectionId, response: &Response) {
+        let sent_response = (connection.serial, response.status);
         self.0.borrow_mut().responses.push(sent_response);
     }
 
     fn call(
         &mut self,
-        _to: SocketAddr,
+        _server: SocketAddr,
         _method: &str,
         target: &str,
         _body: &[u8],
-        _limit: Duration,
+        _timeout: Duration,
     ) -> CallId {
         let request_paths = &mut self.0.borrow_mut().request_paths;
         request_paths.push(target.to_owned());
--- a/tests/zones_leader.rs
+++ b/tests/zones_leader.rs
@@ -249,7 +249,7 @@
 const ZONES_ENABLED: &str = "zones: {enabled: true}";
 
 /// The displacement budget of a zone with eight hosts is two hosts at once and six per minute. Hosts with urgent tasks use
-/// it first, as their tasks lose most by waiting.
+/// it first, as a delay costs their tasks most.
 #[test]
 fn hosts_with_urgent_tasks_are_released_first_and_within_the_budget() {
     let mut simulation = LeaderSimulation::new(ZONES_ENABLED);
@@ -295,8 +295,8 @@
     assert_eq!(simulation.released_hosts.len(), HOSTS_PER_ZONE as usize);
 }
 
-/// An allocation ends only when that is proven: a task is placed again only after the cloud has confirmed the release of
-/// its host. Otherwise two attempts at it could run at the same time.
+/// An allocation ends only when its task has provably ended: the task is placed again only after the cloud has confirmed
+/// the release of its host. Otherwise two attempts at it could run at the same time.
 #[test]
 fn displaced_tasks_wait_for_the_confirmed_release_of_their_host() {
     let mut simulation = LeaderSimulation::new(ZONES_ENABLED);
@@ -345,7 +345,7 @@
 }
 
 #[test]
-fn nothing_is_rented_in_a_lost_zone() {
+fn nothing_is_provisioned_in_a_lost_zone() {
     let mut simulation = LeaderSimulation::new(ZONES_ENABLED);
     simulation.fill_zones();
     simulation.partitioned_zones.push("b");
@@ -400,7 +400,7 @@
 /// Hosts in a partitioned zone cannot send heartbeats to a new leader, even if the cloud lists them as running. The leader
 /// must not conclude that they never booted, and release them early.
 #[test]
-fn a_new_leader_does_not_take_machines_of_a_cut_zone_for_unbooted() {
+fn a_new_leader_does_not_take_hosts_of_a_partitioned_zone_for_unbooted() {
     let mut simulation = LeaderSimulation::new("");
     simulation.partitioned_zones.push("b");
     simulation.zones_without_peer.push("b".to_owned());
