--- a/tests/upgrade/src/lib.rs
+++ b/tests/upgrade/src/lib.rs
@@ -1,1 +1,1 @@
-//! Rolling upgrades with the code of earlier versions; all of it is in `tests/`.
+//! Tests of rolling upgrades with the code of earlier versions. The tests are in `tests/`; this library is empty.
--- a/tests/upgrade/tests/rollout.rs
+++ b/tests/upgrade/tests/rollout.rs
@@ -1,6 +1,6 @@
-//! Rolling upgrades, played by controllers that really run two versions of the service, in one
-//! simulation. The checker judges every event as it happens: no job is lost, no task runs on two machines,
-//! no answer is older than one given before. A failure prints the seed and the history of the run.
+//! Rolling upgrades in one simulation, in which the controllers run the real code of two versions of the service. The
+//! checker judges every event as it happens: no job is lost, no task runs on two hosts at the same time, no answer is older
+//! than one given before. A failure prints the seed and the history of the run.
 
 #[path = "../../simulated/mod.rs"]
 #[allow(dead_code, reason = "the cluster test uses the rest of the simulation")]
@@ -11,7 +11,7 @@
 use std::ops::Range;
 use std::path::{Path, PathBuf};
 
-/// Defines the launcher of an earlier version: its node behind the interface of the simulation.
+/// Defines a module that launches nodes of an earlier version, and adapts them to the interfaces of the simulation.
 macro_rules! earlier_version {
     ($module:ident, $service:ident) => {
         mod $module {
@@ -25,7 +25,7 @@
             use $service::transport as earlier;
             use $service::types::Time;
 
-            /// The earlier version's network, on the transport of the simulation.
+            /// Implements the earlier version's `Network` with the transport of the simulation.
             struct TransportAdapter(SimTransport);
 
             impl earlier::Network for TransportAdapter {
@@ -38,7 +38,7 @@
                 }
 
                 fn respond(&mut self, conn: earlier::ConnId, response: &earlier::Response) {
-                    let conn = current::ConnectionId {
+                    let connection = current::ConnectionId {
                         slot: conn.slot,
                         serial: conn.serial,
                     };
@@ -48,23 +48,23 @@
                         retry_after: response.retry_after,
                         close: response.close,
                     };
-                    self.0.send_response(conn, response);
+                    self.0.send_response(connection, response);
                 }
 
                 fn call(
                     &mut self,
-                    to: SocketAddr,
+                    server: SocketAddr,
                     method: &str,
                     target: &str,
                     body: &[u8],
-                    limit: Duration,
+                    timeout: Duration,
                 ) -> earlier::CallId {
                     earlier::CallId(self.0.send_call(&CallParameters {
-                        to,
+                        to: server,
                         method,
                         target,
                         body,
-                        timeout: limit,
+                        timeout,
                     }))
                 }
 
@@ -73,7 +73,8 @@
                 }
             }
 
-            fn translated(event: current::TransportEvent) -> earlier::Happening {
+            /// The event in the earlier version's types.
+            fn to_earlier_event(event: current::TransportEvent) -> earlier::Happening {
                 match event {
                     current::TransportEvent::Request {
                         connection,
@@ -114,7 +115,7 @@
 
             impl Process for Node<TransportAdapter> {
                 fn handle_event(&mut self, event: current::TransportEvent) {
-                    Node::on(self, translated(event));
+                    Node::on(self, to_earlier_event(event));
                 }
 
                 fn run_due_work(&mut self) {
@@ -126,6 +127,7 @@
                 }
             }
 
+            /// Launches a node of the version in `config`: this one or the earlier one.
             pub fn launch(config: ProcessConfig) -> Box<dyn Process> {
                 if config.version == Version::Current {
                     return launch_current(config);
@@ -142,9 +144,9 @@
 earlier_version!(version_87cd4a4, lichencrank_87cd4a4);
 earlier_version!(version_b348541, lichencrank_b348541);
 
-/// A version that upgrades start from.
+/// An earlier version, from which upgrades start.
 struct EarlierVersion {
-    /// The first digits of its commit.
+    /// The first seven digits of its commit's hash.
     name: &'static str,
     launch: Launch,
 }
@@ -160,7 +162,7 @@
     },
 ];
 
-/// The seeds of every scenario, unless `CLUSTER_SEEDS` names others.
+/// The seeds with which every scenario is played, unless `CLUSTER_SEEDS` names others.
 const DEFAULT_SEEDS: Range<u64> = 1..4;
 
 fn scenario_directory() -> PathBuf {
@@ -184,7 +186,7 @@
     assert!(failures.is_empty(), "{}", failures.join("\n\n"));
 }
 
-/// Defines one test for each scenario file, which plays it with each of the earlier versions.
+/// Defines one test for each scenario file, which plays the scenario with each of the given earlier versions.
 macro_rules! scenarios {
     ($($name:ident: $versions:expr;)*) => {
         $(
@@ -209,7 +211,7 @@
     zones_between_versions: &EARLIER_VERSIONS;
     quota_between_versions: &EARLIER_VERSIONS;
     broken_off: &EARLIER_VERSIONS;
-    // Version 87cd4a4 does not know services.
+    // Version 87cd4a4 does not support services.
     broken_off_with_services: &EARLIER_VERSIONS[1..];
 }
 
