--- a/examples/scale.rs
+++ b/examples/scale.rs
@@ -152,7 +152,7 @@
     };
     let task_capacity = (HOST_CPUS / TASK_CPUS) as u64 * host_count;
     for number in 0..task_capacity / TASKS_PER_JOB {
-        leader.on_job(job_record(number + 1), Version(number + 10));
+        leader.on_job_record(job_record(number + 1), Version(number + 10));
     }
     for round in 0..PARTITION_ROUNDS {
         now = now.after(Duration::from_secs(3));
@@ -230,7 +230,7 @@
         if round == 1 {
             let task_capacity = (HOST_CPUS / TASK_CPUS) as u64 * host_count;
             for number in 0..task_capacity / TASKS_PER_JOB {
-                leader.on_job(job_record(number + 1), Version(number + 10));
+                leader.on_job_record(job_record(number + 1), Version(number + 10));
             }
         }
         // Several ticks, as one tick allocates only a limited number of tasks.
--- a/src/coordination/autoscaling/forecast.rs
+++ b/src/coordination/autoscaling/forecast.rs
@@ -60,23 +60,23 @@
         if !spec.is_service() {
             return 0;
         }
-        let need = &options.need;
+        let task_resources = &options.task_resources;
         let suits = |timeline: &HostTimeline| {
             timeline.up_at_s <= demand.arrives_in_s + DEADLINE_MARGIN_S
                 && options.usable_types[timeline.type_index]
-                && (spec.allows_spot || !timeline.spot)
+                && (spec.allows_spot || !timeline.is_spot)
                 && spec
                     .required_zone
                     .as_ref()
                     .is_none_or(|zone| *zone == timeline.zone)
-                && need.fits(&timeline.free_for_services)
+                && task_resources.fits(&timeline.free_for_services)
         };
         let mut started = 0;
         while started < demand.task_count {
             let Some(timeline) = self.timelines.iter_mut().find(|t| suits(t)) else {
                 break;
             };
-            timeline.free_for_services.subtract(need);
+            timeline.free_for_services.subtract(task_resources);
             started += 1;
         }
         started
@@ -103,7 +103,7 @@
 
 /// Where the tasks of a job may start.
 struct StartOptions {
-    need: Resources,
+    task_resources: Resources,
     usable_types: Vec<bool>,
     /// The hosts of the usable types.
     starts: StartQueue,
@@ -190,7 +190,7 @@
             overflow_startup_delay_s = self.min_startup_delay_s(demand.spec, &added_types);
         }
         let mut options = StartOptions {
-            need: scoring::task_resources(demand.spec),
+            task_resources: scoring::task_resources(demand.spec),
             starts: StartQueue::for_job(&forecast.timelines, demand.spec, &usable_types),
             min_startup_delay_s: self.min_startup_delay_s(demand.spec, &usable_types),
             usable_types,
@@ -225,7 +225,12 @@
             && demand.meets_deadline(options.overflow_starts.earliest_start_s())
         {
             let starts = &mut options.overflow_starts;
-            starts.reserve_earliest(&mut forecast.timelines, arrives_in_s, run_s, &options.need);
+            starts.reserve_earliest(
+                &mut forecast.timelines,
+                arrives_in_s,
+                run_s,
+                &options.task_resources,
+            );
             return true;
         }
         let pool = self.pool_for_task(demand, start_s, waiting_tasks, options, forecast);
@@ -236,7 +241,12 @@
             }
             _ => {
                 let starts = &mut options.starts;
-                starts.reserve_earliest(&mut forecast.timelines, arrives_in_s, run_s, &options.need)
+                starts.reserve_earliest(
+                    &mut forecast.timelines,
+                    arrives_in_s,
+                    run_s,
+                    &options.task_resources,
+                )
             }
         }
     }
@@ -285,11 +295,11 @@
         timeline.reserve(
             timeline.up_at_s.max(demand.arrives_in_s),
             demand.run_s,
-            &options.need,
+            &options.task_resources,
         );
         forecast.timelines.push(timeline);
         let newest_index = forecast.timelines.len() - 1;
-        starts.push(&forecast.timelines, newest_index, &options.need);
+        starts.push(&forecast.timelines, newest_index, &options.task_resources);
     }
 
     /// The demand that a recent arrival predicts until a host requested now could start a task, if jobs go on arriving as
--- a/src/coordination/autoscaling/pools.rs
+++ b/src/coordination/autoscaling/pools.rs
@@ -98,7 +98,7 @@
                         &CapacityPool {
                             type_index: index,
                             zone: zone.clone(),
-                            spot: true,
+                            is_spot: true,
                         },
                         now,
                     )
@@ -121,7 +121,7 @@
                     let pool = CapacityPool {
                         type_index,
                         zone: zone.clone(),
-                        spot,
+                        is_spot: spot,
                     };
                     let has_request = self
                         .autoscaler
@@ -149,7 +149,7 @@
         spec: &JobSpec,
         task: &TaskForecast,
         type_index: usize,
-        spot: bool,
+        is_spot: bool,
     ) -> f64 {
         let machine_type = &self.cluster.machine_types()[type_index];
         let tasks_per_host = scoring::task_resources(spec)
@@ -157,7 +157,7 @@
             .max(1);
         let startup_delay_s = self.startup_delay_s(spec, type_index);
         let finish_s = startup_delay_s + task.run_s;
-        let price = if spot {
+        let price = if is_spot {
             machine_type.spot_price_per_hour.0
         } else {
             machine_type.on_demand_price_per_hour.0
--- a/src/coordination/autoscaling/provisioning.rs
+++ b/src/coordination/autoscaling/provisioning.rs
@@ -21,7 +21,7 @@
     /// Zone of the hosts.
     pub zone: String,
     /// Spot hosts rather than on-demand ones.
-    pub spot: bool,
+    pub is_spot: bool,
 }
 
 /// The result of a provisioning request.
@@ -231,12 +231,12 @@
         self.actions.push(Action::ScaleIn(names));
     }
 
-    /// Handles the result of a release request. `confirmed`: the cloud has answered that the hosts are gone.
-    pub fn on_release_result(&mut self, names: &[HostName], confirmed: bool, now: Time) {
+    /// Handles the result of a release request. `is_confirmed`: the cloud has answered that the hosts are gone.
+    pub fn on_release_result(&mut self, names: &[HostName], is_confirmed: bool, now: Time) {
         for name in names {
             self.autoscaler.releases_in_flight.remove(name);
         }
-        if confirmed {
+        if is_confirmed {
             tracing::info!("released {} hosts", names.len());
             self.on_hosts_gone(names, now);
         } else {
@@ -268,7 +268,7 @@
                     "no capacity: machine type {}, zone {}, spot: {}",
                     pending.request.machine_type,
                     pending.pool.zone,
-                    pending.pool.spot
+                    pending.pool.is_spot
                 );
                 self.autoscaler
                     .pool_backoff_until
@@ -292,10 +292,10 @@
         let CapacityPool {
             type_index,
             zone,
-            spot,
+            is_spot,
         } = pending.pool.clone();
         tracing::info!(
-            "provisioned {} hosts of machine type {}, zone {zone}, spot: {spot}",
+            "provisioned {} hosts of machine type {}, zone {zone}, spot: {is_spot}",
             names.len(),
             pending.request.machine_type
         );
@@ -311,7 +311,7 @@
                 names,
                 type_index,
                 zone,
-                is_spot: spot,
+                is_spot,
                 requested_at: pending.requested_at,
             },
             now,
@@ -343,7 +343,7 @@
                 name: request_name.clone(),
                 machine_type: self.cluster.machine_types()[pool.type_index].name.clone(),
                 zone: pool.zone.clone(),
-                is_spot: pool.spot,
+                is_spot: pool.is_spot,
                 count: hosts_in_request,
             };
             let pending = PendingRequest {
--- a/src/coordination/autoscaling/services.rs
+++ b/src/coordination/autoscaling/services.rs
@@ -84,7 +84,7 @@
             .autoscaler
             .pending_requests
             .values()
-            .filter(|pending| !pending.pool.spot);
+            .filter(|pending| !pending.pool.is_spot);
         let requested_cpus = pending_requests
             .map(|pending| cpus_of_type(pending.pool.type_index) * pending.request.count as f64);
         let services = self.cluster.jobs().values().filter(|j| j.is_service());
@@ -123,7 +123,7 @@
         else {
             return false;
         };
-        let need = scoring::task_resources(spec);
+        let task_resources = scoring::task_resources(spec);
         self.cluster.hosts().values().any(|host| {
             let machine_type = host
                 .type_index
@@ -133,7 +133,8 @@
                 && (spec.allows_spot || !host.is_spot)
                 && machine_type.is_some_and(|t| {
                     scoring::is_type_suitable(spec, t)
-                        && need.fits(&capacity(t).saturating_sub(&host.allocated_resources))
+                        && task_resources
+                            .fits(&capacity(t).saturating_sub(&host.allocated_resources))
                 })
         })
     }
@@ -240,7 +241,7 @@
             let on_demand_pool = |zone: &String| CapacityPool {
                 type_index,
                 zone: zone.clone(),
-                spot: false,
+                is_spot: false,
             };
             let mut pools_of_type = self.cluster.machine_types()[type_index]
                 .zones
--- a/src/coordination/autoscaling/timeline.rs
+++ b/src/coordination/autoscaling/timeline.rs
@@ -22,7 +22,7 @@
     /// Index of its machine type.
     pub(crate) type_index: usize,
     pub(crate) zone: String,
-    pub(crate) spot: bool,
+    pub(crate) is_spot: bool,
     /// When it is up; 0 if it is up already.
     pub(crate) up_at_s: f64,
     /// Capacity that no replica takes: services preempt all other tasks.
@@ -35,14 +35,14 @@
 
 impl HostTimeline {
     /// When a task could start on it; `None` if it never has room.
-    pub(crate) fn earliest_start_s(&self, need: &Resources) -> Option<f64> {
+    pub(crate) fn earliest_start_s(&self, task_resources: &Resources) -> Option<f64> {
         let mut free = self.free;
-        if need.fits(&free) {
+        if task_resources.fits(&free) {
             return Some(self.up_at_s);
         }
         for (end_s, freed) in &self.expected_ends {
             free.add(freed);
-            if need.fits(&free) {
+            if task_resources.fits(&free) {
                 return Some(end_s.max(self.up_at_s));
             }
         }
@@ -50,7 +50,7 @@
     }
 
     /// Reserves room for a task that starts at `start_s` and runs for `run_s`.
-    pub(crate) fn reserve(&mut self, start_s: f64, run_s: f64, need: &Resources) {
+    pub(crate) fn reserve(&mut self, start_s: f64, run_s: f64, task_resources: &Resources) {
         while let Some((_, freed)) = self
             .expected_ends
             .first()
@@ -59,12 +59,13 @@
             self.free.add(freed);
             self.expected_ends.remove(0);
         }
-        self.free.subtract(need);
+        self.free.subtract(task_resources);
         let end_s = start_s + run_s;
         let position = self
             .expected_ends
             .partition_point(|(other_end_s, _)| *other_end_s <= end_s);
-        self.expected_ends.insert(position, (end_s, *need));
+        self.expected_ends
+            .insert(position, (end_s, *task_resources));
     }
 }
 
@@ -80,10 +81,10 @@
         spec: &JobSpec,
         usable_types: &[bool],
     ) -> StartQueue {
-        let need = scoring::task_resources(spec);
+        let task_resources = scoring::task_resources(spec);
         let suits = |timeline: &HostTimeline| {
             usable_types[timeline.type_index]
-                && (spec.allows_spot || !timeline.spot)
+                && (spec.allows_spot || !timeline.is_spot)
                 && spec
                     .required_zone
                     .as_ref()
@@ -96,7 +97,7 @@
         let starts = suited
             .filter_map(|(index, timeline)| {
                 Some(Reverse((
-                    timeline.earliest_start_s(&need)?.to_bits(),
+                    timeline.earliest_start_s(&task_resources)?.to_bits(),
                     index,
                 )))
             })
@@ -117,19 +118,28 @@
         timelines: &mut [HostTimeline],
         not_before_s: f64,
         run_s: f64,
-        need: &Resources,
+        task_resources: &Resources,
     ) -> bool {
         let Some(Reverse((bits, index))) = self.0.pop() else {
             return false;
         };
-        timelines[index].reserve(f64::from_bits(bits).max(not_before_s), run_s, need);
-        self.push(timelines, index, need);
+        timelines[index].reserve(
+            f64::from_bits(bits).max(not_before_s),
+            run_s,
+            task_resources,
+        );
+        self.push(timelines, index, task_resources);
         true
     }
 
     /// Adds a host by the index of its timeline, if it has room for a task at some time.
-    pub(crate) fn push(&mut self, timelines: &[HostTimeline], index: usize, need: &Resources) {
-        if let Some(start_s) = timelines[index].earliest_start_s(need) {
+    pub(crate) fn push(
+        &mut self,
+        timelines: &[HostTimeline],
+        index: usize,
+        task_resources: &Resources,
+    ) {
+        if let Some(start_s) = timelines[index].earliest_start_s(task_resources) {
             self.0.push(Reverse((start_s.to_bits(), index)));
         }
     }
@@ -189,7 +199,7 @@
         Some(HostTimeline {
             type_index,
             zone: host.zone.clone(),
-            spot: host.is_spot,
+            is_spot: host.is_spot,
             up_at_s,
             free_for_services,
             free: capacity(machine_type).saturating_sub(&host.allocated_resources),
@@ -203,7 +213,7 @@
         HostTimeline {
             type_index: pool.type_index,
             zone: pool.zone,
-            spot: pool.spot,
+            is_spot: pool.is_spot,
             up_at_s: machine_type.boot_time_s.0,
             free_for_services: capacity(machine_type),
             free: capacity(machine_type),
--- a/src/coordination/cluster/job/chunk.rs
+++ b/src/coordination/cluster/job/chunk.rs
@@ -42,7 +42,7 @@
 
 /// The tasks that share a run record, and which of their changes are written to the record.
 #[derive(Debug)]
-pub struct Chunk {
+pub struct TaskChunk {
     tasks: Vec<TaskState>,
     allocated_count: u32,
     /// Version of its run record in the store; [`Version::ABSENT`] while there is none.
@@ -55,12 +55,16 @@
     pub is_version_unknown: bool,
 }
 
-impl Chunk {
+impl TaskChunk {
     /// A chunk with these tasks and version of its run record, after `change_count` changes of which none is known to
     /// be written.
-    pub(super) fn new(tasks: Vec<TaskState>, record_version: Version, change_count: u64) -> Chunk {
+    pub(super) fn new(
+        tasks: Vec<TaskState>,
+        record_version: Version,
+        change_count: u64,
+    ) -> TaskChunk {
         let is_allocated = |task: &&TaskState| matches!(task, TaskState::Allocated { .. });
-        Chunk {
+        TaskChunk {
             allocated_count: tasks.iter().filter(is_allocated).count() as u32,
             tasks,
             record_version,
@@ -71,9 +75,9 @@
     }
 
     /// A chunk of `task_count` tasks that were never allocated.
-    pub(super) fn never_allocated(task_count: u32) -> Chunk {
+    pub(super) fn never_allocated(task_count: u32) -> TaskChunk {
         let tasks = vec![TaskState::default(); task_count as usize];
-        Chunk::new(tasks, Version::ABSENT, 0)
+        TaskChunk::new(tasks, Version::ABSENT, 0)
     }
 
     /// Whether none of its tasks was ever allocated.
--- a/src/coordination/cluster/job/mod.rs
+++ b/src/coordination/cluster/job/mod.rs
@@ -5,7 +5,7 @@
 mod run_records;
 mod splitting;
 
-pub use chunk::{Chunk, RecordChange, TaskState};
+pub use chunk::{RecordChange, TaskChunk, TaskState};
 pub use failures::REPLICA_STABLE_AFTER;
 pub use run_records::RecordedAllocation;
 pub use splitting::RecordSplit;
@@ -71,7 +71,7 @@
     /// Number of tasks in each of its run records.
     pub tasks_per_record: u32,
     /// Its tasks by the number of their run record; `None` while no task of that record was ever allocated.
-    pub chunks: Vec<Option<Box<Chunk>>>,
+    pub chunks: Vec<Option<Box<TaskChunk>>>,
     /// No task from this index on was ever allocated.
     first_never_allocated: u32,
     /// Indexes of the waiting tasks before that one, most of which were allocated before.
@@ -268,14 +268,14 @@
     }
 
     /// The tasks of the run record with this number; `None` if none of them was ever allocated.
-    pub fn chunk(&self, number: u32) -> Option<&Chunk> {
+    pub fn chunk(&self, number: u32) -> Option<&TaskChunk> {
         self.chunks.get(number as usize)?.as_deref()
     }
 
     pub(in crate::coordination::cluster) fn chunk_mut(
         &mut self,
         number: u32,
-    ) -> Option<&mut Chunk> {
+    ) -> Option<&mut TaskChunk> {
         self.chunks.get_mut(number as usize)?.as_deref_mut()
     }
 
@@ -307,7 +307,7 @@
             self.offset_in_chunk(index),
         );
         let slot = self.chunks.get_mut(record_number as usize)?;
-        let chunk = slot.get_or_insert_with(|| Box::new(Chunk::never_allocated(length)));
+        let chunk = slot.get_or_insert_with(|| Box::new(TaskChunk::never_allocated(length)));
         let old_state = chunk.replace_task(offset, state.clone())?;
         let change_count = chunk.change_count;
         match old_state {
--- a/src/coordination/cluster/job/run_records.rs
+++ b/src/coordination/cluster/job/run_records.rs
@@ -1,6 +1,6 @@
 //! Converts between a job's tasks and its run records, which are read after an election and written as tasks change.
 
-use super::{Chunk, Job, JobPhase, TaskState};
+use super::{Job, JobPhase, TaskChunk, TaskState};
 use crate::storage::records::{
     AllocationEntry, AttemptedEntry, FinishedRange, RunRecord, TaskCounts,
 };
@@ -55,7 +55,7 @@
         for (index, task) in (first_task..).zip(&tasks) {
             allocations.extend(self.load_task(index, task));
         }
-        self.chunks[number as usize] = Some(Box::new(Chunk::new(tasks, version, 0)));
+        self.chunks[number as usize] = Some(Box::new(TaskChunk::new(tasks, version, 0)));
         allocations
     }
 
--- a/src/coordination/cluster/job/splitting.rs
+++ b/src/coordination/cluster/job/splitting.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeMap;
 
-use super::{Chunk, Job, TaskState};
+use super::{Job, TaskChunk, TaskState};
 use crate::protocol::cloud::MachineType;
 use crate::storage::records::{self, JobRecord};
 use crate::types::Version;
@@ -64,7 +64,7 @@
                 .map(|chunk| chunk.record_version)
                 .or(self.abandoned_records.remove(&number))
                 .unwrap_or(Version::ABSENT);
-            let chunk = Chunk::new(tasks, record_version, change_count);
+            let chunk = TaskChunk::new(tasks, record_version, change_count);
             let is_needed = record_version != Version::ABSENT || !chunk.was_never_allocated();
             self.chunks.push(is_needed.then(|| Box::new(chunk)));
         }
--- a/src/coordination/failure_detection/hosts.rs
+++ b/src/coordination/failure_detection/hosts.rs
@@ -170,7 +170,8 @@
                 } else {
                     max_silence
                 };
-                now.since(host.first_seen_at) > max_wait && self.should_have_reported(host, now)
+                now.since(host.first_seen_at) > max_wait
+                    && self.should_have_sent_heartbeat(host, now)
             }
             (HostLifecycle::Up | HostLifecycle::Releasing, _) => false,
         }
@@ -178,7 +179,7 @@
 
     /// Whether the leader should have received a heartbeat of the host: it has received some before, the cloud has
     /// listed the host as running for long enough, or the host exceeds its expected boot time by far.
-    pub(crate) fn should_have_reported(&self, host: &Host, now: Time) -> bool {
+    pub(crate) fn should_have_sent_heartbeat(&self, host: &Host, now: Time) -> bool {
         if host.lifecycle != HostLifecycle::Expected {
             return true;
         }
--- a/src/coordination/failure_detection/zones.rs
+++ b/src/coordination/failure_detection/zones.rs
@@ -94,7 +94,8 @@
             }
             (HostLifecycle::Up | HostLifecycle::Releasing, _) => return false,
         };
-        silent_for > self.max_silence_in_zone(host, now) && self.should_have_reported(host, now)
+        silent_for > self.max_silence_in_zone(host, now)
+            && self.should_have_sent_heartbeat(host, now)
     }
 
     /// How long the host may be silent before its tasks no longer wait for its unhealthy zone.
@@ -207,38 +208,40 @@
     /// The earlier leader's record was read; `None` if there is none or it cannot be decoded. From now on zones are
     /// tracked.
     pub fn on_zones_record_read(&mut self, record: Option<&ZonesRecord>, now: Time) {
-        let day_ms = self.clock.wall_clock_ms;
+        let wall_clock_ms = self.clock.wall_clock_ms;
         let Some(monitor) = &mut self.failure_detector.zone_monitor else {
             return;
         };
         if let Some(record) = record {
-            monitor.tracker.restore(record, now, day_ms);
+            monitor.tracker.restore(record, now, wall_clock_ms);
         }
         monitor.is_restored = true;
     }
 
     /// Begins the write of the next record, and returns it; `None` if no write is due or one is in progress.
     pub fn next_zones_record(&mut self, now: Time) -> Option<ZonesRecord> {
-        let day_ms = self.clock.wall_clock_ms;
+        let wall_clock_ms = self.clock.wall_clock_ms;
         let monitor = self.failure_detector.zone_monitor.as_mut()?;
         if monitor.record_being_written.is_some() || now < monitor.next_write_at {
             return None;
         }
         monitor.next_write_at = now.after(MIN_WRITE_INTERVAL);
-        monitor.record_being_written = monitor.tracker.record_due(now, day_ms);
+        monitor.record_being_written = monitor.tracker.record_due(now, wall_clock_ms);
         monitor.record_being_written.clone()
     }
 
     /// The write of the record has ended; `is_committed` says whether the store is known to hold the record. Otherwise it
     /// is written again, which is harmless if the first write did succeed.
     pub fn on_zones_record_written(&mut self, is_committed: bool, now: Time) {
-        let day_ms = self.clock.wall_clock_ms;
+        let wall_clock_ms = self.clock.wall_clock_ms;
         let Some(monitor) = &mut self.failure_detector.zone_monitor else {
             return;
         };
         let record = monitor.record_being_written.take();
         if let Some(record) = record.filter(|_| is_committed) {
-            monitor.tracker.on_record_written(&record, now, day_ms);
+            monitor
+                .tracker
+                .on_record_written(&record, now, wall_clock_ms);
         }
     }
 
--- a/src/coordination/leader/jobs.rs
+++ b/src/coordination/leader/jobs.rs
@@ -47,7 +47,7 @@
 
 impl Leader {
     /// Handles the record of an unfinished job, which was read at the start of the term or reported by the watch.
-    pub fn on_job(&mut self, record: JobRecord, version: Version) {
+    pub fn on_job_record(&mut self, record: JobRecord, version: Version) {
         let now = self.clock.now;
         let id = record.spec.id;
         let age_ms = self
@@ -90,7 +90,7 @@
 
     /// Whether no other leader can keep a task of the cancelled job running. See
     /// [`ClusterState::has_fenced_all_hosts`](crate::coordination::cluster::ClusterState).
-    pub fn is_sole_commander(&self, id: JobId) -> bool {
+    pub fn has_fenced_all_hosts(&self, id: JobId) -> bool {
         self.cluster.has_fenced_all_hosts(id, self.term)
     }
 
--- a/src/coordination/leader/mod.rs
+++ b/src/coordination/leader/mod.rs
@@ -158,10 +158,10 @@
     pub fn set_controller_reach(
         &mut self,
         zones_without_reachable_peer: Vec<String>,
-        zone_controllers: BTreeMap<String, ControllerReach>,
+        controller_reach_by_zone: BTreeMap<String, ControllerReach>,
     ) {
         self.failure_detector.zones_without_reachable_peer = zones_without_reachable_peer;
-        self.failure_detector.controller_reach_by_zone = zone_controllers;
+        self.failure_detector.controller_reach_by_zone = controller_reach_by_zone;
     }
 
     /// The view that decisions are based on.
--- a/src/coordination/leader/records.rs
+++ b/src/coordination/leader/records.rs
@@ -68,9 +68,9 @@
             }
             BatchResult::Conflict {
                 cancelled,
-                is_allowance_outdated: outdated_allowance,
+                is_allowance_outdated,
             } => {
-                if outdated_allowance {
+                if is_allowance_outdated {
                     self.request_quota_reload();
                 }
                 for id in cancelled {
--- a/src/coordination/policy.rs
+++ b/src/coordination/policy.rs
@@ -47,25 +47,25 @@
 
 impl Policy {
     /// Derives the policy from settings, tuning and features.
-    pub fn new(service: &SharedSettings, tuning: &Tuning, features: &Features) -> Policy {
+    pub fn new(settings: &SharedSettings, tuning: &Tuning, features: &Features) -> Policy {
         Policy {
-            heartbeat_interval: service.workers.heartbeat_interval(),
-            worker_lease: service.workers.lease(),
-            cancellation_timeout: service.workers.cancellation_timeout(),
-            max_host_list_lag: duration_from_seconds(service.cloud.list_lag_s) * 2,
+            heartbeat_interval: settings.workers.heartbeat_interval(),
+            worker_lease: settings.workers.lease(),
+            cancellation_timeout: settings.workers.cancellation_timeout(),
+            max_host_list_lag: duration_from_seconds(settings.cloud.list_lag_s) * 2,
             tasks_per_record: crate::storage::records::tasks_per_record(
-                service.state_service.max_value_kib,
+                settings.state_service.max_value_kib,
             ),
-            max_probes_in_flight: (service.resources.max_sockets / 20).max(2),
-            max_commands_in_flight: (service.resources.max_sockets / 16).max(4),
-            max_value_bytes: (service.state_service.max_value_kib * 1024.0) as usize,
-            max_txn_changes: service.state_service.max_txn_changes,
-            max_queued_records_per_priority: (service.state_service.changes_per_s / 2.0).max(4.0)
+            max_probes_in_flight: (settings.resources.max_sockets / 20).max(2),
+            max_commands_in_flight: (settings.resources.max_sockets / 16).max(4),
+            max_value_bytes: (settings.state_service.max_value_kib * 1024.0) as usize,
+            max_txn_changes: settings.state_service.max_txn_changes,
+            max_queued_records_per_priority: (settings.state_service.changes_per_s / 2.0).max(4.0)
                 as usize,
-            teams: service.teams.clone(),
-            quota: quota_policy(&service.teams, &features.quota),
+            teams: settings.teams.clone(),
+            quota: quota_policy(&settings.teams, &features.quota),
             zones: features.zones.settings_if_enabled(),
-            wait_objectives_s: service.wait_objectives(),
+            wait_objectives_s: settings.wait_objectives(),
             tuning: tuning.clone(),
         }
     }
--- a/src/coordination/scheduling/placement.rs
+++ b/src/coordination/scheduling/placement.rs
@@ -65,7 +65,7 @@
     /// How many more of its tasks may be allocated in this pass.
     remaining_tasks: u64,
     /// While this many urgent records wait to be written, no task is allocated that needs another record.
-    max_waiting_records: usize,
+    max_urgent_records: usize,
 }
 
 /// The next step in the placement of a job.
@@ -107,9 +107,9 @@
             return None;
         }
         let usable_types = self.usable_types(&spec, scarce_types);
-        let due_in_s = job.time_to_deadline_s(self.clock.wall_clock_ms);
+        let time_to_deadline_s = job.time_to_deadline_s(self.clock.wall_clock_ms);
         let run_s = self.run_times.expected_s(job);
-        let overflow_types = self.overflow_types(&spec, &usable_types, run_s, due_in_s);
+        let overflow_types = self.overflow_types(&spec, &usable_types, run_s, time_to_deadline_s);
         let profile = TaskProfile {
             resources: job.task_resources,
             may_use_spot: spec.allows_spot,
@@ -133,7 +133,7 @@
             siblings_by_zone: self.siblings_by_zone(job, &spec),
             eligible_hosts: self.eligible_hosts(job, &spec, &usable_types, pass),
             remaining_tasks: max_allocations.min(schedulable_count),
-            max_waiting_records: self.max_waiting_records(rank, &spec),
+            max_urgent_records: self.max_urgent_records(rank, &spec),
             usable_types,
             spec,
         })
@@ -153,7 +153,7 @@
             job: job.id,
             number: job.record_number_of(index),
         });
-        if !is_queued && records.urgent_record_count() >= placement.max_waiting_records {
+        if !is_queued && records.urgent_record_count() >= placement.max_urgent_records {
             return NextStep::Finish;
         }
         let task = TaskId { job: job.id, index };
@@ -172,7 +172,7 @@
 
     /// The limit of urgent records that wait to be written: the higher the job's priority, the higher the limit. A starving
     /// job counts as critical.
-    fn max_waiting_records(&self, rank: &JobRank, spec: &JobSpec) -> usize {
+    fn max_urgent_records(&self, rank: &JobRank, spec: &JobSpec) -> usize {
         let priority = if rank.is_not_starving {
             spec.priority
         } else {
--- a/src/coordination/scheduling/ranking.rs
+++ b/src/coordination/scheduling/ranking.rs
@@ -29,7 +29,7 @@
     /// waited for twice `starve_after_s`.
     pub yields_as_late: bool,
     /// Its deadline in milliseconds of the time of day; `u64::MAX` without a deadline.
-    pub due_ms: u64,
+    pub deadline_ms: u64,
     /// For a best-effort job without a deadline, the binary logarithm of its estimated remaining CPU-seconds, so that
     /// small jobs do not wait for very large ones; 0 for other jobs.
     pub remaining_cpu_s_log2: u32,
@@ -47,7 +47,7 @@
             is_over_guarantee: false,
             priority: Priority::Critical,
             yields_as_late: false,
-            due_ms: 0,
+            deadline_ms: 0,
             remaining_cpu_s_log2: 0,
             ..self
         }
@@ -102,7 +102,9 @@
                         provisioned_cpus,
                         self.clock.wall_clock_ms,
                     ),
-                due_ms: job.deadline_ms().map_or(u64::MAX, |due_ms| due_ms as u64),
+                deadline_ms: job
+                    .deadline_ms()
+                    .map_or(u64::MAX, |deadline_ms| deadline_ms as u64),
                 remaining_cpu_s_log2: self.remaining_cpu_s_log2(job, spec),
                 arrival_version: job.record_version,
                 job: job.id,
--- a/src/coordination/scheduling/type_eligibility.rs
+++ b/src/coordination/scheduling/type_eligibility.rs
@@ -80,11 +80,11 @@
         spec: &JobSpec,
         usable_types: &[bool],
         run_s: f64,
-        due_in_s: Option<f64>,
+        time_to_deadline_s: Option<f64>,
     ) -> Option<Vec<bool>> {
-        let due_in_s = due_in_s?;
-        let needs_overflow =
-            run_s <= due_in_s && self.min_startup_delay_s(spec, usable_types) + run_s > due_in_s;
+        let time_to_deadline_s = time_to_deadline_s?;
+        let needs_overflow = run_s <= time_to_deadline_s
+            && self.min_startup_delay_s(spec, usable_types) + run_s > time_to_deadline_s;
         if !needs_overflow {
             return None;
         }
--- a/src/node/api/mod.rs
+++ b/src/node/api/mod.rs
@@ -97,7 +97,7 @@
     /// When the user gets a response at the latest.
     deadline: Time,
     /// Whether a request to the state service was repeated because its response was lost.
-    has_repeated_lost: bool,
+    has_repeated_lost_request: bool,
 }
 
 /// What a request to the state service was sent for.
@@ -173,9 +173,9 @@
 }
 
 impl ApiServer {
-    /// A server without open requests. `value_kb` and `txn_ops` are the state service's limits for the size of a value
+    /// A server without open requests. `max_value_kib` and `max_txn_changes` are the state service's limits for the size of a value
     /// and for the number of changes in a transaction.
-    pub fn new(teams: Vec<Team>, value_kb: f64, txn_ops: usize) -> ApiServer {
+    pub fn new(teams: Vec<Team>, max_value_kib: f64, max_txn_changes: usize) -> ApiServer {
         ApiServer {
             last_request_number: 0,
             open_requests: BTreeMap::new(),
@@ -187,11 +187,11 @@
             known_jobs: HashMap::new(),
             cached_outcomes: HashMap::new(),
             cached_outcome_order: VecDeque::new(),
-            tasks_per_record: records::tasks_per_record(value_kb),
-            max_value_bytes: (value_kb * 1024.0) as usize,
-            max_batch_jobs: txn_ops.min(8),
+            tasks_per_record: records::tasks_per_record(max_value_kib),
+            max_value_bytes: (max_value_kib * 1024.0) as usize,
+            max_batch_jobs: max_txn_changes.min(8),
             // A transaction may have four times as many conditions as changes.
-            max_version_checks: (txn_ops * 4).min(256),
+            max_version_checks: (max_txn_changes * 4).min(256),
             teams,
             actions: Vec::new(),
             cancelled_jobs: Vec::new(),
@@ -310,8 +310,8 @@
         };
         let repeats_lost = matches!(outcome, Outcome::Unknown)
             && view.is_store_reachable
-            && !request.has_repeated_lost;
-        request.has_repeated_lost |= repeats_lost;
+            && !request.has_repeated_lost_request;
+        request.has_repeated_lost_request |= repeats_lost;
         if repeats_lost || matches!(outcome, Outcome::RateLimited { .. }) {
             self.retry(id, now);
         } else {
--- a/src/node/api/outcomes.rs
+++ b/src/node/api/outcomes.rs
@@ -176,7 +176,7 @@
         });
         if let Some(known_job) = self.known_jobs.get_mut(&job) {
             known_job.task_counts = (done, running);
-            known_job.counted_at = now;
+            known_job.task_counts_read_at = now;
         }
         self.finish_with_status(id, job, done, running);
     }
--- a/src/node/api/requests.rs
+++ b/src/node/api/requests.rs
@@ -126,7 +126,7 @@
                 operation,
                 stage: Stage::Batching,
                 deadline,
-                has_repeated_lost: false,
+                has_repeated_lost_request: false,
             },
         );
         let stage = if is_submission {
--- a/src/node/api/status_queries.rs
+++ b/src/node/api/status_queries.rs
@@ -26,7 +26,7 @@
     /// Numbers of finished and of running tasks, for display.
     pub(super) task_counts: (u64, u64),
     /// When the task counts were read.
-    pub(super) counted_at: Time,
+    pub(super) task_counts_read_at: Time,
 }
 
 /// A listing of all unfinished jobs, for queries for jobs that this controller does not know: when a controller stops,
@@ -42,7 +42,7 @@
     /// Remembers that the job was unfinished at that version of its record.
     pub(super) fn note_unfinished_job(&mut self, job: JobId, record_version: Version) {
         let task_counts = (0, 0);
-        let counted_at = Time::default();
+        let task_counts_read_at = Time::default();
         if self.known_jobs.len() >= MAX_KNOWN_JOBS && !self.known_jobs.contains_key(&job) {
             // Any entry may be evicted: its job is read again at the next query.
             if let Some(evicted) = self.known_jobs.keys().next().copied() {
@@ -52,7 +52,7 @@
         let known_job = self.known_jobs.entry(job).or_insert(KnownJob {
             record_version,
             task_counts,
-            counted_at,
+            task_counts_read_at,
         });
         known_job.record_version = record_version;
     }
@@ -215,7 +215,7 @@
         let known_counts = known_job.map(|known_job| {
             (
                 known_job.task_counts,
-                now.since(known_job.counted_at) < TASK_COUNTS_VALIDITY,
+                now.since(known_job.task_counts_read_at) < TASK_COUNTS_VALIDITY,
             )
         });
         match ((view.leader_task_counts)(job), known_counts) {
--- a/src/node/cancellations.rs
+++ b/src/node/cancellations.rs
@@ -153,7 +153,7 @@
             return false;
         };
         duties.leader.on_cancellation(job, now);
-        has_valid_lease && duties.has_loaded() && duties.leader.is_sole_commander(job)
+        has_valid_lease && duties.has_loaded() && duties.leader.has_fenced_all_hosts(job)
     }
 
     /// Commands that stop the reported tasks of jobs that are known to be cancelled.
--- a/src/node/heartbeats.rs
+++ b/src/node/heartbeats.rs
@@ -16,7 +16,7 @@
 
 /// The heartbeats to one peer, and what they show about it.
 pub(super) struct PeerLink {
-    pub(super) addr: SocketAddr,
+    pub(super) address: SocketAddr,
     /// The heartbeat in flight.
     heartbeat_call: Option<CallId>,
     heartbeat_due_at: Time,
@@ -28,20 +28,20 @@
     /// The last response that could be decoded, and when the heartbeat that it answers was sent.
     last_response: Option<(Time, PeerHeartbeat)>,
     /// Whether the peer was reachable when that was last logged.
-    logged_reachable: bool,
+    is_logged_as_reachable: bool,
 }
 
 impl PeerLink {
-    pub(super) fn new(addr: SocketAddr) -> PeerLink {
+    pub(super) fn new(address: SocketAddr) -> PeerLink {
         PeerLink {
-            addr,
+            address,
             heartbeat_call: None,
             heartbeat_due_at: Time::default(),
             heartbeat_sent_at: Time::default(),
             answered_heartbeat_sent_at: None,
             reachable_since: Time::default(),
             last_response: None,
-            logged_reachable: true,
+            is_logged_as_reachable: true,
         }
     }
 
@@ -121,7 +121,7 @@
             peer.heartbeat_sent_at = now;
             peer.heartbeat_call = peer_messages::send(
                 &mut self.network,
-                peer.addr,
+                peer.address,
                 peers::HEARTBEAT_PATH,
                 &heartbeat,
                 HEARTBEAT_TIMEOUT,
@@ -183,8 +183,8 @@
             let is_reachable = peer.is_reachable(now);
             // After the start, the peers first get the time to answer.
             let is_startup_over = now >= Time::default().after(PEER_TIMEOUT);
-            if is_startup_over && is_reachable != peer.logged_reachable {
-                peer.logged_reachable = is_reachable;
+            if is_startup_over && is_reachable != peer.is_logged_as_reachable {
+                peer.is_logged_as_reachable = is_reachable;
                 let status = if is_reachable {
                     "answers heartbeats again"
                 } else {
@@ -216,16 +216,16 @@
         }
         let state = &self.settings.shared.state_service;
         let node_count = self.peers.len() + 1;
-        let rps = node_share(
+        let requests_per_s = node_share(
             state.requests_per_s * USABLE_BUDGET_FRACTION,
             node_count,
             peer_usage_per_s.0,
         );
-        let write_rps = node_share(
+        let changes_per_s = node_share(
             state.changes_per_s * USABLE_BUDGET_FRACTION,
             node_count,
             peer_usage_per_s.1,
         );
-        self.store.set_rates(now, rps, write_rps);
+        self.store.set_rates(now, requests_per_s, changes_per_s);
     }
 }
--- a/src/node/leader_duties/cloud.rs
+++ b/src/node/leader_duties/cloud.rs
@@ -8,7 +8,7 @@
         if self.cloud_rate_limit.available(now) < 2.0 {
             return;
         }
-        if self.machine_types.start_if_due(now) {
+        if self.machine_types_read.start_if_due(now) {
             self.call_cloud(
                 network,
                 "GET",
@@ -18,7 +18,7 @@
                 now,
             );
         }
-        if self.host_list.start_if_due(now) {
+        if self.host_list_read.start_if_due(now) {
             self.listed_hosts.clear();
             self.request_host_page(network, "", now);
         }
@@ -74,7 +74,7 @@
             .filter(|r| r.status == 200)
             .and_then(|r| decode::<HostList>(&r.body).ok());
         let Some(page) = page else {
-            self.host_list.is_running = false;
+            self.host_list_read.is_running = false;
             return;
         };
         let has_more = page.has_more_pages;
@@ -84,14 +84,14 @@
             self.request_host_page(network, last.as_str(), now);
             return;
         }
-        self.host_list.is_running = false;
+        self.host_list_read.is_running = false;
         let listed_hosts = std::mem::take(&mut self.listed_hosts);
         self.leader.on_host_list(&listed_hosts, now);
     }
 
     /// Stores the machine types in the state service, once a term, for restarts during an outage of the cloud.
     pub(super) fn write_machine_types(&mut self) {
-        if self.machine_types_written || self.leader.machine_types().is_empty() {
+        if self.has_written_machine_types || self.leader.machine_types().is_empty() {
             return;
         }
         let types = MachineTypes {
@@ -102,7 +102,7 @@
             tracing::info!(
                 "machine types not stored: they exceed the maximum value size of the state service"
             );
-            self.machine_types_written = true;
+            self.has_written_machine_types = true;
             return;
         }
         let mut txn = Txn::default();
--- a/src/node/leader_duties/loading.rs
+++ b/src/node/leader_duties/loading.rs
@@ -61,7 +61,7 @@
         now: Time,
     ) -> Result<(), LeadershipLost> {
         let _span = self.span.clone().entered();
-        self.store_answered_since_watch |= outcome.is_answer();
+        self.has_store_answered_since_watch |= outcome.is_answer();
         match request {
             LeaderRequest::ReadJobs { after } => match outcome {
                 Outcome::Page(page) => self.on_jobs_page(after.is_empty(), page, now),
@@ -88,7 +88,7 @@
             LeaderRequest::ReadZonesRecord => self.on_zones_record(outcome, now),
             LeaderRequest::WriteZonesRecord => return self.on_zones_txn(outcome, now),
             LeaderRequest::WriteMachineTypes => {
-                self.machine_types_written = matches!(outcome, Outcome::Committed(_))
+                self.has_written_machine_types = matches!(outcome, Outcome::Committed(_))
             }
         }
         Ok(())
@@ -105,7 +105,7 @@
         if let Some(outcome) = records::unarchived_outcome(&item.value) {
             self.leader.on_outcome_record(id, outcome, item.version);
         } else if let Some(record) = item.record() {
-            self.leader.on_job(record, item.version);
+            self.leader.on_job_record(record, item.version);
         }
     }
 
@@ -166,8 +166,8 @@
     pub(super) fn on_watch_outcome(&mut self, outcome: Outcome, now: Time) {
         match outcome {
             Outcome::WatchEvents(changes) => {
-                self.failed_watches = 0;
-                self.store_answered_since_watch = false;
+                self.consecutive_watch_failures = 0;
+                self.has_store_answered_since_watch = false;
                 self.watch_revision = self.watch_revision.max(changes.revision);
                 for event in changes.events {
                     if let (Some(key), Some(value)) = (event.put_key, event.value) {
@@ -188,11 +188,11 @@
             }
             Outcome::RevisionTooOld => self.read_jobs(String::new()),
             Outcome::Unknown => {
-                self.failed_watches += 1;
-                if self.failed_watches >= MAX_CONSECUTIVE_WATCH_FAILURES
-                    && self.store_answered_since_watch
+                self.consecutive_watch_failures += 1;
+                if self.consecutive_watch_failures >= MAX_CONSECUTIVE_WATCH_FAILURES
+                    && self.has_store_answered_since_watch
                 {
-                    self.failed_watches = 0;
+                    self.consecutive_watch_failures = 0;
                     self.read_jobs(String::new());
                 } else {
                     self.watch();
--- a/src/node/leader_duties/mod.rs
+++ b/src/node/leader_duties/mod.rs
@@ -90,23 +90,23 @@
 /// A batch is delayed until the rate limit permits this many changes, or all queued ones if they are fewer.
 const FULL_BATCH_CHANGES: usize = 6;
 
-/// A task that is repeated at an interval and never runs twice at once.
-struct PeriodicTask {
+/// A read that is repeated at an interval, one at a time.
+struct PeriodicRead {
     interval: Duration,
     due_at: Time,
     is_running: bool,
 }
 
-impl PeriodicTask {
-    fn new(interval: Duration, now: Time) -> PeriodicTask {
-        PeriodicTask {
+impl PeriodicRead {
+    fn new(interval: Duration, now: Time) -> PeriodicRead {
+        PeriodicRead {
             interval,
             due_at: now,
             is_running: false,
         }
     }
 
-    /// Marks the task as running if it is due. Returns whether it was.
+    /// Marks the read as running if it is due. Returns whether it was.
     fn start_if_due(&mut self, now: Time) -> bool {
         let is_due = !self.is_running && now >= self.due_at;
         if is_due {
@@ -132,9 +132,9 @@
     /// The revision after which the next watch reports changes.
     watch_revision: Version,
     /// Consecutive failed watches. A response without changes is a success.
-    failed_watches: u32,
+    consecutive_watch_failures: u32,
     /// Whether the state service has answered other requests since the last response to a watch.
-    store_answered_since_watch: bool,
+    has_store_answered_since_watch: bool,
     /// While all jobs are read: those read so far.
     jobs_read: Option<BTreeSet<JobId>>,
     /// Whether all records have been read.
@@ -142,13 +142,13 @@
     /// The pages read so far of the cloud's list of hosts.
     listed_hosts: Vec<ListedHost>,
     /// Reading the cloud's list of hosts.
-    host_list: PeriodicTask,
+    host_list_read: PeriodicRead,
     /// Reading the machine types from the cloud.
-    machine_types: PeriodicTask,
+    machine_types_read: PeriodicRead,
     /// Whether the machine types have been written in this term, or are too large for it.
-    machine_types_written: bool,
+    has_written_machine_types: bool,
     /// Reading the quota records; also marked as running while they are written.
-    quota_reload: PeriodicTask,
+    quota_reload: PeriodicRead,
     /// When the quota records are next checked for due changes.
     quota_check_due_at: Time,
     /// Version of the zones record; unknown until it is read, and after a write without a response.
@@ -166,7 +166,7 @@
     pub(super) fn new(
         leader: Leader,
         cloud_address: SocketAddr,
-        cloud_rps: f64,
+        cloud_calls_per_s: f64,
         max_txn_changes: usize,
         batch_interval: Duration,
         now: Time,
@@ -175,19 +175,19 @@
             span: tracing::info_span!("leader", term = leader.term().0),
             leader,
             cloud_address,
-            cloud_rate_limit: RateLimit::new(cloud_rps * 0.8, cloud_rps),
+            cloud_rate_limit: RateLimit::new(cloud_calls_per_s * 0.8, cloud_calls_per_s),
             calls: HashMap::new(),
             queued_requests: Vec::new(),
             watch_revision: Version(0),
-            failed_watches: 0,
-            store_answered_since_watch: false,
+            consecutive_watch_failures: 0,
+            has_store_answered_since_watch: false,
             jobs_read: Some(BTreeSet::new()),
             is_loaded: false,
             listed_hosts: Vec::new(),
-            host_list: PeriodicTask::new(HOST_LIST_INTERVAL, now),
-            machine_types: PeriodicTask::new(MACHINE_TYPES_INTERVAL, now),
-            machine_types_written: false,
-            quota_reload: PeriodicTask::new(QUOTA_RELOAD_INTERVAL, now),
+            host_list_read: PeriodicRead::new(HOST_LIST_INTERVAL, now),
+            machine_types_read: PeriodicRead::new(MACHINE_TYPES_INTERVAL, now),
+            has_written_machine_types: false,
+            quota_reload: PeriodicRead::new(QUOTA_RELOAD_INTERVAL, now),
             quota_check_due_at: now,
             zones_record_version: None,
             batch_interval,
@@ -380,7 +380,7 @@
             }
             Call::ListHosts => self.on_host_list_page(network, result, now),
             Call::ListMachineTypes => {
-                self.machine_types.is_running = false;
+                self.machine_types_read.is_running = false;
                 let response = result.ok().filter(|r| r.status == 200);
                 if let Some(types) = response.and_then(|r| decode::<MachineTypes>(&r.body).ok()) {
                     self.leader.on_machine_types(types.machine_types);
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -127,7 +127,7 @@
     worker_heartbeats: BTreeMap<HostName, Time>,
     locality_check_due_at: Time,
     /// Whether the state service was reachable when that was last logged.
-    logged_store_reachable: bool,
+    is_store_logged_as_reachable: bool,
     summary_due_at: Time,
     /// When the node last processed events or ran due work, to detect pauses of the process.
     last_active_at: Time,
@@ -178,14 +178,14 @@
 impl<N: Network> Node<N> {
     /// Creates a node on the given network. `incarnation` has to differ between the processes of one node.
     pub fn new(settings: Settings, tuning: Tuning, network: N, incarnation: u64) -> Node<N> {
-        let service = &settings.shared;
+        let shared_settings = &settings.shared;
         let store = new_store(&settings);
         let lease_ttl = duration_from_seconds(tuning.leader_lease_s);
         let election = LeaderElection::new(&settings.name, lease_ttl, incarnation);
         let api = ApiServer::new(
-            service.teams.clone(),
-            service.state_service.max_value_kib,
-            service.state_service.max_txn_changes,
+            shared_settings.teams.clone(),
+            shared_settings.state_service.max_value_kib,
+            shared_settings.state_service.max_txn_changes,
         );
         let peers = settings
             .peers
@@ -219,7 +219,7 @@
             acknowledgement_call: None,
             worker_heartbeats: BTreeMap::new(),
             locality_check_due_at: Time::default(),
-            logged_store_reachable: false,
+            is_store_logged_as_reachable: false,
             summary_due_at: Time::default(),
             last_active_at: Time::default(),
             iteration_times_us: iteration_time_histogram(),
@@ -344,8 +344,8 @@
 
     fn begin_leading(&mut self, term: Term, leader_key_version: Version, now: Time) {
         self.on_election_won(now);
-        let service = &self.settings.shared;
-        let policy = Policy::new(service, &self.tuning, &self.features);
+        let shared_settings = &self.settings.shared;
+        let policy = Policy::new(shared_settings, &self.tuning, &self.features);
         let leader = Leader::new(
             term,
             leader_key_version,
@@ -356,8 +356,8 @@
         self.duties = Some(LeaderDuties::new(
             leader,
             self.settings.service_addresses.cloud,
-            service.cloud.calls_per_s,
-            service.state_service.max_txn_changes,
+            shared_settings.cloud.calls_per_s,
+            shared_settings.state_service.max_txn_changes,
             duration_from_seconds(self.tuning.min_batch_interval_s),
             now,
         ));
--- a/src/node/periodic.rs
+++ b/src/node/periodic.rs
@@ -33,8 +33,8 @@
             .retain(|_, expires_at| *expires_at > now);
         self.api.expire_requests(now);
         let is_reachable = self.is_store_reachable(now);
-        if is_reachable != self.logged_store_reachable {
-            self.logged_store_reachable = is_reachable;
+        if is_reachable != self.is_store_logged_as_reachable {
+            self.is_store_logged_as_reachable = is_reachable;
             let status = if is_reachable {
                 "answers"
             } else {
--- a/src/node/requests.rs
+++ b/src/node/requests.rs
@@ -105,7 +105,7 @@
         let Some(peer) = peer_with_store else {
             return self.api.on_relay_response(id, None, now);
         };
-        let peer_address = peer.addr;
+        let peer_address = peer.address;
         let call = peer_messages::send(
             &mut self.network,
             peer_address,
--- a/src/storage/store.rs
+++ b/src/storage/store.rs
@@ -80,15 +80,15 @@
 const SPARE_BUDGET_FRACTION: f64 = 0.5;
 
 impl StoreClient {
-    /// A client without requests. `rps` and `write_rps` are this node's shares of the rate limits, in requests and
+    /// A client without requests. `requests_per_s` and `changes_per_s` are this node's shares of the rate limits, in requests and
     /// changes a second.
-    pub fn new(rps: f64, write_rps: f64) -> StoreClient {
+    pub fn new(requests_per_s: f64, changes_per_s: f64) -> StoreClient {
         StoreClient {
             last_id: 0,
             requests_since_read_turn: 0,
             queues: BTreeMap::new(),
-            request_rate_limit: RateLimit::new(rps, rps),
-            write_rate_limit: RateLimit::new(write_rps, write_rps),
+            request_rate_limit: RateLimit::new(requests_per_s, requests_per_s),
+            write_rate_limit: RateLimit::new(changes_per_s, changes_per_s),
             unanswered: HashMap::new(),
             slowest_response_ms: 0.0,
             request_by_call: HashMap::new(),
@@ -105,9 +105,9 @@
     }
 
     /// Sets this node's shares of the rate limits, in requests and changes a second.
-    pub fn set_rates(&mut self, now: Time, rps: f64, write_rps: f64) {
-        self.request_rate_limit.set_rate(now, rps);
-        self.write_rate_limit.set_rate(now, write_rps);
+    pub fn set_rates(&mut self, now: Time, requests_per_s: f64, changes_per_s: f64) {
+        self.request_rate_limit.set_rate(now, requests_per_s);
+        self.write_rate_limit.set_rate(now, changes_per_s);
     }
 
     /// Whether requests that can wait may be sent too: no other request waits and enough of the rate limit is
--- a/tests/placement.rs
+++ b/tests/placement.rs
@@ -177,7 +177,7 @@
                 submitted_at_ms: 5000,
                 tasks_per_record: 16,
             };
-            leader.on_job(record.clone(), Version(10 + number));
+            leader.on_job_record(record.clone(), Version(10 + number));
             records.push(record);
         }
         leader.set_lease_valid_until(Time(u64::MAX));
--- a/tests/quota_leader.rs
+++ b/tests/quota_leader.rs
@@ -181,7 +181,7 @@
 
     fn submit(&mut self, number: u64, team: &str, tasks: u64) {
         self.store_revision += 1;
-        self.leader.on_job(
+        self.leader.on_job_record(
             job_record(number, team, tasks),
             Version(self.store_revision),
         );
--- a/tests/record_split.rs
+++ b/tests/record_split.rs
@@ -174,7 +174,7 @@
     leader.set_lease_valid_until(Time(u64::MAX));
     for (_, data, version) in list_items(store, "live/") {
         let record: JobRecord = data.deserialized().expect("a description");
-        leader.on_job(record, Version(version));
+        leader.on_job_record(record, Version(version));
     }
     for (key, data, version) in list_items(store, "run/") {
         let id = records::parse_run_key(&key).expect("the key of a run record");
--- a/tests/size.rs
+++ b/tests/size.rs
@@ -220,7 +220,7 @@
             };
             if records::parse_live_key(&item.key).is_some() {
                 assert!(records::unarchived_outcome(&item.value).is_none());
-                leader.on_job(item.record().expect("a job"), version);
+                leader.on_job_record(item.record().expect("a job"), version);
             }
         }
         for (key, (value, version)) in &self.items {
--- a/tests/traces.rs
+++ b/tests/traces.rs
@@ -250,7 +250,8 @@
             submitted_at_ms: self.now.0,
             tasks_per_record: 4,
         };
-        self.leader.on_job(record, Version(self.store_version));
+        self.leader
+            .on_job_record(record, Version(self.store_version));
     }
 
     /// Parses a heartbeat such as `vm-1 1/5 token 5: 7/0#1 running, 7/1#1 ended done`.
--- a/tests/zones_leader.rs
+++ b/tests/zones_leader.rs
@@ -210,7 +210,7 @@
 
     fn submit(&mut self, number: u64, priority: Priority, zone: Option<&str>) {
         self.store_version += 1;
-        self.leader.on_job(
+        self.leader.on_job_record(
             job_record(number, priority, zone),
             Version(self.store_version),
         );
