--- a/src/coordination/actions.rs
+++ b/src/coordination/actions.rs
@@ -25,8 +25,8 @@
     /// Release hosts that are not needed.
     ScaleIn(Vec<HostName>),
     /// Release hosts on which tasks of a cancelled job still run although the cancellation timeout is about to expire.
-    /// This is sent without a valid leader lease too: if another controller leads already, it loses no more than a
-    /// host.
+    /// This action does not need a valid leader lease: if another controller leads already, it loses no more than these
+    /// hosts.
     ForceRelease(Vec<HostName>),
 }
 
--- a/src/coordination/autoscaling/forecast.rs
+++ b/src/coordination/autoscaling/forecast.rs
@@ -35,7 +35,7 @@
 }
 
 impl JobDemand<'_> {
-    /// Whether a task that starts then meets the deadline. Without a deadline it always does.
+    /// Whether a task that starts in `start_s` seconds meets the deadline. Without a deadline every task does.
     fn meets_deadline(&self, start_s: f64) -> bool {
         self.deadline_s
             .is_none_or(|deadline_s| start_s + self.run_s <= deadline_s)
@@ -53,8 +53,8 @@
 }
 
 impl Forecast {
-    /// Reserves room for the replicas of a service that can start at once, if need be by preempting other tasks. Returns
-    /// how many can.
+    /// Reserves room for the replicas of a service that can start at once, if need be by preempting other tasks.
+    /// Returns the number of these replicas.
     fn reserve_by_preemption(&mut self, demand: &JobDemand, options: &StartOptions) -> u64 {
         let spec = demand.spec;
         if !spec.is_service() {
@@ -109,7 +109,8 @@
     starts: StartQueue,
     /// Seconds until a host requested now could start a task.
     min_startup_delay_s: f64,
-    /// The usable types and the scarce types kept for other jobs, where only the latter may meet the deadline.
+    /// The usable types and the scarce types kept for other jobs; `None` unless only the scarce types may meet the
+    /// deadline.
     overflow_types: Option<Vec<bool>>,
     /// The hosts of those scarce types alone.
     overflow_starts: StartQueue,
@@ -173,7 +174,7 @@
     /// Forecasts when the tasks of a job start, and which hosts to request for them.
     fn forecast_job(&self, demand: &JobDemand, scarce_types: &[bool], forecast: &mut Forecast) {
         let usable_types = self.usable_types(demand.spec, scarce_types);
-        // Includes the types kept for other jobs if only these meet the deadline.
+        // Includes the scarce types, which are kept for other jobs, if only these meet the deadline.
         let overflow_types = if demand.is_predicted {
             None
         } else {
@@ -210,8 +211,8 @@
     }
 
     /// Forecasts the start of the next task and reserves room for it, if need be on a host to request. `waiting_tasks`
-    /// counts this task and those of its job that come after it. Returns false if neither the present hosts nor one that
-    /// is worth its cost can take it.
+    /// counts this task and those of its job that come after it. Returns false if neither the present hosts nor a new
+    /// host that is worth its cost can take the task.
     fn forecast_task(
         &self,
         demand: &JobDemand,
@@ -302,10 +303,10 @@
         starts.push(&forecast.timelines, newest_index, &options.task_resources);
     }
 
-    /// The demand that a recent arrival predicts until a host requested now could start a task, if jobs go on arriving as
-    /// they did in the window: hosts take so long to start that they have to be requested before the jobs arrive. The
-    /// window is scaled down to that time, the arrival's position in it and its task count likewise. `None` if no task
-    /// remains.
+    /// The demand that a recent arrival predicts for the time until a host requested now could start a task, if jobs go
+    /// on arriving as they did in the window. Hosts take so long to start that they have to be requested before these
+    /// jobs arrive. The window is scaled down to that time, and with it the arrival's position in the window and its
+    /// task count. `None` if no task remains.
     fn predicted_job_demand<'a>(
         &self,
         (age_s, spec): &'a (f64, Box<JobSpec>),
--- a/src/coordination/autoscaling/pools.rs
+++ b/src/coordination/autoscaling/pools.rs
@@ -9,7 +9,7 @@
 
 /// A deadline counts as met if the forecast leaves at least this margin.
 pub(crate) const DEADLINE_MARGIN_S: f64 = 3.0;
-/// By how much the longest task of a job may exceed the expected run time, as a share of it.
+/// By how much the longest task of a job may exceed the expected run time, as a share of that run time.
 const RUN_TIME_MARGIN_SHARE: f64 = 1.0;
 /// A host that does not meet the deadline of a task, or is for a task without one, is provisioned only if it starts the
 /// task sooner by more than this. For services any gain suffices.
@@ -18,7 +18,7 @@
 const MISSED_DEADLINE_COST_FACTOR: f64 = 2.0;
 /// A task that may use spot hosts gets an on-demand host only if it would wait for longer than this.
 const ON_DEMAND_AFTER_S: f64 = 180.0;
-/// For services, the cost of a host grows by its price for each such period of startup delay.
+/// For services, the cost of a host doubles at this startup delay, and grows linearly with the delay.
 const STARTUP_DELAY_COST_S: f64 = 60.0;
 /// The cloud bills each host for at least this time.
 const MIN_BILLED_S: f64 = 60.0;
--- a/src/coordination/autoscaling/provisioning.rs
+++ b/src/coordination/autoscaling/provisioning.rs
@@ -105,12 +105,14 @@
 const MAX_ARRIVALS: usize = 1000;
 /// Job classes that are remembered as seen.
 const MAX_SEEN_CLASSES: usize = 1000;
+/// Interval between two evaluations of which hosts are cordoned, released and provisioned, on an empty cluster.
 const EVALUATION_INTERVAL: Duration = Duration::from_millis(500);
 /// Added to the evaluation interval for each known host, so that evaluations take the same share of the processor at any
 /// cluster size.
 const EVALUATION_INTERVAL_PER_HOST: Duration = Duration::from_micros(500);
 /// How long no request is sent to a pool that had less capacity than requested.
 const NO_CAPACITY_BACKOFF: Duration = Duration::from_secs(15);
+/// Delay before the next attempt after a request to the cloud was refused or got no response.
 const RETRY_DELAY: Duration = Duration::from_secs(2);
 
 impl Autoscaler {
@@ -185,8 +187,8 @@
 }
 
 impl View<'_> {
-    /// Whether no request may be sent to the pool now: a recent one was not fulfilled, or its
-    /// zone is closed to provisioning.
+    /// Whether no request may be sent to the pool now: a recent request was not fulfilled, or the pool's zone is closed
+    /// to provisioning.
     pub(crate) fn is_pool_unavailable(&self, pool: &CapacityPool, now: Time) -> bool {
         let backoff_until = self.autoscaler.pool_backoff_until.get(pool);
         backoff_until.is_some_and(|until| now < *until) || !self.may_provision_in_zone(&pool.zone)
@@ -231,7 +233,8 @@
         self.actions.push(Action::ScaleIn(names));
     }
 
-    /// Handles the result of a release request. `is_confirmed`: the cloud has answered that the hosts are gone.
+    /// Handles the result of a release request. `is_confirmed` says whether the cloud has answered that the hosts are
+    /// gone.
     pub fn on_release_result(&mut self, names: &[HostName], is_confirmed: bool, now: Time) {
         for name in names {
             self.autoscaler.releases_in_flight.remove(name);
@@ -319,7 +322,7 @@
     }
 
     /// Applies the cloud's complete list of hosts and queues failed hosts for release. The list lags, so a host missing
-    /// from it may still exist.
+    /// from it may still exist; one that was provisioned within twice the longest lag need not be listed yet.
     pub fn on_host_list(&mut self, listed: &[ListedHost], now: Time) {
         let max_lag = self.policy.max_host_list_lag * 2;
         for failed_host in self.cluster.on_host_list(listed, max_lag, now) {
--- a/src/coordination/autoscaling/scale_in.rs
+++ b/src/coordination/autoscaling/scale_in.rs
@@ -14,7 +14,7 @@
 /// A host that may be cordoned as surplus.
 struct ScaleInCandidate {
     price_per_cpu: f64,
-    /// Minus the allocated share of its CPUs, and 1 more if it is cordoned already.
+    /// The negative of the allocated share of the host's CPUs, plus 1 if the host is cordoned already.
     idleness: f64,
     name: HostName,
     cpus: f64,
--- a/src/coordination/autoscaling/services.rs
+++ b/src/coordination/autoscaling/services.rs
@@ -14,7 +14,7 @@
 use crate::protocol::users::JobSpec;
 use crate::types::{duration_from_seconds, HostName, JobId, TaskId, Time};
 
-/// How long before its host is reclaimed a replica is stopped even if no other host has room for it.
+/// A replica is stopped this long before its host is reclaimed, even if no other host has room for the replica.
 const RECLAIM_MARGIN: Duration = Duration::from_secs(2);
 /// How long a host has to be cordoned as surplus before replicas are moved off it, if nothing else runs there.
 const SURPLUS_DRAIN_DELAY: Duration = Duration::from_secs(120);
@@ -37,9 +37,10 @@
         host.allocations.keys().any(|task| self.is_replica(*task))
     }
 
-    /// CPUs on on-demand hosts that services should find free, or taken by tasks that they preempt, at any time, as they
-    /// have to start sooner than any host boots. This capacity is also kept for classes whose start objective is shorter
-    /// than any boot time and of which no job has been seen, as nobody knows what they will need.
+    /// CPUs on on-demand hosts that services should find at any time, either free or taken by tasks that services
+    /// preempt, as replicas have to start sooner than any host boots. This capacity is also kept for job classes whose
+    /// wait objective is shorter than any boot time and of which no job has been seen, as nobody knows what such a
+    /// class will need.
     fn standby_cpus(&self, now: Time) -> f64 {
         let boot_times_s = self.cluster.machine_types().iter().map(|t| t.boot_time_s.0);
         let min_boot_s = boot_times_s.fold(f64::INFINITY, f64::min);
@@ -57,7 +58,8 @@
         }
     }
 
-    /// CPUs on on-demand hosts that are up, expected or requested, without those that present and waiting replicas take.
+    /// CPUs on on-demand hosts that are up, expected or requested, less the CPUs that allocated and waiting replicas
+    /// take.
     fn cpus_for_services(&self) -> f64 {
         let cpus_of_type = |type_index: usize| {
             self.cluster
@@ -176,8 +178,8 @@
         peak_cpus * ON_DEMAND_HEADROOM_FACTOR + self.view().standby_cpus(now)
     }
 
-    /// The on-demand hosts to keep for that demand: first those that hold replicas, which have no end, then those that are
-    /// not cordoned, then the cheapest.
+    /// The on-demand hosts that are kept to provide the wanted on-demand CPUs: first those that hold replicas, which
+    /// have no end, then those that are not cordoned, then the cheapest.
     pub(crate) fn on_demand_hosts_to_keep(&mut self, now: Time) -> BTreeSet<HostName> {
         let mut missing_cpus = self.wanted_on_demand_cpus(now);
         let mut candidates = Vec::new();
@@ -259,9 +261,9 @@
         self.request_hosts(pool, count, now);
     }
 
-    /// Uncordons a surplus host that could take a replica for which no other host was found. The hosts that are not cordoned
-    /// may still remember an earlier attempt at the replica, and it is not to wait until they no longer do. Returns whether
-    /// a host was uncordoned.
+    /// Uncordons a surplus host that could take a replica for which no other host was found. The hosts that are not
+    /// cordoned may still remember an earlier attempt at the replica, and the replica is not to wait until those hosts
+    /// have forgotten the attempt. Returns whether a host was uncordoned.
     pub(crate) fn uncordon_host_for_replica(
         &mut self,
         job_id: JobId,
@@ -349,6 +351,6 @@
     }
 }
 
-/// Unseen classes count only once a leader has run for this long: by then it has seen the classes of all jobs in the
+/// Unseen classes count only once a leader has run for this long, and has thus seen the classes of all jobs in the
 /// records that it read.
 const UNSEEN_CLASSES_COUNT_AFTER: Duration = Duration::from_secs(2);
--- a/src/coordination/autoscaling/timeline.rs
+++ b/src/coordination/autoscaling/timeline.rs
@@ -17,7 +17,7 @@
 /// Expected remaining run time of a task whose job is not known.
 const UNKNOWN_JOB_REMAINING_S: f64 = 30.0;
 
-/// A host that is up, expected or requested, and when its capacity gets free. Times are seconds from now.
+/// A host that is up, expected or requested, and when its capacity becomes free. Times are seconds from now.
 pub(crate) struct HostTimeline {
     /// Index of its machine type.
     pub(crate) type_index: usize,
--- a/src/coordination/cluster/allocation.rs
+++ b/src/coordination/cluster/allocation.rs
@@ -50,7 +50,7 @@
     pub stop_sent_in_response_to: SequenceNumber,
     /// Why the task is to be stopped, if it is.
     pub stop_reason: Option<StopReason>,
-    /// Whether the task was saving its progress at the worker's last report.
+    /// Whether the task was saving its progress according to the worker's last heartbeat.
     pub is_saving: bool,
     /// When the task was first reported as running, with its image on the host.
     pub started_at: Option<Time>,
@@ -119,7 +119,7 @@
         }
     }
 
-    /// Applies the worker's report of the attempt, which has not ended.
+    /// Applies the status of the attempt, which has not ended, from the worker's heartbeat.
     pub(super) fn observe(&mut self, status: &AttemptStatus, now: Time) {
         self.phase = AllocationPhase::Observed;
         self.is_saving = status.state == AttemptState::Saving;
--- a/src/coordination/cluster/commands.rs
+++ b/src/coordination/cluster/commands.rs
@@ -10,7 +10,7 @@
 /// heartbeats small.
 const MAX_RETAINED_ATTEMPTS: usize = 200;
 /// Above this many ended attempts on a host, tasks are started in heartbeat responses only. No copy of a response
-/// arrives late, so that their attempts can be cleared as soon as they ended.
+/// arrives late, so attempts that a response started can be cleared as soon as they have ended.
 const MAX_ATTEMPTS_FOR_DIRECT_RUN: usize = 60;
 
 /// The grace for saving progress exceeds the save time in the job's description by this factor and by
--- a/src/coordination/cluster/host.rs
+++ b/src/coordination/cluster/host.rs
@@ -139,7 +139,7 @@
     /// Attempts in its last heartbeat that no run record places on this host and that were not adopted as allocations.
     pub unrecorded_attempts: BTreeSet<(TaskId, Attempt)>,
     /// How many direct `run` commands of each attempt have had no response. Each may still be executed, even minutes
-    /// from now.
+    /// later.
     unacknowledged_runs: BTreeMap<(TaskId, Attempt), u32>,
     /// Images that are likely in its cache, the most recently used last.
     cached_images: Vec<CachedImage>,
--- a/src/coordination/cluster/hosts.rs
+++ b/src/coordination/cluster/hosts.rs
@@ -24,7 +24,7 @@
 }
 
 impl ClusterState {
-    /// Adds provisioned hosts. Of those already known from the host list or a heartbeat, it sets the attributes.
+    /// Adds provisioned hosts. Of hosts already known from the host list or a heartbeat, only the attributes are set.
     pub(crate) fn add_provisioned(&mut self, provisioned: ProvisionedHosts, now: Time) {
         for name in provisioned.names {
             if self.was_released(&name) {
@@ -52,8 +52,9 @@
         let names: BTreeSet<&HostName> =
             listed.iter().map(|listed_host| &listed_host.name).collect();
         for host in self.hosts.values_mut() {
-            // Once listed, a host stays listed until it is gone. Only a list from before it was provisioned could lack
-            // it, and its age rules that out. This frees no allocation; the response to the release does.
+            // Once listed, a host stays listed until it is gone. Only a list from before the host was provisioned could
+            // lack it, and the host's age rules that out. Its allocations are not freed here, but once the cloud has
+            // confirmed its release.
             let is_older_than_list = now.since(host.provisioned_at) > max_lag;
             host.is_missing_from_list =
                 host.was_listed && is_older_than_list && !names.contains(&host.name);
@@ -130,8 +131,8 @@
     }
 
     /// Marks all hosts as unresponsive after this process was paused for longer than its lease. All heartbeats from
-    /// before are outdated, and so are those that arrive next, as they were queued meanwhile. A host is used again
-    /// after two heartbeats or the response to a probe.
+    /// before the pause are outdated, and so are those that arrive next, as they were queued during the pause. A host
+    /// is used again after two heartbeats or the response to a probe.
     pub(crate) fn mark_all_unresponsive(&mut self) {
         for host in self.hosts.values_mut() {
             if host.is_up() {
--- a/src/coordination/cluster/job/mod.rs
+++ b/src/coordination/cluster/job/mod.rs
@@ -33,7 +33,7 @@
     GarbageCollecting,
 }
 
-/// The outage of a replica of a service, which ran before.
+/// An outage of a replica of a service that had been running.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReplicaOutage {
     /// When it stopped running.
--- a/src/coordination/cluster/jobs.rs
+++ b/src/coordination/cluster/jobs.rs
@@ -88,8 +88,8 @@
         Some(allocated.filter(|(_, task)| task.job == id).collect())
     }
 
-    /// Completes the cancellation of a job whose tasks were all marked to be stopped. That has freed the allocations
-    /// that were not written, and no run record with them will be written.
+    /// Completes the cancellation of a job whose tasks were all marked to be stopped. Marking them has freed the
+    /// allocations that were not written yet, and no run record with these allocations will be written.
     pub(crate) fn finish_cancelling(&mut self, id: JobId, now: Time) {
         self.uncommitted_allocations
             .retain(|record, _| record.job != id);
--- a/src/coordination/election.rs
+++ b/src/coordination/election.rs
@@ -88,8 +88,8 @@
     pub term: Option<(Term, Version)>,
 }
 
-/// The part of the lease duration for which the leader relies on its lease. The clocks of two machines differ in rate
-/// by at most 0.05%, so 1% is a wide margin.
+/// The part of the lease duration for which the leader relies on its lease. The clocks of two hosts differ in rate by
+/// at most 0.05%, so 1% is a wide margin.
 const RELIABLE_LEASE_PART: f64 = 0.99;
 /// Mean interval between two reads of the records below `lead/`.
 const READ_INTERVAL: Duration = Duration::from_millis(400);
@@ -99,7 +99,7 @@
 const CONFIRMATION_VALIDITY: Duration = Duration::from_millis(1500);
 /// A read without a response for this long is repeated, and a response that is processed later is discarded.
 const READ_TIMEOUT: Duration = Duration::from_millis(1500);
-/// Delay until a renewal is retried that was refused or got no response.
+/// Delay before a renewal that was refused or got no response is retried.
 const RENEWAL_RETRY_DELAY: Duration = Duration::from_millis(200);
 
 /// The leader election from the point of view of one controller. It returns requests as [`ElectionAction`]s and takes
--- a/src/coordination/failure_detection/hosts.rs
+++ b/src/coordination/failure_detection/hosts.rs
@@ -88,8 +88,8 @@
         counts_by_zone
     }
 
-    /// Whether most hosts of the zone are silent, or were until so recently that the others have had no time to send
-    /// a heartbeat.
+    /// Whether most hosts of the zone are silent, or were until so recently that heartbeats of healthy hosts may not
+    /// have arrived since.
     fn is_zone_partitioned(&self, zone: &str, now: Time) -> bool {
         let settling_time = max_heartbeat_delay(self.policy.heartbeat_interval);
         let last_seen_at = self.failure_detector.partitioned_zones.get(zone);
@@ -144,7 +144,8 @@
             {
                 true
             }
-            // The cloud no longer lists it, and it is silent for longer than the heartbeat interval allows.
+            // The cloud no longer lists it, and it is silent for longer than the time between two heartbeats, which is
+            // at most `MAX_HEARTBEAT_INTERVALS` heartbeat intervals.
             (HostLifecycle::Up | HostLifecycle::Unresponsive, _) if host.is_missing_from_list => {
                 silent_for > self.policy.heartbeat_interval.mul_f64(1.3)
             }
@@ -163,8 +164,8 @@
                 now.since(since) > self.policy.worker_lease * lease_count + max_silence
             }
             (HostLifecycle::Expected, _) => {
-                // To a new leader also hosts that have been up for long are new: they get time to send a heartbeat. In a
-                // partitioned zone none of them can, and neither can a host that has booted since.
+                // Hosts that have been up for long are new to a new leader too, so they get time to send a heartbeat.
+                // In a partitioned zone they can't send one, and neither can a host that has booted since.
                 let max_wait = if is_partitioned {
                     self.policy.worker_lease * 3
                 } else {
--- a/src/coordination/failure_detection/mod.rs
+++ b/src/coordination/failure_detection/mod.rs
@@ -26,7 +26,7 @@
     /// Zones most of whose hosts were found silent, with the time of the last such check. The empty name stands for
     /// hosts whose zone is not known.
     pub(crate) partitioned_zones: BTreeMap<String, Time>,
-    /// Whether the controllers in each zone answer this node, by zone.
+    /// By zone, whether its controllers answer this node.
     pub controller_reach_by_zone: BTreeMap<String, ControllerReach>,
     /// The states of zones; `None` if zone tracking is disabled.
     pub(crate) zone_monitor: Option<ZoneMonitor>,
--- a/src/coordination/failure_detection/zones.rs
+++ b/src/coordination/failure_detection/zones.rs
@@ -259,7 +259,7 @@
         for transition in monitor.tracker.observe(&observations, now) {
             let observation = transition.observation;
             tracing::info!(
-                "zone {}: {} -> {}: {} of {} machines silent, {} of {} on-demand ones, controllers: {:?}",
+                "zone {}: {} -> {}: {} of {} hosts silent, {} of {} on-demand hosts silent, controllers: {:?}",
                 transition.zone,
                 transition.from,
                 transition.to,
--- a/src/coordination/leader/jobs.rs
+++ b/src/coordination/leader/jobs.rs
@@ -10,8 +10,9 @@
 
 /// Most cancelled jobs that are remembered, at some ten bytes each: as many as several peer heartbeats carry.
 const MAX_CANCELLED_JOBS: usize = 12_000;
-/// A new leader that cannot read the records renews workers' leases for this part of the time by which the cancellation
-/// timeout exceeds a worker's lease. The rest is for jobs whose cancellation was confirmed shortly before its term.
+/// A new leader that cannot read the records renews workers' leases for this part of the difference between the
+/// cancellation timeout and a worker's lease. The rest is for jobs whose cancellation was confirmed shortly before its
+/// term.
 const LOADING_LEASE_PART: f64 = 0.6;
 
 /// Jobs whose cancellation some controller has confirmed to its user, and when this leader learnt of it.
@@ -72,8 +73,8 @@
         }
     }
 
-    /// Handles an outcome that has replaced the job's specification in its record: an earlier leader finished the job,
-    /// or this one did and the response to the write was lost.
+    /// Handles an outcome that has replaced the job's description in its record: an earlier leader finished the job, or
+    /// this one did and the response to the write was lost.
     pub fn on_outcome_record(&mut self, id: JobId, outcome: OutcomeRecord, version: Version) {
         let now = self.clock.now;
         self.cluster.on_outcome_record(id, outcome, version, now);
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -10,7 +10,7 @@
 //! | `autoscaling` | the demand forecast, the capacity pools, scale-out, scale-in and warm spares |
 //! | `failure_detection` | hosts that missed heartbeats and partitioned or lost zones |
 //! | `dispatch` | the limits on commands and probes in flight to workers |
-//! | `quota` | what each team may use: its limits, or the leader's allowances of them |
+//! | `quota` | how much each team may use: its limit or, with the `quota` feature, the leader's allowance |
 //! | `run_times` | expected run times, learnt from completed tasks |
 //! | `policy` | the parameters of all decisions, derived from the settings |
 
--- a/src/coordination/policy.rs
+++ b/src/coordination/policy.rs
@@ -15,23 +15,24 @@
     pub heartbeat_interval: Duration,
     /// How long a worker keeps its tasks without a response from a leader.
     pub worker_lease: Duration,
-    /// Time from the confirmation of a job's cancellation by which none of its tasks may run any more.
+    /// How long after the confirmed cancellation of a job its tasks may still run.
     pub cancellation_timeout: Duration,
-    /// The longest time by which the cloud's list of hosts lags behind.
+    /// The longest lag of the cloud's list of hosts: twice the usual lag that the settings state.
     pub max_host_list_lag: Duration,
     /// Number of tasks that share a run record.
     pub tasks_per_record: u32,
     /// Probes of hosts that may be in flight at once. Each occupies a socket until its response or its timeout.
     pub max_probes_in_flight: usize,
-    /// Direct command requests that may be in flight at once, limited for the same reason. Further ones are queued.
+    /// Direct command requests that may be in flight at once, limited as each occupies a socket too. Further ones are
+    /// queued.
     pub max_commands_in_flight: usize,
     /// Largest size of a value in the state service.
     pub max_value_bytes: usize,
     /// Most changes that one transaction may hold.
     pub max_txn_changes: usize,
     /// With this many urgent records queued for writing, no more tasks of the lowest priority are allocated; each
-    /// higher priority adds the same number once more. Tasks allocated beyond that would only keep hosts idle, as a
-    /// task starts after its record is written.
+    /// higher priority raises the limit by the same number. Tasks allocated beyond the limit would only keep hosts
+    /// idle, as a task starts after its record is written.
     pub max_queued_records_per_priority: usize,
     /// Teams with their guarantees and limits.
     pub teams: Vec<Team>,
@@ -70,7 +71,7 @@
         }
     }
 
-    /// The usual time without a heartbeat after which a host is given up.
+    /// The usual time without a heartbeat after which a host is declared lost.
     pub fn heartbeat_timeout(&self) -> Duration {
         self.heartbeat_interval
             .mul_f64(self.tuning.lost_after_heartbeat_intervals)
--- a/src/coordination/quota.rs
+++ b/src/coordination/quota.rs
@@ -1,5 +1,5 @@
-//! Team quotas: how much each team may use. Without the `quota` feature these are the limits in the settings, with it
-//! the allowances that the leader has claimed of them.
+//! Team quotas: how much each team may use. Without the `quota` feature a team may use the limit in its settings, with
+//! the feature the allowance that the leader has claimed for it.
 
 use std::collections::BTreeMap;
 
@@ -15,7 +15,7 @@
 use crate::settings::Team;
 use crate::types::{TaskId, Term};
 
-/// The amount that a task is charged to its team.
+/// The amount that is charged to the team of a task with these resources.
 pub(crate) fn task_charge(task_resources: &Resources) -> ResourceVector {
     ResourceVector::rounded_up(task_resources.cpus, task_resources.gpus)
 }
@@ -116,9 +116,9 @@
         task_charge(&job.task_resources).multiples_within(&remaining)
     }
 
-    /// Whether a task of `victim` may be stopped to make room for one of `preemptor`: if its priority is lower, or,
-    /// with the feature enabled, if it exceeds its team's guarantee and the other one is within the guarantee of its
-    /// own team.
+    /// Whether a task of `victim` may be stopped to make room for one of `preemptor`: if the victim's priority is lower
+    /// or, with the `quota` feature, if the victim exceeds its team's guarantee and the preemptor is within the
+    /// guarantee of another team.
     pub(crate) fn may_preempt(&self, victim: &Job, preemptor: &Job) -> bool {
         let preemptor_is_guaranteed = self.quota.allowances.is_some()
             && victim.team != preemptor.team
--- a/src/coordination/resources.rs
+++ b/src/coordination/resources.rs
@@ -49,6 +49,7 @@
             if required > 0.0 {
                 (available + TOLERANCE) / required
             } else {
+                // A resource that is not required does not limit the result.
                 1e6
             }
         };
--- a/src/coordination/run_times.rs
+++ b/src/coordination/run_times.rs
@@ -7,8 +7,8 @@
 use crate::protocol::users::JobSpec;
 use crate::types::Time;
 
-/// Weight that earlier runs keep whenever another run completes. It lets the estimate follow a change from one day to the
-/// next.
+/// Factor by which the weight of earlier runs decreases with each completed run, so that the estimate follows changes
+/// from one day to the next.
 const DECAY_PER_RUN: f64 = 0.98;
 /// The run time that forecasts assume for replicas, whose end nobody knows.
 const SERVICE_RUN_S: f64 = 600.0;
@@ -17,7 +17,7 @@
 /// Bounds of the ratio of the expected run time to the owner's estimate.
 const MIN_ESTIMATE_RATIO: f64 = 0.4;
 const MAX_ESTIMATE_RATIO: f64 = 2.5;
-/// A task that overruns its expected run time is expected to run for another such share of the time it has run so far.
+/// A task that overruns its expected run time is expected to run on for this share of the time that it has run so far.
 const OVERRUN_SHARE: f64 = 0.25;
 /// The least remaining run time that is expected of a running task.
 const MIN_REMAINING_S: f64 = 1.0;
@@ -52,7 +52,7 @@
         }
     }
 
-    /// How long a task of a job with this specification is likely to run, in seconds.
+    /// How long a task of a job with this description is likely to run, in seconds.
     pub(crate) fn expected_of_spec_s(&self, spec: &JobSpec) -> f64 {
         if spec.is_service() {
             return SERVICE_RUN_S;
--- a/src/coordination/scheduling/preemption.rs
+++ b/src/coordination/scheduling/preemption.rs
@@ -104,7 +104,7 @@
             run_time_s
         };
         let is_allowed = self.may_preempt(job, preemptor) && allocation.stop_reason.is_none();
-        // The first tasks of a job that was starving have to stay, or it would starve again.
+        // The first tasks of a job that was starving have to keep running, or the job would starve again.
         let starve_after = duration_from_seconds(self.policy.tuning.starvation_threshold_s);
         let waited =
             Duration::from_millis(self.clock.wall_clock_ms.saturating_sub(job.submitted_at_ms));
--- a/src/coordination/scheduling/ranking.rs
+++ b/src/coordination/scheduling/ranking.rs
@@ -21,19 +21,20 @@
     /// False for a starving job: it has waited for `starve_after_s` of the tuning, and none of its tasks is allocated or
     /// done.
     pub is_not_starving: bool,
-    /// Whether the unfinished tasks of its team's jobs, from the earliest one to this, exceed the team's guarantee.
+    /// Whether the unfinished tasks of the team's jobs, up to and including this job in order of arrival, exceed the
+    /// team's guarantee.
     pub is_over_guarantee: bool,
     /// Priority of the job.
     pub priority: Priority,
-    /// Whether it can no longer meet its deadline, so that jobs which still can go first. It yields only until it has
-    /// waited for twice `starve_after_s`.
+    /// Whether the job can no longer meet its deadline and yields to jobs that still can meet theirs. It yields only
+    /// until it has waited for twice `starve_after_s`.
     pub yields_as_late: bool,
-    /// Its deadline in milliseconds of the time of day; `u64::MAX` without a deadline.
+    /// Deadline of the job as Unix time in milliseconds; `u64::MAX` without a deadline.
     pub deadline_ms: u64,
     /// For a best-effort job without a deadline, the binary logarithm of its estimated remaining CPU-seconds, so that
     /// small jobs do not wait for very large ones; 0 for other jobs.
     pub remaining_cpu_s_log2: u32,
-    /// Version of its record, which orders jobs by their arrival.
+    /// Version of the job's record, which orders jobs by their arrival.
     pub arrival_version: Version,
     /// Id of the job.
     pub job: JobId,
@@ -109,7 +110,7 @@
                 arrival_version: job.record_version,
                 job: job.id,
             };
-            // Only the oldest few count as starving: a large number of them would delay all urgent jobs.
+            // Only the oldest jobs count as starving: a large number of starving jobs would delay all urgent ones.
             let has_begun = job.allocated_count > 0 || job.done_count > 0;
             let is_starving =
                 waiting_for >= starve_after && !has_begun && starving_count < MAX_STARVING_JOBS;
--- a/src/coordination/scheduling/type_eligibility.rs
+++ b/src/coordination/scheduling/type_eligibility.rs
@@ -1,4 +1,5 @@
-//! Which machine types the tasks of a job may use, and which types are scarce: some other job can use no other type.
+//! Which machine types the tasks of a job may use, and which types are scarce: those that are the only suitable type of
+//! some job.
 
 use crate::coordination::cluster::job::JobPhase;
 use crate::coordination::scheduling::scoring::is_type_suitable;
