--- a/src/node/api/mod.rs
+++ b/src/node/api/mod.rs
@@ -173,8 +173,8 @@
 }
 
 impl ApiServer {
-    /// A server without open requests. `max_value_kib` and `max_txn_changes` are the state service's limits for the size of a value
-    /// and for the number of changes in a transaction.
+    /// A server without open requests. `max_value_kib` and `max_txn_changes` are the state service's limits for the
+    /// size of a value and for the number of changes in a transaction.
     pub fn new(teams: Vec<Team>, max_value_kib: f64, max_txn_changes: usize) -> ApiServer {
         ApiServer {
             last_request_number: 0,
--- a/src/node/heartbeats.rs
+++ b/src/node/heartbeats.rs
@@ -27,7 +27,7 @@
     reachable_since: Time,
     /// The last response that could be decoded, and when the heartbeat that it answers was sent.
     last_response: Option<(Time, PeerHeartbeat)>,
-    /// Whether the peer was reachable when that was last logged.
+    /// Whether the last log line about the peer said that it answers.
     is_logged_as_reachable: bool,
 }
 
--- a/src/node/leader_duties/mod.rs
+++ b/src/node/leader_duties/mod.rs
@@ -141,13 +141,13 @@
     is_loaded: bool,
     /// The pages read so far of the cloud's list of hosts.
     listed_hosts: Vec<ListedHost>,
-    /// Reading the cloud's list of hosts.
+    /// The periodic read of the cloud's list of hosts.
     host_list_read: PeriodicRead,
-    /// Reading the machine types from the cloud.
+    /// The periodic read of the machine types from the cloud.
     machine_types_read: PeriodicRead,
     /// Whether the machine types have been written in this term, or are too large for it.
     has_written_machine_types: bool,
-    /// Reading the quota records; also marked as running while they are written.
+    /// The periodic read of the quota records; also marked as running while they are written.
     quota_reload: PeriodicRead,
     /// When the quota records are next checked for due changes.
     quota_check_due_at: Time,
--- a/src/node/leader_duties/quota.rs
+++ b/src/node/leader_duties/quota.rs
@@ -8,7 +8,7 @@
 const QUOTA_PREFIXES: [&str; 3] = [POOL_KEY, TEAM_PREFIX, ALLOWANCE_PREFIX];
 /// Interval between checks whether quota records have to change. Each check goes through all jobs.
 const QUOTA_CHECK_INTERVAL: Duration = Duration::from_millis(200);
-/// Changes that the quota of one team takes: the team's record, the allowance and the pool.
+/// Changes in a transaction on the quota of one team: the team's record, the allowance and the pool.
 const CHANGES_PER_QUOTA_TXN: f64 = 3.0;
 
 impl LeaderDuties {
--- a/src/node/leader_locality.rs
+++ b/src/node/leader_locality.rs
@@ -133,8 +133,8 @@
         let is_transfer_due = better_peer_for.is_some_and(|time| time >= TRANSFER_DELAY)
             && !self.locality.home_zone_flaps.is_unstable(now);
         // A leader that is partitioned from the home zone can't see whether the nodes there are fit to lead, but they
-        // will find the key free if it resigns. It doesn't if a node of its own zone has just resigned without
-        // success.
+        // will find the key free if it resigns. The leader doesn't resign if a node of its own zone has just resigned
+        // without success.
         let can_resign_for_home_zone = !self.is_in_home_zone()
             && !self.has_zone_peer_resigned()
             && !self
@@ -227,7 +227,7 @@
                 ..
             } = worker_reach;
             tracing::info!(
-                "resigning as the leader: {reachable_hosts} of {known_hosts} hosts reach it"
+                "resigning as the leader: {reachable_hosts} of {known_hosts} hosts reach this controller"
             );
         }
         self.execute_election_action(action);
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -79,7 +79,7 @@
 const CAMPAIGN_DELAY: Duration = Duration::from_millis(900);
 /// How long a peer must have been better placed to lead before the leader transfers the leadership.
 const TRANSFER_DELAY: Duration = Duration::from_secs(15);
-/// How long a worker is counted as reporting to this node after a heartbeat.
+/// How long a worker counts as one that sends its heartbeats to this node, after the last heartbeat.
 const WORKER_HEARTBEAT_VALIDITY: Duration = Duration::from_secs(6);
 /// Lower bound of the limit on counted workers, which otherwise depends on the number of sockets.
 const MIN_COUNTED_WORKER_LIMIT: usize = 10_000;
@@ -126,7 +126,7 @@
     /// When each worker last sent a heartbeat to this node.
     worker_heartbeats: BTreeMap<HostName, Time>,
     locality_check_due_at: Time,
-    /// Whether the state service was reachable when that was last logged.
+    /// Whether the last log line about the state service said that it answers.
     is_store_logged_as_reachable: bool,
     summary_due_at: Time,
     /// When the node last processed events or ran due work, to detect pauses of the process.
--- a/src/node/periodic.rs
+++ b/src/node/periodic.rs
@@ -143,7 +143,7 @@
                     ApiAction::Relay(id, request) => self.relay(id, &request),
                     ApiAction::InformLeader(job) => self.inform_leader(job),
                     ApiAction::Respond(conn, response) => self.network.respond(conn, &response),
-                    ApiAction::SendStoreRequest(class, request, api_request) => {
+                    ApiAction::SendStoreRequest(class, request, purpose) => {
                         // While the state service is unreachable, a short timeout lets the request be relayed to
                         // another node early.
                         let timeout = if self.is_store_reachable(now) {
@@ -153,7 +153,7 @@
                         };
                         let id = self.store.enqueue(now, class, request, timeout);
                         self.request_origins
-                            .insert(id, RequestOrigin::ApiServer(api_request));
+                            .insert(id, RequestOrigin::ApiServer(purpose));
                     }
                 }
             }
--- a/src/node/replies.rs
+++ b/src/node/replies.rs
@@ -82,7 +82,7 @@
                     }
                 }
             }
-            Some(RequestOrigin::ApiServer(request)) => {
+            Some(RequestOrigin::ApiServer(purpose)) => {
                 // Without a valid lease, the leader's task counts may be out of date.
                 let has_valid_lease = self.election.is_lease_valid(now);
                 let duties = self.duties.as_ref().filter(|_| has_valid_lease);
@@ -92,7 +92,7 @@
                     has_spare_store_budget: self.store.has_spare_budget(now),
                     is_store_reachable: self.is_store_reachable(now),
                 };
-                self.api.on_outcome(request, outcome, &view, now);
+                self.api.on_outcome(purpose, outcome, &view, now);
             }
             Some(RequestOrigin::MachineTypes) => {
                 if let Outcome::Item(Some(item)) = outcome {
--- a/src/node/requests.rs
+++ b/src/node/requests.rs
@@ -130,7 +130,7 @@
         if self.worker_heartbeats.len() < max_workers || self.worker_heartbeats.contains_key(host) {
             self.worker_heartbeats.insert(host.clone(), now);
         } else {
-            tracing::warn!("{host}: not counted: this node already counts {max_workers} workers");
+            tracing::warn!("{host}: heartbeats of its worker are not counted: the limit of {max_workers} workers is reached");
         }
     }
 
--- a/src/node/zone_isolation.rs
+++ b/src/node/zone_isolation.rs
@@ -12,9 +12,9 @@
 use crate::transport::Network;
 use crate::types::{Term, Time};
 
-/// The part of the time by which the cancellation timeout exceeds a worker's lease during which heartbeats are
-/// responded to. An isolated zone learns of no cancellation, so the workers' leases have to expire in time for every
-/// cancellation that is confirmed elsewhere meanwhile, even if nobody can release the hosts.
+/// The part of the difference between the cancellation timeout and a worker's lease for which heartbeats in an isolated
+/// zone are responded to. An isolated zone learns of no cancellation, so the workers' leases have to expire in time for
+/// every cancellation that is confirmed elsewhere meanwhile, even if nobody can release the hosts.
 const RESPONSE_PERIOD_FRACTION: f64 = 0.75;
 
 impl<N: Network> Node<N> {
@@ -60,8 +60,8 @@
     }
 
     /// The fencing token for a heartbeat response to a worker while the zone of both is isolated: the term of an
-    /// elected leader. The worker must have accepted a term before; a worker without one is redirected instead, so
-    /// that it finds a leader that can use it.
+    /// elected leader. The worker must have accepted a term before; a worker without one is redirected instead, so that
+    /// it finds a leader that can place tasks on its host.
     pub(super) fn isolation_proxy_token(
         &self,
         heartbeat: &WorkerHeartbeat,
--- a/src/protocol/peers.rs
+++ b/src/protocol/peers.rs
@@ -60,7 +60,7 @@
 /// A user's request that the sender relays to a peer because the state service does not respond to the sender.
 #[derive(Clone, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub enum RelayedRequest {
-    /// Submission of a job: the encoded specification.
+    /// Submission of a job: its encoded description.
     Submit(Vec<u8>),
     /// Status query for the job with this id.
     Status(String),
--- a/src/protocol/users.rs
+++ b/src/protocol/users.rs
@@ -40,7 +40,7 @@
     Service,
 }
 
-/// The specification of a job, as its user submits it.
+/// The description of a job, as its user submits it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct JobSpec {
     /// Id of the job, chosen by its user.
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -213,8 +213,8 @@
 }
 
 impl StateServiceLimits {
-    /// Lowers each limit to its future value if that is smaller. Both limits are then kept at any time, so the time of
-    /// the change does not matter.
+    /// Lowers each limit to its future value if that is smaller. The present and the future limits are then both kept
+    /// at any time, so the time of the change does not matter.
     fn lower_to_future_limits(&mut self) {
         let future = self.future_limits.clone().unwrap_or_default();
         self.requests_per_s = future
--- a/src/storage/records.rs
+++ b/src/storage/records.rs
@@ -76,7 +76,7 @@
 pub struct JobRecord {
     /// The job's description as its user submitted it.
     pub spec: JobSpec,
-    /// Time of day of the submission, in milliseconds.
+    /// Unix time of the submission, in milliseconds.
     #[serde(rename = "at_ms")]
     pub submitted_at_ms: u64,
     /// How many tasks each run record of the job holds, except for the last one.
--- a/src/storage/store.rs
+++ b/src/storage/store.rs
@@ -69,7 +69,7 @@
     pub last_response_at: Option<Time>,
 }
 
-/// Reads have priority over everything but leases for one request in this many.
+/// For one request in this many, reads have priority over everything but leases.
 const READ_TURN_PERIOD: u32 = 4;
 /// Factor by which the longest recent response time decays with each response.
 const SLOWEST_RESPONSE_DECAY: f64 = 0.9;
@@ -164,7 +164,7 @@
         if self.requests_since_read_turn + 1 >= READ_TURN_PERIOD {
             order.sort_by_key(|class| !matches!(class, RequestClass::Lease | RequestClass::Read));
         }
-        let mut changes_reserved = false;
+        let mut are_changes_reserved = false;
         for class in order {
             let queue = self.queues.get(&class);
             let Some(first) = queue.and_then(VecDeque::front) else {
@@ -179,11 +179,12 @@
                 if self.request_rate_limit.available(now) < 1.0 {
                     return None;
                 }
-                // Lower classes may read meanwhile, but not use the changes that this class waits for.
+                // Requests of lower classes that change nothing may be sent meanwhile; ones with changes would use up
+                // the write rate limit that this request waits for.
                 if change_count > 0.0
-                    && (changes_reserved || self.write_rate_limit.available(now) < 1.0)
+                    && (are_changes_reserved || self.write_rate_limit.available(now) < 1.0)
                 {
-                    changes_reserved = true;
+                    are_changes_reserved = true;
                     continue;
                 }
             }
@@ -228,7 +229,7 @@
         }
     }
 
-    /// The request was sent with this call, whose result belongs to it.
+    /// Notes that the request was sent with this call, so that the call's result is assigned to the request.
     pub fn on_sent(&mut self, id: StoreRequestId, call: CallId) {
         self.request_by_call.insert(call, id);
     }
