--- a/src/coordination/failure_detection/hosts.rs
+++ b/src/coordination/failure_detection/hosts.rs
@@ -97,7 +97,7 @@
     }
 
     /// How long a host may be silent before it counts as unresponsive. An outage of a service's replica is noticed at
-    /// once, so a host with replicas gets no more time than a healthy worker needs to be heard.
+    /// once, so a host with replicas gets no more time than the longest delay of a healthy worker's heartbeat.
     fn max_silence(&self, host: &Host) -> Duration {
         let default_limit = self.policy.heartbeat_timeout();
         if self.holds_replicas(host) {
--- a/src/coordination/scheduling/preemption.rs
+++ b/src/coordination/scheduling/preemption.rs
@@ -120,7 +120,7 @@
             .expected_remaining_s(job, allocation.started_at, now)
             < ENDS_SOON_S;
         let max_loss_s = if self.serves_guarantee(job, preemptor) {
-            // A team's guarantee holds regardless of what borrowed work loses.
+            // A team's guarantee holds regardless of the run time that tasks beyond another team's guarantee lose.
             f64::INFINITY
         } else if preemptor_spec.is_service() {
             MAX_LOSS_FOR_SERVICE_S
--- a/src/transport/client_connection.rs
+++ b/src/transport/client_connection.rs
@@ -101,21 +101,21 @@
     }
 
     /// Continues the call as far as the socket is ready. Returns the call's result once there is one.
-    pub(super) fn on_ready(&mut self, readable: bool, writable: bool) -> Option<CallResult> {
+    pub(super) fn on_ready(&mut self, is_readable: bool, is_writable: bool) -> Option<CallResult> {
         if self.phase == Phase::Connecting {
-            if !writable {
+            if !is_writable {
                 return None;
             }
             if let Some(failed) = self.finish_connecting() {
                 return Some(failed);
             }
         }
-        if writable && self.phase == Phase::Busy {
+        if is_writable && self.phase == Phase::Busy {
             if let Some(failed) = self.flush() {
                 return Some(failed);
             }
         }
-        if readable && matches!(self.phase, Phase::Busy | Phase::Idle) {
+        if is_readable && matches!(self.phase, Phase::Busy | Phase::Idle) {
             return self.receive();
         }
         None
@@ -158,7 +158,7 @@
     /// Reads the bytes that have arrived. Returns the call's result once there is one.
     fn receive(&mut self) -> Option<CallResult> {
         let mut chunk = [0u8; READ_CHUNK_BYTES];
-        let mut peer_closed = false;
+        let mut has_peer_closed = false;
         loop {
             match nonblocking::read(&mut self.stream, &mut chunk) {
                 // A server must not send anything while no call is in progress.
@@ -166,18 +166,18 @@
                 Ok(ReadProgress::Bytes(count)) => self.input.extend_from_slice(&chunk[..count]),
                 Ok(ReadProgress::WouldBlock) => break,
                 Ok(ReadProgress::Eof) => {
-                    peer_closed = true;
+                    has_peer_closed = true;
                     break;
                 }
                 Err(_) => return self.fail(),
             }
         }
         if self.input.is_empty() {
-            return if peer_closed { self.fail() } else { None };
+            return if has_peer_closed { self.fail() } else { None };
         }
-        match http::parse_response(&self.input, peer_closed) {
+        match http::parse_response(&self.input, has_peer_closed) {
             Ok(Parsed::Complete { message, length }) => {
-                let is_reusable = !peer_closed && !message.close && length == self.input.len();
+                let is_reusable = !has_peer_closed && !message.close && length == self.input.len();
                 self.enter(if is_reusable {
                     Phase::Idle
                 } else {
@@ -185,7 +185,7 @@
                 });
                 Some(Ok(message))
             }
-            Ok(Parsed::Partial) if !peer_closed => None,
+            Ok(Parsed::Partial) if !has_peer_closed => None,
             Ok(Parsed::Partial) | Err(_) => self.fail(),
         }
     }
--- a/src/transport/event_loop/calls.rs
+++ b/src/transport/event_loop/calls.rs
@@ -82,7 +82,7 @@
         let Some(connection) = self.sockets.client(readiness.slot) else {
             return;
         };
-        let result = connection.on_ready(readiness.readable, readiness.writable);
+        let result = connection.on_ready(readiness.is_readable, readiness.is_writable);
         self.after_client_progress(readiness.slot, result);
     }
 
--- a/src/transport/event_loop/mod.rs
+++ b/src/transport/event_loop/mod.rs
@@ -66,8 +66,8 @@
         })
     }
 
-    /// Waits until a socket is ready or a timer expires, until `deadline` at the latest, and handles all that are. Does
-    /// not wait while there are events to be taken.
+    /// Waits until a socket is ready or a timer expires, until `deadline` at the latest, and handles all ready sockets
+    /// and expired timers. Does not wait while there are events to be taken.
     ///
     /// # Errors
     ///
--- a/src/transport/event_loop/requests.rs
+++ b/src/transport/event_loop/requests.rs
@@ -15,10 +15,10 @@
             return;
         };
         let mut request = None;
-        if readiness.writable {
+        if readiness.is_writable {
             request = connection.on_writable(now);
         }
-        if readiness.readable && request.is_none() {
+        if readiness.is_readable && request.is_none() {
             request = connection.on_readable(now);
         }
         self.after_server_progress(readiness.slot, request);
--- a/src/transport/http/parse.rs
+++ b/src/transport/http/parse.rs
@@ -70,13 +70,13 @@
     Ok(Parsed::Complete { message, length })
 }
 
-/// Parses the response at the start of `bytes`; `peer_closed` says that the server has closed its side, so that no more
-/// bytes will arrive.
+/// Parses the response at the start of `bytes`; `has_peer_closed` says whether the server has closed its side, so that
+/// no more bytes will arrive.
 ///
 /// # Errors
 ///
 /// If `bytes` are not the beginning of a response, or a limit is exceeded.
-pub fn parse_response(bytes: &[u8], peer_closed: bool) -> Result<Parsed<Response>, HttpError> {
+pub fn parse_response(bytes: &[u8], has_peer_closed: bool) -> Result<Parsed<Response>, HttpError> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut head = httparse::Response::new(&mut headers);
     let body_start = match head.parse(bytes) {
@@ -93,7 +93,7 @@
     let body = if framing.is_chunked {
         parse_chunked_body(after_head)?
     } else {
-        parse_plain_body(after_head, &framing, status, peer_closed)?
+        parse_plain_body(after_head, &framing, status, has_peer_closed)?
     };
     let Some(body) = body else {
         return Ok(Parsed::Partial);
@@ -129,12 +129,12 @@
     after_head: &[u8],
     framing: &Framing,
     status: u16,
-    peer_closed: bool,
+    has_peer_closed: bool,
 ) -> Result<Option<Body>, HttpError> {
     let length = match framing.content_length {
         Some(length) => length,
         None if matches!(status, 204 | 304) => 0,
-        None if peer_closed => after_head.len(),
+        None if has_peer_closed => after_head.len(),
         // The body extends until the server closes the connection.
         None if framing.close => return Ok(None),
         None => 0,
--- a/src/transport/sockets.rs
+++ b/src/transport/sockets.rs
@@ -84,9 +84,9 @@
 pub(super) struct Readiness {
     pub(super) slot: usize,
     /// Also set if the peer has closed its side or the connection failed; a read tells which.
-    pub(super) readable: bool,
+    pub(super) is_readable: bool,
     /// Also set if the connection failed.
-    pub(super) writable: bool,
+    pub(super) is_writable: bool,
 }
 
 /// All open sockets. Each has a slot, the number under which it is registered with the poller; slots are reused.
@@ -124,8 +124,8 @@
             let has_failed = event.is_error();
             Readiness {
                 slot: event.token().0,
-                readable: event.is_readable() || has_failed || event.is_read_closed(),
-                writable: event.is_writable() || has_failed || event.is_write_closed(),
+                is_readable: event.is_readable() || has_failed || event.is_read_closed(),
+                is_writable: event.is_writable() || has_failed || event.is_write_closed(),
             }
         });
         Ok(readiness.collect())
