--- a/src/coordination/autoscaling/forecast.rs
+++ b/src/coordination/autoscaling/forecast.rs
@@ -35,7 +35,7 @@
 }
 
 impl JobDemand<'_> {
-    /// Whether a task that starts then meets the deadline. Without a deadline it always does.
+    /// Whether a task that starts in `start_s` seconds meets the deadline. Without a deadline every task does.
     fn meets_deadline(&self, start_s: f64) -> bool {
         self.deadline_s
             .is_none_or(|deadline_s| start_s + self.run_s <= deadline_s)
@@ -53,30 +53,30 @@
 }
 
 impl Forecast {
-    /// Reserves room for the replicas of a service that can start at once, if need be by preempting other tasks. Returns
-    /// how many can.
+    /// Reserves room for the replicas of a service that can start at once, if need be by preempting other tasks.
+    /// Returns the number of these replicas.
     fn reserve_by_preemption(&mut self, demand: &JobDemand, options: &StartOptions) -> u64 {
         let spec = demand.spec;
         if !spec.is_service() {
             return 0;
         }
-        let need = &options.need;
+        let task_resources = &options.task_resources;
         let suits = |timeline: &HostTimeline| {
             timeline.up_at_s <= demand.arrives_in_s + DEADLINE_MARGIN_S
                 && options.usable_types[timeline.type_index]
-                && (spec.allows_spot || !timeline.spot)
+                && (spec.allows_spot || !timeline.is_spot)
                 && spec
                     .required_zone
                     .as_ref()
                     .is_none_or(|zone| *zone == timeline.zone)
-                && need.fits(&timeline.free_for_services)
+                && task_resources.fits(&timeline.free_for_services)
         };
         let mut started = 0;
         while started < demand.task_count {
             let Some(timeline) = self.timelines.iter_mut().find(|t| suits(t)) else {
                 break;
             };
-            timeline.free_for_services.subtract(need);
+            timeline.free_for_services.subtract(task_resources);
             started += 1;
         }
         started
@@ -103,13 +103,14 @@
 
 /// Where the tasks of a job may start.
 struct StartOptions {
-    need: Resources,
+    task_resources: Resources,
     usable_types: Vec<bool>,
     /// The hosts of the usable types.
     starts: StartQueue,
     /// Seconds until a host requested now could start a task.
     min_startup_delay_s: f64,
-    /// The usable types and the scarce types kept for other jobs, where only the latter may meet the deadline.
+    /// The usable types and the scarce types kept for other jobs; `None` unless only the scarce types may meet the
+    /// deadline.
     overflow_types: Option<Vec<bool>>,
     /// The hosts of those scarce types alone.
     overflow_starts: StartQueue,
@@ -173,7 +174,7 @@
     /// Forecasts when the tasks of a job start, and which hosts to request for them.
     fn forecast_job(&self, demand: &JobDemand, scarce_types: &[bool], forecast: &mut Forecast) {
         let usable_types = self.usable_types(demand.spec, scarce_types);
-        // Includes the types kept for other jobs if only these meet the deadline.
+        // Includes the scarce types, which are kept for other jobs, if only these meet the deadline.
         let overflow_types = if demand.is_predicted {
             None
         } else {
@@ -190,7 +191,7 @@
             overflow_startup_delay_s = self.min_startup_delay_s(demand.spec, &added_types);
         }
         let mut options = StartOptions {
-            need: scoring::task_resources(demand.spec),
+            task_resources: scoring::task_resources(demand.spec),
             starts: StartQueue::for_job(&forecast.timelines, demand.spec, &usable_types),
             min_startup_delay_s: self.min_startup_delay_s(demand.spec, &usable_types),
             usable_types,
@@ -210,8 +211,8 @@
     }
 
     /// Forecasts the start of the next task and reserves room for it, if need be on a host to request. `waiting_tasks`
-    /// counts this task and those of its job that come after it. Returns false if neither the present hosts nor one that
-    /// is worth its cost can take it.
+    /// counts this task and those of its job that come after it. Returns false if neither the present hosts nor a new
+    /// host that is worth its cost can take the task.
     fn forecast_task(
         &self,
         demand: &JobDemand,
@@ -225,7 +226,12 @@
             && demand.meets_deadline(options.overflow_starts.earliest_start_s())
         {
             let starts = &mut options.overflow_starts;
-            starts.reserve_earliest(&mut forecast.timelines, arrives_in_s, run_s, &options.need);
+            starts.reserve_earliest(
+                &mut forecast.timelines,
+                arrives_in_s,
+                run_s,
+                &options.task_resources,
+            );
             return true;
         }
         let pool = self.pool_for_task(demand, start_s, waiting_tasks, options, forecast);
@@ -236,7 +242,12 @@
             }
             _ => {
                 let starts = &mut options.starts;
-                starts.reserve_earliest(&mut forecast.timelines, arrives_in_s, run_s, &options.need)
+                starts.reserve_earliest(
+                    &mut forecast.timelines,
+                    arrives_in_s,
+                    run_s,
+                    &options.task_resources,
+                )
             }
         }
     }
@@ -285,17 +296,17 @@
         timeline.reserve(
             timeline.up_at_s.max(demand.arrives_in_s),
             demand.run_s,
-            &options.need,
+            &options.task_resources,
         );
         forecast.timelines.push(timeline);
         let newest_index = forecast.timelines.len() - 1;
-        starts.push(&forecast.timelines, newest_index, &options.need);
+        starts.push(&forecast.timelines, newest_index, &options.task_resources);
     }
 
-    /// The demand that a recent arrival predicts until a host requested now could start a task, if jobs go on arriving as
-    /// they did in the window: hosts take so long to start that they have to be requested before the jobs arrive. The
-    /// window is scaled down to that time, the arrival's position in it and its task count likewise. `None` if no task
-    /// remains.
+    /// The demand that a recent arrival predicts for the time until a host requested now could start a task, if jobs go
+    /// on arriving as they did in the window. Hosts take so long to start that they have to be requested before these
+    /// jobs arrive. The window is scaled down to that time, and with it the arrival's position in the window and its
+    /// task count. `None` if no task remains.
     fn predicted_job_demand<'a>(
         &self,
         (age_s, spec): &'a (f64, Box<JobSpec>),
--- a/src/coordination/autoscaling/pools.rs
+++ b/src/coordination/autoscaling/pools.rs
@@ -9,7 +9,7 @@
 
 /// A deadline counts as met if the forecast leaves at least this margin.
 pub(crate) const DEADLINE_MARGIN_S: f64 = 3.0;
-/// By how much the longest task of a job may exceed the expected run time, as a share of it.
+/// By how much the longest task of a job may exceed the expected run time, as a share of that run time.
 const RUN_TIME_MARGIN_SHARE: f64 = 1.0;
 /// A host that does not meet the deadline of a task, or is for a task without one, is provisioned only if it starts the
 /// task sooner by more than this. For services any gain suffices.
@@ -18,7 +18,7 @@
 const MISSED_DEADLINE_COST_FACTOR: f64 = 2.0;
 /// A task that may use spot hosts gets an on-demand host only if it would wait for longer than this.
 const ON_DEMAND_AFTER_S: f64 = 180.0;
-/// For services, the cost of a host grows by its price for each such period of startup delay.
+/// For services, the cost of a host doubles at this startup delay, and grows linearly with the delay.
 const STARTUP_DELAY_COST_S: f64 = 60.0;
 /// The cloud bills each host for at least this time.
 const MIN_BILLED_S: f64 = 60.0;
@@ -98,7 +98,7 @@
                         &CapacityPool {
                             type_index: index,
                             zone: zone.clone(),
-                            spot: true,
+                            is_spot: true,
                         },
                         now,
                     )
@@ -121,7 +121,7 @@
                     let pool = CapacityPool {
                         type_index,
                         zone: zone.clone(),
-                        spot,
+                        is_spot: spot,
                     };
                     let has_request = self
                         .autoscaler
@@ -149,7 +149,7 @@
         spec: &JobSpec,
         task: &TaskForecast,
         type_index: usize,
-        spot: bool,
+        is_spot: bool,
     ) -> f64 {
         let machine_type = &self.cluster.machine_types()[type_index];
         let tasks_per_host = scoring::task_resources(spec)
@@ -157,7 +157,7 @@
             .max(1);
         let startup_delay_s = self.startup_delay_s(spec, type_index);
         let finish_s = startup_delay_s + task.run_s;
-        let price = if spot {
+        let price = if is_spot {
             machine_type.spot_price_per_hour.0
         } else {
             machine_type.on_demand_price_per_hour.0
--- a/src/coordination/policy.rs
+++ b/src/coordination/policy.rs
@@ -15,23 +15,24 @@
     pub heartbeat_interval: Duration,
     /// How long a worker keeps its tasks without a response from a leader.
     pub worker_lease: Duration,
-    /// Time from the confirmation of a job's cancellation by which none of its tasks may run any more.
+    /// How long after the confirmed cancellation of a job its tasks may still run.
     pub cancellation_timeout: Duration,
-    /// The longest time by which the cloud's list of hosts lags behind.
+    /// The longest lag of the cloud's list of hosts: twice the usual lag that the settings state.
     pub max_host_list_lag: Duration,
     /// Number of tasks that share a run record.
     pub tasks_per_record: u32,
     /// Probes of hosts that may be in flight at once. Each occupies a socket until its response or its timeout.
     pub max_probes_in_flight: usize,
-    /// Direct command requests that may be in flight at once, limited for the same reason. Further ones are queued.
+    /// Direct command requests that may be in flight at once, limited as each occupies a socket too. Further ones are
+    /// queued.
     pub max_commands_in_flight: usize,
     /// Largest size of a value in the state service.
     pub max_value_bytes: usize,
     /// Most changes that one transaction may hold.
     pub max_txn_changes: usize,
     /// With this many urgent records queued for writing, no more tasks of the lowest priority are allocated; each
-    /// higher priority adds the same number once more. Tasks allocated beyond that would only keep hosts idle, as a
-    /// task starts after its record is written.
+    /// higher priority raises the limit by the same number. Tasks allocated beyond the limit would only keep hosts
+    /// idle, as a task starts after its record is written.
     pub max_queued_records_per_priority: usize,
     /// Teams with their guarantees and limits.
     pub teams: Vec<Team>,
@@ -47,30 +48,30 @@
 
 impl Policy {
     /// Derives the policy from settings, tuning and features.
-    pub fn new(service: &SharedSettings, tuning: &Tuning, features: &Features) -> Policy {
+    pub fn new(settings: &SharedSettings, tuning: &Tuning, features: &Features) -> Policy {
         Policy {
-            heartbeat_interval: service.workers.heartbeat_interval(),
-            worker_lease: service.workers.lease(),
-            cancellation_timeout: service.workers.cancellation_timeout(),
-            max_host_list_lag: duration_from_seconds(service.cloud.list_lag_s) * 2,
+            heartbeat_interval: settings.workers.heartbeat_interval(),
+            worker_lease: settings.workers.lease(),
+            cancellation_timeout: settings.workers.cancellation_timeout(),
+            max_host_list_lag: duration_from_seconds(settings.cloud.list_lag_s) * 2,
             tasks_per_record: crate::storage::records::tasks_per_record(
-                service.state_service.max_value_kib,
+                settings.state_service.max_value_kib,
             ),
-            max_probes_in_flight: (service.resources.max_sockets / 20).max(2),
-            max_commands_in_flight: (service.resources.max_sockets / 16).max(4),
-            max_value_bytes: (service.state_service.max_value_kib * 1024.0) as usize,
-            max_txn_changes: service.state_service.max_txn_changes,
-            max_queued_records_per_priority: (service.state_service.changes_per_s / 2.0).max(4.0)
+            max_probes_in_flight: (settings.resources.max_sockets / 20).max(2),
+            max_commands_in_flight: (settings.resources.max_sockets / 16).max(4),
+            max_value_bytes: (settings.state_service.max_value_kib * 1024.0) as usize,
+            max_txn_changes: settings.state_service.max_txn_changes,
+            max_queued_records_per_priority: (settings.state_service.changes_per_s / 2.0).max(4.0)
                 as usize,
-            teams: service.teams.clone(),
-            quota: quota_policy(&service.teams, &features.quota),
+            teams: settings.teams.clone(),
+            quota: quota_policy(&settings.teams, &features.quota),
             zones: features.zones.settings_if_enabled(),
-            wait_objectives_s: service.wait_objectives(),
+            wait_objectives_s: settings.wait_objectives(),
             tuning: tuning.clone(),
         }
     }
 
-    /// The usual time without a heartbeat after which a host is given up.
+    /// The usual time without a heartbeat after which a host is declared lost.
     pub fn heartbeat_timeout(&self) -> Duration {
         self.heartbeat_interval
             .mul_f64(self.tuning.lost_after_heartbeat_intervals)
--- a/src/coordination/scheduling/preemption.rs
+++ b/src/coordination/scheduling/preemption.rs
@@ -104,7 +104,7 @@
             run_time_s
         };
         let is_allowed = self.may_preempt(job, preemptor) && allocation.stop_reason.is_none();
-        // The first tasks of a job that was starving have to stay, or it would starve again.
+        // The first tasks of a job that was starving have to keep running, or the job would starve again.
         let starve_after = duration_from_seconds(self.policy.tuning.starvation_threshold_s);
         let waited =
             Duration::from_millis(self.clock.wall_clock_ms.saturating_sub(job.submitted_at_ms));
@@ -120,7 +120,7 @@
             .expected_remaining_s(job, allocation.started_at, now)
             < ENDS_SOON_S;
         let max_loss_s = if self.serves_guarantee(job, preemptor) {
-            // A team's guarantee holds regardless of what borrowed work loses.
+            // A team's guarantee holds regardless of the run time that tasks beyond another team's guarantee lose.
             f64::INFINITY
         } else if preemptor_spec.is_service() {
             MAX_LOSS_FOR_SERVICE_S
--- a/src/coordination/scheduling/type_eligibility.rs
+++ b/src/coordination/scheduling/type_eligibility.rs
@@ -1,4 +1,5 @@
-//! Which machine types the tasks of a job may use, and which types are scarce: some other job can use no other type.
+//! Which machine types the tasks of a job may use, and which types are scarce: those that are the only suitable type of
+//! some job.
 
 use crate::coordination::cluster::job::JobPhase;
 use crate::coordination::scheduling::scoring::is_type_suitable;
@@ -80,11 +81,11 @@
         spec: &JobSpec,
         usable_types: &[bool],
         run_s: f64,
-        due_in_s: Option<f64>,
+        time_to_deadline_s: Option<f64>,
     ) -> Option<Vec<bool>> {
-        let due_in_s = due_in_s?;
-        let needs_overflow =
-            run_s <= due_in_s && self.min_startup_delay_s(spec, usable_types) + run_s > due_in_s;
+        let time_to_deadline_s = time_to_deadline_s?;
+        let needs_overflow = run_s <= time_to_deadline_s
+            && self.min_startup_delay_s(spec, usable_types) + run_s > time_to_deadline_s;
         if !needs_overflow {
             return None;
         }
--- a/src/node/periodic.rs
+++ b/src/node/periodic.rs
@@ -33,8 +33,8 @@
             .retain(|_, expires_at| *expires_at > now);
         self.api.expire_requests(now);
         let is_reachable = self.is_store_reachable(now);
-        if is_reachable != self.logged_store_reachable {
-            self.logged_store_reachable = is_reachable;
+        if is_reachable != self.is_store_logged_as_reachable {
+            self.is_store_logged_as_reachable = is_reachable;
             let status = if is_reachable {
                 "answers"
             } else {
@@ -143,7 +143,7 @@
                     ApiAction::Relay(id, request) => self.relay(id, &request),
                     ApiAction::InformLeader(job) => self.inform_leader(job),
                     ApiAction::Respond(conn, response) => self.network.respond(conn, &response),
-                    ApiAction::SendStoreRequest(class, request, api_request) => {
+                    ApiAction::SendStoreRequest(class, request, purpose) => {
                         // While the state service is unreachable, a short timeout lets the request be relayed to
                         // another node early.
                         let timeout = if self.is_store_reachable(now) {
@@ -153,7 +153,7 @@
                         };
                         let id = self.store.enqueue(now, class, request, timeout);
                         self.request_origins
-                            .insert(id, RequestOrigin::ApiServer(api_request));
+                            .insert(id, RequestOrigin::ApiServer(purpose));
                     }
                 }
             }
--- a/src/node/requests.rs
+++ b/src/node/requests.rs
@@ -105,7 +105,7 @@
         let Some(peer) = peer_with_store else {
             return self.api.on_relay_response(id, None, now);
         };
-        let peer_address = peer.addr;
+        let peer_address = peer.address;
         let call = peer_messages::send(
             &mut self.network,
             peer_address,
@@ -130,7 +130,7 @@
         if self.worker_heartbeats.len() < max_workers || self.worker_heartbeats.contains_key(host) {
             self.worker_heartbeats.insert(host.clone(), now);
         } else {
-            tracing::warn!("{host}: not counted: this node already counts {max_workers} workers");
+            tracing::warn!("{host}: heartbeats of its worker are not counted: the limit of {max_workers} workers is reached");
         }
     }
 
--- a/src/storage/store.rs
+++ b/src/storage/store.rs
@@ -69,7 +69,7 @@
     pub last_response_at: Option<Time>,
 }
 
-/// Reads have priority over everything but leases for one request in this many.
+/// For one request in this many, reads have priority over everything but leases.
 const READ_TURN_PERIOD: u32 = 4;
 /// Factor by which the longest recent response time decays with each response.
 const SLOWEST_RESPONSE_DECAY: f64 = 0.9;
@@ -80,15 +80,15 @@
 const SPARE_BUDGET_FRACTION: f64 = 0.5;
 
 impl StoreClient {
-    /// A client without requests. `rps` and `write_rps` are this node's shares of the rate limits, in requests and
+    /// A client without requests. `requests_per_s` and `changes_per_s` are this node's shares of the rate limits, in requests and
     /// changes a second.
-    pub fn new(rps: f64, write_rps: f64) -> StoreClient {
+    pub fn new(requests_per_s: f64, changes_per_s: f64) -> StoreClient {
         StoreClient {
             last_id: 0,
             requests_since_read_turn: 0,
             queues: BTreeMap::new(),
-            request_rate_limit: RateLimit::new(rps, rps),
-            write_rate_limit: RateLimit::new(write_rps, write_rps),
+            request_rate_limit: RateLimit::new(requests_per_s, requests_per_s),
+            write_rate_limit: RateLimit::new(changes_per_s, changes_per_s),
             unanswered: HashMap::new(),
             slowest_response_ms: 0.0,
             request_by_call: HashMap::new(),
@@ -105,9 +105,9 @@
     }
 
     /// Sets this node's shares of the rate limits, in requests and changes a second.
-    pub fn set_rates(&mut self, now: Time, rps: f64, write_rps: f64) {
-        self.request_rate_limit.set_rate(now, rps);
-        self.write_rate_limit.set_rate(now, write_rps);
+    pub fn set_rates(&mut self, now: Time, requests_per_s: f64, changes_per_s: f64) {
+        self.request_rate_limit.set_rate(now, requests_per_s);
+        self.write_rate_limit.set_rate(now, changes_per_s);
     }
 
     /// Whether requests that can wait may be sent too: no other request waits and enough of the rate limit is
@@ -164,7 +164,7 @@
         if self.requests_since_read_turn + 1 >= READ_TURN_PERIOD {
             order.sort_by_key(|class| !matches!(class, RequestClass::Lease | RequestClass::Read));
         }
-        let mut changes_reserved = false;
+        let mut are_changes_reserved = false;
         for class in order {
             let queue = self.queues.get(&class);
             let Some(first) = queue.and_then(VecDeque::front) else {
@@ -179,11 +179,12 @@
                 if self.request_rate_limit.available(now) < 1.0 {
                     return None;
                 }
-                // Lower classes may read meanwhile, but not use the changes that this class waits for.
+                // Requests of lower classes that change nothing may be sent meanwhile; ones with changes would use up
+                // the write rate limit that this request waits for.
                 if change_count > 0.0
-                    && (changes_reserved || self.write_rate_limit.available(now) < 1.0)
+                    && (are_changes_reserved || self.write_rate_limit.available(now) < 1.0)
                 {
-                    changes_reserved = true;
+                    are_changes_reserved = true;
                     continue;
                 }
             }
@@ -228,7 +229,7 @@
         }
     }
 
-    /// The request was sent with this call, whose result belongs to it.
+    /// Notes that the request was sent with this call, so that the call's result is assigned to the request.
     pub fn on_sent(&mut self, id: StoreRequestId, call: CallId) {
         self.request_by_call.insert(call, id);
     }
--- a/tests/quota_leader.rs
+++ b/tests/quota_leader.rs
@@ -182,7 +182,7 @@
 
     fn submit(&mut self, number: u64, team: &str, task_count: u64) {
         self.store_revision += 1;
-        self.leader.on_job(
+        self.leader.on_job_record(
             job_record(number, team, task_count),
             Version(self.store_revision),
         );
