--- a/crates/quota/src/audit/mod.rs
+++ b/crates/quota/src/audit/mod.rs
@@ -160,7 +160,7 @@
             });
         }
         let charged = self.charged(team, client);
-        if !allowance.charges_kept_externally && !charged.fits_within(&granted) {
+        if !allowance.has_external_charges && !charged.fits_within(&granted) {
             found.push(Discrepancy::AllowanceExceeded {
                 team: team.clone(),
                 client: client.clone(),
--- a/crates/quota/src/client/ownership.rs
+++ b/crates/quota/src/client/ownership.rs
@@ -109,7 +109,7 @@
         let epoch = before.epoch + 1;
         let acquired = AllowanceRecord {
             epoch,
-            fenced: false,
+            is_fenced: false,
             ..before
         };
         let mut transaction = TransactionBuilder::default();
--- a/crates/quota/src/client/reclaim.rs
+++ b/crates/quota/src/client/reclaim.rs
@@ -59,20 +59,18 @@
     fn plan_fence(&mut self, id: &AllowanceId) -> Result<Option<Operation>, CacheMiss> {
         let cached = self.cache.allowance(id)?;
         let version = cached.version;
-        let reclaimable = cached
-            .record
-            .filter(|record| !record.charges_kept_externally);
+        let reclaimable = cached.record.filter(|record| !record.has_external_charges);
         let Some(record) = reclaimable.cloned() else {
             self.finish_reclaim(ReclaimResult::NotReclaimed);
             return Ok(None);
         };
-        if record.fenced {
+        if record.is_fenced {
             self.reclaims.on_fenced(version);
             return Ok(None);
         }
         let fenced = AllowanceRecord {
             epoch: record.epoch + 1,
-            fenced: true,
+            is_fenced: true,
             ..record
         };
         let mut transaction = TransactionBuilder::default();
@@ -96,7 +94,7 @@
     ) -> Result<Option<Operation>, CacheMiss> {
         let cached = self.cache.allowance(id)?;
         if cached.version != fenced_version {
-            let is_fenced = cached.record.is_some_and(|record| record.fenced);
+            let is_fenced = cached.record.is_some_and(|record| record.is_fenced);
             if is_fenced {
                 self.reclaims.restart_first();
             } else {
--- a/crates/quota/src/leader/mod.rs
+++ b/crates/quota/src/leader/mod.rs
@@ -23,7 +23,7 @@
 use target::leader_target;
 
 /// Client name that all leaders use in turn.
-pub const LEADER: &str = "leader";
+pub const LEADER_CLIENT_NAME: &str = "leader";
 
 /// Changes that one team can take: its record, its allowance and the pool.
 const MAX_CHANGES_PER_TEAM: usize = 3;
@@ -77,7 +77,7 @@
 impl LeaderAllowances {
     /// The allowances of the leader of that term. Their records are still to be read.
     pub fn new(term: u64, policy: QuotaPolicy) -> LeaderAllowances {
-        let client = ClientName::new(LEADER);
+        let client = ClientName::new(LEADER_CLIENT_NAME);
         let snapshot = RecordSnapshot::new(client.clone());
         LeaderAllowances {
             client,
@@ -144,7 +144,7 @@
 
     fn acquired(&self, team: &TeamName) -> Option<&Versioned<AllowanceRecord>> {
         let allowance = self.snapshot.allowance(team)?;
-        let is_own = allowance.record.epoch == self.epoch && !allowance.record.fenced;
+        let is_own = allowance.record.epoch == self.epoch && !allowance.record.is_fenced;
         is_own.then_some(allowance)
     }
 
@@ -278,8 +278,8 @@
             allowance: AllowanceRecord {
                 epoch: self.epoch,
                 granted: target.granted,
-                fenced: false,
-                charges_kept_externally: true,
+                is_fenced: false,
+                has_external_charges: true,
             },
         }
     }
--- a/crates/quota/src/records/mod.rs
+++ b/crates/quota/src/records/mod.rs
@@ -95,12 +95,12 @@
     pub granted: ResourceVector,
     /// Whether another client has given this one up. Nothing is charged to the allowance before a
     /// process of the client acquires it again.
-    #[serde(default)]
-    pub fenced: bool,
+    #[serde(default, rename = "fenced")]
+    pub is_fenced: bool,
     /// Whether the client keeps its charges in records outside this package, which only it can add up.
     /// Such an allowance is never reclaimed by others.
     #[serde(default, rename = "self_accounted")]
-    pub charges_kept_externally: bool,
+    pub has_external_charges: bool,
 }
 
 /// State of a charge in the store.
--- a/crates/quota/tests/leader_allowances.rs
+++ b/crates/quota/tests/leader_allowances.rs
@@ -4,7 +4,7 @@
 
 use std::collections::BTreeMap;
 
-use lichencrank_quota::leader::LEADER;
+use lichencrank_quota::leader::LEADER_CLIENT_NAME;
 use lichencrank_quota::records::KEY_PREFIX;
 use lichencrank_quota::{
     ClientName, LeaderAllowances, QuotaPolicy, ResourceVector, TeamName, TeamWorkload,
@@ -198,7 +198,7 @@
     let mut leader = Leader::new(4, policy);
     leader.synchronize(&mut store);
     let fence = leader.allowances.fence(&team("vision"));
-    cluster.clients[0].reclaim(team("vision"), ClientName::new(LEADER));
+    cluster.clients[0].reclaim(team("vision"), ClientName::new(LEADER_CLIENT_NAME));
     cluster.run_until_quiet();
     leader.read(&mut store);
     assert_eq!(leader.allowances.fence(&team("vision")), fence);
--- a/crates/quota/tests/records.rs
+++ b/crates/quota/tests/records.rs
@@ -89,8 +89,8 @@
     let record = AllowanceRecord {
         epoch: 3,
         granted: FIVE,
-        fenced: true,
-        charges_kept_externally: true,
+        is_fenced: true,
+        has_external_charges: true,
     };
     let expected = r#"{"epoch":3,"granted":FIVE,"fenced":true,"self_accounted":true}"#;
     let key = RecordKey::Allowance(AllowanceId::new(&team(), &client()));
--- a/src/quota_report.rs
+++ b/src/quota_report.rs
@@ -3,7 +3,7 @@
 use std::fmt::Write;
 use std::time::Duration;
 
-use lichencrank_quota::leader::LEADER;
+use lichencrank_quota::leader::LEADER_CLIENT_NAME;
 use lichencrank_quota::records::TeamRecord;
 use lichencrank_quota::{AllowanceId, ClientName, Ledger, ResourceVector, TeamName};
 use lichencrank_store::{BlockingClient, ConditionalStore, Outcome, Request};
@@ -43,7 +43,7 @@
             let booked = record.allocations.len() as u64;
             let usage = ResourceVector::rounded_up(record.cpus, record.gpus).saturating_mul(booked);
             let team = TeamName::new(&record.team);
-            let allowance = AllowanceId::new(&team, &ClientName::new(LEADER));
+            let allowance = AllowanceId::new(&team, &ClientName::new(LEADER_CLIENT_NAME));
             *ledger.external_charges.entry(allowance).or_default() += usage;
         }
         match page.items.last() {
@@ -93,7 +93,11 @@
     );
     let allowances = ledger.allowances.iter();
     for (AllowanceId { client, .. }, allowance) in allowances.filter(|(id, _)| id.team == *team) {
-        let state = if allowance.fenced { ", fenced off" } else { "" };
+        let state = if allowance.is_fenced {
+            ", fenced off"
+        } else {
+            ""
+        };
         let _ = writeln!(
             out,
             "  {client}: {} charged of {}, epoch {}{state}",
--- a/tests/simulated/quota_audit.rs
+++ b/tests/simulated/quota_audit.rs
@@ -1,7 +1,7 @@
 //! The audit of what controllers and embedding programs have charged to the teams' limits together.
 
 use lichencrank::storage::records::RunRecord;
-use lichencrank_quota::leader::LEADER;
+use lichencrank_quota::leader::LEADER_CLIENT_NAME;
 use lichencrank_quota::{AllowanceId, ClientName, Discrepancy, Ledger, ResourceVector, TeamName};
 use lichencrank_store::{Item, Version};
 use lichencrank_testkit::InMemoryStore;
@@ -38,7 +38,7 @@
             continue;
         };
         let team = TeamName::new(&record.team);
-        let allowance = AllowanceId::new(&team, &ClientName::new(LEADER));
+        let allowance = AllowanceId::new(&team, &ClientName::new(LEADER_CLIENT_NAME));
         let allocations = record.allocations.len() as u64;
         let usage =
             ResourceVector::rounded_up(record.cpus, record.gpus).saturating_mul(allocations);
