--- a/crates/quota/src/client/admission_table.rs
+++ b/crates/quota/src/client/admission_table.rs
@@ -14,7 +14,7 @@
 struct Admission {
     request: AdmissionRequest,
     state: AdmissionState,
-    /// Number of the request among all that arrived at this client.
+    /// Sequence number of the request in the order of arrival at this client.
     arrival: u64,
 }
 
@@ -28,8 +28,8 @@
     }
 }
 
-/// Admissions by id, and the state of each team. Keeps the queue and the sum of the charges of each team
-/// in agreement with the states of its admissions.
+/// Admissions by id, and the state of each team. Keeps each team's queue and sum of charges consistent
+/// with the states of its admissions.
 #[derive(Debug, Default)]
 pub(super) struct AdmissionTable {
     admissions: BTreeMap<AdmissionId, Admission>,
@@ -38,7 +38,7 @@
 }
 
 impl AdmissionTable {
-    /// Adds a request, which is pending.
+    /// Adds a pending request.
     pub(super) fn insert(&mut self, request: AdmissionRequest, now: Time) {
         self.last_arrival += 1;
         let id = request.id.clone();
@@ -62,45 +62,45 @@
         }
     }
 
-    /// Changes the state of an admission by an event. Returns whether the state changed; `false`, with a
-    /// line in the log, if the event is not possible in it.
+    /// Applies an event to the state of an admission. Returns whether the state changed. An event that
+    /// is not possible in the state is logged and ignored.
     pub(super) fn transition(&mut self, id: &AdmissionId, event: AdmissionEvent) -> bool {
         let Some(admission) = self.admissions.get_mut(id) else {
             return false;
         };
         let _span = tracing::debug_span!("admission", %id).entered();
-        let before = admission.state;
-        let after = match before.after(event) {
-            Ok(after) => after,
+        let old_state = admission.state;
+        let new_state = match old_state.after(event) {
+            Ok(new_state) => new_state,
             Err(error) => {
-                tracing::warn!("admission {id}: {error}");
+                tracing::warn!("admission {id}: event ignored: {error}");
                 return false;
             }
         };
-        tracing::trace!("{before:?} -> {after:?}");
-        admission.state = after;
+        tracing::trace!("{old_state:?} -> {new_state:?}");
+        admission.state = new_state;
         if let Some(team) = self.teams.get_mut(&id.team) {
             let usage = &admission.request.usage;
-            if !before.is_charged() && after.is_charged() {
+            if !old_state.is_charged() && new_state.is_charged() {
                 team.add_charge(usage);
                 team.dequeue(&admission.queue_position());
             }
-            if before.is_charged() && !after.is_charged() {
+            if old_state.is_charged() && !new_state.is_charged() {
                 team.remove_charge(usage);
             }
         }
-        if after == AdmissionState::Released {
+        if new_state == AdmissionState::Released {
             self.admissions.remove(id);
         }
-        before != after
+        old_state != new_state
     }
 
-    /// The state of an admission; `None` if this client doesn't handle it.
+    /// State of an admission; `None` if this client does not handle it.
     pub(super) fn state(&self, id: &AdmissionId) -> Option<AdmissionState> {
         self.admissions.get(id).map(|admission| admission.state)
     }
 
-    /// Whether the admission is requested and not charged.
+    /// Whether the admission is requested and not charged yet.
     pub(super) fn is_pending(&self, id: &AdmissionId) -> bool {
         self.state(id) == Some(AdmissionState::Pending)
     }
@@ -115,7 +115,7 @@
         self.admissions.get(id).map(|admission| &admission.request)
     }
 
-    /// What the admission takes; nothing if it is unknown.
+    /// The resources that the admission uses; zero if it is unknown.
     pub(super) fn usage(&self, id: &AdmissionId) -> ResourceVector {
         self.request(id)
             .map_or(ResourceVector::ZERO, |request| request.usage)
@@ -126,7 +126,7 @@
         self.teams.values().map(TeamState::pending_count).sum()
     }
 
-    /// What all pending requests of a team would take.
+    /// The resources that all pending requests of a team would use together.
     pub(super) fn pending_usage(&self, team: &TeamName) -> ResourceVector {
         let Some(team) = self.teams.get(team) else {
             return ResourceVector::ZERO;
@@ -134,22 +134,22 @@
         team.queue().map(|id| self.usage(id)).sum()
     }
 
-    /// The charged admissions of a team that are not among `found`.
-    pub(super) fn charged_and_not_in(
+    /// The charged admissions of a team that are not among `loaded`.
+    pub(super) fn charged_but_not_in(
         &self,
         team: &TeamName,
-        found: &BTreeSet<AdmissionId>,
+        loaded: &BTreeSet<AdmissionId>,
     ) -> Vec<AdmissionId> {
         let admissions = self.admissions.iter();
         let missing = admissions.filter(|(id, admission)| {
-            id.team == *team && admission.state.is_charged() && !found.contains(id)
+            id.team == *team && admission.state.is_charged() && !loaded.contains(id)
         });
         missing.map(|(id, _)| id.clone()).collect()
     }
 
     // ---- teams
 
-    /// The state of a team, if anything was requested of it.
+    /// The state of a team; `None` if this client has not been asked for anything of it.
     pub(super) fn team(&self, team: &TeamName) -> Option<&TeamState> {
         self.teams.get(team)
     }
@@ -158,7 +158,7 @@
         self.teams.get_mut(team)
     }
 
-    /// The state of a team, which is new if nothing was requested of it yet.
+    /// The state of a team, which is created if it doesn't exist.
     pub(super) fn team_or_insert(&mut self, team: &TeamName, now: Time) -> &mut TeamState {
         let state = self.teams.entry(team.clone());
         state.or_insert_with(|| TeamState::new(team.clone(), now))
--- a/crates/quota/src/client/charging.rs
+++ b/crates/quota/src/client/charging.rs
@@ -1,8 +1,8 @@
-//! Charging admissions within the allowance.
+//! Charging pending requests to the allowance.
 
 use lichencrank_store::{json_size, Version};
 
-use super::operation::{Effect, Operation, TransactionBuilder};
+use super::operation::{CommitEffect, Operation, TransactionBuilder};
 use super::record_cache::CacheMiss;
 use super::review::ReviewReason;
 use super::{QuotaClient, QuotaEvent};
@@ -12,36 +12,37 @@
 use crate::records::{ChargeRecord, ChargeState, Record, RecordKey};
 use crate::resource_vector::ResourceVector;
 
-/// About the size of a charge in a transaction, in bytes.
-const CHARGE_BYTES: usize = 400;
-/// Most bytes of a transaction's charges. The rest of what the store takes is for conditions and framing.
+/// Estimated size of a charge within a transaction.
+const ESTIMATED_CHARGE_BYTES: usize = 400;
+/// Maximum size of the charges in a transaction. The store accepts larger transactions; the rest is for
+/// conditions and framing.
 const MAX_BATCH_BYTES: usize = 44 * 1024;
-/// Conditions of each charge: on the charge's key and on the requester's completed admissions.
+/// Each charge is conditional on the charge's key and on the requester's completed admissions.
 const CONDITIONS_PER_CHARGE: usize = 2;
-/// Once the record of a requester's completed admissions takes this part of the largest value, its
-/// requests are rejected, as a release could not be recorded.
+/// Once the record of a requester's completed admissions exceeds this share of the maximum value size, its
+/// requests are rejected, because their release might not fit into the record.
 const MAX_COMPLETED_SHARE: f64 = 0.75;
 
-/// Charges that share a transaction.
+/// The charges of one transaction.
 struct ChargeBatch {
     transaction: TransactionBuilder,
-    /// What the allowance has left after the charges so far.
+    /// The part of the allowance that is left after these charges.
     unspent: ResourceVector,
     charged: Vec<AdmissionId>,
 }
 
-/// What became of a pending request.
-enum ChargeAttempt {
-    /// It is charged by the batch.
+/// The result of charging a pending request.
+enum ChargeResult {
+    /// Its charge was added to the batch.
     Charged,
-    /// It was answered without a charge.
+    /// It was rejected, was completed before, or is no longer pending.
     Answered,
-    /// The allowance has not enough left for it.
+    /// Its usage exceeds the rest of the allowance.
     InsufficientAllowance,
 }
 
 impl QuotaClient {
-    /// Charges pending requests in their order, as many as the allowance and a transaction hold.
+    /// Charges pending requests in queue order, as many as fit into the allowance and one transaction.
     pub(super) fn plan_charges(
         &mut self,
         quota: &TeamQuota,
@@ -64,9 +65,9 @@
                 break;
             }
             match self.try_charge(&id, &quota.team.limit, &mut batch)? {
-                ChargeAttempt::Charged => batch.charged.push(id),
-                ChargeAttempt::Answered => {}
-                ChargeAttempt::InsufficientAllowance => break,
+                ChargeResult::Charged => batch.charged.push(id),
+                ChargeResult::Answered => {}
+                ChargeResult::InsufficientAllowance => break,
             }
         }
         if batch.charged.is_empty() {
@@ -74,7 +75,7 @@
         }
         let now = self.now;
         self.team_mut(team).set_last_charge_at(now);
-        let effect = Effect::Charged(batch.charged);
+        let effect = CommitEffect::Charged(batch.charged);
         Ok(Some(batch.transaction.commit(effect)))
     }
 
@@ -85,28 +86,28 @@
         let conditions = batch.transaction.condition_count() + CONDITIONS_PER_CHARGE;
         changes <= limits.max_changes
             && conditions <= limits.max_conditions()
-            && changes * CHARGE_BYTES <= MAX_BATCH_BYTES
+            && changes * ESTIMATED_CHARGE_BYTES <= MAX_BATCH_BYTES
     }
 
-    /// Adds the charge of a request to the batch, unless it is answered without one or too large for
-    /// what is left.
+    /// Adds the charge of a request to the batch, unless the request is answered without a charge or does
+    /// not fit into the rest of the allowance.
     fn try_charge(
         &mut self,
         id: &AdmissionId,
         limit: &ResourceVector,
         batch: &mut ChargeBatch,
-    ) -> Result<ChargeAttempt, CacheMiss> {
+    ) -> Result<ChargeResult, CacheMiss> {
         let Some(&AdmissionRequest {
             usage, priority, ..
         }) = self.admissions.request(id)
         else {
-            return Ok(ChargeAttempt::Answered);
+            return Ok(ChargeResult::Answered);
         };
         if self.answer_without_charge(id, &usage, limit)? {
-            return Ok(ChargeAttempt::Answered);
+            return Ok(ChargeResult::Answered);
         }
         if !usage.fits_within(&batch.unspent) {
-            return Ok(ChargeAttempt::InsufficientAllowance);
+            return Ok(ChargeResult::InsufficientAllowance);
         }
         batch.unspent = batch.unspent.saturating_sub(&usage);
         let charge = ChargeRecord {
@@ -119,16 +120,16 @@
         let key = RecordKey::Charge(id.clone());
         let transaction = &mut batch.transaction;
         transaction.put(key, Version::ABSENT, Record::Charge(charge));
-        // The charge of a completed admission is absent as well: without this condition a transaction
-        // that is carried out late could charge it again.
+        // A completed admission has no charge record either: without this condition, a transaction that
+        // reaches the store late could charge it again.
         let requester = id.requester_id();
         let version = self.cache.completed(&requester)?.version;
         transaction.require(&RecordKey::Completed(requester), version);
-        Ok(ChargeAttempt::Charged)
+        Ok(ChargeResult::Charged)
     }
 
-    /// Answers a request that is completed, or rejected whatever the allowance is. Returns whether it
-    /// did.
+    /// Answers a request that is completed already, or that has to be rejected regardless of the
+    /// allowance. Returns whether the request was answered.
     fn answer_without_charge(
         &mut self,
         id: &AdmissionId,
@@ -155,8 +156,9 @@
         Ok(false)
     }
 
-    /// The transaction that charges these admissions is committed. `is_late` if the answer took longer
-    /// than it can be relied on.
+    /// The transaction that charges these admissions was committed. With `is_late`, the response took
+    /// longer than [`reconfirm_after`](super::ClientConfig::reconfirm_after), so the charges are read again
+    /// before they are reported as admitted.
     pub(super) fn on_charged(&mut self, ids: Vec<AdmissionId>, is_late: bool) {
         for id in ids {
             self.admissions
--- a/crates/quota/src/client/config.rs
+++ b/crates/quota/src/client/config.rs
@@ -6,21 +6,23 @@
 
 use crate::ids::ClientName;
 
-/// What a client is told about itself and the store.
+/// Name and timing of a client, and the limits of its store.
 #[derive(Clone, Debug)]
 pub struct ClientConfig {
-    /// Name of the client. Of several processes with the same name, only the one that acquired an
-    /// allowance last may charge to it.
+    /// Name of the client. If several processes have the same name, only the one that acquired an allowance
+    /// last may charge to it.
     pub name: ClientName,
-    /// Limits of the store on a transaction.
+    /// Limits of the store on values and transactions.
     pub store_limits: StoreLimits,
-    /// About how many clients there are. The more, the less is granted to each ahead of demand.
+    /// Approximate number of clients. The more there are, the less is granted to each ahead of demand.
     pub expected_clients: u64,
-    /// How often a client that has charges or pending requests reads what others may have changed.
+    /// How often a client that has charges, unspent allowance or pending requests reads the team and pool
+    /// records again, which other clients change.
     pub refresh_interval: Duration,
-    /// After this time without pending requests, what is unspent of an allowance is given back.
+    /// Time since the last charge after which a client without pending requests returns its unspent
+    /// allowance.
     pub idle_return_after: Duration,
-    /// If the answer to a charge takes longer than this, the charge is read again before the work may
-    /// start, as others may have released it meanwhile.
+    /// If the response to a charge takes longer than this, the charge is read again before the work may
+    /// start, because other clients may have released it since.
     pub reconfirm_after: Duration,
 }
--- a/crates/quota/src/client/event.rs
+++ b/crates/quota/src/client/event.rs
@@ -3,49 +3,49 @@
 use crate::admission::RejectReason;
 use crate::ids::{AdmissionId, ClientName, TeamName};
 
-/// The result of a request, a change of an admission, or the end of an administrative operation.
+/// The answer to a request, a change of an admission, or the end of an administrative operation.
 #[derive(Clone, Debug, PartialEq)]
 pub enum QuotaEvent {
-    /// The charge is in the store: the work may start.
+    /// The charge is committed: the work may start.
     Admitted(AdmissionId),
-    /// The admission had been charged before; the client whose allowance is charged handles it.
+    /// The admission was charged before. The client whose allowance is charged handles it.
     AlreadyAdmitted {
         /// The admission.
         id: AdmissionId,
         /// Client whose allowance is charged.
         client: ClientName,
     },
-    /// The admission had been charged before, and is completed.
+    /// The admission was charged before, and its charge is released.
     AlreadyCompleted(AdmissionId),
-    /// The request is rejected for good.
+    /// The request is rejected permanently.
     Rejected {
-        /// The request.
+        /// The admission.
         id: AdmissionId,
         /// The reason.
         reason: RejectReason,
     },
-    /// The request was cancelled before anything was charged.
+    /// The request was cancelled before it was charged.
     Cancelled(AdmissionId),
-    /// An earlier process of this client had charged the admission. Whether its work runs is not known.
+    /// The admission was charged by an earlier process of this client. It is unknown whether its work runs.
     Recovered(AdmissionId),
-    /// The work has to end, to make room. It is charged until
-    /// [`QuotaClient::release`](super::QuotaClient::release).
+    /// The work has to end to free capacity. It stays charged until
+    /// [`QuotaClient::release`](super::QuotaClient::release) is called.
     Revoked(AdmissionId),
     /// The charge is released.
     Released(AdmissionId),
-    /// A release was asked for, but there is no charge of such an admission.
+    /// A release was requested, but the admission has no charge.
     NotFound(AdmissionId),
-    /// All of the policy that was set is in the store.
+    /// The policy that was set is completely written into the store.
     PolicyApplied,
-    /// What the other client had not spent of its allowance is free again.
+    /// The unspent part of the other client's allowance is free again.
     Reclaimed {
         /// Team whose limit the allowance is a part of.
         team: TeamName,
-        /// Client that was given up.
+        /// The client that was considered lost.
         client: ClientName,
     },
-    /// Nothing was reclaimed: the other client has acquired the allowance again, has none, or keeps its
-    /// charges in records of its own.
+    /// Nothing was reclaimed: the other client has acquired the allowance again, has no allowance, or keeps
+    /// its charges in records outside this package.
     NotReclaimed {
         /// Team whose limit the allowance is a part of.
         team: TeamName,
--- a/crates/quota/src/client/mod.rs
+++ b/crates/quota/src/client/mod.rs
@@ -1,12 +1,12 @@
 //! A quota client: a controller, or a program that embeds this package, which admits work within the
 //! allowances that are granted to it.
 //!
-//! The client decides without input or output. [`QuotaClient::poll`] gives the next request to the
-//! store, [`QuotaClient::on_outcome`] takes its outcome, and [`QuotaClient::take_events`] tells the
-//! caller what was decided. One request is under way at a time; many admissions share a transaction.
+//! The client does no I/O. [`QuotaClient::poll`] returns the next request to the store,
+//! [`QuotaClient::on_outcome`] takes its outcome, and [`QuotaClient::take_events`] reports the results to
+//! the caller. One request is in flight at a time; a transaction can charge many admissions.
 //!
-//! A transaction whose outcome is unknown is sent again, unchanged, until the store says whether it was
-//! carried out. Nothing else is decided meanwhile.
+//! A transaction whose outcome is unknown is sent again, unchanged, until the store reports whether it
+//! was committed. Nothing else is sent until then.
 
 mod admission_table;
 mod charging;
@@ -54,18 +54,18 @@
 #[derive(Debug)]
 pub struct QuotaClient {
     config: ClientConfig,
-    /// The latest time that the caller has told.
+    /// The latest time that the caller has passed.
     now: Time,
     cache: RecordCache,
     pending_operation: PendingOperation,
-    /// Nothing is sent before this time, as the store was unavailable or over its rate limit.
+    /// No request is sent before this time, because the store was unavailable or rate-limited the client.
     paused_until: Time,
     admissions: AdmissionTable,
-    /// The team for which an operation was planned last; the others have their turns first.
+    /// The team for which an operation was planned last: its next turn comes after all other teams.
     last_planned_team: Option<TeamName>,
-    /// Charges that have to be read again before anything is decided on them.
+    /// Charges that have to be read again before the client relies on them.
     reviews: BTreeSet<ChargeReview>,
-    /// Admissions that have ended, also ones of other clients, whose charges are to be released.
+    /// Admissions that have ended and whose charges are to be released, including those of other clients.
     ended: BTreeSet<AdmissionId>,
     reclaims: ReclaimQueue,
     policy_update: Option<PolicyUpdate>,
@@ -74,7 +74,7 @@
 }
 
 impl QuotaClient {
-    /// A client that has read nothing yet.
+    /// Creates a client that has not read any record yet.
     pub fn new(config: ClientConfig) -> QuotaClient {
         QuotaClient {
             config,
@@ -93,41 +93,41 @@
         }
     }
 
-    /// The name in its configuration.
+    /// The client's name, from its configuration.
     pub fn name(&self) -> &ClientName {
         &self.config.name
     }
 
     // ---- admissions
 
-    /// Requests an admission. Repeating a request that is pending changes nothing; for one that is
-    /// charged, the store is asked whether it still is.
+    /// Requests an admission. Repeating a pending request has no effect. If the request is already
+    /// charged, its charge is read again from the store.
     pub fn request(&mut self, request: AdmissionRequest) {
         let id = request.id.clone();
         if !id.is_storable() {
             return self.reject(id, RejectReason::InvalidName);
         }
         match self.admissions.state(&id) {
-            // Another client may have released it meanwhile.
+            // Another client may have released the charge since.
             Some(state) if state.is_charged() => self.review(ReviewReason::RepeatedRequest, id),
             Some(_) => {}
             None => self.admissions.insert(request, self.now),
         }
     }
 
-    /// The work of an admission runs. Has no effect but on [`Self::state`].
+    /// Records that the work of an admission runs. Affects only [`Self::state`].
     pub fn mark_running(&mut self, id: &AdmissionId) {
         self.admissions.transition(id, AdmissionEvent::Started);
     }
 
-    /// The work is proven to have ended, or never to start: its charge is released. Any client may be
-    /// told so, also one that did not charge it.
+    /// Releases the charge of work that is proven to have ended or to never start. This may be called
+    /// on any client, not only on the one that charged the admission.
     pub fn release(&mut self, id: AdmissionId) {
         if !id.is_storable() {
             return self.events.push(QuotaEvent::NotFound(id));
         }
         if self.is_uncharged_request(&id) {
-            // Another client may have charged the same admission, so the release goes on.
+            // Another client may have charged the same admission, so its charge is looked up nevertheless.
             self.admissions.remove_pending(&id);
         } else if self.admissions.is_charged(&id) {
             self.admissions.transition(&id, AdmissionEvent::EndProven);
@@ -135,7 +135,7 @@
         self.ended.insert(id);
     }
 
-    /// The work is not wanted any more, and nobody was told that it may start.
+    /// Cancels work that is no longer wanted and that nobody was told to start.
     pub fn cancel(&mut self, id: AdmissionId) {
         if self.is_uncharged_request(&id) {
             self.admissions.remove_pending(&id);
@@ -144,13 +144,13 @@
         self.release(id);
     }
 
-    /// Whether the request is pending, and no transaction that charges it is under way.
+    /// Whether the request is pending and no transaction that charges it is in flight.
     fn is_uncharged_request(&self, id: &AdmissionId) -> bool {
         let key = RecordKey::Charge(id.clone());
         self.admissions.is_pending(id) && !self.pending_operation.writes(&key)
     }
 
-    /// State of an admission that this client handles.
+    /// State of an admission; `None` if this client does not handle it.
     pub fn state(&self, id: &AdmissionId) -> Option<AdmissionState> {
         self.admissions.state(id)
     }
@@ -160,21 +160,21 @@
         self.admissions.pending_count()
     }
 
-    /// The sum of this client's charges to a team, as far as it knows.
+    /// The sum of this client's charges to a team, as far as the client knows them.
     pub fn charged(&self, team: &TeamName) -> ResourceVector {
         let team = self.admissions.team(team);
         team.map_or(ResourceVector::ZERO, TeamState::charged)
     }
 
-    /// Acquires the allowance of a team and reads what earlier processes of this name have charged to
-    /// it, which is reported as [`QuotaEvent::Recovered`]. Happens by itself once an admission of the
-    /// team is requested.
+    /// Acquires the allowance of a team and reads the charges to it by earlier processes of the same
+    /// client name, which are reported as [`QuotaEvent::Recovered`]. The first request for the team does
+    /// the same.
     pub fn recover_team(&mut self, team: &TeamName) {
         self.team_mut(team);
     }
 
-    /// The process stood still while the world went on: nothing that was read is relied on any more, and
-    /// all charges are read again before anything else is charged.
+    /// Must be called when the process resumes after a pause, such as a suspended VM. All cached records
+    /// are dropped, and the charges are read again before anything else is charged.
     pub fn on_process_resumed(&mut self) {
         self.cache.invalidate_all();
         for team in self.admissions.teams_mut() {
@@ -182,22 +182,22 @@
         }
     }
 
-    /// What happened since the last call.
+    /// Removes and returns the events since the last call.
     pub fn take_events(&mut self) -> Vec<QuotaEvent> {
         mem::take(&mut self.events)
     }
 
-    /// Rejects a request for good.
+    /// Rejects a request permanently.
     fn reject(&mut self, id: AdmissionId, reason: RejectReason) {
-        tracing::info!("admission {id}: rejected, {reason}");
+        tracing::info!("admission {id} is rejected: {reason}");
         self.admissions.remove_pending(&id);
         self.events.push(QuotaEvent::Rejected { id, reason });
     }
 
     // ---- operations
 
-    /// The next request to the store. `None` if the outcome of one is awaited, if there is nothing to
-    /// do, or while the store is given a pause.
+    /// The next request to the store. `None` while the outcome of a request is awaited, if there is
+    /// nothing to do, or while requests are paused because the store is unavailable or rate-limits.
     pub fn poll(&mut self, now: Time) -> Option<Request> {
         self.now = self.now.max(now);
         if self.now < self.paused_until || self.pending_operation.is_awaiting_outcome() {
@@ -210,7 +210,8 @@
         Some(self.pending_operation.send(operation, self.now))
     }
 
-    /// The next operation; a read, if it depends on a record that is not cached.
+    /// The next operation. If planning it needs a record that is not cached, that is the read of this
+    /// record.
     fn next_operation(&mut self) -> Option<Operation> {
         match self.plan() {
             Ok(operation) => operation,
@@ -218,7 +219,8 @@
         }
     }
 
-    /// What is to be done next: first what is uncertain, then what frees resources, then what takes them.
+    /// Plans the next operation: first those that resolve uncertain charges, then those that free
+    /// resources, then those that use them.
     fn plan(&mut self) -> Result<Option<Operation>, CacheMiss> {
         self.review_charges()?;
         if let Some(operation) = self.plan_releases()? {
@@ -236,12 +238,12 @@
         self.plan_teams()
     }
 
-    /// The next operation of any team. All have their turns, beginning behind the one that had it last.
+    /// The next operation of any team, round-robin, beginning with the team after the last one.
     fn plan_teams(&mut self) -> Result<Option<Operation>, CacheMiss> {
         let mut teams: Vec<TeamName> = self.admissions.team_names().cloned().collect();
         if let Some(last) = &self.last_planned_team {
-            let behind_last = teams.partition_point(|team| team <= last);
-            teams.rotate_left(behind_last);
+            let first_index = teams.partition_point(|team| team <= last);
+            teams.rotate_left(first_index);
         }
         for team in teams {
             let operation = self.plan_team(&team)?;
@@ -264,12 +266,12 @@
         AllowanceId::new(team, &self.config.name)
     }
 
-    /// The pool; without a record of it, one of unlimited capacity.
+    /// The pool record; the default, with unlimited capacity, if the store has none.
     fn pool(&self) -> Result<PoolRecord, CacheMiss> {
         Ok(self.cache.pool()?.record.cloned().unwrap_or_default())
     }
 
-    /// What is granted to this client of a team.
+    /// The size of this client's allowance of a team.
     fn granted(&self, team: &TeamName) -> Result<ResourceVector, CacheMiss> {
         let allowance = self.cache.allowance(&self.own_allowance(team))?;
         Ok(allowance
@@ -277,7 +279,7 @@
             .map_or(ResourceVector::ZERO, |record| record.granted))
     }
 
-    /// What this client's allowance of a team has left.
+    /// The part of this client's allowance of a team that is not charged.
     fn unspent(&self, team: &TeamName) -> Result<ResourceVector, CacheMiss> {
         Ok(self.granted(team)?.saturating_sub(&self.charged(team)))
     }
--- a/crates/quota/src/client/operation.rs
+++ b/crates/quota/src/client/operation.rs
@@ -1,4 +1,4 @@
-//! Requests to the store, and what their outcome means.
+//! Requests to the store, and what follows from their outcomes.
 
 use lichencrank_store::{Change, Request, Txn, Version};
 
@@ -7,17 +7,17 @@
 use crate::records::{team_charges_prefix, Record, RecordKey};
 use crate::resource_vector::ResourceVector;
 
-/// Charges and teams read with one request.
+/// Maximum number of records that are read with one request.
 pub(super) const PAGE_SIZE: u32 = 500;
 
-/// What follows on the commit of a transaction, beside the records that it wrote.
+/// What follows from the commit of a transaction, apart from the changed records.
 #[derive(Clone, Debug, PartialEq)]
-pub(super) enum Effect {
-    /// Nothing else.
+pub(super) enum CommitEffect {
+    /// Nothing follows.
     None,
     /// This client owns the allowance of the team, at this epoch.
     AllowanceAcquired { team: TeamName, epoch: u64 },
-    /// The allowance has grown, and that much of it is reserved for pending requests.
+    /// The allowance has grown, and the amount `reserved` of it is for pending requests.
     AllowanceGrown {
         team: TeamName,
         reserved: ResourceVector,
@@ -26,17 +26,17 @@
     Charged(Vec<AdmissionId>),
     /// The charges of these admissions are released.
     Released(Vec<AdmissionId>),
-    /// The other client can't charge to the allowance any more.
+    /// Another client's allowance is fenced off: charges to it fail.
     Fenced(AllowanceId),
-    /// The other client's allowance is no more than what it has charged.
+    /// Another client's allowance is reduced to the sum of its charges.
     Reclaimed,
     /// These admissions are marked as revoked.
     Revoked(Vec<AdmissionId>),
 }
 
-/// A record that a transaction writes, or deletes if there is none.
+/// A record that a transaction writes, or deletes if `record` is `None`.
 #[derive(Clone, Debug)]
-pub(super) struct Write {
+pub(super) struct RecordWrite {
     pub(super) key: RecordKey,
     pub(super) record: Option<Record>,
 }
@@ -46,12 +46,15 @@
 pub(super) enum Purpose {
     /// Reads a record into the cache.
     Read(RecordKey),
-    /// Reads a page of a team's charges, to find those to this allowance.
+    /// Reads a page of a team's charges, to select those to this allowance.
     ScanCharges(AllowanceId),
     /// Reads a page of all teams or all charges, for a revocation sweep.
     Sweep,
-    /// Carries out a transaction.
-    Commit { writes: Vec<Write>, effect: Effect },
+    /// Commits a transaction.
+    Commit {
+        writes: Vec<RecordWrite>,
+        effect: CommitEffect,
+    },
 }
 
 /// A request to the store and its purpose.
@@ -70,7 +73,7 @@
         }
     }
 
-    /// Reads the next page of the charges of the allowance's team, those behind the key `after`.
+    /// Reads the page of the charges of the allowance's team that follows the key `after`.
     pub(super) fn scan_charges(allowance: AllowanceId, after: String) -> Operation {
         Operation {
             request: Request::List {
@@ -83,11 +86,11 @@
     }
 }
 
-/// Builds a transaction: its conditions, and the records that it writes.
+/// Builds a transaction: its conditions and the records that it writes.
 #[derive(Default)]
 pub(super) struct TransactionBuilder {
     txn: Txn,
-    writes: Vec<Write>,
+    writes: Vec<RecordWrite>,
 }
 
 impl TransactionBuilder {
@@ -96,16 +99,16 @@
         self.txn.require(key.path(), version);
     }
 
-    /// Writes a record on condition that it has this version.
+    /// Writes a record on condition that its version is `version`.
     pub(super) fn put(&mut self, key: RecordKey, version: Version, record: Record) {
         self.require(&key, version);
         let change = Change::put(key.path(), record.to_value());
         self.txn.changes.push(change);
         let record = Some(record);
-        self.writes.push(Write { key, record });
+        self.writes.push(RecordWrite { key, record });
     }
 
-    /// Writes a record on condition that it has the version of the cache.
+    /// Writes a record on condition that its version is the cached one.
     ///
     /// # Errors
     ///
@@ -121,11 +124,11 @@
         Ok(())
     }
 
-    /// Deletes a record on condition that it has this version.
+    /// Deletes a record on condition that its version is `version`.
     pub(super) fn delete(&mut self, key: RecordKey, version: Version) {
         self.require(&key, version);
         self.txn.changes.push(Change::delete(key.path()));
-        self.writes.push(Write { key, record: None });
+        self.writes.push(RecordWrite { key, record: None });
     }
 
     /// Number of conditions so far.
@@ -138,8 +141,8 @@
         self.txn.changes.len()
     }
 
-    /// The operation that carries out the transaction.
-    pub(super) fn commit(self, effect: Effect) -> Operation {
+    /// The operation that commits the transaction.
+    pub(super) fn commit(self, effect: CommitEffect) -> Operation {
         Operation {
             request: Request::Txn(self.txn),
             purpose: Purpose::Commit {
--- a/crates/quota/src/client/outcome.rs
+++ b/crates/quota/src/client/outcome.rs
@@ -1,21 +1,21 @@
-//! Taking in the outcome of an operation.
+//! Handling the outcomes of operations.
 
 use std::time::Duration;
 
 use lichencrank_store::{Item, Outcome, Page, Time, Version};
 
-use super::operation::{Effect, Purpose, Write};
-use super::pending_operation::Attempt;
+use super::operation::{CommitEffect, Purpose, RecordWrite};
+use super::pending_operation::SentOperation;
 use super::review::ReviewReason;
 use super::QuotaClient;
 use crate::ids::AllowanceId;
 use crate::records::{Record, RecordKey};
 use crate::resource_vector::ResourceVector;
 
-/// Pause after the store was unavailable.
+/// Pause before the next request after the store was unavailable.
 const UNAVAILABLE_PAUSE: Duration = Duration::from_millis(200);
 
-/// A record from a page of keys.
+/// A record in a page of a listing.
 #[derive(Clone, Debug)]
 pub(super) struct PageRecord {
     pub(super) key: RecordKey,
@@ -24,15 +24,15 @@
 }
 
 impl QuotaClient {
-    /// Takes in the outcome of the request that [`Self::poll`] gave last.
+    /// Handles the outcome of the request that [`Self::poll`] returned last.
     pub fn on_outcome(&mut self, now: Time, outcome: Outcome) {
         self.now = self.now.max(now);
-        let Some(attempt) = self.pending_operation.take_sent() else {
+        let Some(sent) = self.pending_operation.take_sent() else {
             return;
         };
-        match attempt.operation.purpose.clone() {
+        match sent.operation.purpose.clone() {
             Purpose::Commit { writes, effect } => {
-                self.on_commit_outcome(attempt, writes, effect, outcome);
+                self.on_commit_outcome(sent, writes, effect, outcome);
             }
             purpose => self.on_read_outcome(purpose, outcome),
         }
@@ -40,31 +40,31 @@
 
     fn on_commit_outcome(
         &mut self,
-        attempt: Attempt,
-        writes: Vec<Write>,
-        effect: Effect,
+        sent: SentOperation,
+        writes: Vec<RecordWrite>,
+        effect: CommitEffect,
         outcome: Outcome,
     ) {
         match outcome {
             Outcome::Committed(version) => {
-                for Write { key, record } in writes {
+                for RecordWrite { key, record } in writes {
                     self.cache.insert(key, version, record);
                 }
-                let elapsed = self.now.since(attempt.first_sent_at);
+                let elapsed = self.now.since(sent.first_sent_at);
                 let is_late = elapsed > self.config.reconfirm_after;
                 self.on_committed(effect, version, is_late);
             }
             Outcome::Conflict(failed) => {
-                self.on_conflict(&failed, writes, &effect, attempt.is_retry);
+                self.on_conflict(&failed, writes, &effect, sent.is_retry);
             }
-            Outcome::Unknown => self.pending_operation.retry(attempt),
+            Outcome::Unknown => self.pending_operation.retry(sent),
             outcome => {
                 self.pause(&outcome);
-                if attempt.is_retry {
-                    // This copy was not carried out, but an earlier one may have been.
-                    self.pending_operation.retry(attempt);
+                if sent.is_retry {
+                    // This copy was not carried out, but an earlier copy may have been.
+                    self.pending_operation.retry(sent);
                 } else if matches!(outcome, Outcome::Invalid) {
-                    tracing::error!("the store refuses a transaction for what it says");
+                    tracing::error!("the store rejected a quota transaction as invalid");
                 }
             }
         }
@@ -77,13 +77,13 @@
                 self.on_charges(&allowance, &page);
             }
             (Purpose::Sweep, Outcome::Page(page)) => {
-                self.on_sweep_page(read_page(&page), next_key(&page));
+                self.on_sweep_page(parse_page(&page), next_key(&page));
             }
             (_, outcome) => self.pause(&outcome),
         }
     }
 
-    /// A record that was read, or its absence, goes into the cache.
+    /// Caches a record that was read, or its absence.
     fn on_record(&mut self, key: RecordKey, item: Option<&Item>) {
         let version = item.map_or(Version::ABSENT, |item| item.version);
         let record = item.and_then(|item| key.read_record(item));
@@ -93,7 +93,7 @@
         self.cache.insert(key, version, record);
     }
 
-    /// Sends nothing for a while, as the store did not carry out a request.
+    /// Pauses requests after the store did not carry out one.
     fn pause(&mut self, outcome: &Outcome) {
         let pause = match outcome {
             Outcome::RateLimited { retry_after } => *retry_after,
@@ -102,9 +102,10 @@
         self.paused_until = self.now.after(pause);
     }
 
-    /// A page of a team's charges was read.
+    /// Handles a page of a team's charges: those to the allowance are either this client's own or those of
+    /// a client whose allowance is being reclaimed.
     fn on_charges(&mut self, allowance: &AllowanceId, page: &Page) {
-        let mut records = read_page(page);
+        let mut records = parse_page(page);
         records.retain(|record| match &record.record {
             Record::Charge(charge) => charge.client == allowance.client,
             _ => false,
@@ -120,26 +121,28 @@
         self.on_charges_of_other(usages.sum(), next);
     }
 
-    fn on_committed(&mut self, effect: Effect, version: Version, is_late: bool) {
+    fn on_committed(&mut self, effect: CommitEffect, version: Version, is_late: bool) {
         match effect {
-            Effect::None => {}
-            Effect::AllowanceAcquired { team, epoch } => self.on_acquired(&team, epoch),
-            Effect::AllowanceGrown { team, reserved } => self.team_mut(&team).reserve(reserved),
-            Effect::Charged(ids) => self.on_charged(ids, is_late),
-            Effect::Released(ids) => self.on_releases_committed(ids),
-            Effect::Fenced(allowance) => self.on_fenced(&allowance, version),
-            Effect::Reclaimed => self.on_reclaimed(),
-            Effect::Revoked(ids) => self.on_marked(&ids),
+            CommitEffect::None => {}
+            CommitEffect::AllowanceAcquired { team, epoch } => self.on_acquired(&team, epoch),
+            CommitEffect::AllowanceGrown { team, reserved } => {
+                self.team_mut(&team).reserve(reserved)
+            }
+            CommitEffect::Charged(ids) => self.on_charged(ids, is_late),
+            CommitEffect::Released(ids) => self.on_releases_committed(ids),
+            CommitEffect::Fenced(allowance) => self.on_fenced(&allowance, version),
+            CommitEffect::Reclaimed => self.on_reclaimed(),
+            CommitEffect::Revoked(ids) => self.on_marked(&ids),
         }
     }
 
-    /// Nothing was written, as the records of the `failed` keys have other versions. Where an earlier
-    /// copy of the transaction had no answer, it may be that one which changed them.
+    /// The transaction was not committed, because the records of the `failed` keys have other versions. If
+    /// it is a retry, an earlier copy without a response may have changed them.
     fn on_conflict(
         &mut self,
         failed: &[String],
-        writes: Vec<Write>,
-        effect: &Effect,
+        writes: Vec<RecordWrite>,
+        effect: &CommitEffect,
         is_retry: bool,
     ) {
         for key in failed.iter().filter_map(|path| RecordKey::parse(path)) {
@@ -150,13 +153,13 @@
                 self.on_uncertain_record(write.key);
             }
         }
-        if let Effect::Revoked(_) = effect {
-            // An admission was released, or marked by another client: the next sweep tells.
+        if let CommitEffect::Revoked(_) = effect {
+            // An admission was released, or marked by another client. The next sweep reads it again.
             self.revocation_sweep.abort();
         }
     }
 
-    /// What is cached of a record is outdated, or may be.
+    /// Drops or reviews a cached record that is, or may be, outdated.
     fn on_uncertain_record(&mut self, key: RecordKey) {
         match key {
             RecordKey::Charge(id) => self.review(ReviewReason::UncertainOutcome, id),
@@ -165,8 +168,8 @@
     }
 }
 
-/// The records of a page that are any of this package.
-fn read_page(page: &Page) -> Vec<PageRecord> {
+/// Parses the records of a page. Items that are not records of this package are skipped.
+fn parse_page(page: &Page) -> Vec<PageRecord> {
     let records = page.items.iter().filter_map(|item| {
         let key = RecordKey::parse(&item.key)?;
         let record = key.read_record(item)?;
@@ -179,7 +182,7 @@
     records.collect()
 }
 
-/// The key behind which the next page begins, if there is one.
+/// The key that the next page follows; `None` if this is the last page.
 fn next_key(page: &Page) -> Option<String> {
     let last = page.items.last().filter(|_| page.has_more);
     last.map(|item| item.key.clone())
--- a/crates/quota/src/client/ownership.rs
+++ b/crates/quota/src/client/ownership.rs
@@ -1,12 +1,12 @@
-//! Acquiring the allowance of a team, reading what is charged to it, and keeping both up to date.
+//! Acquiring the allowance of a team, reading the charges to it, and refreshing both.
 //!
 //! A process acquires an allowance by raising its epoch. That changes the version on which every charge
-//! is conditional, so nothing that an earlier process of the same name still has under way can be
-//! carried out. What that one has charged is read before anything more is charged.
+//! is conditional, so charges that an earlier process of the same client name has in flight fail. The
+//! charges that the earlier process made are read before anything more is charged.
 
 use std::collections::BTreeSet;
 
-use super::operation::{Effect, Operation, TransactionBuilder};
+use super::operation::{CommitEffect, Operation, TransactionBuilder};
 use super::outcome::PageRecord;
 use super::record_cache::CacheMiss;
 use super::team_state::Ownership;
@@ -16,11 +16,11 @@
 use crate::ids::{AdmissionId, AllowanceId, TeamName};
 use crate::records::{AllowanceRecord, Record, RecordKey, TeamRecord};
 
-/// Charges are read again after this many refresh intervals at the earliest.
+/// Minimum number of refresh intervals from one reading of the charges to the next.
 const REFRESHES_PER_RELOAD: u32 = 4;
 
 impl QuotaClient {
-    /// The next operation for one team, if there is any.
+    /// The next operation for one team, if one is needed.
     pub(super) fn plan_team(&mut self, team: &TeamName) -> Result<Option<Operation>, CacheMiss> {
         self.start_refresh_if_due(team);
         let Some(record) = self.cache.team(team)?.record.cloned() else {
@@ -38,8 +38,8 @@
         }
     }
 
-    /// The next operation for a team whose allowance is owned and whose charges are known: what others
-    /// wait for goes back, pending requests are charged, and the allowance follows what is needed.
+    /// The next operation for a team whose allowance is owned and whose charges are known: returns
+    /// allowance that others wait for, then charges pending requests, then rebalances the allowance.
     fn plan_owned(
         &mut self,
         team: &TeamName,
@@ -70,8 +70,9 @@
 
     // ---- refreshing
 
-    /// Has the records that others change read again every so often, while requests are pending or this
-    /// client holds anything.
+    /// Drops the cached team and pool records once per refresh interval, as other clients change them, so
+    /// that they are read again. Applies only while this client has pending requests, charges or unspent
+    /// allowance.
     fn start_refresh_if_due(&mut self, team: &TeamName) {
         let now = self.now;
         let has_unspent = self.unspent(team).is_ok_and(|unspent| !unspent.is_zero());
@@ -85,8 +86,9 @@
         }
     }
 
-    /// Whether the charges are to be read again. Other clients release charges of this one when they
-    /// hear of the end first; that matters where anybody waits for room.
+    /// Whether the charges are to be read again. Other clients release charges of this client if they
+    /// learn first that the work has ended. Reading the charges again only matters while anyone waits for
+    /// allowance or capacity.
     fn is_reload_due(&mut self, team: &TeamName, record: &TeamRecord) -> Result<bool, CacheMiss> {
         let now = self.now;
         let pool = self.pool()?;
@@ -100,22 +102,22 @@
 
     // ---- acquiring
 
-    /// Raises the epoch of the allowance, so that it belongs to this process alone.
+    /// Raises the epoch of the allowance, so that only this process can charge to it.
     fn plan_acquisition(&mut self, team: &TeamName) -> Result<Operation, CacheMiss> {
         let id = self.own_allowance(team);
         let cached = self.cache.allowance(&id)?;
         let version = cached.version;
-        let before = cached.record.cloned().unwrap_or_default();
-        let epoch = before.epoch + 1;
+        let current = cached.record.cloned().unwrap_or_default();
+        let epoch = current.epoch + 1;
         let acquired = AllowanceRecord {
             epoch,
             is_fenced: false,
-            ..before
+            ..current
         };
         let mut transaction = TransactionBuilder::default();
         let key = RecordKey::Allowance(id);
         transaction.put(key, version, Record::Allowance(acquired));
-        Ok(transaction.commit(Effect::AllowanceAcquired {
+        Ok(transaction.commit(CommitEffect::AllowanceAcquired {
             team: team.clone(),
             epoch,
         }))
@@ -126,8 +128,8 @@
         self.start_loading(team, epoch);
     }
 
-    /// The allowance of a team was read. If its epoch is not the one at which this process acquired it,
-    /// another process of the same name has acquired it, or another client has fenced it off.
+    /// Checks an allowance that was read. If its epoch is not the one at which this process acquired it,
+    /// another process of the same client name has acquired it, or another client has fenced it off.
     pub(super) fn check_ownership(&mut self, id: &AllowanceId, record: Option<&Record>) {
         if id.client != self.config.name {
             return;
@@ -157,7 +159,7 @@
         Operation::scan_charges(self.own_allowance(team), after)
     }
 
-    /// A page with charges to an allowance of this client was read.
+    /// Takes in a page of the charges to this client's allowance.
     pub(super) fn on_own_charges(
         &mut self,
         team: &TeamName,
@@ -171,19 +173,19 @@
         } in records
         {
             if let (RecordKey::Charge(id), Record::Charge(charge)) = (&key, &record) {
-                self.team_mut(team).add_found(id.clone());
+                self.team_mut(team).add_loaded(id.clone());
                 self.on_own_charge(id, charge);
             }
             self.cache.insert(key, version, Some(record));
         }
-        if let Some(found) = self.team_mut(team).finish_page(next) {
-            self.on_charges_loaded(team, &found);
+        if let Some(loaded) = self.team_mut(team).finish_page(next) {
+            self.on_charges_loaded(team, &loaded);
         }
     }
 
-    /// All charges of a team were read: those that are gone have been released by others.
-    fn on_charges_loaded(&mut self, team: &TeamName, found: &BTreeSet<AdmissionId>) {
-        for id in self.admissions.charged_and_not_in(team, found) {
+    /// All charges to the allowance were read. Charges that are missing were released by other clients.
+    fn on_charges_loaded(&mut self, team: &TeamName, loaded: &BTreeSet<AdmissionId>) {
+        for id in self.admissions.charged_but_not_in(team, loaded) {
             self.on_released(&id);
         }
     }
--- a/crates/quota/src/client/pending_operation.rs
+++ b/crates/quota/src/client/pending_operation.rs
@@ -1,4 +1,4 @@
-//! The one operation that is under way.
+//! The operation that is in flight. There is at most one.
 
 use std::mem;
 
@@ -7,29 +7,30 @@
 use super::operation::{Operation, Purpose};
 use crate::records::RecordKey;
 
-/// An operation that was sent.
+/// An operation that was sent to the store.
 #[derive(Debug)]
-pub(super) struct Attempt {
+pub(super) struct SentOperation {
     pub(super) operation: Operation,
-    /// When it was sent for the first time.
+    /// When the operation was sent for the first time.
     pub(super) first_sent_at: Time,
-    /// Whether it was sent before with an unknown outcome, and may have been carried out then.
+    /// Whether the operation was sent before with an unknown outcome, so that it may have been carried out
+    /// already.
     pub(super) is_retry: bool,
 }
 
 #[derive(Debug, Default)]
 enum State {
-    /// No operation is under way.
+    /// No operation is in flight.
     #[default]
     Idle,
-    /// The outcome is awaited.
-    Sent(Attempt),
-    /// The outcome is unknown: it may have been carried out, or may yet be. Nothing but the very same
-    /// request may follow, until the store says which.
-    RetryDue(Attempt),
+    /// The outcome of the operation is awaited.
+    Sent(SentOperation),
+    /// The outcome is unknown: the operation may have been carried out, or still may be. The same request
+    /// has to be sent again, and no other one, until the store reports the outcome.
+    RetryDue(SentOperation),
 }
 
-/// The operation under way, if there is one.
+/// The operation in flight, if there is one.
 #[derive(Debug, Default)]
 pub(super) struct PendingOperation {
     state: State,
@@ -43,19 +44,19 @@
 
     /// Sends an operation for the first time.
     pub(super) fn send(&mut self, operation: Operation, now: Time) -> Request {
-        self.sent(Attempt {
+        self.record_sent(SentOperation {
             operation,
             first_sent_at: now,
             is_retry: false,
         })
     }
 
-    /// Sends an operation again whose outcome is unknown; `None` if there is none.
+    /// Sends the operation whose outcome is unknown again; `None` if there is none.
     pub(super) fn resend(&mut self) -> Option<Request> {
         match mem::take(&mut self.state) {
-            State::RetryDue(attempt) => Some(self.sent(Attempt {
+            State::RetryDue(sent) => Some(self.record_sent(SentOperation {
                 is_retry: true,
-                ..attempt
+                ..sent
             })),
             other => {
                 self.state = other;
@@ -64,16 +65,16 @@
         }
     }
 
-    fn sent(&mut self, attempt: Attempt) -> Request {
-        let request = attempt.operation.request.clone();
-        self.state = State::Sent(attempt);
+    fn record_sent(&mut self, sent: SentOperation) -> Request {
+        let request = sent.operation.request.clone();
+        self.state = State::Sent(sent);
         request
     }
 
-    /// Takes the operation whose outcome has come; `None` if none is awaited.
-    pub(super) fn take_sent(&mut self) -> Option<Attempt> {
+    /// Takes the operation whose outcome has arrived; `None` if no outcome is awaited.
+    pub(super) fn take_sent(&mut self) -> Option<SentOperation> {
         match mem::take(&mut self.state) {
-            State::Sent(attempt) => Some(attempt),
+            State::Sent(sent) => Some(sent),
             other => {
                 self.state = other;
                 None
@@ -82,16 +83,16 @@
     }
 
     /// The outcome is unknown: the operation has to be sent again before anything else.
-    pub(super) fn retry(&mut self, attempt: Attempt) {
-        self.state = State::RetryDue(attempt);
+    pub(super) fn retry(&mut self, sent: SentOperation) {
+        self.state = State::RetryDue(sent);
     }
 
-    /// Whether the operation under way writes that record.
+    /// Whether the operation in flight writes the record of that key.
     pub(super) fn writes(&self, key: &RecordKey) -> bool {
-        let (State::Sent(attempt) | State::RetryDue(attempt)) = &self.state else {
+        let (State::Sent(sent) | State::RetryDue(sent)) = &self.state else {
             return false;
         };
-        match &attempt.operation.purpose {
+        match &sent.operation.purpose {
             Purpose::Commit { writes, .. } => writes.iter().any(|write| write.key == *key),
             _ => false,
         }
--- a/crates/quota/src/client/policy_update.rs
+++ b/crates/quota/src/client/policy_update.rs
@@ -1,12 +1,12 @@
-//! Bringing guarantees, limits and the capacity into the store as operators set them.
+//! Writing the guarantees, limits and capacity that operators set into the store.
 //!
-//! A lowered limit is in force once nobody can charge above it any more: what clients have not spent is
-//! reclaimed as from lost ones. A client that lives goes on with what it has charged. Work that was
-//! admitted under the higher limit is not stopped, and nothing of its team is admitted before it fits.
+//! A lowered limit takes effect once no client can charge above it: the unspent allowances are reclaimed
+//! as from lost clients. A client that is alive keeps its charges. Work that was admitted under the higher
+//! limit is not stopped, and no more work of its team is admitted before it fits under the new limit.
 
 use std::collections::BTreeMap;
 
-use super::operation::{Effect, Operation, TransactionBuilder};
+use super::operation::{CommitEffect, Operation, TransactionBuilder};
 use super::record_cache::CacheMiss;
 use super::{QuotaClient, QuotaEvent};
 use crate::allocation::TeamQuota;
@@ -15,11 +15,11 @@
 use crate::records::{PoolRecord, Record, RecordKey, TeamRecord};
 use crate::resource_vector::ResourceVector;
 
-/// A policy that is being brought into the store.
+/// A policy that is being written into the store.
 #[derive(Debug)]
 pub(super) struct PolicyUpdate {
     capacity: ResourceVector,
-    /// Teams whose records may differ from the policy.
+    /// Teams whose records have not been compared with the policy, or differ from it.
     remaining_teams: BTreeMap<TeamName, TeamPolicy>,
 }
 
@@ -31,9 +31,9 @@
 }
 
 impl QuotaClient {
-    /// Brings a policy into the store. [`QuotaEvent::PolicyApplied`] tells when all of it is there; the
-    /// reclaims that a lowered limit leads to follow. Teams that the policy doesn't name stay as they
-    /// are.
+    /// Writes a policy into the store. [`QuotaEvent::PolicyApplied`] reports that all of it is written; the
+    /// reclaims that follow from a lowered limit come later. Teams that are not in the policy keep their
+    /// quotas.
     pub fn set_policy(&mut self, policy: QuotaPolicy) {
         self.cache.invalidate(&RecordKey::Pool);
         for team in policy.teams.keys() {
@@ -77,7 +77,7 @@
     fn put_pool(&self, pool: PoolRecord) -> Result<Operation, CacheMiss> {
         let mut transaction = TransactionBuilder::default();
         transaction.put_cached(&self.cache, RecordKey::Pool, Record::Pool(pool))?;
-        Ok(transaction.commit(Effect::None))
+        Ok(transaction.commit(CommitEffect::None))
     }
 
     fn put_quota(&self, quota: TeamQuota) -> Result<Operation, CacheMiss> {
@@ -85,7 +85,7 @@
         let team = RecordKey::Team(quota.name);
         transaction.put_cached(&self.cache, team, Record::Team(quota.team))?;
         transaction.put_cached(&self.cache, RecordKey::Pool, Record::Pool(quota.pool))?;
-        Ok(transaction.commit(Effect::None))
+        Ok(transaction.commit(CommitEffect::None))
     }
 
     fn finish_team(&mut self, team: &TeamName) {
@@ -94,8 +94,8 @@
         }
     }
 
-    /// If more is granted than the limit allows, reclaims what other clients have not spent. This client
-    /// gives its part back when it next rebalances.
+    /// If more is granted than the limit allows, reclaims the unspent allowances of other clients. This
+    /// client returns its own part when it plans the next operation of the team.
     fn reclaim_above_limit(&mut self, team: &TeamName, record: &TeamRecord) {
         if record.total_granted().fits_within(&record.limit) {
             return;
--- a/crates/quota/src/client/rebalancing.rs
+++ b/crates/quota/src/client/rebalancing.rs
@@ -1,10 +1,10 @@
-//! Asking for a larger allowance, and giving back what others wait for.
+//! Growing the allowance for pending requests, and returning the part that others wait for.
 //!
-//! A client that waits for more keeps nothing that it can't use meanwhile: if its first request can't be
-//! granted what it needs, the client gives back all that is unspent and waits for the whole. So no two
-//! clients, and no two teams, wait for each other.
+//! A client that waits for more holds no unspent allowance meanwhile: if its first request can't be
+//! granted, the client returns all of its unspent allowance and registers a demand for the whole request.
+//! This prevents deadlocks, in which clients or teams wait for the allowances of each other.
 
-use super::operation::{Effect, Operation, TransactionBuilder};
+use super::operation::{CommitEffect, Operation, TransactionBuilder};
 use super::record_cache::CacheMiss;
 use super::QuotaClient;
 use crate::allocation::{AllowanceTarget, TeamQuota};
@@ -13,8 +13,7 @@
 use crate::resource_vector::ResourceVector;
 
 impl QuotaClient {
-    /// Brings the allowance in line with what is pending: larger for requests that wait here, smaller if
-    /// it is idle.
+    /// Adjusts the allowance to the pending requests: grows it for them, or shrinks it if it is idle.
     pub(super) fn plan_rebalancing(
         &mut self,
         quota: &TeamQuota,
@@ -26,8 +25,8 @@
         }
     }
 
-    /// Grows the allowance for pending requests. If not even the first one can be granted what it needs,
-    /// gives back what is unspent and registers the demand, so that others make room.
+    /// Grows the allowance for pending requests. If not even the first one can be granted, returns the
+    /// unspent part and registers a demand, so that others return theirs.
     fn plan_growth(
         &mut self,
         quota: &TeamQuota,
@@ -48,12 +47,12 @@
             unmet_demand: Some(usage),
         };
         let own = self.own_allowance(&quota.name);
-        self.commit_allowance(quota, &own, &target, Effect::None)
+        self.commit_allowance(quota, &own, &target, CommitEffect::None)
             .map(Some)
     }
 
-    /// Grants what the first request misses, and while nobody else waits also what the other pending
-    /// requests need.
+    /// Grants what the first request lacks, and if nobody else waits, also what the other pending requests
+    /// lack.
     fn plan_grant(
         &self,
         quota: &TeamQuota,
@@ -76,14 +75,15 @@
             granted: self.granted(team)? + grant,
             unmet_demand: None,
         };
-        let effect = Effect::AllowanceGrown {
+        let effect = CommitEffect::AllowanceGrown {
             team: team.clone(),
             reserved: unspent.component_min(&first_usage) + needed,
         };
         self.commit_allowance(quota, &self.own_allowance(team), &target, effect)
     }
 
-    /// Nothing is pending: withdraws the registered demand, and gives back what has been idle.
+    /// Without pending requests: withdraws the registered demand, and returns the unspent allowance once
+    /// it has been idle for long enough.
     fn plan_idle_return(&mut self, quota: &TeamQuota) -> Result<Option<Operation>, CacheMiss> {
         let team = &quota.name;
         let (now, idle_return_after) = (self.now, self.config.idle_return_after);
@@ -105,14 +105,14 @@
             unmet_demand: None,
         };
         let own = self.own_allowance(team);
-        self.commit_allowance(quota, &own, &target, Effect::None)
+        self.commit_allowance(quota, &own, &target, CommitEffect::None)
             .map(Some)
     }
 
-    /// Gives back what is unspent if a client or a team ahead of this one waits for it, or if the
-    /// capacity or the limit have shrunk. This goes before requests of this client, which would starve
-    /// the others otherwise. What is reserved for own requests is kept from those that wait, but not
-    /// from a shrunken capacity or limit.
+    /// Returns the unspent allowance if a client or a team ahead of this one waits for it, or if the
+    /// capacity or the limit was lowered. This has precedence over pending requests of this client, which
+    /// would otherwise starve the others. The part that is reserved for own requests is not returned to
+    /// others that wait, but it is after a lowered capacity or limit.
     pub(super) fn plan_yielding(
         &mut self,
         quota: &TeamQuota,
@@ -137,17 +137,17 @@
             unmet_demand: quota.team.demand_of(&self.config.name),
         };
         let own = self.own_allowance(team);
-        self.commit_allowance(quota, &own, &target, Effect::None)
+        self.commit_allowance(quota, &own, &target, CommitEffect::None)
             .map(Some)
     }
 
-    /// The transaction that changes an allowance together with the team's record and the pool.
+    /// Builds the transaction that changes an allowance together with the team's record and the pool.
     pub(super) fn commit_allowance(
         &self,
         quota: &TeamQuota,
         id: &AllowanceId,
         target: &AllowanceTarget,
-        effect: Effect,
+        effect: CommitEffect,
     ) -> Result<Operation, CacheMiss> {
         let record = self.cache.allowance(id)?.record.cloned();
         let allowance = AllowanceRecord {
@@ -167,7 +167,7 @@
             Record::Allowance(allowance),
         )?;
         if updated.pool == quota.pool {
-            // What may be granted was computed from the pool, so it must not have changed either.
+            // The grant was computed from the pool, so the pool must not have changed either.
             let version = self.cache.version(&RecordKey::Pool)?;
             transaction.require(&RecordKey::Pool, version);
         } else {
--- a/crates/quota/src/client/reclaim.rs
+++ b/crates/quota/src/client/reclaim.rs
@@ -1,12 +1,12 @@
-//! Taking back what a client that was given up has not spent.
+//! Reclaiming the unspent allowance of a client that is considered lost.
 //!
-//! First the version of its allowance changes, so that nothing it has under way can be charged any more.
-//! Only then are its charges summed up: from there on they can only become fewer. The sum stays granted
-//! until the end of the charged work is proven.
+//! First the version of its allowance is changed, so that charges that the client has in flight fail.
+//! Only then are its charges summed up: from there on they can only decrease. The sum stays granted until
+//! the charged work is proven to have ended.
 
 use lichencrank_store::Version;
 
-use super::operation::{Effect, Operation, TransactionBuilder};
+use super::operation::{CommitEffect, Operation, TransactionBuilder};
 use super::reclaim_queue::{Reclaim, ReclaimPhase};
 use super::record_cache::CacheMiss;
 use super::{QuotaClient, QuotaEvent};
@@ -15,7 +15,7 @@
 use crate::records::{AllowanceRecord, Record, RecordKey};
 use crate::resource_vector::ResourceVector;
 
-/// Whether a reclaim freed what was unspent.
+/// Whether a reclaim freed the unspent part of the allowance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ReclaimResult {
     Reclaimed,
@@ -23,9 +23,9 @@
 }
 
 impl QuotaClient {
-    /// Gives up another client: what it has not spent of its allowance of that team becomes free.
-    /// Reported as [`QuotaEvent::Reclaimed`] or [`QuotaEvent::NotReclaimed`]. If the other client still
-    /// lives, its next charge fails; it then goes on with what it has charged.
+    /// Reclaims the unspent part of the allowance that another client, considered lost, has of a team.
+    /// Reports [`QuotaEvent::Reclaimed`] or [`QuotaEvent::NotReclaimed`]. If the other client is still
+    /// alive, its next charge fails; it then acquires the allowance again and keeps its charges.
     pub fn reclaim(&mut self, team: TeamName, client: ClientName) {
         if client == self.config.name {
             return;
@@ -55,7 +55,7 @@
         Ok(None)
     }
 
-    /// Changes the version and the epoch of the allowance, so that no charge to it succeeds any more.
+    /// Raises the epoch of the allowance, which changes its version, so that charges in flight fail.
     fn plan_fence(&mut self, id: &AllowanceId) -> Result<Option<Operation>, CacheMiss> {
         let cached = self.cache.allowance(id)?;
         let version = cached.version;
@@ -76,16 +76,21 @@
         let mut transaction = TransactionBuilder::default();
         let key = RecordKey::Allowance(id.clone());
         transaction.put(key, version, Record::Allowance(fenced));
-        Ok(Some(transaction.commit(Effect::Fenced(id.clone()))))
+        Ok(Some(transaction.commit(CommitEffect::Fenced(id.clone()))))
     }
 
     pub(super) fn on_fenced(&mut self, id: &AllowanceId, version: Version) {
-        tracing::info!("team {}: {} is fenced off", id.team, id.client);
+        tracing::info!(
+            "team {}: the allowance of {} is fenced off until it is acquired again",
+            id.team,
+            id.client
+        );
         self.reclaims.on_fenced(version);
     }
 
-    /// Reduces the allowance to what is charged to it, if that is not done already. If the allowance has
-    /// changed since it was fenced off, the charges may be more than were summed up.
+    /// Reduces the allowance to the sum of its charges, unless that is done already. If the allowance has
+    /// changed since it was fenced off, there may be more charges than were summed up: they are summed up
+    /// again while the allowance is still fenced off, otherwise the reclaim ends.
     fn plan_reduction(
         &mut self,
         id: &AllowanceId,
@@ -121,11 +126,11 @@
             granted: charged,
             unmet_demand: None,
         };
-        self.commit_allowance(&quota, id, &target, Effect::Reclaimed)
+        self.commit_allowance(&quota, id, &target, CommitEffect::Reclaimed)
             .map(Some)
     }
 
-    /// The allowance was reduced to what is charged to it.
+    /// The allowance was reduced to the sum of its charges.
     pub(super) fn on_reclaimed(&mut self) {
         self.finish_reclaim(ReclaimResult::Reclaimed);
     }
@@ -136,15 +141,20 @@
         };
         self.events.push(match result {
             ReclaimResult::Reclaimed => {
-                tracing::info!("team {team}: the unspent allowance of {client} is taken back");
+                tracing::info!("team {team}: reclaimed the unspent allowance of {client}");
                 QuotaEvent::Reclaimed { team, client }
             }
             ReclaimResult::NotReclaimed => QuotaEvent::NotReclaimed { team, client },
         });
     }
 
-    /// A page of the charges of the client that is being given up was read.
-    pub(super) fn on_charges_of_other(&mut self, found: ResourceVector, next: Option<String>) {
-        self.reclaims.on_charges(found, next);
+    /// Takes in a page of the charges to the allowance that is being reclaimed, which add up to
+    /// `page_charges`.
+    pub(super) fn on_charges_of_other(
+        &mut self,
+        page_charges: ResourceVector,
+        next: Option<String>,
+    ) {
+        self.reclaims.on_charges(page_charges, next);
     }
 }
--- a/crates/quota/src/client/reclaim_queue.rs
+++ b/crates/quota/src/client/reclaim_queue.rs
@@ -1,4 +1,4 @@
-//! Allowances that are to be reclaimed, and how far the reclaim of the first one is.
+//! Allowances that are to be reclaimed, and the progress of the first one.
 
 use std::collections::VecDeque;
 
@@ -10,15 +10,16 @@
 /// The next step of a reclaim.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) enum ReclaimPhase {
-    /// Fence the client off.
+    /// Fence off the client.
     Fence,
-    /// Read its charges, those behind the key `after` next.
+    /// Read the next page of the client's charges, which follows the key `after`. The pages before it add
+    /// up to `charged`.
     SumCharges {
         fenced_version: Version,
         after: String,
         charged: ResourceVector,
     },
-    /// Reduce its allowance to what it has charged.
+    /// Reduce the allowance to the sum of its charges.
     Reduce {
         fenced_version: Version,
         charged: ResourceVector,
@@ -32,14 +33,14 @@
     pub(super) phase: ReclaimPhase,
 }
 
-/// Allowances that are to be reclaimed, one after the other.
+/// Allowances that are to be reclaimed, one at a time.
 #[derive(Debug, Default)]
 pub(super) struct ReclaimQueue {
     queue: VecDeque<Reclaim>,
 }
 
 impl ReclaimQueue {
-    /// Adds an allowance behind the others. `false` if it is in the queue already.
+    /// Appends an allowance. Returns `false` if it is in the queue already.
     pub(super) fn push(&mut self, allowance: AllowanceId) -> bool {
         let mut queued = self.queue.iter();
         if queued.any(|reclaim| reclaim.allowance == allowance) {
@@ -55,14 +56,14 @@
         self.queue.front()
     }
 
-    /// The first allowance has to be fenced off, again if need be.
+    /// Restarts the reclaim of the first allowance, from checking that it is fenced off.
     pub(super) fn restart_first(&mut self) {
         if let Some(first) = self.queue.front_mut() {
             first.phase = ReclaimPhase::Fence;
         }
     }
 
-    /// The first allowance is fenced off since that version.
+    /// The first allowance is fenced off, and had the version `fenced_version` then.
     pub(super) fn on_fenced(&mut self, fenced_version: Version) {
         if let Some(first) = self.queue.front_mut() {
             first.phase = ReclaimPhase::SumCharges {
@@ -73,9 +74,9 @@
         }
     }
 
-    /// A page of charges to the first allowance was read, which add up to `found`. The next page begins
-    /// behind the key `next`, if there is one.
-    pub(super) fn on_charges(&mut self, found: ResourceVector, next: Option<String>) {
+    /// A page of charges to the first allowance was read, which add up to `page_charges`. The next page
+    /// follows the key `next`; `None` after the last page.
+    pub(super) fn on_charges(&mut self, page_charges: ResourceVector, next: Option<String>) {
         let Some(first) = self.queue.front_mut() else {
             return;
         };
@@ -87,7 +88,7 @@
         else {
             return;
         };
-        let charged = charged + found;
+        let charged = charged + page_charges;
         first.phase = match next {
             Some(after) => ReclaimPhase::SumCharges {
                 fenced_version,
@@ -101,7 +102,7 @@
         };
     }
 
-    /// Removes the first allowance, as its reclaim is over.
+    /// Removes the first allowance, whose reclaim has ended.
     pub(super) fn pop_first(&mut self) -> Option<AllowanceId> {
         self.queue.pop_front().map(|reclaim| reclaim.allowance)
     }
--- a/crates/quota/src/client/record_cache.rs
+++ b/crates/quota/src/client/record_cache.rs
@@ -1,7 +1,7 @@
-//! The records of the store as a client knows them.
+//! Cache of the records in the store.
 //!
-//! Whatever the client writes is conditional on the versions in this cache. An outdated record therefore
-//! costs a conflict and another read, and nothing else.
+//! All writes are conditional on the versions in this cache, so an outdated record only costs a conflict
+//! and another read.
 
 use std::collections::BTreeMap;
 
@@ -12,19 +12,19 @@
 use crate::ids::{AdmissionId, AllowanceId, RequesterId, TeamName};
 use crate::records::{AllowanceRecord, ChargeRecord, PoolRecord, Record, RecordKey, TeamRecord};
 
-/// A record has to be read before anything can be decided.
+/// A record that has to be read before an operation can be planned.
 #[derive(Debug, Error)]
 #[error("{0:?} is not cached")]
 pub(super) struct CacheMiss(pub(super) RecordKey);
 
-/// A record, or its absence, and the version at which it was read or written.
+/// A record, or its absence, with the version at which it was read or written.
 #[derive(Clone, Debug)]
 pub(super) struct Cached<T> {
     pub(super) version: Version,
     pub(super) record: Option<T>,
 }
 
-/// Records by key.
+/// Cached records by key.
 #[derive(Debug, Default)]
 pub(super) struct RecordCache {
     records: BTreeMap<RecordKey, Cached<Record>>,
@@ -72,22 +72,22 @@
         })
     }
 
-    /// Looks a record up, and takes it as one of a kind.
+    /// Looks up a record and extracts its type by `as_type`.
     fn find<T>(
         &self,
         key: RecordKey,
-        as_kind: for<'r> fn(&'r Record) -> Option<&'r T>,
+        as_type: for<'r> fn(&'r Record) -> Option<&'r T>,
     ) -> Result<Cached<&T>, CacheMiss> {
         let Some(cached) = self.records.get(&key) else {
             return Err(CacheMiss(key));
         };
         Ok(Cached {
             version: cached.version,
-            record: cached.record.as_ref().and_then(as_kind),
+            record: cached.record.as_ref().and_then(as_type),
         })
     }
 
-    /// The version of a cached record or of its absence.
+    /// The cached version of a record, also if the record is cached as absent.
     pub(super) fn version(&self, key: &RecordKey) -> Result<Version, CacheMiss> {
         let cached = self.records.get(key);
         cached
@@ -95,7 +95,7 @@
             .ok_or_else(|| CacheMiss(key.clone()))
     }
 
-    /// Stores what was read or written; `None` for a key that does not exist.
+    /// Caches a record that was read or written; `None` for a key that does not exist.
     pub(super) fn insert(&mut self, key: RecordKey, version: Version, record: Option<Record>) {
         self.records.insert(key, Cached { version, record });
     }
--- a/crates/quota/src/client/release.rs
+++ b/crates/quota/src/client/release.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use super::operation::{Effect, Operation, TransactionBuilder};
+use super::operation::{CommitEffect, Operation, TransactionBuilder};
 use super::record_cache::CacheMiss;
 use super::team_state::TeamState;
 use super::{QuotaClient, QuotaEvent};
@@ -11,8 +11,8 @@
 use crate::records::{Record, RecordKey};
 
 impl QuotaClient {
-    /// Deletes charges and adds the admissions to the completed ones of their requesters, in the same
-    /// transaction: so each charge is released once, whoever repeats the release.
+    /// Deletes charges and records the admissions as completed by their requesters in one transaction, so
+    /// that each charge is released once even if several clients release it.
     pub(super) fn plan_releases(&mut self) -> Result<Option<Operation>, CacheMiss> {
         let max_changes = self.config.store_limits.max_changes;
         let mut transaction = TransactionBuilder::default();
@@ -21,7 +21,7 @@
         for id in self.releasable(max_changes) {
             let requester = id.requester_id();
             let is_new_requester = !completed.contains_key(&requester);
-            // One change for each charge, and one for each requester.
+            // One change per charge, and one per requester.
             let requesters = completed.len() + usize::from(is_new_requester);
             if released.len() + 1 + requesters > max_changes {
                 break;
@@ -49,11 +49,11 @@
             let key = RecordKey::Completed(requester);
             transaction.put_cached(&self.cache, key, Record::Completed(record))?;
         }
-        Ok(Some(transaction.commit(Effect::Released(released))))
+        Ok(Some(transaction.commit(CommitEffect::Released(released))))
     }
 
-    /// The first `max_count` ended admissions of teams whose charges are not being read: what is summed
-    /// up must not change meanwhile.
+    /// The first `max_count` ended admissions. Teams whose charges are being read are left out, because the
+    /// charges must not change while they are summed up.
     fn releasable(&self, max_count: usize) -> Vec<AdmissionId> {
         let is_loading = |team: &TeamName| {
             let team = self.admissions.team(team);
@@ -63,7 +63,7 @@
         ended.take(max_count).cloned().collect()
     }
 
-    /// The work has ended, but there is no charge: others have released it, or it never was charged.
+    /// The work has ended but has no charge: another client released it, or it never was charged.
     fn on_release_without_charge(&mut self, id: AdmissionId) {
         self.ended.remove(&id);
         if self.admissions.is_charged(&id) {
@@ -74,7 +74,7 @@
         }
     }
 
-    /// The transaction that releases these charges is committed.
+    /// The transaction that releases these charges was committed.
     pub(super) fn on_releases_committed(&mut self, ids: Vec<AdmissionId>) {
         for id in ids {
             self.ended.remove(&id);
--- a/crates/quota/src/client/review.rs
+++ b/crates/quota/src/client/review.rs
@@ -1,4 +1,4 @@
-//! Reading charges again about which the client may be wrong.
+//! Reading charges again whose state at the client may be outdated.
 
 use super::record_cache::CacheMiss;
 use super::{QuotaClient, QuotaEvent};
@@ -6,14 +6,15 @@
 use crate::ids::AdmissionId;
 use crate::records::{ChargeRecord, ChargeState, RecordKey};
 
-/// Why a charge has to be read again. Reviews are done in the order of these reasons.
+/// Why a charge has to be read again. Reviews are processed in the order of these reasons.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum ReviewReason {
-    /// A transaction failed on its version, or an earlier copy of one may have been carried out.
+    /// A transaction on the charge had a version conflict, or an earlier copy of the transaction may have
+    /// been committed.
     UncertainOutcome,
-    /// It was charged, but the answer came so late that others may have released it meanwhile.
+    /// It was charged, but the response came so late that other clients may have released it since.
     LateAnswer,
-    /// It was requested again although it is charged.
+    /// It was requested again while it was charged.
     RepeatedRequest,
 }
 
@@ -25,13 +26,13 @@
 }
 
 impl QuotaClient {
-    /// Has a charge read again.
+    /// Schedules a charge to be read again.
     pub(super) fn review(&mut self, reason: ReviewReason, id: AdmissionId) {
         self.cache.invalidate(&RecordKey::Charge(id.clone()));
         self.reviews.insert(ChargeReview { reason, id });
     }
 
-    /// Does all reviews whose charges have been read.
+    /// Processes all reviews whose charges have been read.
     pub(super) fn review_charges(&mut self) -> Result<(), CacheMiss> {
         while let Some(review) = self.reviews.first().cloned() {
             let charge = self.cache.charge(&review.id)?.record.cloned();
@@ -63,7 +64,7 @@
         }
     }
 
-    /// There is no charge: the admission is still pending, or was released.
+    /// The admission has no charge: it is still pending, or was released.
     fn on_no_charge(&mut self, id: &AdmissionId) {
         if self.admissions.is_charged(id) {
             self.on_released(id);
@@ -82,7 +83,7 @@
         }
     }
 
-    /// The work may start only if its charge is still there.
+    /// The work may start only if its charge still exists.
     fn confirm_charge(&mut self, id: &AdmissionId, charge: Option<ChargeRecord>) {
         match charge {
             Some(charge) if charge.client == self.config.name => {
@@ -93,7 +94,7 @@
         }
     }
 
-    /// Takes in a charge to this client's allowance as the store has it.
+    /// Updates the state of an admission from its charge in the store, which is to this client's allowance.
     pub(super) fn on_own_charge(&mut self, id: &AdmissionId, charge: &ChargeRecord) {
         if self.admissions.state(id).is_none() {
             let request = AdmissionRequest {
@@ -108,7 +109,8 @@
         } else if self.admissions.is_pending(id) {
             self.admissions
                 .transition(id, AdmissionEvent::ChargeCommitted);
-            // An earlier process may have reported it as admitted, and its work may run.
+            // If an earlier process charged it, that process may have reported it as admitted, and its work
+            // may run.
             let is_own = self.team_mut(&id.team).is_own_epoch(charge.epoch);
             self.events.push(if is_own {
                 QuotaEvent::Admitted(id.clone())
@@ -121,7 +123,7 @@
         }
     }
 
-    /// The charge of an admission is gone, by a release of this client or of another one.
+    /// The charge of an admission was released by this client or by another one.
     pub(super) fn on_released(&mut self, id: &AdmissionId) {
         self.admissions.transition(id, AdmissionEvent::EndProven);
         self.ended.remove(id);
--- a/crates/quota/src/client/revocation.rs
+++ b/crates/quota/src/client/revocation.rs
@@ -1,5 +1,5 @@
-//! Revoking borrowed work when the capacity no longer suffices for it beside all guarantees, as after
-//! the capacity shrank or a guarantee was raised.
+//! Revoking borrowed work when guarantees and borrowed work together exceed the capacity, such as after
+//! the capacity was lowered or a guarantee was raised.
 
 use super::operation::Operation;
 use super::outcome::PageRecord;
@@ -9,7 +9,7 @@
 use crate::ids::AdmissionId;
 use crate::records::{ChargeState, Record, RecordKey};
 
-/// Refresh intervals from one sweep to the next.
+/// Minimum number of refresh intervals between the starts of two sweeps.
 const REFRESHES_PER_SWEEP: u32 = 2;
 
 impl QuotaClient {
@@ -32,7 +32,7 @@
         Ok(self.revocation_sweep.plan_marks(max_changes))
     }
 
-    /// A page of teams or charges was read.
+    /// Takes in a page of teams or charges.
     pub(super) fn on_sweep_page(&mut self, records: Vec<PageRecord>, next: Option<String>) {
         for record in records {
             if let (RecordKey::Charge(id), Record::Charge(charge)) = (&record.key, &record.record) {
@@ -47,7 +47,7 @@
         self.revocation_sweep.finish_page(next, pool.as_ref());
     }
 
-    /// The transaction that marks these admissions is committed.
+    /// The transaction that marks these admissions as revoked was committed.
     pub(super) fn on_marked(&mut self, ids: &[AdmissionId]) {
         self.revocation_sweep.on_marked(ids);
         for id in ids {
@@ -55,7 +55,7 @@
         }
     }
 
-    /// The store has an admission marked as revoked: if this client handles it, its work has to end.
+    /// An admission is marked as revoked in the store: if this client handles it, its work has to end.
     pub(super) fn on_revoked(&mut self, id: &AdmissionId) {
         let state = self.admissions.state(id);
         let can_end = matches!(
--- a/crates/quota/src/client/revocation_sweep.rs
+++ b/crates/quota/src/client/revocation_sweep.rs
@@ -1,11 +1,11 @@
-//! A look at all teams and all charges, which selects borrowed work to revoke.
+//! A scan of all teams and all charges, which selects borrowed work to revoke.
 
 use std::collections::BTreeMap;
 use std::mem;
 
 use lichencrank_store::{Request, Time, Version};
 
-use super::operation::{Effect, Operation, Purpose, TransactionBuilder, PAGE_SIZE};
+use super::operation::{CommitEffect, Operation, Purpose, TransactionBuilder, PAGE_SIZE};
 use super::outcome::PageRecord;
 use crate::ids::{AdmissionId, TeamName};
 use crate::preemption::{select_victims_best_effort, Candidate, TeamUsage};
@@ -18,18 +18,18 @@
 /// The next step of a sweep.
 #[derive(Debug, Default)]
 enum SweepPhase {
-    /// No sweep is under way.
+    /// No sweep is in progress.
     #[default]
     Idle,
-    /// Read the teams, those behind the key `after` next.
+    /// Read the page of teams that follows the key `after`.
     ReadTeams { after: String },
-    /// Read the charges, those behind the key `after` next.
+    /// Read the page of charges that follows the key `after`.
     ReadCharges { after: String },
     /// Mark these admissions as revoked.
     Mark(Vec<AdmissionId>),
 }
 
-/// A charge as a sweep has read it.
+/// A charge that was read by a sweep.
 #[derive(Debug)]
 struct SweptCharge {
     version: Version,
@@ -40,38 +40,38 @@
 #[derive(Debug, Default)]
 pub(super) struct RevocationSweep {
     phase: SweepPhase,
-    /// The next sweep begins at this time at the earliest.
-    next_at: Time,
+    /// Earliest time at which the next sweep may begin.
+    next_start_at: Time,
     teams: BTreeMap<TeamName, TeamRecord>,
     charges: BTreeMap<AdmissionId, SweptCharge>,
 }
 
 impl RevocationSweep {
-    /// Whether no sweep is under way.
+    /// Whether no sweep is in progress.
     pub(super) fn is_idle(&self) -> bool {
         matches!(self.phase, SweepPhase::Idle)
     }
 
     /// Whether the next sweep may begin.
     pub(super) fn is_due(&self, now: Time) -> bool {
-        now >= self.next_at
+        now >= self.next_start_at
     }
 
-    /// Begins a sweep. The next one may begin at `next_at`.
-    pub(super) fn start(&mut self, next_at: Time) {
-        self.next_at = next_at;
+    /// Begins a sweep. The next one may begin at `next_start_at`.
+    pub(super) fn start(&mut self, next_start_at: Time) {
+        self.next_start_at = next_start_at;
         self.teams.clear();
         self.charges.clear();
         let after = String::new();
         self.phase = SweepPhase::ReadTeams { after };
     }
 
-    /// Ends the sweep. What is still to be done shows in the next one.
+    /// Ends the sweep. Work that still has to be revoked is selected by the next sweep.
     pub(super) fn abort(&mut self) {
         self.phase = SweepPhase::Idle;
     }
 
-    /// The operation that reads the next page, unless all has been read.
+    /// The operation that reads the next page; `None` if no page is left.
     pub(super) fn next_page(&self) -> Option<Operation> {
         let (prefix, after) = match &self.phase {
             SweepPhase::ReadTeams { after } => (TEAM_PREFIX, after),
@@ -88,7 +88,7 @@
         })
     }
 
-    /// Takes in a record of a page. Records that are neither teams nor charges are ignored.
+    /// Adds a record of a page. Records that are neither teams nor charges are ignored.
     pub(super) fn insert(&mut self, page_record: PageRecord) {
         let PageRecord {
             key,
@@ -106,8 +106,8 @@
         }
     }
 
-    /// A page was read, and the next one begins behind the key `next`, if there is one. Once all has been
-    /// read, selects what to revoke.
+    /// A page was read. The next page follows the key `next`; `None` after the last page. After the last
+    /// page of charges, selects the admissions to revoke.
     pub(super) fn finish_page(&mut self, next: Option<String>, pool: Option<&PoolRecord>) {
         self.phase = match (mem::take(&mut self.phase), next) {
             (SweepPhase::ReadTeams { .. }, Some(after)) => SweepPhase::ReadTeams { after },
@@ -126,7 +126,8 @@
         };
     }
 
-    /// Borrowed work to revoke. What is revoked already will end, so it takes no part.
+    /// Selects borrowed work to revoke. Work that is revoked already is going to end, so its usage doesn't
+    /// count.
     fn select_victims(&self, pool: &PoolRecord) -> Vec<AdmissionId> {
         let mut usage: BTreeMap<TeamName, TeamUsage> = BTreeMap::new();
         for (team, record) in &self.teams {
@@ -152,12 +153,14 @@
         let victims = select_victims_best_effort(shortage, &usage, &candidates);
         if !victims.is_empty() {
             let count = victims.len();
-            tracing::info!("{shortage} too much borrowed: {count} admissions are revoked");
+            tracing::info!(
+                "guarantees and usage exceed the capacity by {shortage}: revoking {count} admissions"
+            );
         }
         victims
     }
 
-    /// The transaction that marks the first of the selected admissions.
+    /// The transaction that marks up to `max_changes` of the selected admissions as revoked.
     pub(super) fn plan_marks(&mut self, max_changes: usize) -> Option<Operation> {
         let SweepPhase::Mark(victims) = &self.phase else {
             return None;
@@ -180,10 +183,10 @@
             self.abort();
             return None;
         }
-        Some(transaction.commit(Effect::Revoked(marked)))
+        Some(transaction.commit(CommitEffect::Revoked(marked)))
     }
 
-    /// These admissions are marked; the others follow.
+    /// These admissions were marked. The sweep goes on with the others, and ends if there are none.
     pub(super) fn on_marked(&mut self, marked: &[AdmissionId]) {
         if let SweepPhase::Mark(victims) = &mut self.phase {
             victims.retain(|id| !marked.contains(id));
@@ -194,7 +197,7 @@
     }
 }
 
-/// How much of what is borrowed takes capacity that guarantees need.
+/// By how much the capacity is exceeded by the larger of guarantee and usage of each team, summed up.
 fn shortage(pool: &PoolRecord, usage: &BTreeMap<TeamName, TeamUsage>) -> ResourceVector {
     let reserved = usage
         .values()
--- a/crates/quota/src/client/team_state.rs
+++ b/crates/quota/src/client/team_state.rs
@@ -1,5 +1,5 @@
-//! What a client keeps of one team: who owns the allowance, what is charged to it, and which requests
-//! wait for it.
+//! The state of one team at a client: who owns the allowance, the sum of its charges, and the pending
+//! requests.
 
 use std::collections::BTreeSet;
 use std::mem;
@@ -10,32 +10,32 @@
 use crate::ids::{AdmissionId, TeamName};
 use crate::resource_vector::ResourceVector;
 
-/// Whether the client's allowance belongs to this process.
+/// Whether this process owns the client's allowance.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum Ownership {
-    /// Another process may have acquired it, or fenced it off.
+    /// Another process may have acquired the allowance or fenced it off.
     Unowned,
-    /// It is acquired at this epoch. The charges to it are being read, those behind the key `after`
-    /// next; what has been found is in `found`.
+    /// This process acquired the allowance at this epoch and is reading the charges to it. The next page
+    /// follows the key `after`; the charges that have been read are in `loaded`.
     Loading {
         epoch: u64,
         after: String,
-        found: BTreeSet<AdmissionId>,
+        loaded: BTreeSet<AdmissionId>,
     },
-    /// It is acquired at this epoch, and all charges to it are known.
+    /// This process acquired the allowance at this epoch, and all charges to it are known.
     Owned { epoch: u64 },
 }
 
-/// Position of a request among those that are pending: by priority, then by arrival.
+/// Position of a request among the pending ones: by priority, then by arrival.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct QueuePosition {
     pub(super) priority: Priority,
-    /// Number of the request among all that arrived at this client.
+    /// Sequence number of the request in the order of arrival at this client.
     pub(super) arrival: u64,
     pub(super) id: AdmissionId,
 }
 
-/// One team at one client.
+/// The state of one team at one client.
 #[derive(Debug)]
 pub(super) struct TeamState {
     name: TeamName,
@@ -44,19 +44,21 @@
     own_epochs: BTreeSet<u64>,
     /// The sum of the charges to the allowance.
     charged: ResourceVector,
-    /// What was granted for pending requests and is not charged yet: it is not given to others.
+    /// The part that was granted for pending requests and is not charged yet. It is not returned to others
+    /// that wait.
     reserved: ResourceVector,
     queue: BTreeSet<QueuePosition>,
-    /// When the records that others change are read again; `None` while that is under way.
+    /// When the team and pool records, which others change, are read again; `None` while they are being
+    /// read.
     refresh_at: Option<Time>,
-    /// When the charges to the allowance may be read again, as others may have released some of them.
+    /// Earliest time to read the charges to the allowance again. Others may have released some of them.
     reload_at: Time,
-    /// When a request was last charged.
+    /// When a transaction that charges requests was last planned.
     last_charge_at: Time,
 }
 
 impl TeamState {
-    /// A team of which nothing is known.
+    /// The state of a team before any of its records is read.
     pub(super) fn new(name: TeamName, now: Time) -> TeamState {
         TeamState {
             name,
@@ -73,7 +75,7 @@
 
     // ---- ownership of the allowance
 
-    /// Whether the allowance belongs to this process.
+    /// Whether this process owns the allowance.
     pub(super) fn ownership(&self) -> &Ownership {
         &self.ownership
     }
@@ -83,7 +85,7 @@
         matches!(self.ownership, Ownership::Loading { .. })
     }
 
-    /// The epoch at which the allowance belongs to this process, if it does.
+    /// The epoch at which this process acquired the allowance; `None` if it does not own it.
     pub(super) fn owned_epoch(&self) -> Option<u64> {
         match self.ownership {
             Ownership::Owned { epoch } | Ownership::Loading { epoch, .. } => Some(epoch),
@@ -102,41 +104,41 @@
         self.own_epochs.last().copied().unwrap_or_default()
     }
 
-    /// The allowance was acquired at that epoch.
+    /// Records that this process acquired the allowance at that epoch.
     pub(super) fn acquire(&mut self, epoch: u64) {
         self.own_epochs.insert(epoch);
     }
 
-    /// The allowance may belong to another process.
+    /// Records that another process may own the allowance.
     pub(super) fn lose_ownership(&mut self) {
         self.set_ownership(Ownership::Unowned);
     }
 
-    /// Begins to read the charges to the allowance, which belongs to this process. They are read again
-    /// at `reload_at` at the earliest.
+    /// Begins to read the charges to the allowance, which this process owns. `reload_at` is the earliest
+    /// time to read them again.
     pub(super) fn start_loading(&mut self, epoch: u64, reload_at: Time) {
         self.reload_at = reload_at;
         self.set_ownership(Ownership::Loading {
             epoch,
             after: String::new(),
-            found: BTreeSet::new(),
+            loaded: BTreeSet::new(),
         });
     }
 
-    /// One of the charges that are being read.
-    pub(super) fn add_found(&mut self, id: AdmissionId) {
-        if let Ownership::Loading { found, .. } = &mut self.ownership {
-            found.insert(id);
+    /// Adds a charge that was read.
+    pub(super) fn add_loaded(&mut self, id: AdmissionId) {
+        if let Ownership::Loading { loaded, .. } = &mut self.ownership {
+            loaded.insert(id);
         }
     }
 
-    /// A page of charges was read, and the next one begins behind the key `next`. Without a next page
-    /// all charges are known, and returned.
+    /// A page of charges was read. The next page follows the key `next`; `None` after the last page, when
+    /// all charges are known and are returned.
     pub(super) fn finish_page(&mut self, next: Option<String>) -> Option<BTreeSet<AdmissionId>> {
         let Ownership::Loading {
             epoch,
             after,
-            found,
+            loaded,
         } = &mut self.ownership
         else {
             return None;
@@ -145,13 +147,16 @@
             *after = next;
             return None;
         }
-        let (epoch, found) = (*epoch, mem::take(found));
+        let (epoch, loaded) = (*epoch, mem::take(loaded));
         self.set_ownership(Ownership::Owned { epoch });
-        Some(found)
+        Some(loaded)
     }
 
     fn set_ownership(&mut self, ownership: Ownership) {
-        tracing::debug!("team {}: allowance is {ownership:?}", self.name);
+        tracing::debug!(
+            "team {}: ownership of the allowance is now {ownership:?}",
+            self.name
+        );
         self.ownership = ownership;
     }
 
@@ -162,40 +167,40 @@
         self.charged
     }
 
-    /// A request is charged, out of what is reserved as far as that goes.
+    /// Adds the usage of a request that was charged, and reduces the reserved part by it.
     pub(super) fn add_charge(&mut self, usage: &ResourceVector) {
         self.charged += *usage;
         self.reserved = self.reserved.saturating_sub(usage);
     }
 
-    /// A charge is released.
+    /// Subtracts the usage of a charge that was released.
     pub(super) fn remove_charge(&mut self, usage: &ResourceVector) {
         self.charged = self.charged.saturating_sub(usage);
     }
 
-    /// What was granted for pending requests and is not charged yet.
+    /// The part that was granted for pending requests and is not charged yet.
     pub(super) fn reserved(&self) -> ResourceVector {
         self.reserved
     }
 
-    /// That much was granted for pending requests.
+    /// Adds an amount that was granted for pending requests.
     pub(super) fn reserve(&mut self, amount: ResourceVector) {
         self.reserved += amount;
     }
 
-    /// No request is pending for which anything was granted.
+    /// Clears the reserved part, as no request is pending.
     pub(super) fn clear_reserved(&mut self) {
         self.reserved = ResourceVector::ZERO;
     }
 
     // ---- pending requests
 
-    /// A request is pending from here on.
+    /// Adds a pending request.
     pub(super) fn enqueue(&mut self, position: QueuePosition) {
         self.queue.insert(position);
     }
 
-    /// A request is pending no more.
+    /// Removes a request that is no longer pending.
     pub(super) fn dequeue(&mut self, position: &QueuePosition) {
         self.queue.remove(position);
     }
@@ -212,8 +217,8 @@
 
     // ---- timers
 
-    /// Whether the records that others change are to be read again; they count as being read from here
-    /// on.
+    /// Whether it is time to read the team and pool records again. If so, they count as being read until
+    /// [`Self::finish_refresh`].
     pub(super) fn start_refresh(&mut self, now: Time) -> bool {
         let is_due = self.refresh_at.is_some_and(|at| now >= at);
         if is_due {
@@ -222,10 +227,11 @@
         is_due
     }
 
-    /// The records that others change were read; they are read again at `next`. The interval counts from
-    /// the end of a refresh: where the store is slow, nothing but refreshes would be done otherwise.
-    pub(super) fn finish_refresh(&mut self, next: Time) {
-        self.refresh_at.get_or_insert(next);
+    /// The team and pool records were read; they are read again at `next_refresh_at`. The interval starts
+    /// at the end of a refresh, because with a slow store the client would otherwise do nothing but
+    /// refresh.
+    pub(super) fn finish_refresh(&mut self, next_refresh_at: Time) {
+        self.refresh_at.get_or_insert(next_refresh_at);
     }
 
     /// Whether the charges to the allowance may be read again.
@@ -233,12 +239,12 @@
         now >= self.reload_at
     }
 
-    /// When a request was last charged.
+    /// When a transaction that charges requests was last planned.
     pub(super) fn last_charge_at(&self) -> Time {
         self.last_charge_at
     }
 
-    /// A request is charged now.
+    /// Records that a transaction that charges requests is planned now.
     pub(super) fn set_last_charge_at(&mut self, now: Time) {
         self.last_charge_at = now;
     }
