--- a/crates/quota/src/admission.rs
+++ b/crates/quota/src/admission.rs
@@ -1,4 +1,4 @@
-//! Requests for admission, and the state machine that each admission goes through.
+//! Requests for admission, and the state machine of an admission.
 
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
@@ -14,9 +14,9 @@
     Critical,
     /// Served before normal work.
     High,
-    /// The priority of ordinary work.
+    /// The usual priority.
     Normal,
-    /// Served last, with what nobody else uses.
+    /// Served last, with resources that nobody else uses.
     BestEffort,
 }
 
@@ -25,7 +25,7 @@
 pub struct AdmissionRequest {
     /// Identifies the admission. A repeated request has the same id.
     pub id: AdmissionId,
-    /// What the work takes from its start to its end.
+    /// The resources that the work uses from its start to its end.
     pub usage: ResourceVector,
     /// Priority among the requests that are pending at the same client.
     pub priority: Priority,
@@ -34,47 +34,47 @@
 /// State of an admission at the client that handles it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AdmissionState {
-    /// Requested and not charged yet.
+    /// Requested but not charged yet.
     Pending,
-    /// Its charge is in the store: the work may start.
+    /// Its charge is committed: the work may start.
     Charged,
-    /// The work was reported to run.
+    /// The work is reported to be running.
     Running,
-    /// The work has to end. It stays charged until the end is proven.
+    /// The work has to end. It stays charged until it is proven to have ended.
     Revoked,
     /// The work has ended; the release of its charge is not committed yet.
     Releasing,
-    /// The release is committed: nothing is charged any more.
+    /// The release is committed: the admission is no longer charged.
     Released,
 }
 
-/// What changes the state of an admission.
+/// An event that changes the state of an admission.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AdmissionEvent {
-    /// The transaction that charges it is committed.
+    /// The transaction that charges the admission was committed.
     ChargeCommitted,
-    /// The work was reported to run.
+    /// The work was reported to be running.
     Started,
-    /// The store has it marked as revoked.
+    /// The admission was found to be marked as revoked in the store.
     RevocationSeen,
     /// The work is proven to have ended, or never to start.
     EndProven,
-    /// The transaction that releases the charge is committed.
+    /// The transaction that releases the charge was committed.
     ReleaseCommitted,
 }
 
 /// An event that is not possible in the state of the admission.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-#[error("{event:?} can't happen to an admission that is {state:?}")]
+#[error("{event:?} is not possible in state {state:?}")]
 pub struct IllegalTransition {
-    /// The state, which does not change.
+    /// The state, which remains unchanged.
     pub state: AdmissionState,
     /// The event.
     pub event: AdmissionEvent,
 }
 
 impl AdmissionState {
-    /// The state that follows on an event. This is the only place where states change.
+    /// The state after an event. All changes of state are defined here.
     ///
     /// # Errors
     ///
@@ -85,7 +85,7 @@
         match (self, event) {
             (State::Pending, Event::ChargeCommitted) => Ok(State::Charged),
             (State::Charged | State::Running, Event::Started) => Ok(State::Running),
-            // Revoked work runs until it is stopped, and may be reported to run meanwhile.
+            // Revoked work runs until it is stopped, so it may still be reported as started.
             (State::Revoked, Event::Started | Event::RevocationSeen) => Ok(State::Revoked),
             (State::Charged | State::Running, Event::RevocationSeen) => Ok(State::Revoked),
             (State::Charged | State::Running | State::Revoked, Event::EndProven) => {
@@ -103,20 +103,20 @@
     }
 }
 
-/// Why a request is rejected for good.
+/// Why a request is rejected permanently.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum RejectReason {
     /// The store has no record of the team.
-    #[error("the team is unknown")]
+    #[error("the team is unknown to the store")]
     UnknownTeam,
     /// The request alone exceeds the limit of its team.
-    #[error("it is larger than the team's limit")]
+    #[error("its usage is larger than the team's limit")]
     LargerThanLimit,
-    /// The team's or the requester's name is empty, or too long for a key of the store.
-    #[error("a name in its id does not fit into a key")]
+    /// The name of the team or of the requester is empty, or too long for a key of the store.
+    #[error("the name of its team or requester is empty or too long")]
     InvalidName,
-    /// The completed numbers of the requester have so many gaps that the record of them would not fit
-    /// into a value of the store.
-    #[error("the requester has left too many gaps in its numbers")]
+    /// The sequence numbers of the requester's completed admissions have so many gaps that their record
+    /// might not fit into a value of the store.
+    #[error("the sequence numbers of the requester have too many gaps")]
     TooManySequenceGaps,
 }
--- a/crates/quota/src/allocation/mod.rs
+++ b/crates/quota/src/allocation/mod.rs
@@ -1,7 +1,7 @@
-//! How a team's limit is divided into allowances, and what may be granted to whom.
+//! Division of a team's limit into allowances: how much may be granted to whom.
 //!
-//! All of it is computed from records, without side effects. Whoever writes a result makes the
-//! transaction conditional on the versions of the records that it was computed from.
+//! The functions compute new records from current ones, without side effects. A transaction that writes a
+//! result has to be conditional on the versions of the records that it was computed from.
 
 mod pool;
 mod team;
@@ -11,22 +11,22 @@
 use crate::records::{PoolRecord, TeamRecord};
 use crate::resource_vector::ResourceVector;
 
-/// While nobody waits, a client is granted at most this many times what it needs now.
+/// Without contention, a client is granted at most this many times what it needs now.
 const MAX_PREFETCH_FACTOR: u64 = 64;
 
-/// While nobody waits, a client is granted this part of its equal share of what is left.
+/// Without contention, a client is granted its equal share of the grantable amount divided by this number.
 const PREFETCH_SHARE_DIVISOR: u64 = 2;
 
-/// What becomes of a client's allowance, and of its place among the clients that wait for more.
+/// The new size of a client's allowance, and its new unmet demand.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct AllowanceTarget {
-    /// What the client may charge.
+    /// The size of the allowance: the most that the client may charge.
     pub(crate) granted: ResourceVector,
     /// How much more it waits for; `None` if it doesn't wait.
     pub(crate) unmet_demand: Option<ResourceVector>,
 }
 
-/// A team's record and the pool's record, over which grants are decided together.
+/// The records of a team and of the pool, from which grants are computed.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct TeamQuota {
     pub(crate) name: TeamName,
@@ -35,8 +35,8 @@
 }
 
 impl TeamQuota {
-    /// What is granted to nobody, whoever waits for it: under the team's limit, and within what it may
-    /// borrow.
+    /// What can still be granted to the team's clients, within its limit and what it may borrow. Demands of
+    /// the team's clients are not subtracted.
     pub(crate) fn ungranted(&self) -> ResourceVector {
         let granted = self.team.total_granted();
         let under_limit = self.team.limit.saturating_sub(&granted);
@@ -45,16 +45,16 @@
         under_limit.component_min(&(within_guarantee + borrowable))
     }
 
-    /// What can be granted to the client now: all that is ungranted, less what clients ahead of it wait
-    /// for.
+    /// What can be granted to the client now: the ungranted amount less the demands of clients ahead of
+    /// it.
     pub(crate) fn grantable_to(&self, client: &ClientName) -> ResourceVector {
         let ahead = self.team.demand_ahead_of(client);
         self.ungranted().saturating_sub(&ahead)
     }
 
     /// What has to become free for those ahead of the client: teams that wait to borrow, and clients
-    /// that wait for a larger allowance of this team. Of that, no client gives back more than it has
-    /// left.
+    /// that wait for a larger allowance of this team. The caller has to cap it at the client's unspent
+    /// allowance.
     pub(crate) fn owed_by(&self, client: &ClientName) -> ResourceVector {
         let shortfall = self.pool.shortfall_ahead_of(&self.name);
         let to_teams = self.team.borrowed().component_min(&shortfall);
@@ -66,14 +66,14 @@
         to_teams.component_max(&to_clients)
     }
 
-    /// Whether any client of the team, or any team, waits for more.
+    /// Whether any client of the team waits for more, or any team waits to borrow.
     pub(crate) fn is_contended(&self) -> bool {
         !self.team.unmet_demands.is_empty() || !self.pool.unmet_demands.is_empty()
     }
 
-    /// How much is granted to a client that needs `needed` more. While nobody waits, a share of what is
-    /// left is granted ahead of demand, so that not every admission takes a transaction on the team's
-    /// record. Under contention it is no more than what is needed.
+    /// How much is granted to a client that needs `needed` more. Without contention, a share of the
+    /// grantable amount is granted ahead of demand, so that not every admission needs a transaction on
+    /// the team's record. Under contention, no more is granted than is needed.
     pub(crate) fn grant_size(
         &self,
         client: &ClientName,
@@ -85,14 +85,14 @@
             return needed.component_min(&grantable);
         }
         let shares = expected_clients.saturating_mul(PREFETCH_SHARE_DIVISOR);
-        // A share of what is unlimited would be unlimited as well.
+        // A share of an unlimited amount would be unlimited as well.
         let share = grantable
             .divided_by(shares)
             .component_min(&needed.saturating_mul(MAX_PREFETCH_FACTOR));
         needed.component_max(&share).component_min(&grantable)
     }
 
-    /// The records after the client's allowance became `target`, be it more or less than before.
+    /// The records with the client's allowance and demand set to `target`.
     pub(crate) fn with_allowance(
         &self,
         client: &ClientName,
@@ -108,8 +108,8 @@
         self.with_team(team)
     }
 
-    /// The records after the team's guarantee and limit changed. Allowances stay as they are; what the
-    /// pool holds of the team follows.
+    /// The records with the team's guarantee and limit set by `policy`. Allowances are unchanged; the
+    /// team's part in the pool is updated.
     pub(crate) fn with_policy(&self, policy: &TeamPolicy) -> TeamQuota {
         let team = TeamRecord {
             guarantee: policy.guarantee,
@@ -131,7 +131,7 @@
         quota.with_team(team)
     }
 
-    /// Replaces the team's record and brings its borrowing and its demand in the pool up to date.
+    /// The records with the team's record replaced, and its borrowing and demand in the pool updated.
     fn with_team(&self, team: TeamRecord) -> TeamQuota {
         let mut pool = self.pool.clone();
         let borrowed_by_others = pool.total_borrowed.saturating_sub(&self.team.borrowed());
--- a/crates/quota/src/allocation/pool.rs
+++ b/crates/quota/src/allocation/pool.rs
@@ -1,39 +1,39 @@
-//! What follows from the pool's record alone.
+//! Computations on the pool's record.
 
 use crate::ids::TeamName;
 use crate::records::{PoolRecord, TeamDemand};
 use crate::resource_vector::ResourceVector;
 
-/// Most teams whose demand the pool's record holds, so that it stays small.
+/// Maximum number of teams with a demand in the pool's record, so that it stays small.
 const MAX_WAITING_TEAMS: usize = 8;
 
 impl PoolRecord {
-    /// What the team may still borrow: the capacity, less all guarantees, all borrowing and what teams
-    /// ahead of it wait for. Nothing, while the capacity does not suffice for the guarantees.
+    /// What the team may still borrow: the capacity less all guarantees, all borrowing and the demands of
+    /// teams ahead of it. Zero if the capacity does not suffice for the guarantees.
     pub(crate) fn borrowable_by(&self, team: &TeamName) -> ResourceVector {
         let committed = self.committed() + self.demand_ahead_of(team);
         self.capacity.saturating_sub(&committed)
     }
 
-    /// What has still to become free for the teams ahead of this one.
+    /// What still has to become free for the demands of the teams ahead of this one.
     pub(crate) fn shortfall_ahead_of(&self, team: &TeamName) -> ResourceVector {
         let ahead = self.demand_ahead_of(team);
         ahead.saturating_sub(&self.uncommitted())
     }
 
-    /// What is borrowed although the capacity does not suffice for it beside all guarantees.
+    /// The part of the borrowing that exceeds the capacity left over by the guarantees.
     pub(crate) fn overcommitted(&self) -> ResourceVector {
         let excess = self.committed().saturating_sub(&self.capacity);
         excess.component_min(&self.total_borrowed)
     }
 
-    /// What is neither guaranteed nor borrowed.
+    /// The part of the capacity that is neither guaranteed nor borrowed.
     pub(crate) fn uncommitted(&self) -> ResourceVector {
         self.capacity.saturating_sub(&self.committed())
     }
 
-    /// Sets how much more the team waits to borrow. A new demand goes behind all others if there is
-    /// space for it, a changed one keeps its place; `None` removes it.
+    /// Sets how much more the team waits to borrow. A new demand is appended if there is space for it, a
+    /// changed one keeps its position, and `None` removes it.
     pub(crate) fn set_demand(&mut self, team: &TeamName, amount: Option<ResourceVector>) {
         let Some(amount) = amount else {
             self.unmet_demands.retain(|demand| demand.team != *team);
@@ -52,7 +52,7 @@
         self.total_guaranteed + self.total_borrowed
     }
 
-    /// What teams ahead of this one wait for; what all wait for if this one doesn't wait.
+    /// The sum of the demands of teams ahead of this one; of all teams if this one doesn't wait.
     fn demand_ahead_of(&self, team: &TeamName) -> ResourceVector {
         let demands = self.unmet_demands.iter();
         let ahead = demands.take_while(|demand| demand.team != *team);
--- a/crates/quota/src/allocation/team.rs
+++ b/crates/quota/src/allocation/team.rs
@@ -1,4 +1,4 @@
-//! What follows from a team's record alone.
+//! Computations on a team's record.
 
 use crate::ids::ClientName;
 use crate::records::{ClientDemand, TeamRecord};
@@ -10,17 +10,17 @@
         self.allowances.values().copied().sum()
     }
 
-    /// The allowance of one client.
+    /// The allowance of one client; zero if it has none.
     pub fn granted_to(&self, client: &ClientName) -> ResourceVector {
         self.allowances.get(client).copied().unwrap_or_default()
     }
 
-    /// What is granted beyond the guarantee.
+    /// The part of the allowances that exceeds the guarantee.
     pub fn borrowed(&self) -> ResourceVector {
         self.total_granted().saturating_sub(&self.guarantee)
     }
 
-    /// What is granted above the limit, as after the limit was lowered.
+    /// The part of the allowances that exceeds the limit, such as after the limit was lowered.
     pub(crate) fn granted_above_limit(&self) -> ResourceVector {
         self.total_granted().saturating_sub(&self.limit)
     }
@@ -32,21 +32,21 @@
         demand.map(|demand| demand.amount)
     }
 
-    /// What clients ahead of this one wait for; what all wait for if this one doesn't wait.
+    /// The sum of the demands of clients ahead of this one; of all clients if this one doesn't wait.
     pub(crate) fn demand_ahead_of(&self, client: &ClientName) -> ResourceVector {
         let demands = self.unmet_demands.iter();
         let ahead = demands.take_while(|demand| demand.client != *client);
         ahead.map(|demand| demand.amount).sum()
     }
 
-    /// Whether the client that has waited longest is another one.
+    /// Whether another client is the first in the order of unmet demands.
     pub(crate) fn is_other_client_first(&self, client: &ClientName) -> bool {
         let first = self.unmet_demands.first();
         first.is_some_and(|demand| demand.client != *client)
     }
 
-    /// Sets how much more the client waits for. A new demand goes behind all others, a changed one keeps
-    /// its place; `None` removes it.
+    /// Sets how much more the client waits for. A new demand is appended, a changed one keeps its position,
+    /// and `None` removes it.
     pub(crate) fn set_demand(&mut self, client: &ClientName, amount: Option<ResourceVector>) {
         let Some(amount) = amount else {
             self.unmet_demands.retain(|demand| demand.client != *client);
@@ -62,8 +62,8 @@
         }
     }
 
-    /// How much the team would have to borrow for the client that has waited longest; `None` if nobody
-    /// waits, or if that client waits for the limit rather than for capacity.
+    /// How much the team would have to borrow for the first unmet demand; `None` if there is no demand, if
+    /// it exceeds the limit, so that borrowing would not help, or if the guarantee covers it.
     pub(crate) fn demand_on_pool(&self) -> Option<ResourceVector> {
         let first = self.unmet_demands.first()?;
         let granted = self.total_granted();
--- a/crates/quota/src/amount.rs
+++ b/crates/quota/src/amount.rs
@@ -1,21 +1,22 @@
-//! Fixed-point amounts of one resource, so that sums of many decimals neither drift nor round.
+//! Fixed-point amounts of one resource, so that sums of many decimals have no rounding errors.
 
 use std::fmt;
 use std::ops::Add;
 
 use serde::{Deserialize, Serialize};
 
-/// Stored units of one whole CPU or GPU.
+/// Units of an [`Amount`] in one CPU or GPU.
 const MILLIONTHS_PER_WHOLE: u64 = 1_000_000;
 
-/// A decimal this close to a whole number of millionths is taken for that number: decimals such as 0.1
-/// have no exact binary form, and must not be rounded up or down by a whole millionth for it.
-const REPRESENTATION_ERROR: f64 = 1e-3;
+/// A decimal that is closer than this to a whole number of millionths, in millionths, counts as that number.
+/// Decimals such as 0.1 have no exact binary representation, and must not be rounded up or down to the next
+/// millionth because of that.
+const MAX_REPRESENTATION_ERROR_MILLIONTHS: f64 = 1e-3;
 
 /// An amount of one resource, in millionths of a CPU or GPU.
 ///
-/// Arithmetic saturates: nothing falls below [`Amount::ZERO`], and [`Amount::UNLIMITED`] stays unlimited
-/// whatever is subtracted from it.
+/// Arithmetic saturates: no result is below [`Amount::ZERO`], and subtracting from [`Amount::UNLIMITED`] gives
+/// [`Amount::UNLIMITED`].
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -23,7 +24,7 @@
 pub struct Amount(u64);
 
 impl Amount {
-    /// No amount at all.
+    /// Nothing of the resource.
     pub const ZERO: Amount = Amount(0);
     /// The amount of a resource that has no limit.
     pub const UNLIMITED: Amount = Amount(u64::MAX);
@@ -33,19 +34,19 @@
         Amount(count.saturating_mul(MILLIONTHS_PER_WHOLE))
     }
 
-    /// A decimal number of CPUs or GPUs, rounded up to a millionth. For what a task takes: the sum of
-    /// many tasks never understates their use. Negative numbers and NaN give zero.
+    /// Converts a decimal number of CPUs or GPUs, rounded up to a millionth. Used for the usage of a task,
+    /// so that the sum of many tasks is never too small. Negative numbers and NaN give zero.
     pub fn from_decimal_rounded_up(decimal: f64) -> Amount {
         Amount::from_decimal(decimal, f64::ceil)
     }
 
-    /// A decimal number of CPUs or GPUs, rounded down to a millionth. For limits and guarantees: they
-    /// never allow more than was written. Negative numbers and NaN give zero.
+    /// Converts a decimal number of CPUs or GPUs, rounded down to a millionth. Used for limits and
+    /// guarantees, so that they never allow more than was configured. Negative numbers and NaN give zero.
     pub fn from_decimal_rounded_down(decimal: f64) -> Amount {
         Amount::from_decimal(decimal, f64::floor)
     }
 
-    /// A limit as operators write it in settings, where 0 stands for "no limit".
+    /// Converts a limit from the settings, in which 0 means "no limit".
     pub fn from_limit_setting(decimal: f64) -> Amount {
         if decimal > 0.0 {
             Amount::from_decimal_rounded_down(decimal)
@@ -57,7 +58,7 @@
     fn from_decimal(decimal: f64, round: fn(f64) -> f64) -> Amount {
         let millionths = decimal.max(0.0) * MILLIONTHS_PER_WHOLE as f64;
         let nearest = millionths.round();
-        let is_whole = (millionths - nearest).abs() < REPRESENTATION_ERROR;
+        let is_whole = (millionths - nearest).abs() < MAX_REPRESENTATION_ERROR_MILLIONTHS;
         let rounded = if is_whole { nearest } else { round(millionths) };
         Amount(rounded as u64)
     }
@@ -67,7 +68,7 @@
         self == Amount::ZERO
     }
 
-    /// This amount less `other`, at least zero. An unlimited amount stays unlimited.
+    /// Subtracts `other`; zero if `other` is larger. An unlimited amount stays unlimited.
     pub fn saturating_sub(self, other: Amount) -> Amount {
         if self == Amount::UNLIMITED {
             return self;
@@ -80,17 +81,17 @@
         available.0.checked_div(self.0)
     }
 
-    /// The equal part that each of `count` gets, rounded down. A `count` of 0 counts as 1.
+    /// Divides the amount by `count`, rounded down. A `count` of 0 counts as 1.
     pub fn divided_by(self, count: u64) -> Amount {
         Amount(self.0 / count.max(1))
     }
 
-    /// This amount `count` times.
+    /// Multiplies the amount by `count`.
     pub fn saturating_mul(self, count: u64) -> Amount {
         Amount(self.0.saturating_mul(count))
     }
 
-    /// As a decimal number of CPUs or GPUs; infinite if unlimited.
+    /// The amount as a decimal number of CPUs or GPUs; infinite if unlimited.
     pub fn to_decimal(self) -> f64 {
         if self == Amount::UNLIMITED {
             return f64::INFINITY;
@@ -107,7 +108,7 @@
     }
 }
 
-/// Shows a decimal number without trailing zeros, or `unlimited`.
+/// Formats a decimal number without trailing zeros, or `unlimited`.
 impl fmt::Display for Amount {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         if *self == Amount::UNLIMITED {
--- a/crates/quota/src/audit/discrepancy.rs
+++ b/crates/quota/src/audit/discrepancy.rs
@@ -1,20 +1,20 @@
-//! What an audit can find.
+//! The discrepancies that an audit can find.
 
 use thiserror::Error;
 
 use crate::ids::{AdmissionId, ClientName, TeamName};
 use crate::resource_vector::ResourceVector;
 
-/// The sums that the pool's record holds.
+/// The sums over all teams, as in the pool's record.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PoolTotals {
     /// The sum of all guarantees.
     pub guaranteed: ResourceVector,
-    /// The sum of what teams borrow beyond their guarantees.
+    /// The sum of the teams' borrowing beyond their guarantees.
     pub borrowed: ResourceVector,
 }
 
-/// Records that contradict each other, or a bound that does not hold. The text is what operators see.
+/// Records that contradict each other, or a bound that is violated. The error text is shown to operators.
 #[derive(Clone, Debug, PartialEq, Error)]
 pub enum Discrepancy {
     /// A team uses more than its limit.
@@ -39,19 +39,19 @@
         /// Its allowance.
         granted: ResourceVector,
     },
-    /// The team's record and the allowance's own record state different amounts.
+    /// The team's record and the allowance's own record have different amounts.
     #[error("team {team} has lent {in_team_record} to {client}, whose allowance is {granted}")]
     AllowanceMismatch {
         /// The team.
         team: TeamName,
         /// The client.
         client: ClientName,
-        /// The allowance by the team's record; zero if it has none.
+        /// The allowance in the team's record; zero if it has none.
         in_team_record: ResourceVector,
-        /// The allowance by its own record; zero if there is none.
+        /// The allowance in its own record; zero if there is none.
         granted: ResourceVector,
     },
-    /// The pool's record does not hold the sums over the teams' records.
+    /// The sums in the pool's record differ from the sums over the teams' records.
     #[error(
         "the pool counts {} guaranteed and {} borrowed, the teams {} and {}",
         .recorded.guaranteed, .recorded.borrowed, .summed.guaranteed, .summed.borrowed
@@ -62,10 +62,10 @@
         /// The sums over the teams' records.
         summed: PoolTotals,
     },
-    /// Borrowed work takes capacity that unused guarantees need.
+    /// Borrowed work uses capacity that is needed for unused guarantees.
     #[error("guarantees and borrowed work take {reserved}, the machines have {capacity}")]
     GuaranteeViolated {
-        /// The sum over all teams of use or guarantee, whichever is larger.
+        /// The sum over all teams of usage or guarantee, whichever is larger for each resource.
         reserved: ResourceVector,
         /// The capacity.
         capacity: ResourceVector,
--- a/crates/quota/src/audit/mod.rs
+++ b/crates/quota/src/audit/mod.rs
@@ -1,4 +1,4 @@
-//! Rebuilds every total from the charges and reports each discrepancy.
+//! Recomputes every total from the charges and reports each discrepancy.
 
 mod discrepancy;
 mod read;
@@ -17,7 +17,7 @@
 pub use discrepancy::{Discrepancy, PoolTotals};
 pub use read::ReadError;
 
-/// All records of this package.
+/// All records of this package in the store.
 #[derive(Clone, Debug, Default)]
 pub struct Ledger {
     /// The shared capacity; `None` if there is no record of it.
@@ -30,14 +30,13 @@
     pub charges: BTreeMap<AdmissionId, ChargeRecord>,
     /// Completed admissions, by requester.
     pub completed: BTreeMap<RequesterId, CompletedRecord>,
-    /// The charges of clients that keep them in records of their own, summed up by allowance. Whoever
-    /// can read those records fills this in.
+    /// The charges that clients keep in records outside this package, summed up by allowance. The caller
+    /// fills this in from those records.
     pub external_charges: BTreeMap<AllowanceId, ResourceVector>,
 }
 
 impl Ledger {
-    /// Adds the record of an item, or replaces what was there before it. Items that are none of this
-    /// package's records are ignored.
+    /// Adds or replaces the record of an item. Items that are not records of this package are ignored.
     pub fn insert_item(&mut self, item: &Item) {
         let Some(key) = RecordKey::parse(&item.key) else {
             return;
@@ -72,11 +71,10 @@
         charged + external.copied().unwrap_or_default()
     }
 
-    /// What a team uses: the sum of all charges to it.
+    /// The usage of a team: the sum of all charges to it.
     ///
-    /// Records outside this package may still show charges of work that is proven to have ended. A
-    /// client never uses more than its allowance, so that is what its external charges count for at the
-    /// most.
+    /// Records outside this package may still contain charges of work that is proven to have ended. As a
+    /// client never uses more than its allowance, its external charges count at most for that amount.
     pub fn used(&self, team: &TeamName) -> ResourceVector {
         let charged: ResourceVector = self.team_charges(team).map(|charge| charge.usage).sum();
         let external = self.external_charges.iter();
@@ -103,25 +101,30 @@
             .map(|(_, charge)| charge)
     }
 
-    /// Compares all records with each other. An empty result means that every total agrees with the
-    /// charges, and that all limits and guarantees hold.
+    /// Compares all records with each other. An empty result means that every total equals the sum of its
+    /// parts, and that all limits and guarantees hold.
     pub fn audit(&self) -> Vec<Discrepancy> {
-        let mut found = Vec::new();
+        let mut discrepancies = Vec::new();
         for (team, record) in &self.teams {
-            self.audit_team(team, record, &mut found);
+            self.audit_team(team, record, &mut discrepancies);
         }
         for (id, allowance) in &self.allowances {
-            self.audit_allowance(id, allowance, &mut found);
+            self.audit_allowance(id, allowance, &mut discrepancies);
         }
-        self.audit_completed(&mut found);
-        self.audit_pool(&mut found);
-        found
+        self.audit_completed(&mut discrepancies);
+        self.audit_pool(&mut discrepancies);
+        discrepancies
     }
 
-    fn audit_team(&self, team: &TeamName, record: &TeamRecord, found: &mut Vec<Discrepancy>) {
+    fn audit_team(
+        &self,
+        team: &TeamName,
+        record: &TeamRecord,
+        discrepancies: &mut Vec<Discrepancy>,
+    ) {
         let used = self.used(team);
         if !used.fits_within(&record.limit) {
-            found.push(Discrepancy::LimitExceeded {
+            discrepancies.push(Discrepancy::LimitExceeded {
                 team: team.clone(),
                 used,
                 limit: record.limit,
@@ -130,7 +133,7 @@
         for (client, granted) in &record.allowances {
             let id = AllowanceId::new(team, client);
             if !self.allowances.contains_key(&id) {
-                found.push(Discrepancy::AllowanceMismatch {
+                discrepancies.push(Discrepancy::AllowanceMismatch {
                     team: team.clone(),
                     client: client.clone(),
                     in_team_record: *granted,
@@ -144,7 +147,7 @@
         &self,
         id: &AllowanceId,
         allowance: &AllowanceRecord,
-        found: &mut Vec<Discrepancy>,
+        discrepancies: &mut Vec<Discrepancy>,
     ) {
         let AllowanceId { team, client } = id;
         let granted = allowance.granted;
@@ -152,7 +155,7 @@
         let in_team_record =
             team_record.map_or(ResourceVector::ZERO, |record| record.granted_to(client));
         if in_team_record != granted {
-            found.push(Discrepancy::AllowanceMismatch {
+            discrepancies.push(Discrepancy::AllowanceMismatch {
                 team: team.clone(),
                 client: client.clone(),
                 in_team_record,
@@ -161,7 +164,7 @@
         }
         let charged = self.charged(team, client);
         if !allowance.has_external_charges && !charged.fits_within(&granted) {
-            found.push(Discrepancy::AllowanceExceeded {
+            discrepancies.push(Discrepancy::AllowanceExceeded {
                 team: team.clone(),
                 client: client.clone(),
                 charged,
@@ -170,16 +173,16 @@
         }
     }
 
-    fn audit_completed(&self, found: &mut Vec<Discrepancy>) {
+    fn audit_completed(&self, discrepancies: &mut Vec<Discrepancy>) {
         for id in self.charges.keys() {
             let completed = self.completed.get(&id.requester_id());
             if completed.is_some_and(|record| record.sequences.contains(id.sequence)) {
-                found.push(Discrepancy::ChargedAfterCompletion(id.clone()));
+                discrepancies.push(Discrepancy::ChargedAfterCompletion(id.clone()));
             }
         }
     }
 
-    fn audit_pool(&self, found: &mut Vec<Discrepancy>) {
+    fn audit_pool(&self, discrepancies: &mut Vec<Discrepancy>) {
         let Some(pool) = &self.pool else {
             return;
         };
@@ -192,17 +195,17 @@
             borrowed: self.teams.values().map(TeamRecord::borrowed).sum(),
         };
         if recorded != summed {
-            found.push(Discrepancy::PoolMismatch { recorded, summed });
+            discrepancies.push(Discrepancy::PoolMismatch { recorded, summed });
         }
         let reserved = self.teams.iter().map(|(team, record)| {
             let used = self.used(team);
             used.component_max(&record.guarantee)
         });
         let reserved: ResourceVector = reserved.sum();
-        // Where the capacity does not even suffice for the guarantees, borrowing is not the cause.
+        // If the capacity does not even suffice for the guarantees, borrowing is not the cause.
         let is_feasible = summed.guaranteed.fits_within(&pool.capacity);
         if is_feasible && !reserved.fits_within(&pool.capacity) {
-            found.push(Discrepancy::GuaranteeViolated {
+            discrepancies.push(Discrepancy::GuaranteeViolated {
                 reserved,
                 capacity: pool.capacity,
             });
--- a/crates/quota/src/audit/read.rs
+++ b/crates/quota/src/audit/read.rs
@@ -7,25 +7,25 @@
 use super::Ledger;
 use crate::records::KEY_PREFIX;
 
-/// Records read with one request.
+/// Maximum number of records that are read with one request.
 const PAGE_SIZE: u32 = 500;
-/// How often a page is requested before reading is given up.
+/// Number of attempts to read a page before the read fails.
 const MAX_ATTEMPTS: u32 = 20;
 
 /// Why the records could not be read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum ReadError {
-    /// The store refused the request for what it says; repeating it is of no use.
+    /// The store rejected the request as invalid, so a retry would fail as well.
     #[error("the store does not understand the request")]
     InvalidRequest,
-    /// Every attempt failed, or was over the rate limit.
+    /// Every attempt failed or exceeded the rate limit.
     #[error("the store does not answer")]
     Unavailable,
 }
 
 impl Ledger {
-    /// Reads all records from a store, page by page. The pages are of different revisions, so changes
-    /// that are made meanwhile may be in the ledger in part.
+    /// Reads all records from a store, page by page. The pages have different revisions, so a transaction
+    /// that is committed meanwhile may be contained only in part.
     ///
     /// # Errors
     ///
--- a/crates/quota/src/blocking.rs
+++ b/crates/quota/src/blocking.rs
@@ -1,4 +1,4 @@
-//! Runs a quota client against a store, for programs that may block.
+//! Runs a quota client against a store with blocking calls.
 
 use std::thread;
 use std::time::{Duration, Instant};
@@ -10,7 +10,7 @@
 use crate::ids::{AdmissionId, ClientName, TeamName};
 use crate::policy::QuotaPolicy;
 
-/// How long [`BlockingQuotaClient::step`] waits if there is nothing to do.
+/// How long [`BlockingQuotaClient::step`] waits if there is no request to send.
 const IDLE_WAIT: Duration = Duration::from_millis(2);
 
 /// A quota client with its store. Requests to the store are sent within [`Self::step`], one at a time.
@@ -19,12 +19,12 @@
     store: S,
     started_at: Instant,
     last_step_at: Time,
-    /// If the time from one step to the next is longer, the process stood still.
+    /// A longer time from one step to the next counts as a pause of the process.
     max_step_interval: Duration,
 }
 
 impl<S: ConditionalStore> BlockingQuotaClient<S> {
-    /// A client of that store.
+    /// Creates a client of that store.
     pub fn new(config: ClientConfig, store: S) -> BlockingQuotaClient<S> {
         let max_step_interval = config.reconfirm_after;
         BlockingQuotaClient {
@@ -46,28 +46,28 @@
         self.client.release(id);
     }
 
-    /// Gives up another client; see [`QuotaClient::reclaim`].
+    /// Reclaims the unspent allowance of another client; see [`QuotaClient::reclaim`].
     pub fn reclaim(&mut self, team: TeamName, client: ClientName) {
         self.client.reclaim(team, client);
     }
 
-    /// Brings a policy into the store; see [`QuotaClient::set_policy`].
+    /// Writes a policy into the store; see [`QuotaClient::set_policy`].
     pub fn set_policy(&mut self, policy: QuotaPolicy) {
         self.client.set_policy(policy);
     }
 
-    /// Reads what earlier processes of this name have charged; see [`QuotaClient::recover_team`].
+    /// Reads the charges by earlier processes of this client name; see [`QuotaClient::recover_team`].
     pub fn recover_team(&mut self, team: &TeamName) {
         self.client.recover_team(team);
     }
 
-    /// The client itself, to look at.
+    /// The client, for reading its state.
     pub fn client(&self) -> &QuotaClient {
         &self.client
     }
 
-    /// Sends the next request to the store and waits for its outcome, or waits a moment if there is none.
-    /// Returns what happened.
+    /// Sends the next request to the store and waits for its outcome, or waits briefly if there is none.
+    /// Returns the events since the last step.
     pub fn step(&mut self) -> Vec<QuotaEvent> {
         let now = self.now();
         if now.since(self.last_step_at) > self.max_step_interval {
--- a/crates/quota/src/completed.rs
+++ b/crates/quota/src/completed.rs
@@ -1,8 +1,8 @@
-//! Completed admissions of a requester: a bitmap of their sequence numbers in memory, ranges of numbers
-//! in the store.
+//! Completed admissions of a requester: a bitmap of their sequence numbers in memory, ranges of sequence
+//! numbers in the store.
 //!
-//! The set answers whether a repeated request was completed long ago, in space that grows with the gaps
-//! in the numbers and not with the number of admissions.
+//! The set answers whether a repeated request was completed before. Its size grows with the number of gaps in
+//! the sequence numbers, not with the number of admissions.
 
 use roaring::RoaringBitmap;
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
@@ -34,22 +34,22 @@
 }
 
 impl CompletedSet {
-    /// Whether the admission with this number is completed.
+    /// Whether the admission with this sequence number is completed.
     pub fn contains(&self, sequence: u32) -> bool {
         self.0.contains(sequence)
     }
 
-    /// Adds a number; `false` if it was in the set already.
+    /// Adds a sequence number. Returns `false` if it was in the set already.
     pub fn insert(&mut self, sequence: u32) -> bool {
         self.0.insert(sequence)
     }
 
-    /// How many numbers the set holds.
+    /// Number of sequence numbers in the set.
     pub fn len(&self) -> u64 {
         self.0.len()
     }
 
-    /// Whether the set holds no number.
+    /// Whether the set is empty.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
@@ -73,8 +73,7 @@
     }
 }
 
-/// Ranges that are empty or reach beyond the last number, as no version writes them, are cut to what
-/// there is.
+/// Ignores empty ranges, and cuts off ranges at the largest sequence number. No version writes such ranges.
 impl<'de> Deserialize<'de> for CompletedSet {
     fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
         let mut sequences = RoaringBitmap::new();
@@ -102,7 +101,7 @@
 }
 
 impl CompletedRecord {
-    /// Adds an admission whose charge of `usage` is released. `false`, with nothing changed, if it was
+    /// Adds an admission whose charge of `usage` is released. Returns `false` and changes nothing if it was
     /// completed already.
     pub fn add(&mut self, sequence: u32, usage: ResourceVector) -> bool {
         let is_new = self.sequences.insert(sequence);
--- a/crates/quota/src/ids.rs
+++ b/crates/quota/src/ids.rs
@@ -1,11 +1,11 @@
-//! Names of teams, clients and requesters, and the ids made of them.
+//! Names of teams, clients and requesters, and the ids that consist of them.
 
 use std::fmt;
 use std::sync::Arc;
 
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 
-/// Defines a newtype around shared text that is stored as plain text.
+/// Defines a newtype of a shared string, which is serialized as a string.
 macro_rules! name_type {
     ($(#[$doc:meta])* $name:ident) => {
         $(#[$doc])*
@@ -13,13 +13,13 @@
         pub struct $name(Arc<str>);
 
         impl $name {
-            /// A name with this text. Any text is a name; see [`AdmissionId::is_storable`] for those that
-            /// fit into a key of the store.
+            /// Creates a name from any text; [`AdmissionId::is_storable`] tells whether names fit into a key
+            /// of the store.
             pub fn new(text: &str) -> $name {
                 $name(text.into())
             }
 
-            /// The name as text.
+            /// The name as a string slice.
             pub fn as_str(&self) -> &str {
                 &self.0
             }
@@ -54,20 +54,21 @@
     ClientName
 );
 name_type!(
-    /// Name of a requester: whoever asks for admissions and numbers the requests.
+    /// Name of a requester: a user or program that requests admissions and numbers its requests.
     RequesterName
 );
 
-/// Identifies an admission, and makes its request idempotent: a request that is repeated with the same
-/// id, at whichever client, is the same admission.
+/// Identifies an admission, and makes its request idempotent: a repeated request with the same id, at any
+/// client, is for the same admission.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct AdmissionId {
     /// Team whose quota the admission is charged to.
     pub team: TeamName,
-    /// Who asks for it.
+    /// The requester of the admission.
     pub requester: RequesterName,
-    /// Number of the request among those of the requester. Requesters should count upwards without many
-    /// gaps, as completed numbers are stored as ranges, and must never use a number for other work.
+    /// Sequence number of the request, assigned by the requester. Requesters should count upwards with few
+    /// gaps, because completed numbers are stored as ranges, and must never reuse a number for other
+    /// work.
     pub sequence: u32,
 }
 
@@ -90,9 +91,9 @@
 /// Identifies an allowance: the part of one team's limit that is granted to one client.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct AllowanceId {
-    /// Team whose limit it is a part of.
+    /// Team whose limit the allowance is a part of.
     pub team: TeamName,
-    /// Client to which it is granted.
+    /// Client to which the allowance is granted.
     pub client: ClientName,
 }
 
@@ -106,10 +107,10 @@
     }
 }
 
-/// Identifies a requester within a team. Completed admissions are recorded by it.
+/// Identifies a requester within a team. Completed admissions are recorded per requester id.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequesterId {
-    /// Team for which it asks.
+    /// Team for which it requests admissions.
     pub team: TeamName,
     /// The requester.
     pub requester: RequesterName,
--- a/crates/quota/src/leader/mod.rs
+++ b/crates/quota/src/leader/mod.rs
@@ -1,9 +1,10 @@
-//! The allowances of the daemon's leader, which keeps its charges in booking records of its own.
+//! The allowances of the daemon's leader, whose charges are the allocations in its run records.
 //!
-//! Each booking is conditional on the version of its team's allowance ([`LeaderAllowances::fence`]), so a
-//! charge takes no record beside the booking. All controllers share one client name, as one of them
-//! leads at a time. The epoch of the allowances is the leader's term: every leader acquires them before
-//! it books anything, which fences off what an earlier leader still has under way.
+//! Each allocation is written on condition that its team's allowance has an unchanged version
+//! ([`LeaderAllowances::fence`]), so a charge needs no record besides the allocation. All controllers
+//! share one client name, because only one of them is the leader at a time. The epoch of the allowances is
+//! the leader's term: every leader acquires them before it allocates any task, which fences off the
+//! transactions that an earlier leader has in flight.
 
 mod snapshot;
 mod target;
@@ -25,46 +26,46 @@
 /// Client name that all leaders use in turn.
 pub const LEADER_CLIENT_NAME: &str = "leader";
 
-/// Changes that one team can take: its record, its allowance and the pool.
+/// Maximum number of changes for one team: its record, its allowance and the pool.
 const MAX_CHANGES_PER_TEAM: usize = 3;
 
-/// What a team's work takes, and what it waits for.
+/// The usage and the pending demand of a team.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct TeamWorkload {
-    /// What is charged, by the leader's own records.
+    /// The sum of the team's charges in the leader's own records.
     pub charged: ResourceVector,
-    /// What all waiting tasks together would take.
+    /// The sum of the resources of all waiting tasks.
     pub pending: ResourceVector,
-    /// What one waiting task takes; of each resource the most that any of them takes.
+    /// For each resource, the largest amount that any waiting task requests.
     pub largest_pending_task: ResourceVector,
 }
 
-/// What is going on between the leader and the store.
+/// Progress of reading and writing the records in the store.
 #[derive(Clone, Debug)]
 enum SyncState {
     /// The records are being read into a new snapshot.
     Reading(RecordSnapshot),
-    /// Nothing is being read or written.
+    /// No record is being read or written.
     Idle,
     /// The outcome of a transaction that writes these records is awaited.
     Writing(Vec<RecordUpdate>),
 }
 
-/// A record that is to be written.
+/// A record to be written.
 #[derive(Clone, Debug)]
 struct RecordUpdate {
     key: RecordKey,
     record: Record,
 }
 
-/// The records of one team as they should be.
+/// The target state of the records of one team.
 struct DesiredRecords {
     quota: TeamQuota,
     allowance: AllowanceRecord,
 }
 
-/// The allowances of one leader. Decides without input or output: the caller reads the records, carries
-/// out the transactions, and reports their outcomes.
+/// The allowances of one leader. Does no I/O: the caller reads the records, executes the transactions, and
+/// reports their outcomes.
 #[derive(Clone, Debug)]
 pub struct LeaderAllowances {
     client: ClientName,
@@ -75,7 +76,7 @@
 }
 
 impl LeaderAllowances {
-    /// The allowances of the leader of that term. Their records are still to be read.
+    /// Creates the allowances of the leader of that term. Their records have not been read yet.
     pub fn new(term: u64, policy: QuotaPolicy) -> LeaderAllowances {
         let client = ClientName::new(LEADER_CLIENT_NAME);
         let snapshot = RecordSnapshot::new(client.clone());
@@ -88,13 +89,13 @@
         }
     }
 
-    /// Begins to read all records again. What was read before stays in use until
+    /// Begins to read all records again. The records that were read before stay in use until
     /// [`Self::finish_reading`].
     pub fn begin_reading(&mut self) {
         self.sync = SyncState::Reading(RecordSnapshot::new(self.client.clone()));
     }
 
-    /// Whether nothing is being read or written.
+    /// Whether no record is being read or written.
     pub fn is_idle(&self) -> bool {
         matches!(self.sync, SyncState::Idle)
     }
@@ -104,8 +105,8 @@
         matches!(self.sync, SyncState::Writing(_))
     }
 
-    /// Takes in one of the records that are being read. Items that are none of this package's records
-    /// are ignored.
+    /// Adds one of the records that are being read. Items that are not records of this package are
+    /// ignored.
     pub fn insert_item(&mut self, item: &Item) {
         let SyncState::Reading(snapshot) = &mut self.sync else {
             return;
@@ -118,21 +119,21 @@
         }
     }
 
-    /// All records have been read: they are used from here on.
+    /// All records have been read, and replace those that were read before.
     pub fn finish_reading(&mut self) {
         if let SyncState::Reading(snapshot) = mem::replace(&mut self.sync, SyncState::Idle) {
             self.snapshot = snapshot;
         }
     }
 
-    /// What may be charged to a team in all; `None` before this leader has acquired the allowance.
+    /// The size of the allowance of a team; `None` if this leader has not acquired it.
     pub fn granted(&self, team: &TeamName) -> Option<ResourceVector> {
         let allowance = self.acquired(team)?;
         Some(allowance.record.granted)
     }
 
-    /// The condition that every charge to the team has to carry: that the allowance is unchanged. `None`
-    /// before this leader has acquired the allowance.
+    /// The condition that every transaction with a charge to the team has to include: that the allowance is
+    /// unchanged. `None` if this leader has not acquired the allowance.
     pub fn fence(&self, team: &TeamName) -> Option<Condition> {
         let allowance = self.acquired(team)?;
         let key = RecordKey::Allowance(AllowanceId::new(team, &self.client));
@@ -148,9 +149,10 @@
         is_own.then_some(allowance)
     }
 
-    /// The next transaction, if any record has to change and nothing is being read or written. It has at
-    /// most `max_changes` changes, or those of one team if that is more. The caller may add conditions,
-    /// and reports the outcome by [`Self::on_committed`] or [`Self::on_not_committed`].
+    /// The next transaction; `None` if no record has to change, or while records are being read or written.
+    /// It has at most `max_changes` changes, or three, which one team can need, if that is more. The caller
+    /// may add conditions, and reports the outcome by [`Self::on_committed`] or
+    /// [`Self::on_not_committed`].
     pub fn next_transaction(
         &mut self,
         workloads: &BTreeMap<TeamName, TeamWorkload>,
@@ -168,14 +170,14 @@
             txn.require(key.path(), self.snapshot.version(key));
             txn.changes.push(Change::put(key.path(), record.to_value()));
         }
-        // What may be granted was computed from the pool, also where the pool does not change.
+        // The grants were computed from the pool, so it must be unchanged even if it is not written.
         let pool_version = self.snapshot.version(&RecordKey::Pool);
         txn.require(RecordKey::Pool.path(), pool_version);
         self.sync = SyncState::Writing(updates);
         Some(txn)
     }
 
-    /// The transaction was committed, at that version.
+    /// The transaction was committed at that version.
     pub fn on_committed(&mut self, version: Version) {
         if let SyncState::Writing(updates) = mem::replace(&mut self.sync, SyncState::Idle) {
             for RecordUpdate { key, record } in updates {
@@ -191,8 +193,8 @@
         }
     }
 
-    /// The updates of as many teams as fit into a transaction. Those of each team are computed from the
-    /// records after the updates of the teams before it, as all share the pool.
+    /// The updates of as many teams as fit into a transaction. The updates of each team are computed from
+    /// the records with the updates of the teams before it, because all teams share the pool.
     fn updates(
         &self,
         workloads: &BTreeMap<TeamName, TeamWorkload>,
@@ -208,7 +210,7 @@
             for RecordUpdate { key, record } in
                 self.team_updates(&snapshot, team, policy, &workload)
             {
-                // The version is not known yet; conditions come from the snapshot that was read.
+                // The new version is not known yet. Conditions use the versions in `self.snapshot`.
                 snapshot.insert(key.clone(), Version::ABSENT, record.clone());
                 updated.insert(key, record);
             }
@@ -219,7 +221,7 @@
             .collect()
     }
 
-    /// The records of a team that differ from what they should be.
+    /// The records of a team that differ from their target state.
     fn team_updates(
         &self,
         snapshot: &RecordSnapshot,
@@ -252,7 +254,7 @@
         updates
     }
 
-    /// The records of a team as they should be, by the policy and the team's workload.
+    /// The target state of a team's records, from the policy and the team's workload.
     fn desired(
         &self,
         snapshot: &RecordSnapshot,
--- a/crates/quota/src/leader/snapshot.rs
+++ b/crates/quota/src/leader/snapshot.rs
@@ -1,4 +1,4 @@
-//! The records that the leader has read or written last.
+//! The records as the leader last read or wrote them.
 
 use std::collections::BTreeMap;
 
@@ -24,7 +24,7 @@
 }
 
 impl RecordSnapshot {
-    /// A snapshot of an empty store, for allowances of that client.
+    /// Creates a snapshot of an empty store, for the allowances of that client.
     pub(super) fn new(client: ClientName) -> RecordSnapshot {
         RecordSnapshot {
             client,
@@ -34,7 +34,7 @@
         }
     }
 
-    /// Adds or replaces a record. Records of other kinds, and allowances of other clients, are ignored.
+    /// Adds or replaces a record. Charges, completed admissions and allowances of other clients are ignored.
     pub(super) fn insert(&mut self, key: RecordKey, version: Version, record: Record) {
         match (key, record) {
             (RecordKey::Pool, Record::Pool(record)) => self.pool = Versioned { version, record },
@@ -49,7 +49,7 @@
         }
     }
 
-    /// The version of a record; [`Version::ABSENT`] if there is none.
+    /// The version of a record; [`Version::ABSENT`] if the snapshot does not have it.
     pub(super) fn version(&self, key: &RecordKey) -> Version {
         let version = match key {
             RecordKey::Pool => Some(self.pool.version),
--- a/crates/quota/src/leader/target.rs
+++ b/crates/quota/src/leader/target.rs
@@ -1,4 +1,4 @@
-//! How large the leader's allowance of a team should be.
+//! Computes the target size of the leader's allowance of a team.
 
 use super::TeamWorkload;
 use crate::allocation::{AllowanceTarget, TeamQuota};
@@ -7,23 +7,23 @@
 use crate::records::PoolRecord;
 use crate::resource_vector::ResourceVector;
 
-/// Where neither limit nor capacity bound it, this much unspent allowance is granted.
+/// Unspent allowance up to which the leader is granted more while the capacity is unlimited.
 const UNLIMITED_GRANT: ResourceVector = ResourceVector {
     cpus: Amount::from_whole(1_000_000),
     gpus: Amount::from_whole(1_000_000),
 };
 
-/// The leader waits for at most this many tasks at a time, so that other teams have their turns.
-const MAX_TASKS_WAITED_FOR: u64 = 16;
+/// The leader's unmet demand is at most this many tasks, so that other teams are served in between.
+const MAX_DEMANDED_TASKS: u64 = 16;
 
-/// What the allowance should become, from what is granted now and what the team's work needs.
+/// The target of the allowance, from its current size and the team's workload.
 pub(super) fn leader_target(
     quota: &TeamQuota,
     leader: &ClientName,
     granted: ResourceVector,
     workload: &TeamWorkload,
 ) -> AllowanceTarget {
-    // What is charged counts, also above the limit: a version without allowances may have booked it.
+    // All charges count, even above the limit: a version without allowances may have allocated them.
     let granted = granted.component_max(&workload.charged);
     let unspent = granted.saturating_sub(&workload.charged);
     let above_limit = quota.team.granted_above_limit();
@@ -37,8 +37,9 @@
     }
 }
 
-/// How much of what can be granted the leader takes. Where machines are rented as needed it takes all of
-/// it, as nobody else goes short by that; otherwise what waiting tasks need.
+/// How much of the grantable amount the leader takes. With unlimited capacity, when hosts are provisioned as
+/// needed, it takes all of it up to [`UNLIMITED_GRANT`], because that deprives nobody else. Otherwise it
+/// takes what the waiting tasks need.
 fn growth(
     granted: &ResourceVector,
     grantable: &ResourceVector,
@@ -54,7 +55,7 @@
     needed.component_min(grantable)
 }
 
-/// How much more the leader waits for, within the limit.
+/// How much more the leader waits for, within the limit; `None` if it needs no more.
 fn unmet_demand(
     quota: &TeamQuota,
     granted: &ResourceVector,
@@ -63,14 +64,14 @@
     let under_limit = quota.team.limit.saturating_sub(granted);
     let tasks = workload
         .largest_pending_task
-        .saturating_mul(MAX_TASKS_WAITED_FOR);
+        .saturating_mul(MAX_DEMANDED_TASKS);
     let demand = missing(granted, workload)
         .component_min(&under_limit)
         .component_min(&tasks);
     (!demand.is_zero()).then_some(demand)
 }
 
-/// What the allowance lacks for all charges and all waiting tasks.
+/// How much larger the allowance would have to be for all charges and all waiting tasks.
 fn missing(granted: &ResourceVector, workload: &TeamWorkload) -> ResourceVector {
     (workload.charged + workload.pending).saturating_sub(granted)
 }
--- a/crates/quota/src/policy.rs
+++ b/crates/quota/src/policy.rs
@@ -8,16 +8,16 @@
 /// Guarantee and limit of a team.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct TeamPolicy {
-    /// The part of the capacity that borrowing of other teams never takes.
+    /// The part of the capacity that other teams can't borrow.
     pub guarantee: ResourceVector,
-    /// What all admissions of the team together never exceed.
+    /// The most that all admissions of the team may use together.
     pub limit: ResourceVector,
 }
 
 /// The capacity, and the quotas of all teams.
 #[derive(Clone, Debug, PartialEq)]
 pub struct QuotaPolicy {
-    /// What the machines have in all; unlimited where machines are rented as needed.
+    /// The resources of all hosts together; unlimited if hosts are provisioned as needed.
     pub capacity: ResourceVector,
     /// The teams' quotas.
     pub teams: BTreeMap<TeamName, TeamPolicy>,
--- a/crates/quota/src/preemption.rs
+++ b/crates/quota/src/preemption.rs
@@ -1,4 +1,4 @@
-//! Which work is stopped to make room, and in which order.
+//! Rules of preemption: which work may be stopped for other work, and in which order it is selected.
 
 use std::collections::BTreeMap;
 
@@ -6,78 +6,78 @@
 use crate::ids::TeamName;
 use crate::resource_vector::ResourceVector;
 
-/// Work that could be stopped.
+/// Work that may be selected to be stopped.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Candidate<Id> {
     /// Identifies the work for the caller.
     pub id: Id,
-    /// The team that it is charged to.
+    /// The team that the work is charged to.
     pub team: TeamName,
     /// Its priority.
     pub priority: Priority,
-    /// What it takes.
+    /// The resources that it uses.
     pub usage: ResourceVector,
-    /// What is lost when it is stopped, in any unit that all candidates share, such as seconds of run
-    /// time. Only the order counts.
+    /// The cost of stopping the work, such as the seconds of run time that are lost. Any unit will do if
+    /// all candidates use the same one, as only the order matters.
     pub preemption_cost: u64,
 }
 
-/// What a team uses, and what of it is guaranteed.
+/// A team's usage and its guarantee.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct TeamUsage {
     /// The team's guarantee.
     pub guarantee: ResourceVector,
-    /// What its work takes, including work that is being stopped.
+    /// The resources that its work uses, including work that is being stopped.
     pub used: ResourceVector,
 }
 
 impl TeamUsage {
-    /// What the team uses beyond its guarantee.
+    /// The part of the usage that exceeds the guarantee.
     pub fn borrowed(&self) -> ResourceVector {
         self.used.saturating_sub(&self.guarantee)
     }
 
-    /// Whether more work of that usage stays within the guarantee, in every resource that it takes.
-    /// `false` for work that takes nothing.
+    /// Whether the team stays within its guarantee if work of that usage is added, for every resource that
+    /// the work uses. `false` for work that uses no resource.
     pub fn guarantee_covers(&self, usage: &ResourceVector) -> bool {
-        let after = self.used + *usage;
-        let cpus_covered = usage.cpus.is_zero() || after.cpus <= self.guarantee.cpus;
-        let gpus_covered = usage.gpus.is_zero() || after.gpus <= self.guarantee.gpus;
+        let used_after = self.used + *usage;
+        let cpus_covered = usage.cpus.is_zero() || used_after.cpus <= self.guarantee.cpus;
+        let gpus_covered = usage.gpus.is_zero() || used_after.gpus <= self.guarantee.gpus;
         cpus_covered && gpus_covered && !usage.is_zero()
     }
 
-    /// Whether all work of that usage is borrowed: without it the team still uses its whole guarantee,
-    /// as far as it uses it now.
+    /// Whether work of that usage is entirely borrowed: stopping it would not reduce the part of the
+    /// guarantee that the team uses.
     pub fn is_borrowed(&self, usage: &ResourceVector) -> bool {
         usage.fits_within(&self.borrowed())
     }
 }
 
-/// Two pieces of work, of which one may have to make room for the other.
+/// Two pieces of work: a victim that may be stopped, and a preemptor that needs its resources.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PreemptionCase {
-    /// Priority of the work that would be stopped.
+    /// Priority of the victim.
     pub victim_priority: Priority,
-    /// Whether that work is beyond the guarantee of its team.
+    /// Whether the victim exceeds the guarantee of its team.
     pub victim_is_borrowed: bool,
-    /// Priority of the work that needs room.
+    /// Priority of the preemptor.
     pub preemptor_priority: Priority,
-    /// Whether that work is within the guarantee of its team, which is another one than the victim's.
+    /// Whether the preemptor is within the guarantee of its team, which differs from the victim's team.
     pub preemptor_is_guaranteed: bool,
 }
 
 impl PreemptionCase {
-    /// Whether the victim may be stopped: always for work of a higher priority; for work of the same or
-    /// a lower one only if borrowed work stands in the way of a guarantee.
+    /// Whether the victim may be stopped: always if the preemptor has a higher priority, otherwise only if
+    /// the victim is borrowed and the preemptor is guaranteed.
     pub fn is_allowed(&self) -> bool {
         let is_less_urgent = self.victim_priority > self.preemptor_priority;
         is_less_urgent || (self.preemptor_is_guaranteed && self.victim_is_borrowed)
     }
 }
 
-/// Selects work to stop so that at least `shortage` becomes free. Only work beyond its team's guarantee
-/// is selected, in ascending order of urgency and then of preemption cost. `None` if all borrowed work
-/// together does not suffice, as stopping a part of it would help nobody.
+/// Selects work to stop so that at least `shortage` becomes free. Only work beyond its team's guarantee is
+/// selected, lowest priority first, and of the same priority lowest preemption cost first. `None` if all borrowed work
+/// together does not suffice, because stopping a part of it would help nobody.
 pub fn select_victims<Id: Clone + Ord>(
     shortage: ResourceVector,
     teams: &BTreeMap<TeamName, TeamUsage>,
@@ -89,7 +89,7 @@
     shortage.fits_within(&freed).then_some(victims)
 }
 
-/// As [`select_victims`], but selects what there is if all borrowed work together does not suffice.
+/// Like [`select_victims`], but selects all borrowed work that helps if it does not suffice.
 pub fn select_victims_best_effort<Id: Clone + Ord>(
     shortage: ResourceVector,
     teams: &BTreeMap<TeamName, TeamUsage>,
@@ -116,8 +116,8 @@
     victims
 }
 
-/// The least urgent first; of the same priority what costs the least; then by id, so that the order is
-/// defined.
+/// Sorts candidates by priority, lowest first, then by preemption cost, lowest first, then by id, which makes
+/// the order deterministic.
 fn in_preemption_order<Id: Ord>(candidates: &[Candidate<Id>]) -> Vec<&Candidate<Id>> {
     let mut order: Vec<&Candidate<Id>> = candidates.iter().collect();
     order.sort_by(|a, b| {
--- a/crates/quota/src/records/key.rs
+++ b/crates/quota/src/records/key.rs
@@ -2,9 +2,9 @@
 //!
 //! | key | record |
 //! | --- | --- |
-//! | `quota/pool` | [`PoolRecord`](super::PoolRecord): capacity, sum of guarantees, sum of borrowing |
+//! | `quota/pool` | [`PoolRecord`](super::PoolRecord): capacity, sums of guarantees and of borrowing, unmet demands |
 //! | `quota/team/<team>` | [`TeamRecord`](super::TeamRecord): guarantee, limit, allowances, unmet demands |
-//! | `quota/allowance/<team>/<client>` | [`AllowanceRecord`](super::AllowanceRecord): what the client may charge; its version fences the client |
+//! | `quota/allowance/<team>/<client>` | [`AllowanceRecord`](super::AllowanceRecord): the amount that the client may charge; a changed version fences off its charges in flight |
 //! | `quota/open/<team>/<requester>/<sequence>` | [`ChargeRecord`](super::ChargeRecord): the charge of an admission |
 //! | `quota/settled/<team>/<requester>` | [`CompletedRecord`](crate::completed::CompletedRecord): completed admissions of a requester |
 
@@ -13,9 +13,9 @@
 use super::Record;
 use crate::ids::{AdmissionId, AllowanceId, ClientName, RequesterId, RequesterName, TeamName};
 
-/// Prefix of all keys of this package.
+/// Prefix of the keys of all records of this package.
 pub const KEY_PREFIX: &str = "quota/";
-/// Key of the pool.
+/// Key of the pool's record.
 pub const POOL_KEY: &str = "quota/pool";
 /// Prefix of the keys of teams.
 pub const TEAM_PREFIX: &str = "quota/team/";
@@ -26,27 +26,27 @@
 /// Prefix of the keys of completed admissions.
 pub const COMPLETED_PREFIX: &str = "quota/settled/";
 
-/// Longest encoded name, in bytes: a prefix, three of them and a number fit into the 200 bytes that the
-/// store allows for a key.
+/// Maximum length of an encoded name. A prefix, three names of this length and a number fit into the 200 bytes
+/// that the store allows for a key.
 const MAX_ENCODED_NAME_BYTES: usize = 60;
 
 /// The key of a record.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RecordKey {
-    /// Of the pool.
+    /// Key of the pool.
     Pool,
-    /// Of a team.
+    /// Key of a team.
     Team(TeamName),
-    /// Of an allowance.
+    /// Key of an allowance.
     Allowance(AllowanceId),
-    /// Of the charge of an admission.
+    /// Key of the charge of an admission.
     Charge(AdmissionId),
-    /// Of the completed admissions of a requester.
+    /// Key of the completed admissions of a requester.
     Completed(RequesterId),
 }
 
 impl RecordKey {
-    /// The key as the store has it.
+    /// The key as text, as used in the store.
     pub fn path(&self) -> String {
         match self {
             RecordKey::Pool => POOL_KEY.to_owned(),
@@ -67,20 +67,20 @@
         }
     }
 
-    /// Parses a key of the store; `None` if no record of this package has such a key.
+    /// Parses a key of the store; `None` if it is not a key of this package.
     pub fn parse(path: &str) -> Option<RecordKey> {
         if path == POOL_KEY {
             return Some(RecordKey::Pool);
         }
         let mut segments = path.strip_prefix(KEY_PREFIX)?.split('/');
-        let kind = segments.next()?;
+        let record_type = segments.next()?;
         let team = TeamName::new(&decode_segment(segments.next()?)?);
         let name = segments.next().and_then(decode_segment);
         let sequence = segments.next();
         if segments.next().is_some() {
             return None;
         }
-        match (kind, name, sequence) {
+        match (record_type, name, sequence) {
             ("team", None, None) => Some(RecordKey::Team(team)),
             ("allowance", Some(name), None) => Some(RecordKey::Allowance(AllowanceId {
                 team,
@@ -99,7 +99,8 @@
         }
     }
 
-    /// Reads the record below this key; `None`, with a line in the log, if the value isn't such a record.
+    /// Decodes the record of an item with this key. If the value is not such a record, this is logged and
+    /// `None` is returned.
     pub fn read_record(&self, item: &Item) -> Option<Record> {
         match self {
             RecordKey::Pool => item.record().map(Record::Pool),
@@ -112,7 +113,7 @@
 }
 
 impl AdmissionId {
-    /// Whether the names in this id fit into keys of the store: they are neither empty nor too long.
+    /// Whether the names in this id fit into keys of the store, that is, are neither empty nor too long.
     pub fn is_storable(&self) -> bool {
         let names = [self.team.as_str(), self.requester.as_str()];
         names.into_iter().all(|name| encode_segment(name).is_some())
@@ -124,14 +125,14 @@
     format!("{CHARGE_PREFIX}{}/", segment(team.as_str()))
 }
 
-/// A name as a segment of a key. Names that don't fit are rejected before any key is made of them, see
-/// [`AdmissionId::is_storable`].
+/// Encodes a name as a segment of a key. Requests with names that don't fit are rejected before a key is built
+/// from them, see [`AdmissionId::is_storable`].
 fn segment(name: &str) -> String {
     encode_segment(name).unwrap_or_default()
 }
 
-/// Escapes what a key can't hold, such as slashes and spaces, as `%` and two hexadecimal digits. `None`
-/// if the name is empty, or too long in this form.
+/// Percent-encodes the bytes that are not allowed in a key segment, such as slashes and spaces. `None` if the
+/// name is empty, or too long when encoded.
 fn encode_segment(name: &str) -> Option<String> {
     let mut encoded = String::new();
     for byte in name.bytes() {
@@ -145,7 +146,7 @@
     fits.then_some(encoded)
 }
 
-/// The name that a segment of a key stands for; `None` if its escapes or its text are malformed.
+/// Decodes a segment of a key to a name; `None` if an escape is malformed or the result is not UTF-8.
 fn decode_segment(segment: &str) -> Option<String> {
     let mut bytes = Vec::new();
     let mut rest = segment.as_bytes();
--- a/crates/quota/src/records/mod.rs
+++ b/crates/quota/src/records/mod.rs
@@ -1,7 +1,7 @@
-//! The records that this package keeps in the store. [`RecordKey`] names their keys.
+//! The records that this package keeps in the store. [`RecordKey`] is their key.
 //!
-//! Serialized names are part of the stored format, which must not change; where a field is named
-//! differently here, an attribute keeps its stored name.
+//! Serialized names are part of the stored format, which must not change. Fields with a different Rust name
+//! have an attribute with the stored name.
 
 mod key;
 
@@ -34,9 +34,9 @@
 /// A team's quota, and how its limit is divided into allowances.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct TeamRecord {
-    /// The part of the capacity that borrowing of other teams never takes.
+    /// The part of the capacity that other teams can't borrow.
     pub guarantee: ResourceVector,
-    /// What all admissions of the team together never exceed.
+    /// The most that all admissions of the team may use together.
     pub limit: ResourceVector,
     /// The allowance of each client that has one.
     #[serde(default, rename = "lent")]
@@ -46,7 +46,7 @@
     pub unmet_demands: Vec<ClientDemand>,
 }
 
-/// A team that waits to borrow more than the capacity leaves now.
+/// A team that waits to borrow more than is uncommitted now.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct TeamDemand {
     /// The team that waits.
@@ -56,19 +56,19 @@
     pub amount: ResourceVector,
 }
 
-/// The capacity that all teams share, and what of it is committed.
+/// The capacity that all teams share, and the committed part of it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct PoolRecord {
-    /// What the machines have in all; unlimited where machines are rented as needed.
+    /// The resources of all hosts together; unlimited if hosts are provisioned as needed.
     pub capacity: ResourceVector,
     /// The sum of the guarantees of all teams.
     #[serde(rename = "guaranteed")]
     pub total_guaranteed: ResourceVector,
-    /// The sum, over all teams, of allowances beyond the team's guarantee.
+    /// The sum over all teams of the allowances beyond the team's guarantee.
     #[serde(rename = "borrowed")]
     pub total_borrowed: ResourceVector,
-    /// Teams that wait to borrow, in the order in which they are served. Their number is bounded so
-    /// that the record stays small; further teams are added as places become free.
+    /// Teams that wait to borrow, in the order in which they are served. Their number is bounded so that
+    /// the record stays small; other teams are added once there is space.
     #[serde(default, rename = "wanted")]
     pub unmet_demands: Vec<TeamDemand>,
 }
@@ -84,21 +84,21 @@
     }
 }
 
-/// A client's allowance of one team. Every charge is conditional on the version of this record, so that
-/// a change of it fences off whatever the client still has under way.
+/// A client's allowance of one team. Every charge is conditional on the version of this record, so a change
+/// of the record fences off the charges that the client has in flight.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct AllowanceRecord {
     /// Fencing epoch: raised when a process of the client acquires the allowance, and when another
     /// client fences it off.
     pub epoch: u64,
-    /// What the charges of the client may take together.
+    /// The most that the charges of the client may add up to.
     pub granted: ResourceVector,
-    /// Whether another client has given this one up. Nothing is charged to the allowance before a
+    /// Whether another client has fenced off this one. Nothing can be charged to the allowance until a
     /// process of the client acquires it again.
     #[serde(default, rename = "fenced")]
     pub is_fenced: bool,
-    /// Whether the client keeps its charges in records outside this package, which only it can add up.
-    /// Such an allowance is never reclaimed by others.
+    /// Whether the client keeps its charges in records outside this package. As other clients can't sum
+    /// them up, they never reclaim the allowance.
     #[serde(default, rename = "self_accounted")]
     pub has_external_charges: bool,
 }
@@ -109,7 +109,7 @@
 pub enum ChargeState {
     /// The admission may run.
     Charged,
-    /// The admission has to end. It is charged until the end is proven.
+    /// The admission has to end. It stays charged until it is proven to have ended.
     Revoked,
 }
 
@@ -119,9 +119,9 @@
     /// Client whose allowance is charged.
     #[serde(rename = "holder")]
     pub client: ClientName,
-    /// Epoch of the allowance at the time of the charge. It tells which process of the client made it.
+    /// Epoch of the allowance at the time of the charge, which identifies the process that made it.
     pub epoch: u64,
-    /// What the admission takes.
+    /// The resources that the admission uses.
     pub usage: ResourceVector,
     /// Priority of the admission.
     pub priority: Priority,
@@ -129,7 +129,7 @@
     pub state: ChargeState,
 }
 
-/// A record of any kind.
+/// A record of any type.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Record {
     /// The shared capacity.
@@ -145,7 +145,7 @@
 }
 
 impl Record {
-    /// The value that the store keeps.
+    /// Encodes the record as a value of the store.
     pub fn to_value(&self) -> Value {
         match self {
             Record::Pool(record) => lichencrank_store::value(record),
--- a/crates/quota/src/resource_vector.rs
+++ b/crates/quota/src/resource_vector.rs
@@ -1,4 +1,4 @@
-//! Amounts of all resources that teams have quotas of.
+//! Amounts of all resources that are subject to quotas.
 
 use std::fmt;
 use std::iter::Sum;
@@ -8,7 +8,7 @@
 
 use crate::amount::Amount;
 
-/// An amount of each resource. All arithmetic is by component and saturates, as that of [`Amount`].
+/// An amount of each resource. All arithmetic is component-wise and saturates like that of [`Amount`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct ResourceVector {
     /// Number of CPUs.
@@ -18,7 +18,7 @@
 }
 
 impl ResourceVector {
-    /// No amount of any resource.
+    /// Zero of every resource.
     pub const ZERO: ResourceVector = ResourceVector {
         cpus: Amount::ZERO,
         gpus: Amount::ZERO,
@@ -37,7 +37,7 @@
         }
     }
 
-    /// What a task takes, see [`Amount::from_decimal_rounded_up`].
+    /// Converts the usage of a task, see [`Amount::from_decimal_rounded_up`].
     pub fn rounded_up(cpus: f64, gpus: f64) -> ResourceVector {
         ResourceVector {
             cpus: Amount::from_decimal_rounded_up(cpus),
@@ -45,7 +45,7 @@
         }
     }
 
-    /// A guarantee, see [`Amount::from_decimal_rounded_down`].
+    /// Converts a guarantee, see [`Amount::from_decimal_rounded_down`].
     pub fn rounded_down(cpus: f64, gpus: f64) -> ResourceVector {
         ResourceVector {
             cpus: Amount::from_decimal_rounded_down(cpus),
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Limits as operators write them, see [`Amount::from_limit_setting`].
+    /// Converts limits from the settings, see [`Amount::from_limit_setting`].
     pub fn from_limit_settings(cpus: f64, gpus: f64) -> ResourceVector {
         ResourceVector {
             cpus: Amount::from_limit_setting(cpus),
@@ -76,7 +76,7 @@
         self.cpus <= available.cpus && self.gpus <= available.gpus
     }
 
-    /// This vector less `other`, each component at least zero.
+    /// Subtracts `other`, see [`Amount::saturating_sub`].
     pub fn saturating_sub(&self, other: &ResourceVector) -> ResourceVector {
         self.zip_with(other, Amount::saturating_sub)
     }
@@ -91,7 +91,7 @@
         self.zip_with(other, Amount::max)
     }
 
-    /// The equal part that each of `count` gets, see [`Amount::divided_by`].
+    /// Divides each amount by `count`, see [`Amount::divided_by`].
     pub fn divided_by(&self, count: u64) -> ResourceVector {
         ResourceVector {
             cpus: self.cpus.divided_by(count),
@@ -99,7 +99,7 @@
         }
     }
 
-    /// This vector `count` times.
+    /// Multiplies each amount by `count`.
     pub fn saturating_mul(&self, count: u64) -> ResourceVector {
         ResourceVector {
             cpus: self.cpus.saturating_mul(count),
@@ -107,7 +107,7 @@
         }
     }
 
-    /// How many of this vector fit into `available` together; `u64::MAX` if it is zero.
+    /// How many times this vector fits into `available`; `u64::MAX` if it is zero.
     pub fn multiples_within(&self, available: &ResourceVector) -> u64 {
         let cpus = self.cpus.multiples_within(available.cpus);
         let gpus = self.gpus.multiples_within(available.gpus);
@@ -146,7 +146,7 @@
     }
 }
 
-/// Shows the CPUs, and the GPUs where there is a limited amount of them.
+/// Formats the CPUs, and the GPUs unless their amount is zero or unlimited.
 impl fmt::Display for ResourceVector {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{} CPUs", self.cpus)?;
