--- a/crates/quota/examples/admissions/allowances.rs
+++ b/crates/quota/examples/admissions/allowances.rs
@@ -10,7 +10,7 @@
 use lichencrank_testkit::{FaultyStore, SharedStore};
 
 use super::{
-    new_store, target_per_client, Cost, ADMISSIONS, ENDED_AT_ONCE, ENDING_TENTHS, LIMIT,
+    new_store, target_per_client, Cost, ADMISSIONS, ENDED_AT_ONCE, ENDING_TENTHS, LIMIT_CPUS,
     STORE_LIMITS,
 };
 
@@ -34,7 +34,7 @@
 fn policy() -> QuotaPolicy {
     let team = TeamPolicy {
         guarantee: ResourceVector::ZERO,
-        limit: ResourceVector::from_limit_settings(LIMIT as f64, 0.0),
+        limit: ResourceVector::from_limit_settings(LIMIT_CPUS as f64, 0.0),
     };
     QuotaPolicy {
         capacity: ResourceVector::UNLIMITED,
@@ -54,19 +54,19 @@
     }
 }
 
-/// A client of allowances, and its work.
+/// A client that charges admissions to an allowance, with its running work.
 struct AllowanceClient {
     number: usize,
     client: QuotaClient,
     store: FaultyStore,
-    /// Admissions requested so far.
+    /// Number of admissions requested so far.
     requested: usize,
     running: Vec<AdmissionId>,
 }
 
 impl AllowanceClient {
-    /// Requests what the client wants to run, carries out one request to the store, and ends some work.
-    /// Returns the number of admissions that started.
+    /// Requests admissions up to the target, executes one request to the store, and ends some work. Returns the
+    /// number of admissions that started.
     fn step(&mut self, target: usize, cost: &mut Cost) -> usize {
         while self.requested < ADMISSIONS
             && self.client.pending_count() + self.running.len() < target
@@ -91,8 +91,8 @@
         started
     }
 
-    /// Known fault: of more than [`ENDED_AT_ONCE`] admissions that run, the others are forgotten without
-    /// a release and stay charged. The published figures were measured with it.
+    /// Known fault: if more than [`ENDED_AT_ONCE`] admissions are running, the rest is dropped without a release and
+    /// stays charged. The published figures were measured with this fault.
     fn end_work(&mut self, target: usize) {
         let is_nearly_full = self.running.len() * 10 > target * ENDING_TENTHS;
         if is_nearly_full || self.client.pending_count() > 0 {
@@ -103,7 +103,7 @@
     }
 }
 
-/// Measures admissions within allowances.
+/// Measures the cost of admissions that are charged to allowances.
 pub(super) fn measure_allowances(client_count: usize, load: f64) -> Cost {
     let shared = new_store();
     let clients = (0..client_count).map(|number| AllowanceClient {
@@ -125,14 +125,14 @@
         for client in &mut clients {
             admitted += client.step(target, &mut cost);
         }
-        cost.idle_sum += idle_part(&shared);
+        cost.idle_fraction_sum += idle_fraction(&shared);
     }
     cost.seconds = started_at.elapsed().as_secs_f64();
     cost
 }
 
-/// The part of the limit that is granted and not used.
-fn idle_part(shared: &SharedStore) -> f64 {
+/// The fraction of the limit that is granted but not used.
+fn idle_fraction(shared: &SharedStore) -> f64 {
     let mut ledger = Ledger::default();
     shared.inspect(|service| {
         for (key, value) in service.values_with_prefix("quota/team/") {
@@ -147,11 +147,11 @@
         let granted: f64 = teams
             .map(|team| team.total_granted().cpus.to_decimal())
             .sum();
-        (granted - used).max(0.0) / LIMIT as f64
+        (granted - used).max(0.0) / LIMIT_CPUS as f64
     })
 }
 
-/// Number of requests to the store from giving a client up until its unspent allowance is free.
+/// Number of requests to the store to reclaim the unspent allowance of a client with this many charges.
 pub(super) fn measure_reclaim(charge_count: usize) -> usize {
     let shared = new_store();
     let mut lost_store = shared.client(0);
--- a/crates/quota/examples/admissions/main.rs
+++ b/crates/quota/examples/admissions/main.rs
@@ -1,7 +1,7 @@
-//! Measures the cost of admissions by number of clients and by load, for allowances and for one record a
+//! Measures the cost of admissions by number of clients and by load, for allowances and for a single record per
 //! team: `cargo run --release -p lichencrank-quota --example admissions`.
 //!
-//! Clients take turns against a store in memory, one request each. So what is measured is the number of
+//! Clients take turns with an in-memory store, one request each. The measured cost is therefore the number of
 //! requests and changes, not the speed of a network. The figures are in `docs/quota-results.md`.
 
 mod allowances;
@@ -13,19 +13,19 @@
 use allowances::{measure_allowances, measure_reclaim};
 use single_record::measure_single_record;
 
-/// Limit of the team, in CPUs. Each admission takes one.
-const LIMIT: u64 = 300;
-/// Admissions of each measurement.
+/// Limit of the team. Each admission uses one CPU.
+const LIMIT_CPUS: u64 = 300;
+/// Number of admissions in each measurement.
 const ADMISSIONS: usize = 3000;
-/// Numbers of clients that are measured.
+/// Numbers of clients in the measurements.
 const CLIENT_COUNTS: [usize; 3] = [1, 3, 9];
-/// Loads that are measured: how much the clients want to run at a time, as a part of the limit.
+/// Loads in the measurements: how many admissions the clients want to run at a time, as a fraction of the limit.
 const LOADS: [f64; 3] = [0.5, 0.95, 2.0];
-/// Numbers of charges with which a reclaim is measured.
+/// Numbers of charges in the measurements of a reclaim.
 const RECLAIMED_CHARGES: [usize; 2] = [10, 250];
-/// Admissions that a client ends at a time.
+/// Maximum number of admissions that a client ends at a time.
 const ENDED_AT_ONCE: usize = 8;
-/// A client ends work once it runs more than this part, in tenths, of what it wants to run.
+/// A client ends work once it runs more than this many tenths of the admissions that it wants to run.
 const ENDING_TENTHS: usize = 8;
 const STORE_LIMITS: StoreLimits = StoreLimits {
     max_value_bytes: 16 * 1024,
@@ -44,12 +44,12 @@
     conflicts: usize,
     rounds: usize,
     seconds: f64,
-    /// The part of the limit that was granted and not used, summed over all rounds.
-    idle_sum: f64,
+    /// The fraction of the limit that was granted but not used, summed over all rounds.
+    idle_fraction_sum: f64,
 }
 
 impl Cost {
-    /// Carries out a request and counts it.
+    /// Executes a request and counts it.
     fn execute(&mut self, store: &mut FaultyStore, request: &Request) -> Outcome {
         self.requests += 1;
         let outcome = store.execute(request);
@@ -72,19 +72,19 @@
 
 /// How many admissions each client wants to run at a time.
 fn target_per_client(client_count: usize, load: f64) -> usize {
-    (LIMIT as f64 * load / client_count as f64).ceil() as usize
+    (LIMIT_CPUS as f64 * load / client_count as f64).ceil() as usize
 }
 
-fn print_cost(way: &str, client_count: usize, load: f64, cost: &Cost) {
+fn print_cost(scheme: &str, client_count: usize, load: f64, cost: &Cost) {
     let per_admission = |count: usize| count as f64 / ADMISSIONS as f64;
     println!(
-        "{way:<13} {client_count:>7} {load:>5} {:>9.2} {:>8.2} {:>10.2} {:>7} {:>9.0} {:>6.2}",
+        "{scheme:<13} {client_count:>7} {load:>5} {:>9.2} {:>8.2} {:>10.2} {:>7} {:>9.0} {:>6.2}",
         per_admission(cost.requests),
         per_admission(cost.changes),
         per_admission(cost.conflicts),
         cost.rounds,
         ADMISSIONS as f64 / cost.seconds,
-        cost.idle_sum / cost.rounds as f64,
+        cost.idle_fraction_sum / cost.rounds as f64,
     );
 }
 
--- a/crates/quota/tests/audit.rs
+++ b/crates/quota/tests/audit.rs
@@ -1,4 +1,4 @@
-//! Each way in which records can contradict each other is reported, with the text that operators see.
+//! Each kind of discrepancy between records is reported, with the text that operators see.
 
 use lichencrank_quota::completed::CompletedRecord;
 use lichencrank_quota::records::{
@@ -29,8 +29,9 @@
     }
 }
 
-/// A team of guarantee 4 and limit 8, on a capacity of 8, that has granted 6 to a client without an
-/// allowance record, which has charged 9 to an admission that is completed. The pool counts nothing.
+/// A ledger with every discrepancy but one, in CPUs: the capacity is 8; a team with guarantee 4 and limit 8 has
+/// granted 6 to a client, which has no allowance record; the client has charged 9 for an admission that is
+/// completed; and the sums in the pool's record are 0.
 fn inconsistent_ledger() -> Ledger {
     let mut team_record = TeamRecord {
         guarantee: cpus(4),
--- a/crates/quota/tests/failures.rs
+++ b/crates/quota/tests/failures.rs
@@ -1,4 +1,4 @@
-//! Clients that stand still, end, or are cut off from the store at the worst moments.
+//! Clients that are paused, end, or lose the connection to the store at critical moments.
 
 mod support;
 
@@ -8,25 +8,28 @@
 use lichencrank_testkit::faults::Fault;
 use support::{admission_id, admission_request, client_name, policy, team, Cluster};
 
-/// Limit of the team in most tests, in CPUs.
-const LIMIT: u64 = 24;
+/// Limit of the team in most tests.
+const LIMIT_CPUS: u64 = 24;
 const ALL_CLIENTS: [usize; 3] = [0, 1, 2];
 
 fn cluster() -> Cluster {
-    Cluster::new(ALL_CLIENTS.len(), policy(None, &[("vision", 0, LIMIT)]))
+    Cluster::new(
+        ALL_CLIENTS.len(),
+        policy(None, &[("vision", 0, LIMIT_CPUS)]),
+    )
 }
 
-/// An admission of two CPUs that [`prepare_charge`] has charged.
+/// An admission of 2 CPUs that is charged after [`prepare_charge`].
 fn charged_admission() -> AdmissionId {
     admission_id("vision", 90, 1)
 }
 
-/// An admission of two CPUs that is pending after [`prepare_charge`].
+/// An admission of 2 CPUs that is pending after [`prepare_charge`].
 fn pending_admission() -> AdmissionId {
     admission_id("vision", 91, 1)
 }
 
-/// Gives a client an allowance of its own, with one admission charged to it and one about to be.
+/// Gives a client an allowance, with one admission charged to it and one that is about to be charged.
 fn prepare_charge(cluster: &mut Cluster, client: usize) {
     cluster.request(client, &charged_admission(), 2.0);
     cluster.run_until_quiet();
@@ -38,7 +41,7 @@
     others.collect()
 }
 
-/// Lets all others give a client up, which hears nothing of it.
+/// Lets all other clients reclaim the allowance of a lost client, which is paused meanwhile.
 fn reclaim_from_all(cluster: &mut Cluster, lost: usize) {
     for other in others(lost) {
         cluster.clients[other].reclaim(team("vision"), client_name(lost));
@@ -46,8 +49,8 @@
     cluster.run(&others(lost), 80, 10);
 }
 
-/// It decided, stood still, and its allowance was reclaimed and spent by others: the transaction that
-/// then reaches the store charges nothing.
+/// Guards against a late charge: a client sends a charge and is paused; before the transaction reaches the store,
+/// its allowance is reclaimed and charged by others. The transaction must fail.
 #[test]
 fn client_paused_before_its_write_charges_nothing_after() {
     let mut cluster = cluster();
@@ -63,12 +66,12 @@
         events.iter().any(|(_, event)| *event == reclaimed),
         "{reclaimed:?} is not among {events:?}"
     );
-    for n in 0..LIMIT as usize {
+    for n in 0..LIMIT_CPUS as usize {
         cluster.request(1 + n % 2, &admission_id("vision", n, 1), 1.0);
     }
     cluster.run(&[1, 2], 200, 10);
-    // What the paused client had charged stays charged.
-    cluster.assert_used("vision", LIMIT);
+    // The earlier charge of the paused client stays.
+    cluster.assert_used("vision", LIMIT_CPUS);
     cluster.deliver_request(0);
     cluster.deliver_outcome(0);
     let answers = cluster.answers.get(&pending_admission());
@@ -76,10 +79,10 @@
     cluster.assert_consistent();
 }
 
-/// Its charge was written, it stood still before the answer came, and the work was meanwhile proven
-/// never to start: it does not start when the client goes on.
+/// Guards against starting released work: a charge is committed, the client is paused before it receives the
+/// response, and another client releases the charge. The work must not start when the client resumes.
 #[test]
-fn client_paused_before_the_answer_reads_its_charge_again() {
+fn client_paused_before_the_response_reads_its_charge_again() {
     let mut cluster = cluster();
     prepare_charge(&mut cluster, 0);
     let late = pending_admission();
@@ -95,7 +98,8 @@
     cluster.assert_charged("vision", 0, 2);
 }
 
-/// A process ends with its charge under way, and its successor is there before that reaches the store.
+/// A process ends with a charge in flight, and its successor acquires the allowance before the charge reaches the
+/// store. The charge must fail.
 #[test]
 fn late_charge_of_an_ended_process_fails() {
     let mut cluster = cluster();
@@ -118,35 +122,35 @@
     );
 }
 
-/// Two of three clients end for good: the last one gets the whole limit, less what they had charged.
+/// Two of three clients are lost: the last one can use the whole limit, less the charges of the lost ones.
 #[test]
-fn last_client_gets_what_two_lost_ones_had_not_spent() {
+fn last_client_gets_the_unspent_allowances_of_two_lost_ones() {
     let mut cluster = cluster();
     let charged_by_lost = |client: usize| admission_id("vision", 80 + client, 1);
     for lost in 0..2 {
         cluster.request(lost, &charged_by_lost(lost), 3.0);
     }
     cluster.run_until_quiet();
-    for n in 0..LIMIT as usize {
+    for n in 0..LIMIT_CPUS as usize {
         cluster.request(2, &admission_id("vision", n, 1), 1.0);
     }
     for lost in 0..2 {
         cluster.clients[2].reclaim(team("vision"), client_name(lost));
     }
     cluster.run(&[2], 300, 10);
-    cluster.assert_charged("vision", 2, LIMIT - 6);
-    // Once their work is proven to have ended, another reclaim takes the rest.
+    cluster.assert_charged("vision", 2, LIMIT_CPUS - 6);
+    // Once their work is proven to have ended, another reclaim frees the rest.
     for lost in 0..2 {
         cluster.finish_work(&charged_by_lost(lost), 2);
         cluster.clients[2].reclaim(team("vision"), client_name(lost));
     }
     cluster.run(&[2], 300, 10);
-    cluster.assert_used("vision", LIMIT);
+    cluster.assert_used("vision", LIMIT_CPUS);
 }
 
-/// A client that was given up while it lived goes on with what it has charged.
+/// A client whose allowance was reclaimed although it is alive keeps its charges and goes on.
 #[test]
-fn client_that_was_wrongly_given_up_goes_on() {
+fn client_that_was_wrongly_considered_lost_goes_on() {
     let mut cluster = cluster();
     prepare_charge(&mut cluster, 0);
     reclaim_from_all(&mut cluster, 0);
@@ -158,7 +162,8 @@
     cluster.finish_everything(&BTreeMap::from(requests), &["vision"]);
 }
 
-/// Each way in which an answer can fail to come, at each client, with all clients at the limit.
+/// Each fault of a request, at each client, while all clients together charge up to the limit: each admission
+/// is charged once.
 #[test]
 fn unknown_outcomes_charge_once() {
     let faults = [
@@ -178,36 +183,36 @@
     let mut cluster = cluster();
     cluster.trace.push(format!("{fault:?} at client {client}"));
     let mut requests = BTreeMap::new();
-    for n in 0..LIMIT as usize {
+    for n in 0..LIMIT_CPUS as usize {
         let id = admission_id("vision", n, 1);
         cluster.request(n % 3, &id, 1.0);
         requests.insert(id.clone(), admission_request(&id, 1.0));
     }
     for _ in 0..12 {
         cluster.stores[client].inject(fault);
-        for each in ALL_CLIENTS {
-            cluster.step(each);
+        for stepped_client in ALL_CLIENTS {
+            cluster.step(stepped_client);
         }
         cluster.shared.deliver_delayed();
         cluster.advance(1);
     }
     cluster.run_until_quiet();
     let count = cluster.running.len();
-    assert_eq!(count, LIMIT as usize, "{fault:?} at client {client}");
+    assert_eq!(count, LIMIT_CPUS as usize, "{fault:?} at client {client}");
     cluster.finish_everything(&requests, &["vision"]);
 }
 
-/// The store refuses one client, then all of them: nothing more is admitted meanwhile, and work goes on
-/// afterwards.
+/// The store refuses one client, then has an outage: nothing is admitted without the store, and admissions
+/// continue afterwards.
 #[test]
 fn refusals_and_outages_admit_nothing() {
     let mut cluster = cluster();
     cluster.shared.set_refused(0, true);
-    for n in 0..LIMIT as usize * 2 {
+    for n in 0..LIMIT_CPUS as usize * 2 {
         cluster.request(1 + n % 2, &admission_id("vision", n, 1), 1.0);
     }
     cluster.run_until_quiet();
-    cluster.assert_used("vision", LIMIT);
+    cluster.assert_used("vision", LIMIT_CPUS);
     let refused = admission_id("vision", 99, 1);
     cluster.request(0, &refused, 1.0);
     cluster.shared.set_outage(true);
@@ -219,23 +224,24 @@
     cluster.shared.set_outage(false);
     cluster.shared.set_refused(0, false);
     cluster.run_until_quiet();
-    cluster.assert_used("vision", LIMIT);
+    cluster.assert_used("vision", LIMIT_CPUS);
 }
 
-/// Each request takes longer than the interval in which clients refresh what others change.
+/// Guards against a livelock: each request takes longer than the refresh interval, but clients must not do nothing
+/// but refresh.
 #[test]
 fn slow_store_causes_no_livelock() {
     let mut cluster = cluster();
-    for n in 0..LIMIT as usize {
+    for n in 0..LIMIT_CPUS as usize {
         cluster.request(n % 3, &admission_id("vision", n, 1), 1.0);
     }
     cluster.run(&ALL_CLIENTS, 400, 150);
-    cluster.assert_running_count(LIMIT as usize);
+    cluster.assert_running_count(LIMIT_CPUS as usize);
 }
 
-/// Two teams, each of which holds what the other needs to begin.
+/// Guards against a deadlock of two teams, each of which holds capacity that the other one needs.
 #[test]
-fn two_teams_do_not_wait_for_each_other() {
+fn two_teams_do_not_deadlock() {
     let mut cluster = Cluster::new(3, policy(Some(16), &[("a", 0, 14), ("b", 0, 14)]));
     for round in 0..3 {
         for (n, name) in ["a", "b"].iter().enumerate() {
@@ -244,23 +250,22 @@
                 cluster.request(client, &id, 5.0);
             }
         }
-        for told_client in 0..2 {
+        for notified_client in 0..2 {
             cluster.run_until_quiet();
             cluster.assert_running_count(3);
             let running: Vec<AdmissionId> = cluster.running.iter().cloned().collect();
             for id in &running {
-                cluster.finish_work(id, told_client);
+                cluster.finish_work(id, notified_client);
             }
         }
         cluster.run_until_quiet();
     }
 }
 
-/// A charge has no answer, is carried out much later, and its request is cancelled meanwhile: what it
-/// may have taken is given to nobody else before the store has said what became of it, also if the retry
-/// is refused.
+/// A charge without a response is committed much later, and its request is cancelled meanwhile. The resources that
+/// it may use must not be charged for other work before its outcome is known, even if the retry is rate-limited.
 #[test]
-fn charge_of_unknown_outcome_takes_its_room_until_it_is_known() {
+fn charge_of_unknown_outcome_reserves_its_usage_until_it_is_known() {
     let cases = [
         vec![Fault::Delayed],
         vec![Fault::Delayed, Fault::RateLimited],
@@ -286,8 +291,8 @@
     }
 }
 
-/// A process reported work as admitted and ended; its successor is asked for the same before it has read
-/// what was charged. That is no new admission: the work may run.
+/// A process reports an admission and ends. Its successor gets the same request before it has read the charges. It
+/// must report the admission as recovered, not as a new one, because the work may be running.
 #[test]
 fn successor_does_not_admit_again() {
     let mut cluster = cluster();
--- a/crates/quota/tests/leader_allowances.rs
+++ b/crates/quota/tests/leader_allowances.rs
@@ -1,4 +1,4 @@
-//! The leader's allowances, beside clients that share the team's limit with them.
+//! The leader's allowances, with clients that share the team's limit.
 
 mod support;
 
@@ -12,12 +12,12 @@
 use lichencrank_store::{ConditionalStore, Outcome, Request, Version};
 use support::{admission_id, policy, team, Cluster};
 
-/// Most changes of one transaction.
+/// Maximum number of changes in one transaction.
 const MAX_CHANGES: usize = 4;
-/// Transactions after which nothing should have to change any more.
+/// Maximum number of transactions until the records are in their target state.
 const MAX_TRANSACTIONS: usize = 20;
 
-/// A leader that reads and writes without delay.
+/// A leader whose reads and writes complete immediately.
 struct Leader {
     allowances: LeaderAllowances,
     workloads: BTreeMap<TeamName, TeamWorkload>,
@@ -31,12 +31,12 @@
         }
     }
 
-    /// Sets the workload of a team: CPUs that are charged, and tasks of one CPU that are pending.
-    fn set_workload(&mut self, name: &str, charged: u64, pending: u64) {
+    /// Sets the workload of a team: charged CPUs, and pending tasks of one CPU each.
+    fn set_workload(&mut self, name: &str, charged_cpus: u64, pending_tasks: u64) {
         let workload = TeamWorkload {
-            charged: ResourceVector::from_cpus(charged),
-            pending: ResourceVector::from_cpus(pending),
-            largest_pending_task: ResourceVector::from_cpus(pending.min(1)),
+            charged: ResourceVector::from_cpus(charged_cpus),
+            pending: ResourceVector::from_cpus(pending_tasks),
+            largest_pending_task: ResourceVector::from_cpus(pending_tasks.min(1)),
         };
         self.workloads.insert(team(name), workload);
     }
@@ -50,7 +50,7 @@
         };
         let page = match store.execute(&list) {
             Outcome::Page(page) => page,
-            other => panic!("wanted a page of records, got {other:?}"),
+            other => panic!("expected a page of records, got {other:?}"),
         };
         for item in &page.items {
             self.allowances.insert_item(item);
@@ -58,7 +58,7 @@
         self.allowances.finish_reading();
     }
 
-    /// Reads the records, and writes until nothing has to change.
+    /// Reads the records, and writes until they are in their target state.
     fn synchronize(&mut self, store: &mut dyn ConditionalStore) {
         self.read(store);
         for _ in 0..MAX_TRANSACTIONS {
@@ -68,10 +68,13 @@
             else {
                 return;
             };
-            assert!(txn.changes.len() <= MAX_CHANGES, "too many: {txn:?}");
+            assert!(
+                txn.changes.len() <= MAX_CHANGES,
+                "too many changes: {txn:?}"
+            );
             match store.execute(&Request::Txn(txn)) {
                 Outcome::Committed(version) => self.allowances.on_committed(version),
-                other => panic!("wanted a commit, got {other:?}"),
+                other => panic!("expected a commit, got {other:?}"),
             }
         }
         panic!("records still change after {MAX_TRANSACTIONS} transactions");
@@ -104,7 +107,7 @@
     assert_eq!(leader.granted("vision"), ResourceVector::from_cpus(10));
     cluster.run_until_quiet();
     cluster.assert_running_count(1);
-    // What is charged already is never given back.
+    // The charged part of an allowance is never returned.
     leader.set_workload("vision", 10, 5);
     cluster.request(1, &admission_id("vision", 2, 1), 4.0);
     cluster.run_until_quiet();
@@ -114,10 +117,10 @@
     cluster.assert_consistent();
 }
 
-/// The next leader acquires the allowances: whatever the one before still has under way is conditional
-/// on a version that is outdated.
+/// Guards against writes by a leader that was replaced: the next leader acquires the allowances, so the
+/// previous leader's transactions in flight are conditional on an outdated version and fail.
 #[test]
-fn next_leader_fences_off_the_one_before() {
+fn next_leader_fences_off_the_previous_one() {
     let policy = policy(None, &[("vision", 0, 20)]);
     let cluster = Cluster::new(1, policy.clone());
     let mut store = cluster.shared.client(9);
@@ -141,10 +144,10 @@
     assert_eq!(first.allowances.fence(&team("vision")), None);
 }
 
-/// A version without allowances has booked above the limit: that counts at once, and others get nothing
-/// before it fits.
+/// After a version without allowances, which allocated tasks above the limit: these allocations count
+/// immediately, and other clients are granted nothing until the usage fits under the limit.
 #[test]
-fn bookings_without_allowances_are_charged() {
+fn allocations_without_allowances_are_charged() {
     let policy = policy(None, &[("vision", 0, 20)]);
     let mut cluster = Cluster::new(2, policy.clone());
     cluster.request(0, &admission_id("vision", 1, 1), 8.0);
@@ -154,11 +157,11 @@
     leader.set_workload("vision", 20, 3);
     leader.synchronize(&mut store);
     assert_eq!(leader.granted("vision"), ResourceVector::from_cpus(20));
-    cluster.excess_is_allowed = true;
+    cluster.is_excess_allowed = true;
     cluster.request(1, &admission_id("vision", 2, 1), 1.0);
     cluster.run_until_quiet();
     cluster.assert_running_count(1);
-    // As bookings end, the leader's allowance shrinks to what is left of the limit.
+    // As allocations end, the leader's allowance shrinks to the usage that is left.
     leader.set_workload("vision", 11, 0);
     leader.synchronize(&mut store);
     assert_eq!(leader.granted("vision"), ResourceVector::from_cpus(11));
@@ -166,10 +169,10 @@
     cluster.assert_running_count(2);
 }
 
-/// With a capacity the leader takes what its work needs, and holds nothing that another of its teams
-/// waits for.
+/// With a limited capacity, the leader takes only what its work needs, and holds no unspent allowance that
+/// another of its teams waits for.
 #[test]
-fn with_a_capacity_a_leader_takes_what_it_needs() {
+fn with_limited_capacity_a_leader_takes_what_it_needs() {
     let policy = policy(Some(40), &[("a", 10, 40), ("b", 10, 40)]);
     let cluster = Cluster::new(1, policy.clone());
     let mut store = cluster.shared.client(9);
@@ -188,7 +191,7 @@
     cluster.assert_consistent();
 }
 
-/// A leader's charges are in its own records: as nobody else can sum them up, nobody reclaims its
+/// A leader's charges are in its own records. Other clients can't sum them up, so they must not reclaim its
 /// allowance.
 #[test]
 fn allowances_of_a_leader_are_not_reclaimed() {
--- a/crates/quota/tests/limits.rs
+++ b/crates/quota/tests/limits.rs
@@ -1,4 +1,4 @@
-//! Bursts that land exactly at limits, from several clients at once.
+//! Bursts of requests from several clients at once that reach limits, guarantees and the capacity exactly.
 
 mod support;
 
@@ -9,9 +9,9 @@
 
 const ALL_CLIENTS: [usize; 3] = [0, 1, 2];
 
-/// 96 CPUs are asked for at three clients at the same instant, and there are as many.
+/// Three clients are asked for 96 CPUs at the same time, which is exactly the limit.
 #[test]
-fn burst_exactly_at_the_limit_is_admitted_whole() {
+fn burst_exactly_at_the_limit_is_admitted_completely() {
     let mut cluster = Cluster::new(3, policy(None, &[("vision", 0, 96)]));
     for n in 0..96 {
         cluster.request(n % 3, &admission_id("vision", n, 1), 1.0);
@@ -21,9 +21,9 @@
     cluster.assert_used("vision", 96);
 }
 
-/// One more than there are: all but one start, and the last starts once any of them has ended.
+/// One request more than the limit allows: all but one are admitted, and the last one once any other has ended.
 #[test]
-fn one_above_the_limit_waits_for_the_first_that_ends() {
+fn one_request_above_the_limit_waits_until_any_work_ends() {
     let mut cluster = Cluster::new(3, policy(None, &[("vision", 0, 96)]));
     for n in 0..97 {
         cluster.request(n % 3, &admission_id("vision", n, 1), 1.0);
@@ -36,8 +36,8 @@
     assert_eq!(cluster.admitted_count(), 97);
 }
 
-/// Fills twelve CPUs with small work, then asks for a large piece while small requests keep coming and
-/// small work ends one by one. The large one has to start.
+/// Fills 12 CPUs with small work, then requests a large admission while small requests keep arriving and small
+/// work ends one by one. The large request must be answered.
 fn flood_with_small_requests(mut cluster: Cluster, small_team: &str, large_team: &str) {
     for n in 0..12 {
         cluster.request(n % 3, &admission_id(small_team, n, 1), 1.0);
@@ -60,25 +60,26 @@
             return;
         }
     }
-    cluster.fail("the large request is starved");
+    cluster.fail("the large request starves");
 }
 
-/// The last unit goes to whoever waits first, also if others ask for smaller parts all the time.
+/// Guards against starvation within a team: freed resources go to the request that waits first, even if smaller
+/// requests that would fit keep arriving.
 #[test]
 fn large_requests_are_not_starved_by_small_ones() {
     let cluster = Cluster::new(3, policy(None, &[("vision", 0, 12)]));
     flood_with_small_requests(cluster, "vision", "vision");
 }
 
-/// The same where the small requests are those of another team, and both borrow.
+/// Guards against starvation between teams: the small requests are those of another team, and both teams borrow.
 #[test]
 fn team_is_not_starved_by_small_requests_of_another() {
     let cluster = Cluster::new(3, policy(Some(12), &[("a", 0, 12), ("b", 0, 12)]));
     flood_with_small_requests(cluster, "a", "b");
 }
 
-/// Three teams at once on machines that don't have all limits together: no borrowing takes what another
-/// team's guarantee needs, whoever comes first.
+/// Three teams whose limits together exceed the capacity: borrowing must not use capacity that another team's
+/// guarantee needs, regardless of the order of requests.
 #[test]
 fn guarantees_hold_while_others_flood() {
     let teams = [("a", 20, 100), ("b", 40, 100), ("c", 0, 100)];
@@ -109,10 +110,10 @@
     revoked.collect()
 }
 
-/// Capacity shrinks: borrowed work is told to end, the least urgent first, and stays charged until it
-/// has.
+/// When the capacity shrinks, borrowed work is revoked, lowest priority first, and stays charged until it has
+/// ended.
 #[test]
-fn borrowed_work_ends_when_capacity_shrinks() {
+fn borrowed_work_is_revoked_when_capacity_shrinks() {
     let teams = [("a", 20, 100), ("b", 40, 100)];
     let mut cluster = Cluster::new(3, policy(Some(100), &teams));
     for n in 0..60 {
@@ -124,7 +125,7 @@
     }
     cluster.run_until_quiet();
     cluster.assert_used("a", 60);
-    cluster.excess_is_allowed = true;
+    cluster.is_excess_allowed = true;
     cluster.clients[1].set_policy(policy(Some(80), &teams));
     cluster.run_until_quiet();
     let revoked = revoked(&cluster);
@@ -139,14 +140,15 @@
         cluster.finish_work(id, 2);
     }
     cluster.run_until_quiet();
-    cluster.excess_is_allowed = false;
+    cluster.is_excess_allowed = false;
     cluster.assert_used("a", 40);
     cluster.assert_consistent();
 }
 
-/// Machines that don't even have the guarantees: nothing is borrowed, guarantees are admitted.
+/// The capacity is smaller than the sum of the guarantees: nothing may be borrowed, but work within guarantees is
+/// admitted.
 #[test]
-fn nothing_is_borrowed_below_the_guarantees() {
+fn nothing_is_borrowed_if_guarantees_exceed_the_capacity() {
     let teams = [("a", 40, 100), ("b", 40, 100)];
     let mut cluster = Cluster::new(3, policy(Some(60), &teams));
     for n in 0..100 {
@@ -158,8 +160,8 @@
     cluster.assert_used("b", 40);
 }
 
-/// A limit is lowered under running work: that goes on, what is unspent is reclaimed, and nothing starts
-/// before it fits.
+/// A limit is lowered below the usage of running work: the work goes on, unspent allowances are reclaimed, and no
+/// more work starts before it fits.
 #[test]
 fn lowered_limit_admits_nothing_before_it_fits() {
     let mut cluster = Cluster::new(3, policy(None, &[("vision", 0, 60)]));
@@ -167,7 +169,7 @@
         cluster.request(n % 3, &admission_id("vision", n, 1), 1.0);
     }
     cluster.run_until_quiet();
-    cluster.excess_is_allowed = true;
+    cluster.is_excess_allowed = true;
     cluster.clients[0].set_policy(policy(None, &[("vision", 0, 20)]));
     cluster.run_until_quiet();
     assert_eq!(cluster.admitted_count(), 30);
@@ -179,15 +181,15 @@
         cluster.finish_work(&id, 1);
     }
     cluster.run_until_quiet();
-    cluster.excess_is_allowed = false;
+    cluster.is_excess_allowed = false;
     assert_eq!(cluster.admitted_count(), 31);
     cluster.assert_used("vision", 20);
 }
 
-/// Zero is no limit; fractions add up exactly; a request larger than the limit, of a team that nobody
-/// knows, or with a name that fits into no key is rejected at once.
+/// A limit of 0 means no limit, and fractions add up exactly. Requests are rejected immediately if they are larger
+/// than the limit, if the team is unknown, or if a name does not fit into a key.
 #[test]
-fn unusual_amounts_and_names_are_defined() {
+fn unusual_amounts_and_names_are_handled() {
     let teams = [("unlimited", 0, 0), ("small", 0, 3)];
     let mut cluster = Cluster::new(2, policy(None, &teams));
     for n in 0..200 {
@@ -226,7 +228,7 @@
     }
 }
 
-/// Repeats at other clients, before and after the end, are the same admission.
+/// A request that is repeated at other clients, before or after its work ends, is the same admission.
 #[test]
 fn repeated_request_is_the_same_admission() {
     let mut cluster = Cluster::new(3, policy(None, &[("vision", 0, 10)]));
--- a/crates/quota/tests/loopback.rs
+++ b/crates/quota/tests/loopback.rs
@@ -1,5 +1,5 @@
-//! Three controllers, each with a thread and a connection of its own, against a store on loopback;
-//! thousands of requests race. Every revision of the store is audited afterwards.
+//! Three controllers, each with its own thread and connection, race thousands of requests against a store on
+//! loopback. Every revision of the store is audited afterwards.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -18,42 +18,42 @@
 use lichencrank_testkit::sync::lock;
 use lichencrank_testkit::{InMemoryStore, Limits};
 
-const CONTROLLERS: usize = 3;
-const USERS: usize = 12;
+const CONTROLLER_COUNT: usize = 3;
+const USER_COUNT: usize = 12;
 const REQUESTS_PER_USER: u32 = 150;
-/// Every so many requests, one is sent to a second controller as well.
+/// One in this many requests is sent to a second controller as well.
 const REPEAT_EVERY: usize = 4;
-/// An admission ends once so many others have started at its controller since.
-const OTHERS_BEFORE_END: usize = 12;
+/// A controller ends its oldest work while more admissions than this are running.
+const MAX_RUNNING_PER_CONTROLLER: usize = 12;
 const STORE_TIMEOUT: Duration = Duration::from_secs(10);
 const CAPACITY_CPUS: u64 = 40;
 
-/// A team and its quota, in CPUs.
+/// A team and its quota.
 struct Team {
     name: &'static str,
-    guarantee: u64,
-    limit: u64,
+    guarantee_cpus: u64,
+    limit_cpus: u64,
 }
 
 const TEAMS: [Team; 3] = [
     Team {
         name: "rush",
-        guarantee: 10,
-        limit: 30,
+        guarantee_cpus: 10,
+        limit_cpus: 30,
     },
     Team {
         name: "scan",
-        guarantee: 10,
-        limit: 40,
+        guarantee_cpus: 10,
+        limit_cpus: 40,
     },
     Team {
         name: "route",
-        guarantee: 0,
-        limit: 20,
+        guarantee_cpus: 0,
+        limit_cpus: 20,
     },
 ];
 
-/// What a controller answered to a request.
+/// A controller's answer to a request.
 struct Answer {
     id: AdmissionId,
     event: QuotaEvent,
@@ -75,7 +75,7 @@
             requests_per_second: 1e9,
             changes_per_second: 1e9,
         },
-        expected_clients: CONTROLLERS as u64,
+        expected_clients: CONTROLLER_COUNT as u64,
         refresh_interval: Duration::from_millis(20),
         idle_return_after: Duration::from_millis(100),
         reconfirm_after: STORE_TIMEOUT,
@@ -86,8 +86,8 @@
 fn policy() -> QuotaPolicy {
     let teams = TEAMS.iter().map(|team| {
         let policy = TeamPolicy {
-            guarantee: ResourceVector::from_cpus(team.guarantee),
-            limit: ResourceVector::from_limit_settings(team.limit as f64, 0.0),
+            guarantee: ResourceVector::from_cpus(team.guarantee_cpus),
+            limit: ResourceVector::from_limit_settings(team.limit_cpus as f64, 0.0),
         };
         (TeamName::new(team.name), policy)
     });
@@ -100,11 +100,11 @@
     }
 }
 
-/// The requests of all users in random order.
+/// The requests of all users, in random order.
 fn requests(seed: u64) -> Vec<AdmissionRequest> {
     let mut random = fastrand::Rng::with_seed(seed);
     let mut requests = Vec::new();
-    for user in 0..USERS {
+    for user in 0..USER_COUNT {
         for sequence in 0..REQUESTS_PER_USER {
             let id = AdmissionId {
                 team: TeamName::new(TEAMS[user % TEAMS.len()].name),
@@ -122,15 +122,15 @@
     requests
 }
 
-/// One controller: admits what it is sent, and ends work in its order, until all is over.
+/// Runs a controller: requests the admissions that it is sent, and ends the oldest work, until `is_stopping`.
 fn run_controller(
     mut quota: BlockingQuotaClient<BlockingClient>,
     requests: Receiver<AdmissionRequest>,
     answers: &Sender<Answer>,
-    is_over: &AtomicBool,
+    is_stopping: &AtomicBool,
 ) {
     let mut running: Vec<AdmissionId> = Vec::new();
-    while !is_over.load(Ordering::SeqCst) {
+    while !is_stopping.load(Ordering::SeqCst) {
         for request in requests.try_iter() {
             quota.request(request);
         }
@@ -140,21 +140,25 @@
             if let QuotaEvent::Admitted(id) = &event {
                 running.push(id.clone());
             }
-            if let Some(id) = answered(&event) {
+            if let Some(id) = answered_request(&event) {
                 let id = id.clone();
                 let _ = answers.send(Answer { id, event });
             }
         }
-        // All work ends where nothing new starts, as it may be that work which others wait for.
-        let kept = if is_idle { 0 } else { OTHERS_BEFORE_END };
-        while running.len() > kept {
+        // When nothing new happens, all work ends, because other controllers may wait for its resources.
+        let max_running = if is_idle {
+            0
+        } else {
+            MAX_RUNNING_PER_CONTROLLER
+        };
+        while running.len() > max_running {
             quota.release(running.remove(0));
         }
     }
 }
 
-/// The request that an event answers.
-fn answered(event: &QuotaEvent) -> Option<&AdmissionId> {
+/// The request that an event answers, if it answers one.
+fn answered_request(event: &QuotaEvent) -> Option<&AdmissionId> {
     match event {
         QuotaEvent::Admitted(id)
         | QuotaEvent::AlreadyAdmitted { id, .. }
@@ -164,53 +168,53 @@
     }
 }
 
-/// Controllers that run in threads of their own.
+/// Controllers that run in their own threads.
 struct Controllers {
     requests: Vec<Sender<AdmissionRequest>>,
     answers: Receiver<Answer>,
-    is_over: Arc<AtomicBool>,
+    is_stopping: Arc<AtomicBool>,
     threads: Vec<JoinHandle<()>>,
 }
 
 impl Controllers {
     fn start(address: SocketAddr) -> Controllers {
-        let is_over = Arc::new(AtomicBool::new(false));
+        let is_stopping = Arc::new(AtomicBool::new(false));
         let (answer, answers) = channel();
         let mut requests = Vec::new();
         let mut threads = Vec::new();
-        for number in 0..CONTROLLERS {
+        for number in 0..CONTROLLER_COUNT {
             let (send, receive) = channel();
             requests.push(send);
-            let (answer, is_over) = (answer.clone(), is_over.clone());
+            let (answer, is_stopping) = (answer.clone(), is_stopping.clone());
             let quota = controller(number, address);
             threads.push(thread::spawn(move || {
-                run_controller(quota, receive, &answer, &is_over);
+                run_controller(quota, receive, &answer, &is_stopping);
             }));
         }
         Controllers {
             requests,
             answers,
-            is_over,
+            is_stopping,
             threads,
         }
     }
 
-    /// Sends every request to one controller, and some to a second one. Returns the number of answers
-    /// that are to come.
+    /// Sends every request to one controller, and some to a second one as well. Returns the number of
+    /// expected answers.
     fn send(&self, requests: &[AdmissionRequest]) -> usize {
         for (n, request) in requests.iter().enumerate() {
-            let _ = self.requests[n % CONTROLLERS].send(request.clone());
+            let _ = self.requests[n % CONTROLLER_COUNT].send(request.clone());
             if n % REPEAT_EVERY == 0 {
-                let _ = self.requests[(n + 1) % CONTROLLERS].send(request.clone());
+                let _ = self.requests[(n + 1) % CONTROLLER_COUNT].send(request.clone());
             }
         }
         requests.len() + requests.len().div_ceil(REPEAT_EVERY)
     }
 
     fn stop(self) {
-        self.is_over.store(true, Ordering::SeqCst);
+        self.is_stopping.store(true, Ordering::SeqCst);
         for thread in self.threads {
-            thread.join().expect("a controller ends well");
+            thread.join().expect("controller threads do not panic");
         }
     }
 }
@@ -237,7 +241,7 @@
     assert_each_completed_once(&requests, &state);
 }
 
-/// Replays every transaction that was carried out, and audits the ledger after each.
+/// Replays all committed transactions, and audits the ledger after each.
 fn assert_consistent_at_every_revision(state: &InMemoryStore) {
     let mut replayed = InMemoryStore::new(limits());
     for txn in state.applied_transactions() {
--- a/crates/quota/tests/preemption.rs
+++ b/crates/quota/tests/preemption.rs
@@ -1,4 +1,4 @@
-//! Which work may be preempted, and which is selected.
+//! Which work may be preempted, and which victims are selected.
 
 use std::collections::BTreeMap;
 
@@ -15,14 +15,14 @@
     }
 }
 
-fn team_usage(guarantee: u64, used: u64) -> TeamUsage {
+fn team_usage(guarantee_cpus: u64, used_cpus: u64) -> TeamUsage {
     TeamUsage {
-        guarantee: ResourceVector::from_cpus(guarantee),
-        used: ResourceVector::from_cpus(used),
+        guarantee: ResourceVector::from_cpus(guarantee_cpus),
+        used: ResourceVector::from_cpus(used_cpus),
     }
 }
 
-/// Team a borrows six CPUs, team b none.
+/// Team a borrows 6 CPUs, team b none.
 #[test]
 fn victims_are_borrowed_and_the_least_urgent_first() {
     let teams = BTreeMap::from([
@@ -39,18 +39,23 @@
     let cases = [
         (2, Some(vec![3])),
         (4, Some(vec![3, 2])),
-        // With those two, 4 of the 6 borrowed CPUs are gone: number 4 would cut into the guarantee.
+        // After candidates 3 and 2, only 2 CPUs are still borrowed: stopping candidate 4, with 4 CPUs, would
+        // cut into the guarantee.
         (6, Some(vec![3, 2, 1])),
         (7, None),
     ];
-    for (shortage, expected) in cases {
-        let victims = select_victims(ResourceVector::from_cpus(shortage), &teams, &candidates);
-        assert_eq!(victims, expected, "victims for {shortage} CPUs");
+    for (shortage_cpus, expected) in cases {
+        let victims = select_victims(
+            ResourceVector::from_cpus(shortage_cpus),
+            &teams,
+            &candidates,
+        );
+        assert_eq!(victims, expected, "victims for {shortage_cpus} CPUs");
     }
 }
 
 #[test]
-fn who_may_be_preempted_for_whom() {
+fn preemption_follows_priority_and_guarantee() {
     use Priority::{BestEffort, Critical, High, Normal};
     let case = |victim, victim_is_borrowed, preemptor, preemptor_is_guaranteed| PreemptionCase {
         victim_priority: victim,
--- a/crates/quota/tests/random_schedules.rs
+++ b/crates/quota/tests/random_schedules.rs
@@ -1,5 +1,5 @@
-//! Random schedules of everything that can go wrong, audited at every revision. A schedule that fails is
-//! shrunk, and printed with what each client reported.
+//! Random schedules of requests and failures, audited at every revision. A failing schedule is shrunk and printed
+//! with the events of each client.
 
 mod support;
 
@@ -10,15 +10,15 @@
 use proptest::prelude::*;
 use support::{admission_id, admission_request, client_name, policy, team, Cluster};
 
-const CLIENTS: usize = 3;
+const CLIENT_COUNT: usize = 3;
 const TEAMS: [&str; 2] = ["vision", "audio"];
 
-/// Schedules of one run, unless `QUOTA_CASES` asks for more.
+/// Number of schedules in a run, unless `QUOTA_CASES` sets another one.
 const DEFAULT_CASES: u32 = 150;
-/// Every run has the same schedules.
+/// Fixed, so that every run has the same schedules.
 const RANDOM_SEED: u64 = 24;
 
-/// A user requests an admission; with a number that was used before it is a repeat.
+/// A user requests an admission. It is a repeated request if the sequence number was used before.
 #[derive(Clone, Debug)]
 struct RequestStep {
     client: usize,
@@ -30,41 +30,41 @@
     is_urgent: bool,
 }
 
-/// One step of a schedule. Clients are given by number.
+/// One step of a schedule. Clients are identified by number.
 #[derive(Clone, Debug)]
 enum Step {
     Request(RequestStep),
-    /// A client carries out one request from beginning to end.
-    CarryOut(usize),
-    /// A client sends a request, and stands still before the request reaches the store.
+    /// A client sends one request and receives its outcome.
+    Execute(usize),
+    /// A client sends a request, which does not reach the store yet.
     Send(usize),
-    /// The request reaches the store, and the client stands still before the outcome comes.
+    /// The request reaches the store, but the client does not receive the outcome yet.
     DeliverRequest(usize),
     /// The client receives the outcome.
     DeliverOutcome(usize),
-    /// The client's next request fails.
+    /// The client's next request fails with a fault.
     Fail(usize, Fault),
-    /// The oldest transaction without an answer is carried out.
+    /// The oldest delayed transaction reaches the store.
     DeliverLate,
-    /// A process ends, and another one of the same name takes its place.
+    /// A process is replaced by a new one of the same name.
     Restart(usize),
     /// A request of a process that ended reaches the store.
     DeliverDelayedRequest,
-    /// A client gives up another one.
+    /// A client reclaims the allowances of another one.
     Reclaim {
         by: usize,
         other: usize,
     },
-    /// A client has stood still for longer than its answers can be relied on.
+    /// A client resumes after a pause.
     Resume(usize),
-    /// Some running work ends, and a client is told so.
+    /// Some running work ends and is released at a client.
     FinishWork {
         nth: usize,
-        told_client: usize,
+        notified_client: usize,
     },
-    /// Time passes, in milliseconds.
+    /// The clock advances by this many milliseconds.
     Advance(u64),
-    /// The store refuses a client, or serves it again.
+    /// The store refuses all requests of a client, or serves them again.
     Refuse {
         client: usize,
         is_refused: bool,
@@ -75,7 +75,7 @@
 
 fn any_request() -> impl Strategy<Value = RequestStep> {
     let parts = (
-        0..CLIENTS,
+        0..CLIENT_COUNT,
         0..2usize,
         0..4usize,
         0..6u32,
@@ -104,11 +104,11 @@
 }
 
 fn any_step() -> impl Strategy<Value = Step> {
-    let client = 0..CLIENTS;
+    let client = 0..CLIENT_COUNT;
     let refusal = (client.clone(), any::<bool>());
     prop_oneof![
         8 => any_request().prop_map(Step::Request),
-        16 => client.clone().prop_map(Step::CarryOut),
+        16 => client.clone().prop_map(Step::Execute),
         3 => client.clone().prop_map(Step::Send),
         3 => client.clone().prop_map(Step::DeliverRequest),
         3 => client.clone().prop_map(Step::DeliverOutcome),
@@ -119,25 +119,25 @@
         1 => (client.clone(), client.clone()).prop_map(|(by, other)| Step::Reclaim { by, other }),
         1 => client.clone().prop_map(Step::Resume),
         4 => (0..8usize, client)
-            .prop_map(|(nth, told_client)| Step::FinishWork { nth, told_client }),
+            .prop_map(|(nth, notified_client)| Step::FinishWork { nth, notified_client }),
         4 => prop_oneof![Just(1u64), Just(150), Just(4000)].prop_map(Step::Advance),
         1 => refusal.prop_map(|(client, is_refused)| Step::Refuse { client, is_refused }),
         1 => any::<bool>().prop_map(Step::SetOutage),
     ]
 }
 
-/// A cluster, and all that was requested of it.
+/// A cluster and all requests to it.
 struct Schedule {
     cluster: Cluster,
     requests: BTreeMap<AdmissionId, AdmissionRequest>,
 }
 
 impl Schedule {
-    /// Sixteen CPUs, of which one team is guaranteed six; both want more than there is.
+    /// A capacity of 16 CPUs, of which one team is guaranteed 6. The limits of both teams together exceed it.
     fn new() -> Schedule {
         let policy = policy(Some(16), &[(TEAMS[0], 6, 12), (TEAMS[1], 0, 14)]);
         Schedule {
-            cluster: Cluster::new(CLIENTS, policy),
+            cluster: Cluster::new(CLIENT_COUNT, policy),
             requests: BTreeMap::new(),
         }
     }
@@ -147,7 +147,7 @@
         cluster.trace.push(format!("{:>7} {step:?}", cluster.now.0));
         match step {
             Step::Request(step) => self.request(&step),
-            Step::CarryOut(client) => {
+            Step::Execute(client) => {
                 cluster.step(client);
             }
             Step::Send(client) => {
@@ -169,38 +169,41 @@
                 }
             }
             Step::Resume(client) => cluster.clients[client].on_process_resumed(),
-            Step::FinishWork { nth, told_client } => {
+            Step::FinishWork {
+                nth,
+                notified_client,
+            } => {
                 if let Some(id) = cluster.running.iter().nth(nth).cloned() {
-                    cluster.finish_work(&id, told_client);
+                    cluster.finish_work(&id, notified_client);
                 }
             }
-            Step::Advance(ms) => cluster.advance(ms),
+            Step::Advance(elapsed_ms) => cluster.advance(elapsed_ms),
             Step::Refuse { client, is_refused } => cluster.shared.set_refused(client, is_refused),
             Step::SetOutage(is_out) => cluster.shared.set_outage(is_out),
         }
     }
 
-    /// A repeat has the usage and the priority of the first request.
+    /// Requests an admission. A repeated request has the usage and the priority of the first one.
     fn request(&mut self, step: &RequestStep) {
         let id = admission_id(TEAMS[step.team], step.user, step.sequence);
-        let mut new = admission_request(&id, step.cpus as f64);
+        let mut new_request = admission_request(&id, step.cpus as f64);
         if step.is_urgent {
-            new.priority = Priority::High;
+            new_request.priority = Priority::High;
         }
-        let request = self.requests.entry(id).or_insert(new);
+        let request = self.requests.entry(id).or_insert(new_request);
         self.cluster.clients[step.client].request(request.clone());
     }
 
     fn end_all_failures(&mut self) {
         self.cluster.trace.push("all failures end".to_owned());
         self.cluster.shared.set_outage(false);
-        for client in 0..CLIENTS {
+        for client in 0..CLIENT_COUNT {
             self.cluster.shared.set_refused(client, false);
         }
     }
 }
 
-/// The same schedules in every run; `QUOTA_CASES` sets their number.
+/// Configuration with a fixed seed. `QUOTA_CASES` sets the number of schedules.
 fn config() -> ProptestConfig {
     let cases = std::env::var("QUOTA_CASES").ok();
     let cases = cases.and_then(|number| number.parse().ok());
--- a/crates/quota/tests/records.rs
+++ b/crates/quota/tests/records.rs
@@ -1,5 +1,5 @@
-//! The keys and the stored form of each record. Other versions read and write the same records, so
-//! neither keys nor the names and the order of fields ever change.
+//! The keys and the stored format of each record. Other versions read and write the same records, so keys and
+//! the names and order of fields must not change.
 
 use std::collections::BTreeMap;
 
@@ -31,8 +31,8 @@
     }
 }
 
-/// The record is stored as `expected`, in which `FIVE` stands for five CPUs, below `path`, and is read
-/// back from there.
+/// Asserts that the record is stored as `expected`, in which `FIVE` stands for five CPUs, with the key `path`,
+/// and that it is read back unchanged.
 fn assert_stored(key: RecordKey, record: Record, path: &str, expected: &str) {
     assert_eq!(key.path(), path, "key of {record:?}");
     let expected = expected.replace("FIVE", r#"{"cpus":5000000,"gpus":0}"#);
@@ -134,7 +134,7 @@
 }
 
 #[test]
-fn keys_of_any_name_are_valid_and_parsed_back() {
+fn keys_with_any_name_are_valid_and_parsed_back() {
     for name in ["vision", "Großer Bär/1", "a b", "%", "ends."] {
         let id = AdmissionId {
             team: TeamName::new(name),
@@ -158,7 +158,7 @@
 }
 
 #[test]
-fn foreign_keys_are_no_record_keys() {
+fn keys_of_other_packages_are_not_parsed() {
     let cases = [
         "quota/open/a/b",
         "quota/open/a/b/c/d",
@@ -210,9 +210,10 @@
     assert_eq!(read, record);
 }
 
-/// No version writes ranges that are empty or reach beyond the last number.
+/// Empty ranges, and ranges beyond the largest sequence number, don't make a record unreadable. No version writes
+/// them.
 #[test]
-fn malformed_ranges_are_cut_to_what_there_is() {
+fn malformed_ranges_are_ignored_or_cut_off() {
     let stored = r#"{"numbers":[[5,0],[4294967290,900]],"released":{"cpus":0,"gpus":0}}"#;
     let read: CompletedRecord = serde_json::from_str(stored).expect("a stored form");
     assert_eq!(read.sequences.len(), 6, "{read:?}");
--- a/crates/quota/tests/resources.rs
+++ b/crates/quota/tests/resources.rs
@@ -11,25 +11,25 @@
 }
 
 #[test]
-fn needs_are_rounded_up_and_limits_down() {
+fn usage_is_rounded_up_and_limits_are_rounded_down() {
     let third = 1.0 / 3.0;
-    let (needed, allowed) = (
+    let (usage, limit) = (
         Amount::from_decimal_rounded_up(third),
         Amount::from_decimal_rounded_down(third),
     );
-    assert!(needed > allowed, "{needed} needed, {allowed} allowed");
+    assert!(usage > limit, "usage {usage}, limit {limit}");
     assert_eq!(Amount::from_decimal_rounded_up(f64::NAN), Amount::ZERO);
 }
 
 #[test]
 fn a_limit_setting_of_zero_is_unlimited() {
     assert_eq!(Amount::from_limit_setting(0.0), Amount::UNLIMITED);
-    let rest = Amount::UNLIMITED.saturating_sub(Amount::from_whole(5));
-    assert_eq!(rest, Amount::UNLIMITED);
+    let remaining = Amount::UNLIMITED.saturating_sub(Amount::from_whole(5));
+    assert_eq!(remaining, Amount::UNLIMITED);
 }
 
 #[test]
-fn decimals_are_shown_without_trailing_zeros() {
-    let shown = ResourceVector::rounded_up(0.25, 1.5).to_string();
-    assert_eq!(shown, "0.25 CPUs, 1.5 GPUs");
+fn decimals_are_formatted_without_trailing_zeros() {
+    let text = ResourceVector::rounded_up(0.25, 1.5).to_string();
+    assert_eq!(text, "0.25 CPUs, 1.5 GPUs");
 }
--- a/crates/quota/tests/support/checks.rs
+++ b/crates/quota/tests/support/checks.rs
@@ -1,4 +1,4 @@
-//! What has to hold in a cluster.
+//! Invariants of a cluster, and assertions on it.
 
 use std::collections::BTreeMap;
 
@@ -7,7 +7,7 @@
 use super::{client_name, team, Cluster};
 
 impl Cluster {
-    /// Fails the test with all that happened.
+    /// Fails the test, and prints the state of all clients, the records and the trace.
     pub(crate) fn fail(&self, message: &str) -> ! {
         let ledger = self.ledger();
         for client in &self.clients {
@@ -20,10 +20,10 @@
         panic!("{message}\n{}", self.trace.join("\n"));
     }
 
-    /// Audits the store as it stands.
+    /// Audits the current records in the store.
     pub(super) fn audit_store(&self) {
         let mut found = self.ledger().audit();
-        if self.excess_is_allowed {
+        if self.is_excess_allowed {
             found.retain(|discrepancy| {
                 !matches!(
                     discrepancy,
@@ -35,7 +35,7 @@
         assert!(found.is_empty(), "{found:#?}\n{}", self.trace.join("\n"));
     }
 
-    /// Checks an event and takes it in: work starts once, and only with a charge to that client.
+    /// Checks an event and records it: work must start only once, and only with a charge by that client.
     pub(super) fn on_event(&mut self, client: usize, event: &QuotaEvent) {
         match event {
             QuotaEvent::Admitted(id) => {
@@ -81,32 +81,33 @@
         admitted.count()
     }
 
-    /// The team's charges add up to that many CPUs.
+    /// Asserts that the team's charges add up to that many CPUs.
     pub(crate) fn assert_used(&self, name: &str, cpus: u64) {
         let used = self.ledger().used(&team(name));
         let expected = ResourceVector::from_cpus(cpus);
         assert_eq!(used, expected, "used by team {name}");
     }
 
-    /// A client's charges to the team add up to that many CPUs.
+    /// Asserts that a client's charges to the team add up to that many CPUs.
     pub(crate) fn assert_charged(&self, name: &str, client: usize, cpus: u64) {
         let charged = self.ledger().charged(&team(name), &client_name(client));
         let expected = ResourceVector::from_cpus(cpus);
         assert_eq!(charged, expected, "charged to team {name} by {client}");
     }
 
-    /// All totals agree, and all limits and guarantees hold.
+    /// Asserts that all totals agree, and that all limits and guarantees hold.
     pub(crate) fn assert_consistent(&self) {
         assert_eq!(self.ledger().audit(), []);
     }
 
-    /// That many admissions run.
+    /// Asserts that this many admissions are running.
     pub(crate) fn assert_running_count(&self, expected: usize) {
         let count = self.running.len();
         assert_eq!(count, expected, "running: {:?}", self.running);
     }
 
-    /// Every request was answered, nothing is charged, and each admission that ran is completed once.
+    /// Asserts that every request was answered, that nothing is charged any more, and that each admission that ran
+    /// is completed once.
     pub(super) fn assert_all_completed(&self, requests: &BTreeMap<AdmissionId, AdmissionRequest>) {
         let ledger = self.ledger();
         if !ledger.charges.is_empty() {
@@ -116,7 +117,7 @@
         for id in &self.started {
             let completed = ledger.completed.get(&id.requester_id());
             if !completed.is_some_and(|record| record.sequences.contains(id.sequence)) {
-                self.fail(&format!("{id} ran and is not completed"));
+                self.fail(&format!("{id} ran but is not completed"));
             }
             released += requests[id].usage;
         }
--- a/crates/quota/tests/support/cluster.rs
+++ b/crates/quota/tests/support/cluster.rs
@@ -1,4 +1,4 @@
-//! Clients that are driven one by one, so that each can stand still at any moment.
+//! Clients that are driven one at a time, so that each of them can be paused at any step.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -10,30 +10,30 @@
 
 use super::{admission_request, client_config, service_limits, team};
 
-/// Rounds after which all that can happen has happened.
+/// Number of rounds after which the clients are assumed to have nothing left to do.
 const ROUNDS_UNTIL_QUIET: usize = 600;
-/// Time of a round in which a client had something to do, in milliseconds.
+/// Duration of a round in which a client had something to do.
 const BUSY_ROUND_MS: u64 = 1;
-/// Time of a round in which no client had anything to do, in milliseconds.
+/// Duration of a round in which no client had anything to do.
 const IDLE_ROUND_MS: u64 = 20;
-/// Requests within which a client that has one to charge sends the charge.
+/// Maximum number of requests until a client with a chargeable request sends the charge.
 const MAX_REQUESTS_BEFORE_CHARGE: usize = 50;
 
-/// What is under way between a client and the store.
+/// A message in flight between a client and the store.
 enum InTransit {
-    /// The request was sent and has not reached the store.
+    /// A request that was sent but has not reached the store.
     Request(Request),
-    /// The store has answered, and the client has not received the outcome.
+    /// An outcome that the client has not received yet.
     Outcome(Outcome),
 }
 
-/// A request of a process that has ended, which may yet reach the store.
+/// A request of a process that has ended, which may still reach the store.
 struct DelayedRequest {
     client: usize,
     request: Request,
 }
 
-/// Clients by number, each with a connection of its own to the shared store.
+/// Clients by number, each with its own connection to the shared store.
 pub(crate) struct Cluster {
     pub(crate) shared: SharedStore,
     pub(crate) stores: Vec<FaultyStore>,
@@ -41,7 +41,7 @@
     in_transit: Vec<Option<InTransit>>,
     delayed_requests: VecDeque<DelayedRequest>,
     pub(crate) now: Time,
-    /// Work that has started and not ended.
+    /// Work that has started and has not ended.
     pub(crate) running: BTreeSet<AdmissionId>,
     /// Work that has ever started.
     pub(super) started: BTreeSet<AdmissionId>,
@@ -49,14 +49,14 @@
     pub(crate) answers: BTreeMap<AdmissionId, Vec<QuotaEvent>>,
     /// All events and the clients that reported them.
     pub(crate) events: Vec<(usize, QuotaEvent)>,
-    /// Whether limits and guarantees may be exceeded, as by work from before a change of policy.
-    pub(crate) excess_is_allowed: bool,
-    /// What happened, for the message of a failed test.
+    /// Whether limits and guarantees may be exceeded, for example by work from before a policy change.
+    pub(crate) is_excess_allowed: bool,
+    /// The steps and events so far, for the message of a failed test.
     pub(crate) trace: Vec<String>,
 }
 
 impl Cluster {
-    /// Clients that have nothing to do, over a store that holds the policy.
+    /// Creates idle clients, with a store that contains the policy.
     pub(crate) fn new(client_count: usize, policy: QuotaPolicy) -> Cluster {
         let shared = SharedStore::new(service_limits());
         let clients = (0..client_count).map(|n| QuotaClient::new(client_config(n, client_count)));
@@ -71,7 +71,7 @@
             started: BTreeSet::new(),
             answers: BTreeMap::new(),
             events: Vec::new(),
-            excess_is_allowed: false,
+            is_excess_allowed: false,
             trace: Vec::new(),
         };
         cluster.clients[0].set_policy(policy);
@@ -80,7 +80,7 @@
         cluster
     }
 
-    /// All records as the store has them.
+    /// All records in the store.
     pub(crate) fn ledger(&self) -> Ledger {
         let mut ledger = Ledger::default();
         self.shared.inspect(|service| {
@@ -97,12 +97,12 @@
 
     // ---- one client
 
-    /// Requests an admission of that many CPUs at a client.
+    /// Requests an admission of that many CPUs from a client.
     pub(crate) fn request(&mut self, client: usize, id: &AdmissionId, cpus: f64) {
         self.clients[client].request(admission_request(id, cpus));
     }
 
-    /// Lets a client send its next request, which does not reach the store yet. Returns whether it did.
+    /// Lets a client send its next request, which does not reach the store yet. Returns whether the client sent one.
     pub(crate) fn send(&mut self, client: usize) -> bool {
         if self.in_transit[client].is_some() {
             return false;
@@ -114,7 +114,7 @@
         is_sent
     }
 
-    /// Lets a client go on until it has sent a charge, which does not reach the store yet.
+    /// Lets a client run until it has sent a charge, which does not reach the store yet.
     pub(crate) fn send_until_charge(&mut self, client: usize) {
         for _ in 0..MAX_REQUESTS_BEFORE_CHARGE {
             self.send(client);
@@ -127,7 +127,7 @@
             self.deliver_request(client);
             self.deliver_outcome(client);
         }
-        self.fail("no charge is sent");
+        self.fail("the client sent no charge");
     }
 
     /// Lets the request of a client reach the store.
@@ -142,7 +142,7 @@
         }
     }
 
-    /// Lets the outcome of its request reach a client.
+    /// Lets the outcome of a client's request reach the client.
     pub(crate) fn deliver_outcome(&mut self, client: usize) {
         match self.in_transit[client].take() {
             Some(InTransit::Outcome(outcome)) => {
@@ -153,8 +153,8 @@
         }
     }
 
-    /// Carries out the next request of a client, or the rest of the one that is under way. Returns
-    /// whether there was one.
+    /// Executes the next request of a client, or completes the one that is in flight. Returns whether there
+    /// was one.
     pub(crate) fn step(&mut self, client: usize) -> bool {
         let is_busy = self.send(client) || self.in_transit[client].is_some();
         self.deliver_request(client);
@@ -162,7 +162,7 @@
         is_busy
     }
 
-    /// Ends the process of a client. Another one of the same name, which knows nothing, takes its place.
+    /// Replaces the process of a client by a new one of the same name, which has no state.
     pub(crate) fn restart(&mut self, client: usize) {
         if let Some(InTransit::Request(request)) = self.in_transit[client].take() {
             self.delayed_requests
@@ -193,30 +193,30 @@
 
     // ---- all clients
 
-    /// Ends work, if it runs, and tells a client so.
-    pub(crate) fn finish_work(&mut self, id: &AdmissionId, told_client: usize) {
+    /// Ends work, if it is running, and releases it at a client.
+    pub(crate) fn finish_work(&mut self, id: &AdmissionId, notified_client: usize) {
         if self.running.remove(id) {
-            self.clients[told_client].release(id.clone());
+            self.clients[notified_client].release(id.clone());
         }
     }
 
-    /// Lets time pass.
-    pub(crate) fn advance(&mut self, ms: u64) {
-        self.now = Time(self.now.0 + ms);
-        self.shared.advance(ms);
+    /// Advances the clock.
+    pub(crate) fn advance(&mut self, elapsed_ms: u64) {
+        self.now = Time(self.now.0 + elapsed_ms);
+        self.shared.advance(elapsed_ms);
     }
 
-    /// Lets these clients take turns, one request each, with `ms` milliseconds to a round.
-    pub(crate) fn run(&mut self, clients: &[usize], rounds: usize, ms: u64) {
+    /// Lets these clients take turns, with one request each per round of `round_ms` milliseconds.
+    pub(crate) fn run(&mut self, clients: &[usize], rounds: usize, round_ms: u64) {
         for _ in 0..rounds {
             for client in clients {
                 self.step(*client);
             }
-            self.advance(ms);
+            self.advance(round_ms);
         }
     }
 
-    /// Lets all clients take turns for so long that all that can happen has happened.
+    /// Lets all clients take turns for a number of rounds after which they should have nothing left to do.
     pub(crate) fn run_until_quiet(&mut self) {
         for _ in 0..ROUNDS_UNTIL_QUIET {
             let mut is_busy = false;
@@ -231,7 +231,7 @@
         }
     }
 
-    /// Ends all work and lets every request be answered; then checks that every admission is completed.
+    /// Ends all work until every request is answered, then asserts that every admission is completed.
     pub(crate) fn finish_everything(
         &mut self,
         requests: &BTreeMap<AdmissionId, AdmissionRequest>,
@@ -271,8 +271,8 @@
         self.assert_all_completed(requests);
     }
 
-    /// The client that was told of an end may have ended itself, so another one is told as well, until
-    /// the charge is gone.
+    /// Releases ended work at client 0 again while it is still charged, because the client that was told of the
+    /// end may have been restarted since.
     fn repeat_releases(&mut self) {
         let charged = self.ledger().charges.into_keys();
         let ended = charged.filter(|id| self.started.contains(id) && !self.running.contains(id));
--- a/crates/quota/tests/support/mod.rs
+++ b/crates/quota/tests/support/mod.rs
@@ -1,6 +1,6 @@
-//! Several quota clients over one store in memory, which is audited after every revision.
+//! Several quota clients with a shared in-memory store, which is audited after every revision.
 
-#![allow(dead_code, reason = "each test file uses its part")]
+#![allow(dead_code, reason = "each test file uses only a part of this module")]
 
 mod checks;
 mod cluster;
@@ -41,10 +41,10 @@
     ClientName::new(&format!("controller-{number}"))
 }
 
-/// The admission of a team's user with that number.
-pub(crate) fn admission_id(of: &str, user: usize, sequence: u32) -> AdmissionId {
+/// The id of an admission that a user, given by number, requests for a team.
+pub(crate) fn admission_id(team_name: &str, user: usize, sequence: u32) -> AdmissionId {
     AdmissionId {
-        team: team(of),
+        team: team(team_name),
         requester: RequesterName::new(&format!("user-{user}")),
         sequence,
     }
@@ -69,9 +69,9 @@
     }
 }
 
-/// A policy of `capacity` CPUs, unlimited if `None`, and of teams by name, guaranteed CPUs and limit of
-/// CPUs, where a limit of 0 is none.
-pub(crate) fn policy(capacity: Option<u64>, teams: &[(&str, u64, u64)]) -> QuotaPolicy {
+/// A policy with a capacity of `capacity_cpus`, unlimited if `None`. Each team is given by its name, its guarantee and
+/// its limit, both in CPUs; a limit of 0 means no limit.
+pub(crate) fn policy(capacity_cpus: Option<u64>, teams: &[(&str, u64, u64)]) -> QuotaPolicy {
     let teams = teams.iter().map(|(name, guarantee, limit)| {
         let policy = TeamPolicy {
             guarantee: ResourceVector::from_cpus(*guarantee),
@@ -80,7 +80,7 @@
         (team(name), policy)
     });
     QuotaPolicy {
-        capacity: capacity.map_or(ResourceVector::UNLIMITED, |cpus| ResourceVector {
+        capacity: capacity_cpus.map_or(ResourceVector::UNLIMITED, |cpus| ResourceVector {
             gpus: ResourceVector::UNLIMITED.gpus,
             ..ResourceVector::from_cpus(cpus)
         }),
