--- a/crates/quota/src/client/mod.rs
+++ b/crates/quota/src/client/mod.rs
@@ -54,7 +54,7 @@
 #[derive(Debug)]
 pub struct QuotaClient {
     config: ClientConfig,
-    /// The latest time that the caller has passed.
+    /// The latest time that was passed to [`QuotaClient::poll`] or [`QuotaClient::on_outcome`].
     now: Time,
     cache: RecordCache,
     pending_operation: PendingOperation,
--- a/crates/quota/src/client/record_cache.rs
+++ b/crates/quota/src/client/record_cache.rs
@@ -72,7 +72,7 @@
         })
     }
 
-    /// Looks up a record and extracts its type by `as_type`.
+    /// Looks up a record and converts it to its type by `as_type`.
     fn find<T>(
         &self,
         key: RecordKey,
--- a/crates/quota/src/leader/snapshot.rs
+++ b/crates/quota/src/leader/snapshot.rs
@@ -34,7 +34,7 @@
         }
     }
 
-    /// Adds or replaces a record. Charges, completed admissions and allowances of other clients are ignored.
+    /// Adds or replaces a record. Allowances of other clients, charges and completed admissions are ignored.
     pub(super) fn insert(&mut self, key: RecordKey, version: Version, record: Record) {
         match (key, record) {
             (RecordKey::Pool, Record::Pool(record)) => self.pool = Versioned { version, record },
--- a/crates/quota/src/preemption.rs
+++ b/crates/quota/src/preemption.rs
@@ -76,8 +76,8 @@
 }
 
 /// Selects work to stop so that at least `shortage` becomes free. Only work beyond its team's guarantee is
-/// selected, lowest priority first, and of the same priority lowest preemption cost first. `None` if all borrowed work
-/// together does not suffice, because stopping a part of it would help nobody.
+/// selected, lowest priority first, and within a priority lowest preemption cost first. `None` if all
+/// borrowed work together does not suffice, because stopping a part of it would help nobody.
 pub fn select_victims<Id: Clone + Ord>(
     shortage: ResourceVector,
     teams: &BTreeMap<TeamName, TeamUsage>,
--- a/crates/quota/src/records/mod.rs
+++ b/crates/quota/src/records/mod.rs
@@ -46,7 +46,7 @@
     pub unmet_demands: Vec<ClientDemand>,
 }
 
-/// A team that waits to borrow more than is uncommitted now.
+/// A team that waits to borrow more than the uncommitted part of the capacity.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct TeamDemand {
     /// The team that waits.
--- a/crates/quota/tests/leader_allowances.rs
+++ b/crates/quota/tests/leader_allowances.rs
@@ -161,7 +161,8 @@
     cluster.request(1, &admission_id("vision", 2, 1), 1.0);
     cluster.run_until_quiet();
     cluster.assert_running_count(1);
-    // As allocations end, the leader's allowance shrinks to the usage that is left.
+    // As allocations end, the leader's allowance shrinks to the rest of the limit, less the demand of the
+    // waiting client.
     leader.set_workload("vision", 11, 0);
     leader.synchronize(&mut store);
     assert_eq!(leader.granted("vision"), ResourceVector::from_cpus(11));
