--- a/tests/simulated/script/parser.rs
+++ b/tests/simulated/script/parser.rs
@@ -1,4 +1,5 @@
-//! Reads scripts. Their words are known here and in the parser of commands, and nowhere else.
+//! Parses scenario files, except for their commands. Only this module and [`super::command_parser`] know the
+//! words of scenario files.
 
 use super::command_parser::command;
 use super::error::{unknown_word, Problem, ScriptError};
@@ -6,20 +7,20 @@
 use super::{Expectation, ScheduledCommand, Script};
 use crate::simulated::clock::SimTime;
 use crate::simulated::deployment::{
-    Deployment, InitialMachines, LoweredStoreLimits, Team, MACHINE_TYPE,
+    Deployment, InitialHosts, LoweredStoreLimits, Team, MACHINE_TYPE,
 };
 use crate::simulated::history::Mark;
 
-/// The team of jobs that name none. It is there, without a limit, if a script lists no teams.
+/// The team of jobs without a `team` argument. It exists, without a limit, if a script lists no teams.
 pub(super) const DEFAULT_TEAM: &str = "t1";
 const DEFAULT_NEXT_TRANSACTION_OPERATIONS: usize = 5;
 const DEFAULT_NEXT_WRITES_PER_SECOND: f64 = 20.0;
 
 impl Script {
-    /// Reads a script.
+    /// Parses the text of a scenario file.
     ///
     /// # Errors
-    /// The first line that has no meaning.
+    /// Returns the first line that is not valid.
     pub fn parse(text: &str) -> Result<Script, ScriptError> {
         let mut script = Script {
             deployment: Deployment::default(),
@@ -33,11 +34,11 @@
             let Some(line) = Line::parse(line) else {
                 continue;
             };
-            let in_line = |problem| ScriptError {
+            let error_in_line = |problem| ScriptError {
                 line_number: index + 1,
                 problem,
             };
-            script.add_statement(&line).map_err(in_line)?;
+            script.add_statement(&line).map_err(error_in_line)?;
         }
         if script.deployment.teams.is_empty() {
             script.deployment.teams.push(Team {
@@ -54,7 +55,7 @@
             "team" => self.deployment.teams.push(team(line)?),
             "quota" => self.enable_quota(line)?,
             "zones" => self.enable_zone_tracking(),
-            "machines" => self.deployment.initial_machines.push(machines(line)?),
+            "machines" => self.deployment.initial_hosts.push(machines(line)?),
             "calm" => self.faults_end_at = time_at(line, 1)?,
             "end" => self.end_at = time_at(line, 1)?,
             "never" => {
@@ -91,7 +92,7 @@
         let interval = line.duration_at(4)?;
         let command = command(&line.without(5))?;
         let repeated = (0..count).map(|number| ScheduledCommand {
-            at: first + interval * number,
+            not_before: first + interval * number,
             command: command.clone(),
         });
         self.commands.extend(repeated);
@@ -112,8 +113,8 @@
     let durations = [
         ("report", &mut deployment.heartbeat_interval),
         ("lease", &mut deployment.worker_lease),
-        ("cancel", &mut deployment.cancellation_deadline),
-        ("lag", &mut deployment.machine_list_lag),
+        ("cancel", &mut deployment.cancellation_timeout),
+        ("lag", &mut deployment.host_list_lag),
         ("boot", &mut deployment.boot_time),
     ];
     for (key, duration) in durations {
@@ -131,7 +132,7 @@
     let counts = [
         ("nodes", &mut deployment.controller_count),
         ("txn_ops", &mut limits.transaction_operations),
-        ("market", &mut deployment.rentable_machines),
+        ("market", &mut deployment.host_capacity),
     ];
     for (key, count) in counts {
         *count = line
@@ -170,12 +171,12 @@
 }
 
 /// `machines COUNT TYPE ZONE`
-fn machines(line: &Line) -> Result<InitialMachines, Problem> {
+fn machines(line: &Line) -> Result<InitialHosts, Problem> {
     let machine_type = line.argument(2)?;
     if machine_type != MACHINE_TYPE.name {
         return Err(unknown_word("machine type", machine_type));
     }
-    Ok(InitialMachines {
+    Ok(InitialHosts {
         count: line.number_at(1)? as usize,
         zone: line.argument(3)?.to_owned(),
     })
@@ -183,20 +184,20 @@
 
 /// `expect MARK COUNT [from T] [to T]`
 fn at_least(line: &Line) -> Result<Expectation, Problem> {
-    let from = line.duration_of("from")?;
-    let to = line.duration_of("to")?;
+    let start = line.duration_of("from")?;
+    let end = line.duration_of("to")?;
     Ok(Expectation::AtLeast {
         mark: mark(line.argument(1)?)?,
         count: line.number_at(2)? as usize,
-        from: from.map_or(SimTime::START, |from| SimTime::START + from),
-        to: to.map_or(SimTime::MAX, |to| SimTime::START + to),
+        range_start: start.map_or(SimTime::START, |start| SimTime::START + start),
+        range_end: end.map_or(SimTime::MAX, |end| SimTime::START + end),
     })
 }
 
 /// `at T COMMAND…` and `takeover-after T COMMAND…`
 fn scheduled_command(line: &Line) -> Result<ScheduledCommand, Problem> {
     Ok(ScheduledCommand {
-        at: time_at(line, 1)?,
+        not_before: time_at(line, 1)?,
         command: command(&line.without(2))?,
     })
 }
