--- a/src/coordination/failure_detection/hosts.rs
+++ b/src/coordination/failure_detection/hosts.rs
@@ -14,7 +14,7 @@
 
 /// A host whose announced reclaim time has passed is lost if no heartbeat has followed within this time.
 const RECLAIM_GRACE: Duration = Duration::from_millis(500);
-/// A host that still holds a cancelled task after this share of the cancellation time limit is released by force.
+/// A host that still holds a cancelled task after this share of the cancellation timeout is released by force.
 const FORCED_RELEASE_CANCEL_SHARE: f64 = 0.62;
 /// Time after which the cloud is asked again for a forced release.
 const FORCED_RELEASE_RETRY_INTERVAL: Duration = Duration::from_secs(2);
@@ -96,8 +96,9 @@
         last_seen_at.is_some_and(|at| now.since(*at) < settling_time)
     }
 
-    /// How long a host may be silent before it counts as unresponsive. An outage of a service's replica is noticed at
-    /// once, so a host with replicas gets no more time than the longest delay of a healthy worker's heartbeat.
+    /// How long a host may be silent before it is marked as unresponsive and, unless its zone is unreachable or
+    /// unhealthy, declared lost. An outage of a service's replica is noticed at once, so a host with replicas gets no
+    /// more time than the longest delay of a healthy worker's heartbeat.
     fn max_silence(&self, host: &Host) -> Duration {
         let default_limit = self.policy.heartbeat_timeout();
         if self.holds_replicas(host) {
@@ -197,8 +198,8 @@
         is_boot_overdue || is_listed_long_enough
     }
 
-    /// Whether a task of a cancelled job has not stopped within its share of the cancellation time limit, which is
-    /// smaller if the host does not respond.
+    /// Whether a task of a cancelled job has not stopped within a share of the cancellation timeout, which is smaller
+    /// if the host does not respond.
     fn holds_overdue_cancelled_task(&self, host: &Host, now: Time) -> bool {
         let is_responsive = now.since(host.last_heartbeat_at) <= self.policy.heartbeat_interval * 2
             && host.reachability == Reachability::Confirmed;
@@ -286,7 +287,7 @@
         }
     }
 
-    /// Releases hosts on which a cancelled task has almost reached the cancellation time limit. This does not depend on
+    /// Releases hosts on which a cancelled task has almost reached the cancellation timeout. This does not depend on
     /// the leader's lease: during an outage of the store no other controller could do it.
     fn force_overdue_releases(&mut self, now: Time) {
         let max_cancel_time = self
