--- a/src/coordination/scheduling/ranking.rs
+++ b/src/coordination/scheduling/ranking.rs
@@ -12,10 +12,10 @@
 /// At most this many jobs count as starving in one pass, and so go before all others.
 const MAX_STARVING_JOBS: usize = 8;
 
-/// A job's place in the queue; the smallest is served first. Compared in the order of the fields: starving jobs go first
-/// whatever their priority; jobs within their team's guarantee go before those that borrow capacity; then the higher
-/// priority; then jobs that do not yield as late; then the earlier deadline, the smaller remaining work and the earlier
-/// arrival.
+/// A job's place in the queue; the smallest is served first. Compared in the order of the fields: starving jobs go
+/// first whatever their priority, so that no job waits forever; jobs within their team's guarantee go before those that
+/// borrow capacity; then the higher priority; then jobs that do not yield as late; then the earlier deadline, the
+/// smaller remaining work and the earlier arrival.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct JobRank {
     /// False for a starving job: it has waited for `starve_after_s` of the tuning, and none of its tasks is allocated or
