--- a/src/coordination/leader/mod.rs
+++ b/src/coordination/leader/mod.rs
@@ -38,7 +38,7 @@
         /// When this phase ends at the latest.
         until: Time,
     },
-    /// The view is complete: tasks are placed on all hosts.
+    /// The view is complete: tasks are placed on all hosts that accept them, and hosts may be declared lost.
     Scheduling,
 }
 
--- a/src/coordination/leader/status.rs
+++ b/src/coordination/leader/status.rs
@@ -21,7 +21,7 @@
 }
 
 impl WorkerReach {
-    /// Whether more than half of the hosts are unreachable.
+    /// Whether more than half of the hosts are unreachable. Fewer than three hosts are too few to tell.
     pub fn is_partitioned(&self) -> bool {
         self.known_hosts >= 3 && self.reachable_hosts * 2 < self.known_hosts
     }
