--- a/src/coordination/cluster/allocation.rs
+++ b/src/coordination/cluster/allocation.rs
@@ -23,7 +23,7 @@
     Cancelled,
     /// The task has to leave its host, for example before the host is reclaimed.
     Drained,
-    /// A job of higher priority needs the resources.
+    /// A job of higher priority needs the resources, or a job that is within the guarantee of its team.
     Preempted,
 }
 
--- a/src/coordination/cluster/host.rs
+++ b/src/coordination/cluster/host.rs
@@ -33,7 +33,8 @@
     Reclaimed,
     /// Tasks fail on it that succeed elsewhere.
     Faulty,
-    /// It was declared lost: it sent no heartbeat for too long, or never came up.
+    /// It was declared lost: it sent no heartbeat for too long, never came up, is reported as failed by the cloud, or
+    /// still holds a cancelled task that should have stopped.
     Lost,
 }
 
--- a/src/coordination/cluster/job/failures.rs
+++ b/src/coordination/cluster/job/failures.rs
@@ -7,7 +7,8 @@
 
 /// A replica that has run for this long counts as stable: it does not fail at its start.
 pub const REPLICA_STABLE_AFTER: Duration = Duration::from_secs(20);
-/// Backoff after a replica ended before it was stable. It doubles with each further such replica.
+/// Backoff after a replica ended before it was stable. It doubles with each count of [`Job::failure_count`] after the
+/// first.
 const INITIAL_REPLICA_BACKOFF: Duration = Duration::from_millis(250);
 /// Maximum number of doublings of the backoff after replicas ended.
 const MAX_REPLICA_BACKOFF_DOUBLINGS: u32 = 7;
--- a/src/coordination/cluster/job/mod.rs
+++ b/src/coordination/cluster/job/mod.rs
@@ -79,7 +79,8 @@
 
     /// None of its tasks is placed before this time, as an earlier one failed or was refused.
     pub retry_not_before: Time,
-    /// How many of its tasks failed; of a service, how many replicas since one last ran for long.
+    /// Count of the failures of its tasks. For a service it restarts at 0 when a replica ends that ran for long; a
+    /// replica that failed sooner counts twice, one that completed sooner once.
     pub failure_count: u32,
     /// Hosts on which a task of it failed.
     pub failed_hosts: BTreeSet<HostName>,
--- a/src/coordination/cluster/persistence.rs
+++ b/src/coordination/cluster/persistence.rs
@@ -110,7 +110,7 @@
         if written.is_empty() {
             return hosts_to_command;
         }
-        // Scheduling pauses while too many records wait to be written.
+        // Tasks may have been left waiting because too many records were queued for writing.
         self.request_scheduling();
         for id in written {
             self.check_completion(id.job, now);
--- a/src/coordination/cluster/record_writer/mod.rs
+++ b/src/coordination/cluster/record_writer/mod.rs
@@ -36,7 +36,7 @@
 pub(crate) enum CommitResult {
     /// The batch was committed, and with it these run records.
     Committed(Vec<RunRecordId>),
-    /// Conditions of the transaction failed, so nothing was written.
+    /// Conditions of the transaction failed: this request wrote nothing.
     Conflict {
         /// Jobs whose records were deleted, as they were cancelled.
         cancelled: Vec<JobId>,
