--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -7,7 +7,7 @@
 //! | [`leader`] | the leader of one term: passes events to the components below and collects their actions |
 //! | [`cluster`] | hosts, jobs, allocations and the records still to be written; the only module that changes them |
 //! | `scheduling` | the queue order, eligibility, scores, placement and preemption |
-//! | `autoscaling` | the demand forecast, the capacity pools, scale-out, scale-in and warm spares |
+//! | `autoscaling` | the demand forecast, the capacity pools, scale-out, scale-in and standby capacity |
 //! | `failure_detection` | hosts that missed heartbeats and partitioned or lost zones |
 //! | `dispatch` | the limits on commands and probes in flight to workers |
 //! | `quota` | how much each team may use: its limit or, with the `quota` feature, the leader's allowance |
--- a/src/storage/store.rs
+++ b/src/storage/store.rs
@@ -80,8 +80,8 @@
 const SPARE_BUDGET_FRACTION: f64 = 0.5;
 
 impl StoreClient {
-    /// A client without requests. `requests_per_s` and `changes_per_s` are this node's shares of the rate limits, in requests and
-    /// changes a second.
+    /// A client without requests. `requests_per_s` and `changes_per_s` are this node's shares of the rate limits, in
+    /// requests and changes a second.
     pub fn new(requests_per_s: f64, changes_per_s: f64) -> StoreClient {
         StoreClient {
             last_id: 0,
