--- a/tests/upgrade/tests/rollout.rs
+++ b/tests/upgrade/tests/rollout.rs
@@ -60,7 +60,7 @@
                     timeout: Duration,
                 ) -> earlier::CallId {
                     earlier::CallId(self.0.send_call(&CallParameters {
-                        server: to: server,
+                        server,
                         method,
                         target,
                         body,
