--- a/tests/simulated/checker/execution.rs
+++ b/tests/simulated/checker/execution.rs
@@ -45,8 +45,9 @@
     let in_same_zone = zones.iter().filter(|zone| **zone == record.zone).count();
     let is_wrong_zone = spec.zone.as_ref().is_some_and(|zone| *zone != record.zone);
     let is_unwanted_spot = record.is_spot && !spec.allows_spot;
-    let is_in_other_zones = spec.single_zone && in_same_zone < zones.len();
-    let is_crowded = spec.spread_over_zones && in_same_zone > max_tasks_per_zone(spec.task_count);
+    let is_in_other_zones = spec.requires_single_zone && in_same_zone < zones.len();
+    let is_crowded =
+        spec.requires_zone_spread && in_same_zone > max_tasks_per_zone(spec.task_count);
     let is_wrong = is_wrong_zone || is_unwanted_spot || is_in_other_zones || is_crowded;
     is_wrong.then(|| {
         format!(
--- a/tests/simulated/checker/liveness.rs
+++ b/tests/simulated/checker/liveness.rs
@@ -110,8 +110,8 @@
         host.free_cpus() >= spec.cpus_per_task
             && (spec.allows_spot || !host.is_spot)
             && spec.zone.as_ref().is_none_or(|zone| *zone == host.zone)
-            && !(spec.single_zone && in_same_zone < zones.len())
-            && !(spec.spread_over_zones && in_same_zone >= max_tasks_per_zone(spec.task_count))
+            && !(spec.requires_single_zone && in_same_zone < zones.len())
+            && !(spec.requires_zone_spread && in_same_zone >= max_tasks_per_zone(spec.task_count))
     };
     view.hosts().any(can_run_on)
 }
--- a/tests/simulated/checker/observation.rs
+++ b/tests/simulated/checker/observation.rs
@@ -17,9 +17,9 @@
     /// The only zone in which the tasks may run; `None` if all zones are allowed.
     pub zone: Option<String>,
     /// All tasks have to run in one zone, whichever that is.
-    pub single_zone: bool,
+    pub requires_single_zone: bool,
     /// At most half of the tasks, rounded up, may run in one zone.
-    pub spread_over_zones: bool,
+    pub requires_zone_spread: bool,
     /// The tasks may run on spot hosts.
     pub allows_spot: bool,
     /// The tasks are replicas, which run until the job is cancelled: the job is never done.
@@ -109,7 +109,7 @@
         host: String,
         /// The zone of the host.
         zone: String,
-        /// Whether this is a spot host, which the cloud may preempt.
+        /// Whether this is a spot host, which the cloud may reclaim.
         is_spot: bool,
         /// CPUs for tasks.
         cpus: f64,
--- a/tests/simulated/event_queue.rs
+++ b/tests/simulated/event_queue.rs
@@ -42,7 +42,7 @@
         call: CallHandle,
         /// The request.
         request: OutgoingCall,
-        /// Whether the answer reaches the caller.
+        /// Whether the response reaches the caller.
         delivery: Delivery,
     },
     /// A call arrives at the cloud.
--- a/tests/simulated/faults.rs
+++ b/tests/simulated/faults.rs
@@ -25,10 +25,10 @@
     }
 }
 
-/// A fault that affects some messages, chosen at random, while it lasts. The default is a fault that is over.
+/// A fault that affects some messages or jobs, chosen at random, while it lasts. The default is a fault that is over.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RandomFault {
-    /// The probability that it affects a message.
+    /// The probability with which it affects each message or job.
     pub probability: f64,
     /// How long the fault lasts.
     pub window: FaultWindow,
--- a/tests/simulated/fleet/messages.rs
+++ b/tests/simulated/fleet/messages.rs
@@ -5,7 +5,7 @@
 use lichencrank::transport::{ListenerKind, Request, Response};
 use lichencrank_testkit::values::text;
 
-use super::{scaled, Fleet, Surroundings};
+use super::{scaled, Fleet, FleetEnvironment};
 use crate::simulated::checker::Observation;
 use crate::simulated::deployment::MACHINE_TYPE;
 use crate::simulated::event_queue::Event;
@@ -23,16 +23,16 @@
 
 impl Fleet {
     /// Advances all hosts to the current time.
-    pub fn advance(&mut self, surroundings: &mut Surroundings) {
-        let now = surroundings.context.now();
+    pub fn advance(&mut self, environment: &mut FleetEnvironment) {
+        let now = environment.context.now();
         for host in self.host_names() {
             if self.workers[&host].is_reclaimed(now) {
-                surroundings.context.mark(Mark::MachinePreempted);
-                self.remove_host(surroundings, &host);
+                environment.context.mark(Mark::HostReclaimed);
+                self.remove_host(environment, &host);
                 continue;
             }
             self.with_worker(&host, |fleet, worker| {
-                fleet.advance_worker(surroundings, worker);
+                fleet.advance_worker(environment, worker);
             });
         }
     }
@@ -49,15 +49,15 @@
         }
     }
 
-    fn advance_worker(&mut self, surroundings: &mut Surroundings, worker: &mut Worker) {
-        let now = surroundings.context.now();
+    fn advance_worker(&mut self, environment: &mut FleetEnvironment, worker: &mut Worker) {
+        let now = environment.context.now();
         if now < worker.up_at() {
             return;
         }
         if !worker.has_booted() {
             worker.boot(now, self.worker_lease);
             let spec = worker.spec();
-            surroundings.context.observe(Observation::HostUp {
+            environment.context.observe(Observation::HostUp {
                 host: spec.name.clone(),
                 zone: spec.zone.clone(),
                 is_spot: spec.is_spot,
@@ -68,27 +68,27 @@
             return;
         }
         if worker.advance(now) {
-            surroundings.context.mark(Mark::WorkerLeaseExpired);
+            environment.context.mark(Mark::WorkerLeaseExpired);
         }
         for QueuedCommand { call, command } in worker.take_queued_commands() {
-            execute_command(surroundings, worker, call, &command);
+            execute_command(environment, worker, call, &command);
         }
-        let random = surroundings.context.random().f64();
+        let random = environment.context.random().f64();
         let share = MIN_INTERVAL_SHARE + INTERVAL_SHARE_SPREAD * random;
         let interval = scaled(self.heartbeat_interval, share);
         if worker.heartbeats_mut().is_due(now, interval) {
-            self.send_heartbeat(surroundings, worker);
+            self.send_heartbeat(environment, worker);
         }
-        observe_tasks(surroundings, worker);
+        observe_tasks(environment, worker);
     }
 
-    fn send_heartbeat(&mut self, surroundings: &mut Surroundings, worker: &mut Worker) {
-        let Surroundings {
+    fn send_heartbeat(&mut self, environment: &mut FleetEnvironment, worker: &mut Worker) {
+        let FleetEnvironment {
             context,
             network,
             controllers,
             ..
-        } = surroundings;
+        } = environment;
         let now = context.now();
         let node = worker.heartbeats_mut().controller(self.controller_count);
         let status = worker.status(now);
@@ -121,12 +121,12 @@
     /// Delivers the response to a heartbeat.
     pub fn handle_heartbeat_response(
         &mut self,
-        surroundings: &mut Surroundings,
+        environment: &mut FleetEnvironment,
         heartbeat: &HeartbeatId,
         response: &Response,
     ) {
         self.with_worker(&heartbeat.host, |fleet, worker| {
-            let now = surroundings.context.now();
+            let now = environment.context.now();
             let arrives = worker.faults().delivers_inbound(now) && !worker.is_paused(now);
             if !arrives || !worker.heartbeats_mut().awaits(heartbeat) {
                 return;
@@ -135,30 +135,30 @@
             let body: Value = decode(&response.body).unwrap_or(Value::Null);
             match response.status {
                 200 => {
-                    let users = &surroundings.users;
+                    let users = &environment.users;
                     let lookup = |task: &str| users.task_profile(task);
                     worker.accept_heartbeat_response(heartbeat, &body, now, &lookup);
                 }
-                421 => fleet.follow_redirection(surroundings, worker, &text(&body, "foreman")),
+                421 => fleet.follow_redirection(environment, worker, &text(&body, "foreman")),
                 _ => worker.heartbeats_mut().try_next_controller(now),
             }
-            observe_tasks(surroundings, worker);
+            observe_tasks(environment, worker);
         });
     }
 
     /// Follows a response that names another controller as the leader.
     fn follow_redirection(
         &self,
-        surroundings: &mut Surroundings,
+        environment: &mut FleetEnvironment,
         worker: &mut Worker,
         leader: &str,
     ) {
-        let now = surroundings.context.now();
-        let named_leader = surroundings.controllers.find_by_name(leader);
+        let now = environment.context.now();
+        let named_leader = environment.controllers.find_by_name(leader);
         let current = worker.heartbeats_mut().controller(self.controller_count);
         match named_leader.filter(|named_leader| *named_leader != current) {
             Some(named_leader) => {
-                let delay = surroundings.context.random_millis(REDIRECTION_DELAY_MS);
+                let delay = environment.context.random_millis(REDIRECTION_DELAY_MS);
                 worker.heartbeats_mut().redirect(named_leader, now + delay);
             }
             None => worker.heartbeats_mut().try_next_controller(now),
@@ -168,13 +168,13 @@
     /// Delivers a controller's command to a worker.
     pub fn handle_command(
         &mut self,
-        surroundings: &mut Surroundings,
+        environment: &mut FleetEnvironment,
         host: &str,
         call: CallHandle,
         command: Value,
     ) {
         self.with_worker(host, |_, worker| {
-            let now = surroundings.context.now();
+            let now = environment.context.now();
             if !worker.has_booted() || !worker.faults().delivers_inbound(now) {
                 return;
             }
@@ -182,28 +182,28 @@
                 worker.queue_command(QueuedCommand { call, command });
             } else {
                 worker.advance(now);
-                execute_command(surroundings, worker, call, &command);
+                execute_command(environment, worker, call, &command);
             }
         });
     }
 }
 
 fn execute_command(
-    surroundings: &mut Surroundings,
+    environment: &mut FleetEnvironment,
     worker: &mut Worker,
     call: CallHandle,
     command: &Value,
 ) {
-    let now = surroundings.context.now();
-    let users = &surroundings.users;
+    let now = environment.context.now();
+    let users = &environment.users;
     let lookup = |task: &str| users.task_profile(task);
     let is_executed = worker.execute_command(command, now, &lookup);
     let status = if is_executed { 200 } else { 409 };
     let response = Response::new(status, encode(&worker.status(now)));
-    observe_tasks(surroundings, worker);
-    let Surroundings {
+    observe_tasks(environment, worker);
+    let FleetEnvironment {
         context, network, ..
-    } = surroundings;
+    } = environment;
     let latency = context.network_latency();
     let zone = &worker.spec().zone;
     let arrival = Event::ControllerReply {
@@ -215,14 +215,14 @@
 }
 
 /// Reports the worker's task changes to the checker and the users.
-pub(super) fn observe_tasks(surroundings: &mut Surroundings, worker: &mut Worker) {
-    let now = surroundings.context.now();
+pub(super) fn observe_tasks(environment: &mut FleetEnvironment, worker: &mut Worker) {
+    let now = environment.context.now();
     for TaskEvent { task, change } in worker.take_task_events() {
         let host = worker.spec().name.clone();
         let Some(task) = TaskId::parse(&task) else {
             continue;
         };
-        let context = &mut *surroundings.context;
+        let context = &mut *environment.context;
         context.note(format!("{host}: {task} {change:?}"));
         context.observe(match change {
             TaskChange::Accepted => Observation::TaskAccepted { host, task },
@@ -234,10 +234,10 @@
             },
         });
         if worker.is_new(now) {
-            context.mark(Mark::WorkOnNewMachine);
+            context.mark(Mark::TaskOnNewHost);
         }
         if change == (TaskChange::Ended { is_complete: true }) {
-            surroundings.users.handle_completed_task(context, task.job);
+            environment.users.handle_completed_task(context, task.job);
         }
     }
 }
--- a/tests/simulated/fleet/mod.rs
+++ b/tests/simulated/fleet/mod.rs
@@ -34,7 +34,7 @@
 const HOSTS_PER_SUBNET: usize = 250;
 
 /// The other components of the simulation that hosts interact with.
-pub struct Surroundings<'a> {
+pub struct FleetEnvironment<'a> {
     /// Time, random numbers, history and checker.
     pub context: &'a mut Context,
     /// The network.
@@ -145,13 +145,13 @@
     }
 
     /// Removes a host, which ends its tasks.
-    fn remove_host(&mut self, surroundings: &mut Surroundings, host: &str) {
-        let now = surroundings.context.now();
+    fn remove_host(&mut self, environment: &mut FleetEnvironment, host: &str) {
+        let now = environment.context.now();
         if let Some(mut worker) = self.workers.remove(host) {
             worker.shut_down();
-            observe_tasks(surroundings, &mut worker);
+            observe_tasks(environment, &mut worker);
             let gone = Observation::HostGone(host.to_owned());
-            surroundings.context.observe(gone);
+            environment.context.observe(gone);
         }
         self.cloud.remove(host, now);
     }
@@ -183,10 +183,10 @@
     }
 
     /// Injects a fault into some hosts until the given time: into each with the given probability, in one zone or in
-    /// all. With a preemption notice, the cloud reclaims the host at that time.
+    /// all. With a reclaim notice, the cloud reclaims the host at that time.
     pub fn inject_fault(
         &mut self,
-        surroundings: &mut Surroundings,
+        environment: &mut FleetEnvironment,
         fault: HostFault,
         probability: f64,
         zone: Option<&str>,
@@ -197,7 +197,7 @@
                 continue;
             };
             let is_elsewhere = zone.is_some_and(|zone| zone != worker.spec().zone);
-            if is_elsewhere || surroundings.context.random().f64() >= probability {
+            if is_elsewhere || environment.context.random().f64() >= probability {
                 continue;
             }
             let window = FaultWindow::until(until);
@@ -206,10 +206,10 @@
                 HostFault::InboundLoss => worker.faults_mut().inbound_loss = window,
                 HostFault::OutboundLoss => worker.faults_mut().outbound_loss = window,
                 HostFault::Isolation => worker.faults_mut().isolation = window,
-                HostFault::Crash => self.remove_host(surroundings, &host),
-                HostFault::PreemptionNotice => {
+                HostFault::Crash => self.remove_host(environment, &host),
+                HostFault::ReclaimNotice => {
                     worker.give_reclaim_notice(until);
-                    surroundings.context.mark(Mark::PreemptionNotice);
+                    environment.context.mark(Mark::ReclaimNotice);
                 }
                 HostFault::FailingTasks => worker.faults_mut().failing_tasks = window,
             }
--- a/tests/simulated/fleet/rental.rs
+++ b/tests/simulated/fleet/rental.rs
@@ -8,7 +8,7 @@
 use lichencrank::transport::Response;
 use lichencrank_testkit::values::{get, list, map, number, text};
 
-use super::{Fleet, Surroundings};
+use super::{Fleet, FleetEnvironment};
 use crate::simulated::checker::HeldTask;
 use crate::simulated::event_queue::Event;
 use crate::simulated::history::Mark;
@@ -26,46 +26,46 @@
     /// Processes a controller's request to the cloud.
     pub fn handle_cloud_request(
         &mut self,
-        surroundings: &mut Surroundings,
+        environment: &mut FleetEnvironment,
         call: CallHandle,
         request: &OutgoingCall,
     ) {
-        let now = surroundings.context.now();
+        let now = environment.context.now();
         let body = decode(&request.body).unwrap_or(Value::Null);
         let path = request.target.split('?').next().unwrap_or("");
         let (status, answer) = match (request.method.as_str(), path) {
             _ if self.cloud.is_in_outage(now) => (503, error("trouble")),
             ("GET", "/machine_types") => (200, self.machine_types.clone()),
-            ("POST", "/hosts") => self.provision(surroundings, &body),
+            ("POST", "/hosts") => self.provision(environment, &body),
             ("POST", "/hosts/release") => {
                 let hosts = list(&body, "hosts").iter();
                 let hosts: Vec<String> = hosts
                     .filter_map(|host| host.as_text().map(str::to_owned))
                     .collect();
-                self.release(surroundings, &hosts);
+                self.release(environment, &hosts);
                 (200, map(vec![]))
             }
             _ => (200, self.cloud.list(now, &request.target)),
         };
-        let delay = CLOUD_LATENCY + surroundings.context.network_latency();
+        let delay = CLOUD_LATENCY + environment.context.network_latency();
         let response = Response::new(status, encode(&answer));
         let reply = Event::ControllerReply {
             call,
             result: Ok(response),
         };
-        surroundings.context.schedule_after(delay, reply);
+        environment.context.schedule_after(delay, reply);
     }
 
     /// Provisions hosts. A repeated request with the same idempotency key gets the earlier response.
-    fn provision(&mut self, surroundings: &mut Surroundings, body: &Value) -> (u16, Value) {
+    fn provision(&mut self, environment: &mut FleetEnvironment, body: &Value) -> (u16, Value) {
         let key = text(body, "ask");
         if let Some(answer) = self.cloud.provisioning_response(&key) {
             return (200, answer.clone());
         }
         let is_spot = get(body, "loaners").and_then(Value::as_bool) == Some(true);
         let zone = text(body, "hall");
-        if is_known_to_be_isolated(surroundings, &zone) {
-            surroundings.context.mark(Mark::RentedInIsolatedZone);
+        if is_known_to_be_isolated(environment, &zone) {
+            environment.context.mark(Mark::ProvisionedInIsolatedZone);
         }
         let available = self.cloud.available_hosts() as u64;
         let count = number(body, "howMany").min(available);
@@ -73,7 +73,7 @@
             return (503, error("no capacity"));
         }
         let hosts = (0..count).map(|_| {
-            let host = self.add_host(surroundings.context, &zone, is_spot, None);
+            let host = self.add_host(environment.context, &zone, is_spot, None);
             Value::from(host)
         });
         let answer = map(vec![("hosts", Value::Array(hosts.collect()))]);
@@ -81,18 +81,18 @@
         (200, answer)
     }
 
-    fn release(&mut self, surroundings: &mut Surroundings, hosts: &[String]) {
-        self.check_release(surroundings, hosts);
+    fn release(&mut self, environment: &mut FleetEnvironment, hosts: &[String]) {
+        self.check_release(environment, hosts);
         for host in hosts {
-            self.remove_host(surroundings, host);
+            self.remove_host(environment, host);
         }
     }
 
     /// Reports the release of hosts of an isolated zone to the checker, and marks releases of hosts with wanted tasks
     /// right after an isolation.
-    fn check_release(&self, surroundings: &mut Surroundings, hosts: &[String]) {
-        let now = surroundings.context.now();
-        let Some(isolation) = surroundings.network.last_isolation() else {
+    fn check_release(&self, environment: &mut FleetEnvironment, hosts: &[String]) {
+        let now = environment.context.now();
+        let Some(isolation) = environment.network.last_isolation() else {
             return;
         };
         let tasks_by_host: BTreeMap<String, Vec<HeldTask>> = self
@@ -103,15 +103,15 @@
         if isolation.window.is_active(now) {
             if self.checks_zone_releases {
                 for _ in released_tasks() {
-                    surroundings.context.mark(Mark::ReleasedInIsolatedZone);
+                    environment.context.mark(Mark::ReleasedInIsolatedZone);
                 }
-                let checker = surroundings.context.checker_mut();
+                let checker = environment.context.checker_mut();
                 checker.observe_zone_release(now, hosts, &tasks_by_host);
             }
         } else if now < isolation.window.ends_at() + ZONE_RETURN_TIME {
             for tasks in released_tasks() {
-                if surroundings.context.checker().is_wanted_work(tasks) {
-                    surroundings.context.mark(Mark::ReleasedAfterIsolation);
+                if environment.context.checker().is_wanted_work(tasks) {
+                    environment.context.mark(Mark::ReleasedAfterIsolation);
                 }
             }
         }
@@ -119,10 +119,10 @@
 }
 
 /// Whether the zone has been isolated for longer than a leader needs to detect it.
-fn is_known_to_be_isolated(surroundings: &Surroundings, zone: &str) -> bool {
-    let now = surroundings.context.now();
-    let isolation = surroundings.network.last_isolation();
-    surroundings.network.is_isolated(now, zone)
+fn is_known_to_be_isolated(environment: &FleetEnvironment, zone: &str) -> bool {
+    let now = environment.context.now();
+    let isolation = environment.network.last_isolation();
+    environment.network.is_isolated(now, zone)
         && isolation.is_some_and(|isolation| now > isolation.started_at + ISOLATION_DETECTION_TIME)
 }
 
--- a/tests/simulated/history.rs
+++ b/tests/simulated/history.rs
@@ -75,15 +75,15 @@
     /// The key-value store answers 429: a rate limit is exceeded.
     StoreOverBudget = "over-budget",
     /// The response to a transaction is lost after the transaction was processed.
-    AnswerLost = "lost-answer",
+    ResponseLost = "lost-answer",
     /// A transaction is processed late, and its response is lost.
     WriteDelayed = "late-write",
-    /// The cloud announces that it will preempt a host.
-    PreemptionNotice = "notice",
-    /// The cloud has preempted a host after the announcement.
-    MachinePreempted = "taken",
+    /// The cloud announces that it will reclaim a host.
+    ReclaimNotice = "notice",
+    /// The cloud has reclaimed a host after the announcement.
+    HostReclaimed = "taken",
     /// A task was accepted, started or ended on a host that has just booted.
-    WorkOnNewMachine = "work-on-a-new-machine",
+    TaskOnNewHost = "work-on-a-new-machine",
     /// A worker's lease expired, which ended its tasks.
     WorkerLeaseExpired = "lease-ended",
     /// A copy of a heartbeat arrives late.
@@ -94,9 +94,9 @@
     ReleasedInIsolatedZone = "given-up-in-cut",
     /// The leader releases a host with wanted tasks right after the isolation of its zone has ended.
     ReleasedAfterIsolation = "given-up-after-return",
-    /// A host is provisioned in an isolated zone after the time by which a leader must have noticed the
+    /// A host is provisioned in an isolated zone after the time by which a leader must have detected the
     /// isolation.
-    RentedInIsolatedZone = "rented-in-cut-zone",
+    ProvisionedInIsolatedZone = "rented-in-cut-zone",
 }
 
 /// The lines and marks of a run.
--- a/tests/simulated/job_template.rs
+++ b/tests/simulated/job_template.rs
@@ -26,9 +26,9 @@
     /// The only zone in which the tasks may run. `None` allows all zones.
     pub zone: Option<String>,
     /// Whether all tasks have to run in the same zone.
-    pub single_zone: bool,
+    pub requires_single_zone: bool,
     /// Whether the tasks have to be spread over zones.
-    pub spread_over_zones: bool,
+    pub requires_zone_spread: bool,
     /// Whether the tasks may run on spot hosts.
     pub allows_spot: bool,
     /// Whether the job is a service, whose tasks are replicas that run until the job is cancelled.
@@ -59,8 +59,8 @@
             cpus_per_task: 1.0,
             run_time: Duration::from_secs(1),
             zone: None,
-            single_zone: false,
-            spread_over_zones: false,
+            requires_single_zone: false,
+            requires_zone_spread: false,
             allows_spot: true,
             is_service: false,
             replica_run_time: None,
@@ -74,8 +74,8 @@
             task_count: self.task_count,
             cpus_per_task: self.cpus_per_task,
             zone: self.zone.clone(),
-            single_zone: self.single_zone,
-            spread_over_zones: self.spread_over_zones,
+            requires_single_zone: self.requires_single_zone,
+            requires_zone_spread: self.requires_zone_spread,
             allows_spot: self.allows_spot,
             is_service: self.is_service,
             replicas_keep_ending: self.replica_run_time.is_some(),
@@ -111,8 +111,8 @@
             ("imageGb", 0.5.into()),
             ("hosttypes", Value::Null),
             ("hall", zone),
-            ("samePlace", self.single_zone.into()),
-            ("apart", self.spread_over_zones.into()),
+            ("samePlace", self.requires_single_zone.into()),
+            ("apart", self.requires_zone_spread.into()),
             ("loaners", self.allows_spot.into()),
             ("guessS", expected_run_time_s.into()),
             ("snapshotS", 0.0.into()),
--- a/tests/simulated/network.rs
+++ b/tests/simulated/network.rs
@@ -41,7 +41,7 @@
 }
 
 impl RemoteEnd<'_> {
-    fn kind(self) -> LinkKind {
+    fn link_kind(self) -> LinkKind {
         match self {
             RemoteEnd::Store => LinkKind::Store,
             RemoteEnd::Controller(_) => LinkKind::Controllers,
@@ -68,7 +68,9 @@
     fn cuts(&self, now: SimTime, node: NodeIndex, remote: RemoteEnd) -> bool {
         let is_partitioned_node = self.node == node
             || matches!(remote, RemoteEnd::Controller(other) if other == self.node);
-        is_partitioned_node && self.window.is_active(now) && self.links.contains(&remote.kind())
+        is_partitioned_node
+            && self.window.is_active(now)
+            && self.links.contains(&remote.link_kind())
     }
 }
 
--- a/tests/simulated/script/command.rs
+++ b/tests/simulated/script/command.rs
@@ -65,7 +65,7 @@
         /// Selects the node that gets each request: the first one, if several nodes are selected.
         through: NodeSelector,
         /// Whether jobs without running tasks may be cancelled too.
-        include_waiting: bool,
+        includes_waiting: bool,
         /// How long the hosts of the cancelled jobs are paused; zero if they aren't.
         host_pause: Duration,
     },
@@ -193,7 +193,7 @@
         duration: Duration,
     },
     /// Transactions are processed, but their responses are lost.
-    LostAnswers {
+    LostResponses {
         /// The probability for each transaction.
         probability: f64,
         /// For how long.
@@ -235,8 +235,8 @@
     Isolation,
     /// The host is gone at once.
     Crash,
-    /// The cloud announces that it will preempt the host, and does so after the duration of the fault.
-    PreemptionNotice,
+    /// The cloud announces that it will reclaim the host, and does so after the duration of the fault.
+    ReclaimNotice,
     /// Every task that starts on the host fails.
     FailingTasks,
 }
@@ -261,7 +261,7 @@
         probability: f64,
         /// The only zone with faulty hosts; `None` if all zones have some.
         zone: Option<String>,
-        /// How long the fault lasts, or the time from the announcement of a preemption to the preemption.
+        /// How long the fault lasts, or the time from a reclaim notice until the host is reclaimed.
         duration: Duration,
     },
     /// Copies of some heartbeats arrive late, in addition to the heartbeats themselves.
--- a/tests/simulated/script/command_parser.rs
+++ b/tests/simulated/script/command_parser.rs
@@ -58,7 +58,7 @@
         "cancel" => UserCommand::Cancel {
             count: line.number_at(1)? as usize,
             through: node_selector(line.value_of("through").unwrap_or("other"))?,
-            include_waiting: line.has("any"),
+            includes_waiting: line.has("any"),
             host_pause: line.duration_of("hang")?.unwrap_or(Duration::ZERO),
         },
         "looks" => UserCommand::PollInBursts {
@@ -87,8 +87,8 @@
         cpus_per_task: line.number_of("cpus")?.unwrap_or(1.0),
         run_time: line.duration_of("run")?.unwrap_or(DEFAULT_RUN_TIME),
         zone: line.value_of("zone").map(str::to_owned),
-        single_zone: line.has("together"),
-        spread_over_zones: line.has("apart"),
+        requires_single_zone: line.has("together"),
+        requires_zone_spread: line.has("apart"),
         allows_spot: !line.has("ordinary"),
         is_service: line.has("service"),
         replica_run_time: line.duration_of("ends")?,
@@ -178,7 +178,7 @@
             max_delay: line.duration_at(1)?,
             duration,
         },
-        "lost-answers" => StoreFault::LostAnswers {
+        "lost-answers" => StoreFault::LostResponses {
             probability: line.number_at(1)?,
             duration,
         },
@@ -237,7 +237,7 @@
         "mute" => Ok(HostFault::OutboundLoss),
         "cut" => Ok(HostFault::Isolation),
         "die" => Ok(HostFault::Crash),
-        "notice" => Ok(HostFault::PreemptionNotice),
+        "notice" => Ok(HostFault::ReclaimNotice),
         "sick" => Ok(HostFault::FailingTasks),
         other => Err(unknown_word("host fault", other)),
     }
--- a/tests/simulated/script/parser.rs
+++ b/tests/simulated/script/parser.rs
@@ -55,7 +55,7 @@
             "team" => self.deployment.teams.push(team(line)?),
             "quota" => self.enable_quota(line)?,
             "zones" => self.enable_zone_tracking(),
-            "machines" => self.deployment.initial_hosts.push(machines(line)?),
+            "machines" => self.deployment.initial_hosts.push(initial_hosts(line)?),
             "calm" => self.faults_end_at = time_at(line, 1)?,
             "end" => self.end_at = time_at(line, 1)?,
             "never" => {
@@ -171,7 +171,7 @@
 }
 
 /// `machines COUNT TYPE ZONE`
-fn machines(line: &Line) -> Result<InitialHosts, Problem> {
+fn initial_hosts(line: &Line) -> Result<InitialHosts, Problem> {
     let machine_type = line.argument(2)?;
     if machine_type != MACHINE_TYPE.name {
         return Err(unknown_word("machine type", machine_type));
--- a/tests/simulated/simulation/commands.rs
+++ b/tests/simulated/simulation/commands.rs
@@ -88,9 +88,9 @@
             UserCommand::Cancel {
                 count,
                 through,
-                include_waiting,
+                includes_waiting,
                 host_pause,
-            } => self.cancel_jobs(count, through, include_waiting, host_pause),
+            } => self.cancel_jobs(count, through, includes_waiting, host_pause),
             UserCommand::PollInBursts { duration } => {
                 let window = self.fault_window(duration);
                 self.users.poll_in_bursts(window);
@@ -110,12 +110,12 @@
         &mut self,
         count: usize,
         through: NodeSelector,
-        include_waiting: bool,
+        includes_waiting: bool,
         host_pause: Duration,
     ) {
         let jobs = self
             .users
-            .choose_jobs_to_cancel(&mut self.context, include_waiting);
+            .choose_jobs_to_cancel(&mut self.context, includes_waiting);
         for job in jobs.into_iter().take(count) {
             let node = self.select_nodes(through).first().copied();
             let spread = self.context.random_millis(0..CANCELLATION_SPREAD_MS);
@@ -251,12 +251,12 @@
                 max_delay,
                 duration,
             } => self.store.slow_down(max_delay, self.fault_window(duration)),
-            StoreFault::LostAnswers {
+            StoreFault::LostResponses {
                 probability,
                 duration,
             } => {
                 let fault = self.random_fault(probability, duration);
-                self.store.lose_answers(fault);
+                self.store.lose_responses(fault);
             }
             StoreFault::LateWrites {
                 probability,
@@ -297,9 +297,9 @@
                 duration,
             } => {
                 let until = self.context.now() + *duration;
-                let (fleet, mut surroundings) = self.fleet_and_surroundings();
+                let (fleet, mut environment) = self.fleet_and_environment();
                 let zone = zone.as_deref();
-                fleet.inject_fault(&mut surroundings, *fault, *probability, zone, until);
+                fleet.inject_fault(&mut environment, *fault, *probability, zone, until);
             }
             HostCommand::LateHeartbeats {
                 probability,
--- a/tests/simulated/simulation/mod.rs
+++ b/tests/simulated/simulation/mod.rs
@@ -13,7 +13,7 @@
 use super::deployment::Deployment;
 use super::embedder::Embedder;
 use super::event_queue::{Event, EventQueue};
-use super::fleet::{Fleet, Surroundings};
+use super::fleet::{Fleet, FleetEnvironment};
 use super::history::Mark;
 use super::ids::NodeIndex;
 use super::leadership::Leadership;
@@ -89,9 +89,9 @@
             self.controllers.add(&self.deployment, node, settings);
             self.start_controller(node);
         }
-        for machines in &self.deployment.initial_hosts {
-            for _ in 0..machines.count {
-                let zone = &machines.zone;
+        for initial_hosts in &self.deployment.initial_hosts {
+            for _ in 0..initial_hosts.count {
+                let zone = &initial_hosts.zone;
                 self.fleet.add_running_host(&mut self.context, zone);
             }
         }
@@ -172,7 +172,7 @@
                 self.deliver_to_user(request, Some(response));
             }
             Event::UserTimeout(request) => self.deliver_to_user(request, None),
-            Event::AdvanceHosts => self.advance_machines(),
+            Event::AdvanceHosts => self.advance_hosts(),
             Event::AdvanceStore => self.advance_store(),
             Event::CheckLiveness => self.check_liveness(),
             Event::ScriptCommand(command) => self.execute(*command),
@@ -183,14 +183,14 @@
     }
 
     /// The hosts, and the other parts that they interact with.
-    fn fleet_and_surroundings(&mut self) -> (&mut Fleet, Surroundings<'_>) {
-        let surroundings = Surroundings {
+    fn fleet_and_environment(&mut self) -> (&mut Fleet, FleetEnvironment<'_>) {
+        let environment = FleetEnvironment {
             context: &mut self.context,
             network: &self.network,
             controllers: &self.controllers,
             users: &mut self.users,
         };
-        (&mut self.fleet, surroundings)
+        (&mut self.fleet, environment)
     }
 
     /// The settings file with which a controller's next process starts.
@@ -199,9 +199,9 @@
         self.deployment.settings_file(node, knows_next_limits)
     }
 
-    fn advance_machines(&mut self) {
-        let (fleet, mut surroundings) = self.fleet_and_surroundings();
-        fleet.advance(&mut surroundings);
+    fn advance_hosts(&mut self) {
+        let (fleet, mut environment) = self.fleet_and_environment();
+        fleet.advance(&mut environment);
         self.context
             .schedule_after(HOST_ADVANCE_INTERVAL, Event::AdvanceHosts);
     }
--- a/tests/simulated/simulation/routing.rs
+++ b/tests/simulated/simulation/routing.rs
@@ -245,8 +245,8 @@
     }
 
     pub(super) fn deliver_to_worker(&mut self, host: &str, call: CallHandle, command: Value) {
-        let (fleet, mut surroundings) = self.fleet_and_surroundings();
-        fleet.handle_command(&mut surroundings, host, call, command);
+        let (fleet, mut environment) = self.fleet_and_environment();
+        fleet.handle_command(&mut environment, host, call, command);
     }
 
     pub(super) fn deliver_heartbeat_response(
@@ -254,13 +254,13 @@
         heartbeat: &HeartbeatId,
         response: &Response,
     ) {
-        let (fleet, mut surroundings) = self.fleet_and_surroundings();
-        fleet.handle_heartbeat_response(&mut surroundings, heartbeat, response);
+        let (fleet, mut environment) = self.fleet_and_environment();
+        fleet.handle_heartbeat_response(&mut environment, heartbeat, response);
     }
 
     pub(super) fn deliver_to_cloud(&mut self, call: CallHandle, request: &OutgoingCall) {
-        let (fleet, mut surroundings) = self.fleet_and_surroundings();
-        fleet.handle_cloud_request(&mut surroundings, call, request);
+        let (fleet, mut environment) = self.fleet_and_environment();
+        fleet.handle_cloud_request(&mut environment, call, request);
     }
 }
 
@@ -281,7 +281,7 @@
                 response
             }
         };
-        if delivery == Delivery::Answered {
+        if delivery == Delivery::ResponseDelivered {
             self.send_store_response(call, response);
         }
     }
--- a/tests/simulated/store.rs
+++ b/tests/simulated/store.rs
@@ -1,5 +1,5 @@
 //! The simulated key-value store: an in-memory store with rate limits, watches, outages, slow requests and lost
-//! answers.
+//! responses.
 
 use std::time::Duration;
 
@@ -17,13 +17,13 @@
 use super::rate_limiter::RateLimiter;
 use super::transport::OutgoingCall;
 
-/// Whether the answer to a request reaches the caller.
+/// Whether the response to a request reaches the caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Delivery {
-    /// The answer is delivered.
-    Answered,
-    /// The request is processed, and the answer is lost.
-    AnswerLost,
+    /// The response is delivered.
+    ResponseDelivered,
+    /// The request is processed, and the response is lost.
+    ResponseLost,
 }
 
 /// The faults of the store that apply to one request.
@@ -31,7 +31,7 @@
 pub struct RequestFaults {
     /// Additional delay until the request arrives.
     pub delay: Duration,
-    /// Whether the answer reaches the caller.
+    /// Whether the response reaches the caller.
     pub delivery: Delivery,
 }
 
@@ -40,7 +40,7 @@
 
 const BYTES_PER_KILOBYTE: f64 = 1024.0;
 
-/// An answer of the store.
+/// A response of the store.
 pub struct StoreResponse {
     /// The HTTP status.
     pub status: u16,
@@ -59,7 +59,7 @@
 
 /// The result of a request at the store.
 pub enum StoreOutcome {
-    /// There is no answer yet, or there never is one.
+    /// There is no response yet, or there never is one.
     Unanswered,
     /// The request is refused because of a rate limit or a fault.
     Refused(StoreResponse),
@@ -75,11 +75,11 @@
     held_until: SimTime,
 }
 
-/// The answer to a watch.
+/// The response to a watch.
 pub struct WatchResponse {
     /// The call that made the watch.
     pub call: CallHandle,
-    /// The answer.
+    /// The response.
     pub response: StoreResponse,
 }
 
@@ -103,7 +103,7 @@
     refused_nodes: Vec<RefusedNode>,
     slow_requests: FaultWindow,
     max_delay: Duration,
-    lost_answers: RandomFault,
+    lost_responses: RandomFault,
     late_writes: RandomFault,
 }
 
@@ -182,12 +182,12 @@
         self.faults.slow_requests = window;
     }
 
-    /// Lets the answers to some transactions be lost.
-    pub fn lose_answers(&mut self, fault: RandomFault) {
-        self.faults.lost_answers = fault;
+    /// Lets the responses to some transactions be lost.
+    pub fn lose_responses(&mut self, fault: RandomFault) {
+        self.faults.lost_responses = fault;
     }
 
-    /// Lets some transactions arrive late and their answers be lost.
+    /// Lets some transactions arrive late and their responses be lost.
     pub fn delay_writes(&mut self, fault: RandomFault) {
         self.faults.late_writes = fault;
     }
@@ -204,16 +204,16 @@
     pub fn draw_faults(&self, context: &mut Context, call: &OutgoingCall) -> RequestFaults {
         let mut faults = RequestFaults {
             delay: self.slow_request_delay(context),
-            delivery: Delivery::Answered,
+            delivery: Delivery::ResponseDelivered,
         };
         if !is_transaction(call) {
             return faults;
         }
-        if context.occurs(self.faults.lost_answers) {
-            faults.delivery = Delivery::AnswerLost;
-            context.mark(Mark::AnswerLost);
+        if context.occurs(self.faults.lost_responses) {
+            faults.delivery = Delivery::ResponseLost;
+            context.mark(Mark::ResponseLost);
         } else if context.occurs(self.faults.late_writes) {
-            faults.delivery = Delivery::AnswerLost;
+            faults.delivery = Delivery::ResponseLost;
             faults.delay += context.random_millis(LATE_WRITE_DELAY_MS);
             context.mark(Mark::WriteDelayed);
         }
@@ -281,15 +281,15 @@
             return StoreOutcome::Refused(StoreResponse::without_body(429));
         }
         let time = now.as_millis();
-        let answer = self
+        let response = self
             .contents
             .handle(time, &call.method, &call.target, &body);
-        if answer.status == 400 {
-            mark_bad_request(context, node, &call.target, &answer.body, delivery);
+        if response.status == 400 {
+            mark_bad_request(context, node, &call.target, &response.body, delivery);
         }
         StoreOutcome::Processed(StoreResponse {
-            status: answer.status,
-            body: answer.body,
+            status: response.status,
+            body: response.body,
         })
     }
 
@@ -304,24 +304,24 @@
         is_available
     }
 
-    /// Removes the watches that have changes to report or have timed out, and returns their answers.
+    /// Removes the watches that have changes to report or have timed out, and returns their responses.
     pub fn take_watch_responses(&mut self, now: SimTime) -> Vec<WatchResponse> {
         let mut responses = Vec::new();
         for watch in std::mem::take(&mut self.watches) {
             let is_refused = self.refuses(now, watch.call.process.node);
             let has_timed_out = now >= watch.held_until;
-            let answer = if is_refused {
+            let response = if is_refused {
                 None
             } else {
                 self.contents.watch(&watch.target, has_timed_out)
             };
-            match answer {
+            match response {
                 None => self.watches.push(watch),
-                Some(answer) => responses.push(WatchResponse {
+                Some(response) => responses.push(WatchResponse {
                     call: watch.call,
                     response: StoreResponse {
-                        status: answer.status,
-                        body: answer.body,
+                        status: response.status,
+                        body: response.body,
                     },
                 }),
             }
@@ -330,18 +330,18 @@
     }
 }
 
-/// Notes and marks that the store answers 400. This is expected only for a claim of the leadership that is delayed
-/// until its lease has expired. Any other request that is answered with 400 must not have been sent.
+/// Notes and marks that the store responds with status 400. This is expected only for a claim of the leadership that
+/// is delayed until its lease has expired. Any other request that gets status 400 must not have been sent.
 fn mark_bad_request(
     context: &mut Context,
     node: NodeIndex,
     target: &str,
-    answer: &Value,
+    response: &Value,
     delivery: Delivery,
 ) {
-    let error = text(answer, "error");
+    let error = text(response, "error");
     context.note(format!("store: 400 to node {node}: {target}: {error}"));
-    let is_late_claim = error == store::NO_SUCH_LEASE && delivery == Delivery::AnswerLost;
+    let is_late_claim = error == store::NO_SUCH_LEASE && delivery == Delivery::ResponseLost;
     context.mark(if is_late_claim {
         Mark::LateClaim
     } else {
--- a/tests/simulated/users/mod.rs
+++ b/tests/simulated/users/mod.rs
@@ -180,17 +180,17 @@
     }
 
     /// Jobs that are not known to be over and whose cancellation has not been requested, in random order: all of them
-    /// with `include_waiting`, otherwise only those with running tasks.
+    /// with `includes_waiting`, otherwise only those with running tasks.
     pub fn choose_jobs_to_cancel(
         &self,
         context: &mut Context,
-        include_waiting: bool,
+        includes_waiting: bool,
     ) -> Vec<JobId> {
         let is_open = |job: &UserJob| !job.cancellation_requested && !job.is_final;
         let open = self.jobs.iter().filter(|(_, job)| is_open(job));
         let mut chosen: Vec<JobId> = open
             .map(|(id, _)| *id)
-            .filter(|id| include_waiting || context.checker().running_task_count(*id) > 0)
+            .filter(|id| includes_waiting || context.checker().running_task_count(*id) > 0)
             .collect();
         context.random().shuffle(&mut chosen);
         chosen
--- a/tests/simulation_checker.rs
+++ b/tests/simulation_checker.rs
@@ -29,8 +29,8 @@
         task_count: 2,
         cpus_per_task: 2.0,
         zone: None,
-        single_zone: false,
-        spread_over_zones: false,
+        requires_single_zone: false,
+        requires_zone_spread: false,
         allows_spot: true,
         is_service: false,
         replicas_keep_ending: false,
@@ -225,7 +225,7 @@
 
 #[test]
 fn a_single_zone_job_in_two_zones_is_reported() {
-    let mut history = History::with_job(|job| job.single_zone = true);
+    let mut history = History::with_job(|job| job.requires_single_zone = true);
     history.start_task(20, "m1", 0);
     history.start_task(20, "m3", 1);
     history.expect_violation(Invariant::Placement);
@@ -233,7 +233,7 @@
 
 #[test]
 fn a_spread_job_in_one_zone_is_reported() {
-    let mut history = History::with_job(|job| job.spread_over_zones = true);
+    let mut history = History::with_job(|job| job.requires_zone_spread = true);
     history.start_task(20, "m1", 0);
     history.start_task(20, "m2", 1);
     history.expect_violation(Invariant::Placement);
