--- a/examples/scale.rs
+++ b/examples/scale.rs
@@ -254,7 +254,8 @@
     }
 }
 
-/// Ticks until no more records are written, which are all committed at once. Direct commands are never attempted.
+/// Ticks until the leader writes no more records. Each batch of records is committed at once, and each command to a
+/// worker is reported as not attempted.
 fn place_all_tasks(leader: &mut Leader, now: &mut Time) {
     for _ in 0..max_placement_ticks() {
         leader.tick(*now, now.0);
--- a/tests/api.rs
+++ b/tests/api.rs
@@ -53,7 +53,7 @@
     JobId(job).to_string()
 }
 
-/// The body of a submission of this job with four tasks.
+/// The body of a submission of a job with four tasks.
 fn submission_body(job: u64) -> Vec<u8> {
     let fields: Vec<(&str, Value)> = vec![
         ("ref", job_name(job).into()),
@@ -165,7 +165,7 @@
         client.conn.serial
     }
 
-    /// Submits these jobs, which are accepted with records of that version.
+    /// Submits jobs, which are accepted with records of the given version.
     fn accept_jobs(&mut self, jobs: std::ops::Range<u64>, version: u64) {
         for job in jobs {
             let client = self.new_client();
@@ -181,7 +181,7 @@
         self.responses.clear();
     }
 
-    /// The number of jobs in the version check that is the request of that index.
+    /// The number of jobs in the version check that is at `index` among the requests to the state service.
     fn checked_job_count(&self, index: usize) -> usize {
         match &self.store_requests[index].0 {
             StoreRequest::Txn(txn) if txn.changes.is_empty() => txn.conditions.len(),
@@ -553,10 +553,10 @@
         .submit(client, &body, &machine_types(), 1000, harness.now);
     harness.process_actions();
     let StoreRequest::Txn(txn) = &harness.store_requests[0].0 else {
-        panic!("{:?}", harness.store_requests[0].0);
+        panic!("{:?} is not a transaction", harness.store_requests[0].0);
     };
     let Change::Put { value, .. } = &txn.changes[0] else {
-        panic!("{:?}", txn.changes);
+        panic!("the record is not put: {:?}", txn.changes);
     };
     let record: JobRecord = value.deserialized().expect("a job record");
     assert!(records::json_size(&record) <= 2048);
--- a/tests/budget.rs
+++ b/tests/budget.rs
@@ -176,7 +176,7 @@
 fn the_response_timeout_follows_the_response_times() {
     let mut store = StoreClient::new(1000.0, 1000.0);
     let mut call_number = 0;
-    // Sends a request, and delivers a response or a lost call after that time.
+    // Sends a request, and after `response_time_ms` delivers a response or the loss of the call.
     let mut exchange =
         |store: &mut StoreClient, request: StoreRequest, response_time_ms: u64, is_lost: bool| {
             call_number += 1;
--- a/tests/leadership.rs
+++ b/tests/leadership.rs
@@ -77,7 +77,7 @@
         Time(0),
     );
     let Some(ElectionAction::Claim(txn)) = action else {
-        panic!("{action:?}")
+        panic!("expected a claim of the leadership, got {action:?}")
     };
     let conditions: Vec<(&str, u64)> = txn
         .conditions
@@ -131,6 +131,7 @@
     assert_eq!(election.known_leader.as_deref(), Some("n1"));
 }
 
+/// Once its lease is gone, another node may lead at any time.
 #[test]
 fn a_leader_steps_down_when_its_lease_is_gone() {
     let mut election = leader();
@@ -144,8 +145,8 @@
     assert_eq!(action, Some(ElectionAction::StepDown));
 }
 
-/// A restarted process must not take the leader's record of the node's earlier process for its own, but may end that
-/// process's lease at once.
+/// A restarted process must not take the leader's record of the node's earlier process for its own, but may end the
+/// earlier process's lease at once.
 #[test]
 fn a_restarted_process_ends_the_lease_of_its_earlier_process() {
     let mut election = follower("n0", 2);
@@ -195,7 +196,7 @@
         Time(0),
     );
     let Some(ElectionAction::Claim(txn)) = action else {
-        panic!("{action:?}")
+        panic!("expected a claim of the leadership, got {action:?}")
     };
     election.on_outcome(ElectionStep::Claim, Outcome::Unknown, Time(0), Time(900));
     assert_eq!(election.role, Role::Following);
--- a/tests/placement.rs
+++ b/tests/placement.rs
@@ -125,8 +125,8 @@
         }
         let has_no_sibling = !hosts_with_siblings.contains(name);
         let score = headroom_score(&host_capacity, &host.allocated, false);
-        if best.is_none_or(|(best_has_none, best_score, _)| {
-            (has_no_sibling, score) > (best_has_none, best_score)
+        if best.is_none_or(|(best_has_no_sibling, best_score, _)| {
+            (has_no_sibling, score) > (best_has_no_sibling, best_score)
         }) {
             best = Some((has_no_sibling, score, name));
         }
--- a/tests/quota_leader.rs
+++ b/tests/quota_leader.rs
@@ -122,15 +122,17 @@
             .into_iter()
             .flatten();
         let allocated = allocations.map(|(task, allocation)| (*task, allocation.attempt));
-        let all: Vec<(TaskId, Attempt)> = allocated
+        let running_attempts: Vec<(TaskId, Attempt)> = allocated
             .chain(self.unrecorded_attempts.iter().copied())
             .collect();
-        let tasks = all.into_iter().map(|(task, attempt)| AttemptStatus {
-            task,
-            attempt,
-            state: AttemptState::Running,
-            end_reason: None,
-        });
+        let statuses = running_attempts
+            .into_iter()
+            .map(|(task, attempt)| AttemptStatus {
+                task,
+                attempt,
+                state: AttemptState::Running,
+                end_reason: None,
+            });
         let heartbeat = WorkerHeartbeat {
             host: host_name,
             address: "127.0.0.1:9000".into(),
@@ -141,7 +143,7 @@
             sequence_number: SequenceNumber(self.heartbeat_sequence),
             fencing_token: TERM,
             reclaim_notice_s: None,
-            attempts: tasks.collect(),
+            attempts: statuses.collect(),
         };
         let commands = self
             .leader
@@ -160,7 +162,7 @@
             self.store_revision += 1;
             self.leader.on_quota_committed(Version(self.store_revision));
             committed.push(txn);
-            assert!(committed.len() < 10, "{committed:?}");
+            assert!(committed.len() < 10, "the changes don't end: {committed:?}");
         }
         committed
     }
@@ -193,6 +195,8 @@
     }
 }
 
+/// A leader that allocates before it has claimed its allowances could let a team exceed its limit, as other clients of
+/// the quota records share it. Every later write of an allocation has to be conditional on the allowance.
 #[test]
 fn nothing_is_allocated_before_the_allowances_are_claimed() {
     let mut harness = Harness::new();
@@ -216,7 +220,7 @@
     for txn in harness.commit_batches() {
         let mut conditions = txn.conditions.iter();
         let is_fenced = conditions.any(|c| c.key == "quota/allowance/borrower/leader");
-        assert!(is_fenced, "{txn:?}");
+        assert!(is_fenced, "not conditional on the allowance: {txn:?}");
     }
 }
 
@@ -229,12 +233,12 @@
     harness.send_heartbeat();
     harness.commit_batches();
     assert_eq!(harness.allocated_count(1), 3);
-    // A second copy of a task that is allocated with another attempt number.
-    let copy = TaskId {
+    // Another attempt at a task that is allocated already.
+    let task = TaskId {
         job: JobId(1),
         index: 0,
     };
-    harness.unrecorded_attempts.push((copy, Attempt(7)));
+    harness.unrecorded_attempts.push((task, Attempt(7)));
     harness.send_heartbeat();
     harness.submit(2, "borrower", 1);
     harness.send_heartbeat();
@@ -270,5 +274,8 @@
     let is_of_borrower =
         |command: &Command| matches!(command, Command::Stop { task, .. } if task.job == JobId(1));
     assert!(stop_commands.iter().all(is_of_borrower));
-    assert!(stop_commands.len() <= 2, "{stop_commands:?}");
+    assert!(
+        stop_commands.len() <= 2,
+        "more tasks are stopped than needed: {stop_commands:?}"
+    );
 }
--- a/tests/record_split.rs
+++ b/tests/record_split.rs
@@ -325,7 +325,10 @@
             "after {steps_of_first_leader} steps"
         );
         for (key, data, _) in list_items(&mut store, "run/") {
-            assert!(records::json_size(&data) <= 2048, "{key}");
+            assert!(
+                records::json_size(&data) <= 2048,
+                "{key} exceeds 2048 bytes"
+            );
         }
     }
 }
--- a/tests/simulated/network.rs
+++ b/tests/simulated/network.rs
@@ -20,7 +20,7 @@
     Worker(HeartbeatId),
     /// A user.
     User(RequestId),
-    /// Nobody, as the request is a late copy.
+    /// Nobody, as the request is a late copy of a heartbeat.
     Nobody,
 }
 
--- a/tests/simulated/users/mod.rs
+++ b/tests/simulated/users/mod.rs
@@ -25,13 +25,13 @@
 const POLL_TIMEOUT: Duration = Duration::from_secs(2);
 /// How long users wait for the response to a submission or a cancellation.
 const SUBMIT_OR_CANCEL_TIMEOUT: Duration = Duration::from_secs(5);
-/// Random delay of each submission of a command.
+/// Random delay of each submission that one command of the scenario causes.
 const SUBMISSION_SPREAD_MS: Range<u64> = 0..100;
 /// Delay from the completion of a job's last task to its cancellation, if the cancellation is to race with the
 /// completion.
 const CANCELLATION_AT_COMPLETION_DELAY_MS: Range<u64> = 0..300;
-/// Delay from that cancellation to the poll that follows it.
-const POLL_AFTER_COMPLETION_RACE: Duration = Duration::from_millis(3);
+/// Delay from a cancellation that races with the completion to the poll that follows it.
+const POLL_DELAY_AFTER_RACING_CANCELLATION: Duration = Duration::from_millis(3);
 /// The run time of a task is its expected run time times a random factor, which is at least `MIN_RUN_TIME_SHARE` and
 /// less than the sum of both constants.
 const MIN_RUN_TIME_SHARE: f64 = 0.8;
@@ -216,7 +216,7 @@
             let at = context.now() + context.random_millis(CANCELLATION_AT_COMPLETION_DELAY_MS);
             PlannedRequest::schedule(context, at, id, RequestKind::Cancel);
             PlannedRequest::schedule_once(context, at, id, RequestKind::Submit, None);
-            let poll_at = at + POLL_AFTER_COMPLETION_RACE;
+            let poll_at = at + POLL_DELAY_AFTER_RACING_CANCELLATION;
             PlannedRequest::schedule_once(context, poll_at, id, RequestKind::Poll, None);
         }
     }
--- a/tests/simulated/worker/task_runner.rs
+++ b/tests/simulated/worker/task_runner.rs
@@ -83,16 +83,16 @@
     }
 
     fn fields(&self) -> Value {
-        let (status, cause) = match self.state {
+        let (status, end_reason) = match self.state {
             AttemptState::LoadingImage { .. } => ("fetching", Value::Null),
             AttemptState::Running { .. } => ("running", Value::Null),
-            AttemptState::Ended(cause) => ("ended", cause.name().into()),
+            AttemptState::Ended(end_reason) => ("ended", end_reason.name().into()),
         };
         map(vec![
             ("piece", self.id.task.as_str().into()),
             ("try", self.id.number.into()),
             ("status", status.into()),
-            ("cause", cause),
+            ("cause", end_reason),
         ])
     }
 }
@@ -215,11 +215,11 @@
         self.push_event(&task, TaskChange::Started);
     }
 
-    fn end(&mut self, index: usize, cause: EndReason) {
+    fn end(&mut self, index: usize, end_reason: EndReason) {
         let attempt = &mut self.attempts[index];
-        attempt.state = AttemptState::Ended(cause);
+        attempt.state = AttemptState::Ended(end_reason);
         let task = attempt.id.task.clone();
-        let is_complete = cause == EndReason::Completed;
+        let is_complete = end_reason == EndReason::Completed;
         self.push_event(&task, TaskChange::Ended { is_complete });
     }
 
@@ -252,7 +252,7 @@
         probability: f64,
         random: &mut fastrand::Rng,
     ) -> usize {
-        let cause = match end {
+        let end_reason = match end {
             ReplicaEnd::Completed => EndReason::Completed,
             ReplicaEnd::Failed => EndReason::Failed,
         };
@@ -260,7 +260,7 @@
         for attempt in &mut self.attempts {
             let runs_until_stopped = attempt.state == AttemptState::Running { until: None };
             if runs_until_stopped && random.f64() < probability {
-                attempt.state = AttemptState::Ended(cause);
+                attempt.state = AttemptState::Ended(end_reason);
                 // A replica runs until it is stopped, so it never completes, whatever its exit status.
                 self.events.push(TaskEvent {
                     task: attempt.id.task.clone(),
@@ -286,7 +286,7 @@
         }
         let profile = lookup(&id.task);
         let state = match self.refusal_reason(&id.task, profile) {
-            Some(cause) => AttemptState::Ended(cause),
+            Some(end_reason) => AttemptState::Ended(end_reason),
             None => {
                 self.push_event(&id.task, TaskChange::Accepted);
                 let until = now + self.image_load_time;
--- a/tests/size.rs
+++ b/tests/size.rs
@@ -164,7 +164,7 @@
 
 fn json_size(value: &impl serde::Serialize) -> usize {
     serde_json::to_vec(value)
-        .expect("it can be serialized")
+        .expect("the value can be serialized")
         .len()
 }
 
@@ -177,14 +177,14 @@
         );
         assert!(
             txn.changes.len() <= MAX_TXN_CHANGES,
-            "{}",
+            "a transaction of {} changes",
             txn.changes.len()
         );
         assert!(txn.conditions.len() <= 4 * MAX_TXN_CHANGES);
         for condition in &txn.conditions {
             let stored = self.items.get(&condition.key);
             let version = stored.map_or(Version(0), |(_, version)| *version);
-            assert_eq!(version, condition.version, "{}", condition.key);
+            assert_eq!(version, condition.version, "version of {}", condition.key);
         }
         self.revision += 1;
         let version = Version(self.revision);
@@ -193,7 +193,7 @@
                 Change::Put { key, value, .. } => {
                     assert!(
                         json_size(value) <= (MAX_VALUE_KIB * 1024.0) as usize,
-                        "{key}"
+                        "the value of {key} exceeds the limit"
                     );
                     self.items.insert(key.clone(), (value.clone(), version));
                 }
@@ -263,7 +263,7 @@
         round_count += 1;
         assert!(
             round_count < 2000,
-            "{} tasks done",
+            "the job does not end: {} tasks are done",
             leader.cluster().jobs()[&JOB].done_count
         );
         now = now.after(Duration::from_millis(500));
--- a/tests/traces.rs
+++ b/tests/traces.rs
@@ -144,11 +144,11 @@
 
 impl Replay {
     fn new() -> Replay {
-        let types = vec![
+        let machine_types = vec![
             machine_type("small", 4.0, 16.0, 0.3, &["a", "b"]),
             machine_type("big", 16.0, 64.0, 1.2, &["a"]),
         ];
-        let mut leader = Leader::new(TERM, Version(1), default_policy(), types, Time(0));
+        let mut leader = Leader::new(TERM, Version(1), default_policy(), machine_types, Time(0));
         leader.set_lease_valid_until(NO_EXPIRY);
         Replay {
             leader,
@@ -414,8 +414,8 @@
             "records" => {
                 let mut policy = default_policy();
                 policy.max_queued_records_per_priority = words[1].parse().expect("a number");
-                let types = self.leader.machine_types().to_vec();
-                self.leader = Leader::new(TERM, Version(1), policy, types, Time(0));
+                let machine_types = self.leader.machine_types().to_vec();
+                self.leader = Leader::new(TERM, Version(1), policy, machine_types, Time(0));
                 self.leader.set_lease_valid_until(NO_EXPIRY);
             }
             "loaded" => self.leader.on_loaded(now),
@@ -536,7 +536,7 @@
     }
 }
 
-/// Replays a trace. Returns it with the lines that the leader's output now consists of.
+/// Replays a trace. Returns the trace with its `>` lines replaced by what the leader prints now.
 fn replay_trace(trace: &str) -> String {
     let mut replay = Replay::new();
     for line in trace.lines().filter(|line| !line.starts_with('>')) {
--- a/tests/upgrade/tests/rollout.rs
+++ b/tests/upgrade/tests/rollout.rs
@@ -60,7 +60,7 @@
                     timeout: Duration,
                 ) -> earlier::CallId {
                     earlier::CallId(self.0.send_call(&CallParameters {
-                        server: to: server,
+                        server,
                         method,
                         target,
                         body,
@@ -132,7 +132,8 @@
                 if config.version == Version::Current {
                     return launch_current(config);
                 }
-                let settings = Settings::parse(&config.settings).expect("settings");
+                let settings = Settings::parse(&config.settings)
+                    .expect("the settings file of a scenario is valid");
                 let network = TransportAdapter(config.transport);
                 let node = Node::new(settings, Tuning::default(), network, config.incarnation);
                 Box::new(node)
--- a/tests/zones_leader.rs
+++ b/tests/zones_leader.rs
@@ -119,7 +119,7 @@
         simulation
     }
 
-    /// Advances the time by that many seconds. Hosts outside of partitioned zones send a heartbeat every three seconds.
+    /// Advances the time by `seconds`. Hosts outside of partitioned zones send a heartbeat every three seconds.
     fn advance(&mut self, seconds: u64) {
         for _ in 0..seconds {
             self.now = Time(self.now.0 + 1000);
@@ -344,6 +344,7 @@
     );
 }
 
+/// The heartbeats of a host in a lost zone don't reach the leader, so waiting tasks need hosts in other zones.
 #[test]
 fn nothing_is_provisioned_in_a_lost_zone() {
     let mut simulation = LeaderSimulation::new(ZONES_ENABLED);
