--- a/tests/simulated/checker/mod.rs
+++ b/tests/simulated/checker/mod.rs
@@ -167,7 +167,10 @@
     fn observe_answer(&mut self, now: SimTime, request: &AnsweredRequest) {
         let Some(job) = self.view.job_mut(request.job) else {
             if request.answer.is_acceptance() {
-                let details = format!("{} is {:?}", request.job, request.answer);
+                let details = format!(
+                    "{} is reported as {:?}, but no user submitted it",
+                    request.job, request.answer
+                );
                 self.report(now, Invariant::OnlySubmittedJobs, details);
             }
             return;
@@ -187,7 +190,7 @@
         let duplicate = execution::duplicate_run(task, host, &earlier_hosts);
         self.report_all(now, Invariant::TaskRunsOnce, duplicate);
         let Some(job) = self.view.job_mut(task.job) else {
-            let details = format!("{task} starts on {host}");
+            let details = format!("{task} starts on {host}, but no user submitted its job");
             return self.report(now, Invariant::OnlySubmittedJobs, details);
         };
         if job.spec.replicas_keep_ending {
@@ -198,7 +201,8 @@
         let team = job.spec.team.clone();
         let deadline = self.bounds.cancellation_deadline;
         if execution::is_overdue_cancellation(job, now, deadline) {
-            let details = format!("{task} starts on {host}");
+            let details =
+                format!("{task} starts on {host} after the deadline of its job's cancellation");
             self.report(now, Invariant::CancelledWorkEnds, details);
         }
         self.check_team_limit(now, &team);
