--- a/tests/simulated/users/mod.rs
+++ b/tests/simulated/users/mod.rs
@@ -25,13 +25,13 @@
 const POLL_TIMEOUT: Duration = Duration::from_secs(2);
 /// How long users wait for the response to a submission or a cancellation.
 const SUBMIT_OR_CANCEL_TIMEOUT: Duration = Duration::from_secs(5);
-/// Random delay of each submission of a command.
+/// Random delay of each submission that one command of the scenario causes.
 const SUBMISSION_SPREAD_MS: Range<u64> = 0..100;
 /// Delay from the completion of a job's last task to its cancellation, if the cancellation is to race with the
 /// completion.
 const CANCELLATION_AT_COMPLETION_DELAY_MS: Range<u64> = 0..300;
-/// Delay from that cancellation to the poll that follows it.
-const POLL_AFTER_COMPLETION_RACE: Duration = Duration::from_millis(3);
+/// Delay from a cancellation that races with the completion to the poll that follows it.
+const POLL_DELAY_AFTER_RACING_CANCELLATION: Duration = Duration::from_millis(3);
 /// The run time of a task is its expected run time times a random factor, which is at least `MIN_RUN_TIME_SHARE` and
 /// less than the sum of both constants.
 const MIN_RUN_TIME_SHARE: f64 = 0.8;
@@ -180,17 +180,17 @@
     }
 
     /// Jobs that are not known to be over and whose cancellation has not been requested, in random order: all of them
-    /// with `include_waiting`, otherwise only those with running tasks.
+    /// with `includes_waiting`, otherwise only those with running tasks.
     pub fn choose_jobs_to_cancel(
         &self,
         context: &mut Context,
-        include_waiting: bool,
+        includes_waiting: bool,
     ) -> Vec<JobId> {
         let is_open = |job: &UserJob| !job.cancellation_requested && !job.is_final;
         let open = self.jobs.iter().filter(|(_, job)| is_open(job));
         let mut chosen: Vec<JobId> = open
             .map(|(id, _)| *id)
-            .filter(|id| include_waiting || context.checker().running_task_count(*id) > 0)
+            .filter(|id| includes_waiting || context.checker().running_task_count(*id) > 0)
             .collect();
         context.random().shuffle(&mut chosen);
         chosen
@@ -216,7 +216,7 @@
             let at = context.now() + context.random_millis(CANCELLATION_AT_COMPLETION_DELAY_MS);
             PlannedRequest::schedule(context, at, id, RequestKind::Cancel);
             PlannedRequest::schedule_once(context, at, id, RequestKind::Submit, None);
-            let poll_at = at + POLL_AFTER_COMPLETION_RACE;
+            let poll_at = at + POLL_DELAY_AFTER_RACING_CANCELLATION;
             PlannedRequest::schedule_once(context, poll_at, id, RequestKind::Poll, None);
         }
     }
