--- a/src/node/leader_locality.rs
+++ b/src/node/leader_locality.rs
@@ -12,9 +12,9 @@
 use crate::transport::Network;
 use crate::types::{Term, Time};
 
-/// How long it is remembered that no node of the home zone claimed the free key in an election. Until then, a leader
-/// that is partitioned from the home zone does not resign in its favour: the nodes there do not reach the state
-/// service during a partition.
+/// How long it is remembered that no node of the home zone claimed the free key in an election. During that time a
+/// leader that is partitioned from the home zone does not resign in its favour, as the nodes there cannot reach the
+/// state service whenever the home zone is partitioned.
 const HOME_ZONE_ABSENCE: Duration = Duration::from_secs(600);
 
 /// What this node knows about the zones that matters for the choice of the leader.
@@ -187,7 +187,8 @@
     }
 
     /// Whether most workers do not reach this node, and a peer that reaches the state service receives the heartbeats
-    /// of more of them. Right after a partition a peer still counts workers that are about to change to this node.
+    /// of more of them. Right after a partition a peer still counts workers that are about to change to this node, so a
+    /// peer is considered only after it has been reachable for the settling time.
     fn has_peer_with_more_workers(&self, worker_reach: &WorkerReach, now: Time) -> bool {
         if !worker_reach.is_partitioned() {
             return false;
