--- a/tests/traces.rs
+++ b/tests/traces.rs
@@ -361,7 +361,8 @@
         self.print_leadership_loss(result);
     }
 
-    /// Handles `record …`, for example `record 7 0 booked 0#1@vm-1/1`.
+    /// Handles `record …`, for example `record 7 0 booked 0#1@vm-1/1`: a run record with these allocations, without
+    /// finished tasks, whose version is 9.
     fn on_run_record(&mut self, words: &[&str]) {
         let mut record = RunRecord {
             tasks_per_record: 4,
--- a/tests/zones_leader.rs
+++ b/tests/zones_leader.rs
@@ -325,7 +325,8 @@
         .all(|number| simulation.waiting_task_count(*number) == 1));
 }
 
-/// A host whose heartbeats arrive again before it was released stays and keeps its tasks.
+/// A host whose heartbeats arrive again before it was released stays and keeps its tasks: once the zone is back, none of
+/// its remaining hosts is released.
 #[test]
 fn hosts_whose_heartbeats_return_keep_their_tasks() {
     let mut simulation = LeaderSimulation::new(ZONES_ENABLED);
