--- a/crates/store/src/rate_limit.rs
+++ b/crates/store/src/rate_limit.rs
@@ -1,4 +1,4 @@
-//! A rate limit as a token bucket, and how nodes share a rate limit that applies to all of them together.
+//! A rate limit as a token bucket, and how clients share a rate limit that applies to all of them together.
 
 use std::time::Duration;
 
@@ -40,7 +40,8 @@
         self.tokens_per_s = tokens_per_s;
     }
 
-    /// Tokens spent since the bucket was created. Nodes calculate from it the rate that they report to each other.
+    /// Tokens spent since the bucket was created. Clients calculate from it the rate that they report to each
+    /// other.
     pub fn total_spent(&self) -> f64 {
         self.total_spent
     }
@@ -81,10 +82,10 @@
     }
 }
 
-/// The share of one of `nodes` nodes in the rate `total_per_s` that applies to all of them together: the part that the
-/// other nodes leave, which report that they spend `others_per_s`, but at least an equal share. If every node needs
-/// more than that, each learns how much the others spend, and all converge to the equal share.
-pub fn node_share(total_per_s: f64, nodes: usize, others_per_s: f64) -> f64 {
-    let equal_share_per_s = total_per_s / nodes.max(1) as f64;
+/// The share of one client in the rate `total_per_s`, which applies to all `client_count` clients together. It is the
+/// part that the other clients leave, which report that they spend `others_per_s`, but at least an equal share. If every
+/// client needs more than that, each learns how much the others spend, and all converge to the equal share.
+pub fn client_share(total_per_s: f64, client_count: usize, others_per_s: f64) -> f64 {
+    let equal_share_per_s = total_per_s / client_count.max(1) as f64;
     (total_per_s - others_per_s).max(equal_share_per_s)
 }
--- a/src/coordination/election.rs
+++ b/src/coordination/election.rs
@@ -105,7 +105,7 @@
 /// The leader election from the point of view of one controller. It returns requests as [`ElectionAction`]s and takes
 /// their outcomes.
 pub struct LeaderElection {
-    node: String,
+    controller: String,
     /// Tells this process from earlier processes of the same node.
     incarnation: u64,
     lease_ttl: Duration,
@@ -134,10 +134,10 @@
 
 impl LeaderElection {
     /// A follower that has read nothing yet. `seed` has to differ between the processes of one node.
-    pub fn new(node: &str, lease_ttl: Duration, seed: u64) -> LeaderElection {
+    pub fn new(controller: &str, lease_ttl: Duration, seed: u64) -> LeaderElection {
         let mut rng = fastrand::Rng::with_seed(seed);
         LeaderElection {
-            node: node.to_owned(),
+            controller: controller.to_owned(),
             incarnation: rng.u64(..),
             lease_ttl,
             role: Role::Following,
@@ -244,7 +244,7 @@
             self.known_leader = None;
             self.confirmed_at = None;
         }
-        if let Some(leader) = leader.filter(|l| *l != self.node) {
+        if let Some(leader) = leader.filter(|l| *l != self.controller) {
             self.known_leader = Some(leader.to_owned());
         }
         match self.role {
@@ -278,7 +278,7 @@
         // A read in flight may still show the own key, so that this node leads again: the ended lease must not count as
         // valid then.
         self.lease_valid_until = Time::default();
-        if self.known_leader.as_deref() == Some(&self.node) {
+        if self.known_leader.as_deref() == Some(&self.controller) {
             self.known_leader = None;
         }
         self.is_renewing = false;
@@ -320,7 +320,7 @@
             return Some(ElectionAction::GrantLease(self.lease_ttl));
         };
         self.key_free_since = None;
-        if holder.node == self.node {
+        if holder.controller == self.controller {
             if holder.incarnation == self.incarnation {
                 // An earlier claim whose response was lost was committed.
                 return Some(self.begin_leading(
@@ -333,7 +333,7 @@
             // The key of an earlier process of this node, which is dead, as otherwise this one would not run.
             return Some(ElectionAction::EndLease(holder.lease));
         }
-        let action = self.observe_term(holder.term, Some(&holder.node));
+        let action = self.observe_term(holder.term, Some(&holder.controller));
         if holder.term == self.highest_term {
             self.confirmed_at = Some(now);
         }
@@ -360,7 +360,7 @@
         now: Time,
     ) -> ElectionAction {
         self.highest_term = term;
-        self.known_leader = Some(self.node.clone());
+        self.known_leader = Some(self.controller.clone());
         self.set_role(Role::Leading {
             lease,
             term,
@@ -441,7 +441,7 @@
     /// The transaction that claims the leadership: it fails if the key exists or the term has changed.
     fn claim(&self, lease: LeaseId, term: Term, term_version: Version) -> Txn {
         let holder = LeaderRecord {
-            node: self.node.clone(),
+            controller: self.controller.clone(),
             incarnation: self.incarnation,
             lease,
             term,
--- a/src/node/heartbeats.rs
+++ b/src/node/heartbeats.rs
@@ -7,7 +7,7 @@
 use crate::protocol::peers::{self, PeerHeartbeat, StoreUsage};
 use crate::transport::{CallError, CallId, Network, Response};
 use crate::types::{JobId, Term, Time};
-use lichencrank_store::rate_limit::node_share;
+use lichencrank_store::rate_limit::client_share;
 
 const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(1);
 const HEARTBEAT_TIMEOUT: Duration = Duration::from_millis(1500);
@@ -215,15 +215,15 @@
             peer_usage_per_s.1 += f64::from(heartbeat.store_usage.changes_per_s);
         }
         let state = &self.settings.shared.state_service;
-        let node_count = self.peers.len() + 1;
-        let requests_per_s = node_share(
+        let controller_count = self.peers.len() + 1;
+        let requests_per_s = client_share(
             state.requests_per_s * USABLE_BUDGET_FRACTION,
-            node_count,
+            controller_count,
             peer_usage_per_s.0,
         );
-        let changes_per_s = node_share(
+        let changes_per_s = client_share(
             state.changes_per_s * USABLE_BUDGET_FRACTION,
-            node_count,
+            controller_count,
             peer_usage_per_s.1,
         );
         self.store.set_rates(now, requests_per_s, changes_per_s);
--- a/src/storage/records.rs
+++ b/src/storage/records.rs
@@ -130,8 +130,9 @@
 /// The current leader.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LeaderRecord {
-    /// Name of the leading node.
-    pub node: String,
+    /// Name of the leading controller.
+    #[serde(rename = "node")]
+    pub controller: String,
     /// Random number that each process draws at its start: a node that has restarted is not the same leader.
     pub incarnation: u64,
     /// The lease that the key is attached to.
--- a/tests/budget.rs
+++ b/tests/budget.rs
@@ -7,7 +7,7 @@
 use lichencrank::storage::store::{RequestClass, StoreClient, StoreRequest, StoreRequestId};
 use lichencrank::transport::{CallError, CallId, Response};
 use lichencrank::types::{LeaseId, Time};
-use lichencrank_store::rate_limit::node_share;
+use lichencrank_store::rate_limit::client_share;
 use lichencrank_store::{Change, Txn};
 
 /// A transaction with the given number of changes.
@@ -158,7 +158,7 @@
             let node = round % demands_per_s.len();
             let others_per_s = known_rates_per_s.iter().sum::<f64>() - known_rates_per_s[node];
             rates_per_s[node] =
-                node_share(100.0, demands_per_s.len(), others_per_s).min(demands_per_s[node]);
+                client_share(100.0, demands_per_s.len(), others_per_s).min(demands_per_s[node]);
         }
         rates_per_s
     };
--- a/tests/leadership.rs
+++ b/tests/leadership.rs
@@ -16,9 +16,9 @@
     LeaderElection::new(name, LEASE_TTL, seed)
 }
 
-fn records_with_leader(node: &str, incarnation: u64, term: u64) -> Option<ElectionRecords> {
+fn records_with_leader(controller: &str, incarnation: u64, term: u64) -> Option<ElectionRecords> {
     let holder = LeaderRecord {
-        node: node.into(),
+        controller: controller.into(),
         incarnation,
         lease: LeaseId(7),
         term: Term(term),
