--- a/src/protocol/peers.rs
+++ b/src/protocol/peers.rs
@@ -3,7 +3,7 @@
 //! # Compatibility between versions
 //!
 //! Controllers of different versions run side by side during a rolling upgrade. These rules hold for every message in this
-//! module; [`decode`] alone enforces the last one:
+//! module. Only the last one is enforced by the code, in [`decode`]:
 //!
 //! - The layout of a message never changes: no field or variant is added, removed or reordered.
 //! - A new kind of message gets its own path. A controller that does not know the path responds with 404, and the sender
@@ -87,7 +87,8 @@
     pub jobs: Vec<u64>,
 }
 
-/// The response to [`CancelledJobs`]: those jobs whose tasks are commanded by the responding leader alone.
+/// The response to [`CancelledJobs`]: the jobs that the responding leader acknowledges, as it alone commands the workers
+/// that hold tasks of them.
 #[derive(Clone, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct AcknowledgedJobs {
     /// Numbers of the jobs, as in their ids.
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -255,7 +255,8 @@
 
 /// Number of changes in the largest transaction that cannot be split.
 const MIN_TXN_CHANGES: usize = 4;
-/// Sockets for listening and for connections to the state service, the cloud, the peers and a few workers.
+/// Fewest sockets that a controller works with: for listening, and for connections to the state service, the cloud, the
+/// peers and a few workers.
 const MIN_SOCKETS: usize = 32;
 
 fn null_is_empty<'de, D, T>(deserializer: D) -> Result<Vec<T>, D::Error>
--- a/src/types.rs
+++ b/src/types.rs
@@ -38,7 +38,7 @@
     Duration::try_from_secs_f64(seconds.max(0.0)).unwrap_or(Duration::MAX / 4)
 }
 
-/// Id of a job: `job-` and a number of at least six digits.
+/// Id of a job: `job-` and a number of 6 to 18 digits, which fits into 64 bits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct JobId(pub u64);
 
