--- a/src/coordination/autoscaling/forecast.rs
+++ b/src/coordination/autoscaling/forecast.rs
@@ -1,5 +1,5 @@
-//! The scale-out forecast: when each waiting task would start on the hosts that are up, expected or requested, and which
-//! hosts are requested because that is too late.
+//! The scale-out forecast: when each waiting task would start on the hosts that are up, expected or requested, and
+//! which hosts are requested because that is too late.
 
 use std::collections::BTreeMap;
 
@@ -82,10 +82,11 @@
         started
     }
 
-    /// Adds one host to those to request from the pool, unless that would exceed the pool's limit. Returns whether it was
-    /// added.
+    /// Adds one host to those to request from the pool, unless that would exceed the pool's limit. Returns whether it
+    /// was added.
     fn try_request_host(&mut self, pool: &CapacityPool, view: &View<'_>) -> bool {
-        // If the last request to the pool was not fulfilled, a single one suffices to find out whether it has capacity again.
+        // If the last request to the pool was not fulfilled, a single one suffices to find out whether it has capacity
+        // again.
         let was_unfulfilled = view.autoscaler.pool_backoff_until.contains_key(pool);
         let limit = if was_unfulfilled {
             MAX_PROVISION_COUNT
@@ -252,7 +253,8 @@
         }
     }
 
-    /// The pool to request a host from for a task that would start at `start_s` on the present hosts, if that is worth it.
+    /// The pool to request a host from for a task that would start at `start_s` on the present hosts, if that is worth
+    /// it.
     fn pool_for_task(
         &self,
         demand: &JobDemand,
@@ -335,8 +337,8 @@
 
 impl Leader {
     /// Requests the hosts that waiting and predicted tasks need beyond those that are up, expected or requested. The
-    /// forecast tells when each task would start on these; a host is requested only where that is too late and a new host
-    /// would start the task sooner.
+    /// forecast tells when each task would start on these; a host is requested only where that is too late and a new
+    /// host would start the task sooner.
     pub(crate) fn scale_out(&mut self, scarce_types: &[bool], now: Time) {
         let arrivals = self.autoscaler.arrivals_with_age_s(now);
         let view = self.view();
--- a/src/coordination/autoscaling/mod.rs
+++ b/src/coordination/autoscaling/mod.rs
@@ -1,5 +1,5 @@
-//! Decides how many hosts of which types there are: the demand forecast, capacity pools, scale-out, scale-in and standby
-//! capacity for services.
+//! Decides how many hosts of which types there are: the demand forecast, capacity pools, scale-out, scale-in and
+//! standby capacity for services.
 
 pub mod forecast;
 pub mod pools;
--- a/src/coordination/autoscaling/pools.rs
+++ b/src/coordination/autoscaling/pools.rs
@@ -1,5 +1,5 @@
-//! Which pool a host is provisioned from for a waiting task, and whether the host would start the task soon enough to be
-//! worth it.
+//! Which pool a host is provisioned from for a waiting task, and whether the host would start the task soon enough to
+//! be worth it.
 
 use crate::coordination::autoscaling::provisioning::CapacityPool;
 use crate::coordination::scheduling::scoring::{self, capacity};
@@ -36,8 +36,8 @@
 }
 
 impl View<'_> {
-    /// The pool to provision a host from for the task; `None` if the task meets its deadline without a new host, or a new
-    /// host would not start it soon enough to be worth it.
+    /// The pool to provision a host from for the task; `None` if the task meets its deadline without a new host, or a
+    /// new host would not start it soon enough to be worth it.
     pub(crate) fn pool_worth_provisioning(
         &self,
         spec: &JobSpec,
@@ -79,8 +79,8 @@
             .fold(f64::INFINITY, f64::min)
     }
 
-    /// The pool with the lowest cost per task, boot and image fetch included, among those that the job may use now and that
-    /// have no request pending.
+    /// The pool with the lowest cost per task, boot and image fetch included, among those that the job may use now and
+    /// that have no request pending.
     fn cheapest_pool(
         &self,
         spec: &JobSpec,
@@ -88,8 +88,8 @@
         usable_types: &[bool],
         now: Time,
     ) -> Option<CapacityPool> {
-        // Spot hosts serve nearly as well at a third of the price. For a task that may use them, an on-demand host is worth
-        // its price only if no spot pool is available and the wait is long.
+        // Spot hosts serve nearly as well at a third of the price. For a task that may use them, an on-demand host is
+        // worth its price only if no spot pool is available and the wait is long.
         let is_spot_available = usable_types.iter().enumerate().any(|(index, is_usable)| {
             let mut zones = self.cluster.machine_types()[index].zones.iter();
             *is_usable
--- a/src/coordination/autoscaling/provisioning.rs
+++ b/src/coordination/autoscaling/provisioning.rs
@@ -107,8 +107,8 @@
 const MAX_SEEN_CLASSES: usize = 1000;
 /// Interval between two evaluations of which hosts are cordoned, released and provisioned, on an empty cluster.
 const EVALUATION_INTERVAL: Duration = Duration::from_millis(500);
-/// Added to the evaluation interval for each known host, so that evaluations take the same share of the processor at any
-/// cluster size.
+/// Added to the evaluation interval for each known host, so that evaluations take the same share of the processor at
+/// any cluster size.
 const EVALUATION_INTERVAL_PER_HOST: Duration = Duration::from_micros(500);
 /// How long no request is sent to a pool that had less capacity than requested.
 const NO_CAPACITY_BACKOFF: Duration = Duration::from_secs(15);
--- a/src/coordination/autoscaling/scale_in.rs
+++ b/src/coordination/autoscaling/scale_in.rs
@@ -21,8 +21,8 @@
 }
 
 impl View<'_> {
-    /// The hosts that may be kept or cordoned as surplus, on the scarce types or on the others, those to be kept first: the
-    /// cheapest per CPU, then the fullest.
+    /// The hosts that may be kept or cordoned as surplus, on the scarce types or on the others, those to be kept first:
+    /// the cheapest per CPU, then the fullest.
     fn scale_in_candidates(&self, scarce_types: &[bool], is_scarce: bool) -> Vec<ScaleInCandidate> {
         let mut candidates: Vec<ScaleInCandidate> = self
             .cluster
@@ -58,8 +58,8 @@
         candidates
     }
 
-    /// CPUs that allocated and waiting tasks take, on the scarce types or on the others. A host counts with the larger of
-    /// the allocated shares of its CPUs and of its memory.
+    /// CPUs that allocated and waiting tasks take, on the scarce types or on the others. A host counts with the larger
+    /// of the allocated shares of its CPUs and of its memory.
     fn demand_cpus(&self, scarce_types: &[bool], is_scarce: bool) -> f64 {
         let mut demand_cpus = 0.0;
         for host in self.cluster.hosts().values() {
@@ -100,9 +100,9 @@
 }
 
 impl Leader {
-    /// Scales in by cordoning. Placement by headroom spreads tasks over all hosts, so that none ever idles. Hosts that the
-    /// recent peak demand does not need are therefore cordoned, the most expensive first, and released once their tasks
-    /// have ended. When demand rises they are uncordoned before any host is requested.
+    /// Scales in by cordoning. Placement by headroom spreads tasks over all hosts, so that none ever idles. Hosts that
+    /// the recent peak demand does not need are therefore cordoned, the most expensive first, and released once their
+    /// tasks have ended. When demand rises they are uncordoned before any host is requested.
     pub(crate) fn cordon_surplus_hosts(&mut self, scarce_types: &[bool], now: Time) {
         let window = duration_from_seconds(self.policy.tuning.idle_release_s);
         let kept_on_demand = self.on_demand_hosts_to_keep(now);
--- a/src/coordination/autoscaling/services.rs
+++ b/src/coordination/autoscaling/services.rs
@@ -94,8 +94,8 @@
         host_cpus.chain(requested_cpus).sum::<f64>() - waiting_cpus.sum::<f64>()
     }
 
-    /// A replica on a host that has been cordoned as surplus for [`SURPLUS_DRAIN_DELAY`] and holds nothing but replicas, each
-    /// of which has room elsewhere.
+    /// A replica on a host that has been cordoned as surplus for [`SURPLUS_DRAIN_DELAY`] and holds nothing but
+    /// replicas, each of which has room elsewhere.
     fn replica_on_surplus_host(&self, now: Time) -> Option<(HostName, TaskId)> {
         let is_past_delay = |since: Time| now.since(since) > SURPLUS_DRAIN_DELAY;
         let host = self.cluster.hosts().values().find(|host| {
@@ -143,9 +143,9 @@
 }
 
 impl Leader {
-    /// CPUs to keep on on-demand hosts: the recent peak demand of jobs that may not use spot hosts, with headroom, and the
-    /// standby for services. The demand is that of allocated and waiting tasks and of tasks that are likely to be submitted
-    /// before a new host could start them.
+    /// CPUs to keep on on-demand hosts: the recent peak demand of jobs that may not use spot hosts, with headroom, and
+    /// the standby for services. The demand is that of allocated and waiting tasks and of tasks that are likely to be
+    /// submitted before a new host could start them.
     fn wanted_on_demand_cpus(&mut self, now: Time) -> f64 {
         let mut demand_cpus = 0.0;
         for job in self.cluster.jobs().values() {
@@ -312,8 +312,8 @@
         self.cluster.uncordon_surplus(&name)
     }
 
-    /// Moves replicas off hosts that are to be reclaimed as soon as there is room elsewhere, so that each is down for no
-    /// longer than a start takes. Also moves replicas off surplus hosts that hold nothing else, one at a time.
+    /// Moves replicas off hosts that are to be reclaimed as soon as there is room elsewhere, so that each is down for
+    /// no longer than a start takes. Also moves replicas off surplus hosts that hold nothing else, one at a time.
     pub(crate) fn move_replicas(&mut self, now: Time) {
         if !self.cluster.jobs().values().any(Job::is_service) {
             return;
--- a/src/coordination/autoscaling/timeline.rs
+++ b/src/coordination/autoscaling/timeline.rs
@@ -69,8 +69,8 @@
     }
 }
 
-/// The hosts that suit a job, by when each could start its next task, the earliest first. An entry holds the bits of the
-/// time in seconds, which sort like the times since these are never negative, and the index of the host's timeline.
+/// The hosts that suit a job, by when each could start its next task, the earliest first. An entry holds the bits of
+/// the time in seconds, which sort like the times since these are never negative, and the index of the host's timeline.
 #[derive(Default)]
 pub(crate) struct StartQueue(BinaryHeap<Reverse<(u64, usize)>>);
 
--- a/src/coordination/cluster/allocation.rs
+++ b/src/coordination/cluster/allocation.rs
@@ -9,7 +9,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AllocationPhase {
     /// Its run record is not known to be written, so no `run` may be sent.
-    Persisting,
+    Uncommitted,
     /// Its run record is written. A `run` may be sent, and may have been sent.
     Committed,
     /// The worker has reported that the attempt exists.
@@ -62,7 +62,7 @@
             attempt,
             incarnation,
             resources,
-            phase: AllocationPhase::Persisting,
+            phase: AllocationPhase::Uncommitted,
             record_change_count: 0,
             was_run_possibly_sent: false,
             was_run_sent_directly: false,
--- a/src/coordination/cluster/commands.rs
+++ b/src/coordination/cluster/commands.rs
@@ -149,7 +149,7 @@
     }
 
     /// Whether the first `record_change_count` changes of the task's run record are written. Once the job is over in
-    /// the store, no run record of it is written any more.
+    /// the state service, no run record of it is written any more.
     fn is_outcome_written(&self, task: TaskId, record_change_count: u64) -> bool {
         let Some(job) = self.jobs.get(&task.job) else {
             return true;
--- a/src/coordination/cluster/host.rs
+++ b/src/coordination/cluster/host.rs
@@ -88,7 +88,7 @@
     pub type_index: Option<usize>,
     /// Its zone; empty while it is unknown.
     pub zone: String,
-    /// Whether it is a spot instance.
+    /// Whether it is a spot host.
     pub is_spot: bool,
     /// Address of its worker for direct commands, once it is known.
     pub address: Option<SocketAddr>,
--- a/src/coordination/cluster/job/chunk.rs
+++ b/src/coordination/cluster/job/chunk.rs
@@ -45,7 +45,7 @@
 pub struct TaskChunk {
     tasks: Vec<TaskState>,
     allocated_count: u32,
-    /// Version of its run record in the store; [`Version::ABSENT`] while there is none.
+    /// Version of its run record in the state service; [`Version::ABSENT`] while there is none.
     pub record_version: Version,
     /// Number of changes since the record was read or the chunk was created.
     pub change_count: u64,
@@ -95,7 +95,7 @@
         self.allocated_count > 0
     }
 
-    /// Whether there may be a run record of it in the store.
+    /// Whether there may be a run record of it in the state service.
     pub(crate) fn may_have_record(&self) -> bool {
         self.record_version != Version::ABSENT || self.is_version_unknown
     }
--- a/src/coordination/cluster/job/mod.rs
+++ b/src/coordination/cluster/job/mod.rs
@@ -74,13 +74,13 @@
     pub chunks: Vec<Option<Box<TaskChunk>>>,
     /// No task from this index on was ever allocated.
     first_never_allocated: u32,
-    /// Indexes of the waiting tasks before that one, most of which were allocated before.
+    /// Indexes of the waiting tasks below `first_never_allocated`. Most of them have been allocated before.
     retry_queue: BTreeSet<u32>,
 
     /// None of its tasks is placed before this time, as an earlier one failed or was refused.
     pub retry_not_before: Time,
-    /// Count of the failures of its tasks. For a service it restarts at 0 when a replica ends that ran for long; a
-    /// replica that failed sooner counts twice, one that completed sooner once.
+    /// Count of the failures of its tasks. For a service it restarts at 0 when a replica ends that ran for at least
+    /// [`REPLICA_STABLE_AFTER`]; a replica that failed sooner counts twice, one that completed sooner once.
     pub failure_count: u32,
     /// Hosts on which a task of it failed.
     pub failed_hosts: BTreeSet<HostName>,
@@ -206,7 +206,7 @@
         }
     }
 
-    /// Whether it is over and nothing but its archived outcome is left in the store.
+    /// Whether it is over and nothing but its archived outcome is left in the state service.
     pub(super) fn is_deleted(&self) -> bool {
         let mut chunks = self.chunks.iter().flatten();
         self.phase == JobPhase::GarbageCollecting
@@ -361,7 +361,7 @@
         }
     }
 
-    /// The owner's estimate of a task's run time, in seconds.
+    /// The user's estimate of a task's run time, in seconds.
     pub fn estimated_run_s(&self) -> f64 {
         self.spec.as_ref().map_or(UNKNOWN_ESTIMATE_S, |spec| {
             spec.estimated_run_time_s.0.max(1.0)
--- a/src/coordination/cluster/job/splitting.rs
+++ b/src/coordination/cluster/job/splitting.rs
@@ -100,7 +100,8 @@
         dirty_records
     }
 
-    /// Shortens the description if its record exceeds `max_value_bytes`; see [`JobRecord::remove_unavailable_machine_types`].
+    /// Shortens the description if its record exceeds `max_value_bytes`; see
+    /// [`JobRecord::remove_unavailable_machine_types`].
     pub(crate) fn shorten_description(
         &mut self,
         max_value_bytes: usize,
--- a/src/coordination/cluster/mod.rs
+++ b/src/coordination/cluster/mod.rs
@@ -1,10 +1,10 @@
 //! The leader's view of the cluster: hosts, jobs, allocations of tasks to hosts, and the records that are still to be
-//! written to the store.
+//! written to the state service.
 //!
 //! Only [`ClusterState`] changes this state. Other components read it through shared references and call the methods of
 //! [`ClusterState`] to apply their decisions. These methods keep the parts consistent: each allocation is held by its
-//! host, in the state of its task, in the usage of its team and in a run record. An allocation is recorded in the store
-//! before its task is started, and is freed only when the attempt is proven to have ended.
+//! host, in the state of its task, in the usage of its team and in a run record. An allocation is recorded in the state
+//! service before its task is started, and is freed only when the attempt is proven to have ended.
 
 mod allocation;
 mod allocations;
@@ -47,7 +47,7 @@
     hosts: BTreeMap<HostName, Host>,
     jobs: Jobs,
     record_writer: RecordWriter,
-    /// Allocations that are not known to be in the store, by their run record.
+    /// Allocations that are not known to be in the state service, by their run record.
     uncommitted_allocations: BTreeMap<RunRecordId, Vec<AllocatedTask>>,
     /// Resources of each team's allocations, which count until they are proven to have ended.
     team_usage: BTreeMap<String, ResourceVector>,
--- a/src/coordination/cluster/persistence.rs
+++ b/src/coordination/cluster/persistence.rs
@@ -144,7 +144,7 @@
             let host = self.hosts.get_mut(&name);
             let allocation = host.and_then(|host| host.allocations.get_mut(&task));
             let Some(allocation) =
-                allocation.filter(|allocation| allocation.phase == AllocationPhase::Persisting)
+                allocation.filter(|allocation| allocation.phase == AllocationPhase::Uncommitted)
             else {
                 continue;
             };
--- a/src/coordination/cluster/record_writer/mod.rs
+++ b/src/coordination/cluster/record_writer/mod.rs
@@ -43,7 +43,7 @@
         /// Whether the allowance of a team has changed since the leader read it.
         is_allowance_outdated: bool,
     },
-    /// The leader's key has changed: another node leads.
+    /// The leader's key has changed: another controller leads.
     LeadershipLost,
     /// The batch was not committed, or its outcome is unknown: a later batch writes the records.
     Retry,
--- a/src/coordination/election.rs
+++ b/src/coordination/election.rs
@@ -64,9 +64,10 @@
     Claim(Txn),
     /// Renew the lease.
     Renew(LeaseId),
-    /// End the lease of an earlier process of this node, which is certainly dead, or an own lease that is not needed.
+    /// End the lease of an earlier process of this controller, which is certainly dead, or an own lease that is not
+    /// needed.
     EndLease(LeaseId),
-    /// Give up the leadership in favour of a better placed node: stop leading and end the lease.
+    /// Give up the leadership in favour of a better placed controller: stop leading and end the lease.
     Resign(LeaseId),
     /// Begin to lead.
     BeginLeading {
@@ -93,9 +94,9 @@
 const RELIABLE_LEASE_PART: f64 = 0.99;
 /// Mean interval between two reads of the records below `lead/`.
 const READ_INTERVAL: Duration = Duration::from_millis(400);
-/// A node that resigned does not campaign for this long, so that the others can claim the leadership.
+/// A controller that resigned does not campaign for this long, so that the others can claim the leadership.
 const RESIGNATION_PAUSE: Duration = Duration::from_secs(3);
-/// How long the last confirmation by the state service that another node leads is valid.
+/// How long the last confirmation by the state service that another controller leads is valid.
 const CONFIRMATION_VALIDITY: Duration = Duration::from_millis(1500);
 /// A read without a response for this long is repeated, and a response that is processed later is discarded.
 const READ_TIMEOUT: Duration = Duration::from_millis(1500);
@@ -106,7 +107,7 @@
 /// their outcomes.
 pub struct LeaderElection {
     controller: String,
-    /// Tells this process from earlier processes of the same node.
+    /// Tells this process from earlier processes of the same controller.
     incarnation: u64,
     lease_ttl: Duration,
     /// The state of this controller.
@@ -122,18 +123,18 @@
     next_read_at: Time,
     /// When the read in flight was sent.
     read_sent_at: Option<Time>,
-    /// How long the leader's key must have been free before this node claims it.
+    /// How long the leader's key must have been free before this controller claims it.
     pub campaign_delay: Duration,
     /// Since when reads have shown that the leader's key is free.
     key_free_since: Option<Time>,
-    /// When the state service last confirmed that another node leads.
+    /// When the state service last confirmed that another controller leads.
     confirmed_at: Option<Time>,
     resigned_at: Option<Time>,
     rng: fastrand::Rng,
 }
 
 impl LeaderElection {
-    /// A follower that has read nothing yet. `seed` has to differ between the processes of one node.
+    /// A follower that has read nothing yet. `seed` has to differ between the processes of one controller.
     pub fn new(controller: &str, lease_ttl: Duration, seed: u64) -> LeaderElection {
         let mut rng = fastrand::Rng::with_seed(seed);
         LeaderElection {
@@ -253,7 +254,7 @@
         }
     }
 
-    /// Gives up the leadership in favour of another node, unless this node has recently done so.
+    /// Gives up the leadership in favour of another controller, unless this controller has recently done so.
     pub fn resign(&mut self, now: Time) -> Option<ElectionAction> {
         let Role::Leading { lease, .. } = self.role else {
             return None;
@@ -266,7 +267,7 @@
         Some(ElectionAction::Resign(lease))
     }
 
-    /// Whether this node has recently given up the leadership in favour of another one.
+    /// Whether this controller has recently given up the leadership in favour of another one.
     pub fn has_recently_resigned(&self, now: Time) -> bool {
         self.resigned_at
             .is_some_and(|at| now.since(at) < RESIGNATION_PAUSE * 10)
@@ -275,8 +276,8 @@
     /// Stops leading, as it is proven that the own lease has ended or another controller leads.
     pub fn step_down(&mut self) -> ElectionAction {
         self.set_role(Role::Following);
-        // A read in flight may still show the own key, so that this node leads again: the ended lease must not count as
-        // valid then.
+        // A read in flight may still show the own key, so that this controller leads again: the ended lease must not
+        // count as valid then.
         self.lease_valid_until = Time::default();
         if self.known_leader.as_deref() == Some(&self.controller) {
             self.known_leader = None;
@@ -330,7 +331,7 @@
                     now,
                 ));
             }
-            // The key of an earlier process of this node, which is dead, as otherwise this one would not run.
+            // The key of an earlier process of this controller, which is dead, as otherwise this one would not run.
             return Some(ElectionAction::EndLease(holder.lease));
         }
         let action = self.observe_term(holder.term, Some(&holder.controller));
--- a/src/coordination/failure_detection/hosts.rs
+++ b/src/coordination/failure_detection/hosts.rs
@@ -58,9 +58,10 @@
 }
 
 impl View<'_> {
-    /// For each zone, the number of silent hosts and of all hosts. Every host with a late heartbeat counts as silent:
-    /// when a zone is partitioned, the first host exceeds its limit while the others are only late, and without
-    /// counting those each host would be declared lost by itself, one after the other.
+    /// For each zone, the number of silent hosts and of all hosts. A host counts as silent once its heartbeat is
+    /// late, even if it may be silent for longer: when a zone is partitioned, one host exceeds its limit first while
+    /// the others are only late, and if those did not count, each host would be declared lost by itself, one after the
+    /// other.
     fn silent_hosts_by_zone(&self, now: Time) -> BTreeMap<String, (usize, usize)> {
         let max_heartbeat_age = self.policy.heartbeat_interval.mul_f64(LATE_AFTER_INTERVALS);
         let mut counts_by_zone: BTreeMap<String, (usize, usize)> = BTreeMap::new();
@@ -92,8 +93,8 @@
     /// have arrived since.
     fn is_zone_partitioned(&self, zone: &str, now: Time) -> bool {
         let settling_time = max_heartbeat_delay(self.policy.heartbeat_interval);
-        let last_seen_at = self.failure_detector.partitioned_zones.get(zone);
-        last_seen_at.is_some_and(|at| now.since(*at) < settling_time)
+        let last_partitioned_at = self.failure_detector.partitioned_zones.get(zone);
+        last_partitioned_at.is_some_and(|at| now.since(*at) < settling_time)
     }
 
     /// How long a host may be silent before it is marked as unresponsive and, unless its zone is unreachable or
@@ -219,8 +220,8 @@
 }
 
 impl Leader {
-    /// Checks all hosts and zones for failures. Only if `may_act`, which says that the leader's lease is valid, hosts are
-    /// probed and lost hosts released; forced releases do not depend on it.
+    /// Checks all hosts and zones for failures. Hosts are probed and lost hosts released only if `may_act`, that
+    /// is, while the leader's lease is valid; forced releases do not depend on it.
     pub(crate) fn check_hosts(&mut self, now: Time, may_act: bool) {
         self.mark_unresponsive_hosts(now);
         self.observe_zones(now);
@@ -288,7 +289,7 @@
     }
 
     /// Releases hosts on which a cancelled task has almost reached the cancellation timeout. This does not depend on
-    /// the leader's lease: during an outage of the store no other controller could do it.
+    /// the leader's lease: during an outage of the state service no other controller could do it.
     fn force_overdue_releases(&mut self, now: Time) {
         let max_cancel_time = self
             .policy
@@ -320,10 +321,10 @@
         }
     }
 
-    /// Probes hosts that commands seem not to reach, and hosts whose heartbeats do not arrive. The latter may still send
-    /// them to an earlier leader that is cut off together with them. The probe carries this leader's fencing token: once a
-    /// worker has seen it, the worker ignores the earlier leader's responses, and its heartbeats tell that leader of the new
-    /// term.
+    /// Probes hosts that commands seem not to reach, and hosts whose heartbeats do not arrive. The latter may still
+    /// send them to an earlier leader that is cut off together with them. The probe carries this leader's fencing
+    /// token: once a worker has seen it, the worker ignores the earlier leader's responses, and its heartbeats tell
+    /// that leader of the new term.
     fn send_probes(&mut self, now: Time) {
         let max_new_probes = self.dispatcher.free_probe_slots();
         let hosts = self.cluster.hosts().values();
--- a/src/coordination/failure_detection/mod.rs
+++ b/src/coordination/failure_detection/mod.rs
@@ -20,13 +20,13 @@
 
 /// What the leader knows of unreachable zones. The state of a single host is kept with the host.
 pub(crate) struct FailureDetector {
-    /// Zones in which this node reaches no other controller. A silent host there counts as partitioned rather than
+    /// Zones in which this controller reaches no other one. A silent host there counts as partitioned rather than
     /// failed.
     pub zones_without_reachable_peer: Vec<String>,
     /// Zones most of whose hosts were found silent, with the time of the last such check. The empty name stands for
     /// hosts whose zone is not known.
     pub(crate) partitioned_zones: BTreeMap<String, Time>,
-    /// By zone, whether its controllers answer this node.
+    /// By zone, whether its controllers answer this one.
     pub controller_reach_by_zone: BTreeMap<String, ControllerReach>,
     /// The states of zones; `None` if zone tracking is disabled.
     pub(crate) zone_monitor: Option<ZoneMonitor>,
--- a/src/coordination/failure_detection/zones.rs
+++ b/src/coordination/failure_detection/zones.rs
@@ -14,8 +14,8 @@
 
 /// A host's heartbeat is late once the last one is this many heartbeat intervals old.
 pub(crate) const LATE_AFTER_INTERVALS: f64 = 1.8;
-/// A silent host with urgent tasks in an unhealthy zone is overdue after this many lease durations. Until then its tasks
-/// may still be running: a controller in the zone may renew its worker's lease.
+/// A silent host with urgent tasks in an unhealthy zone is overdue after this many lease durations. Until then its
+/// tasks may still be running: a controller in the zone may renew its worker's lease.
 const URGENT_SILENCE_LEASES: f64 = 2.5;
 /// The same for a host without urgent tasks.
 const DEFAULT_SILENCE_LEASES: f64 = 3.0;
@@ -73,8 +73,8 @@
         observations
     }
 
-    /// Whether the host's silence is attributed to its zone, as the zone is unhealthy. Only [`Leader::hosts_to_displace`]
-    /// then releases the host for its silence.
+    /// Whether the host's silence is attributed to its zone, as the zone is unhealthy. Only
+    /// [`Leader::hosts_to_displace`] then releases the host for its silence.
     pub(crate) fn zone_explains_silence(&self, host: &Host) -> bool {
         let monitor = self
             .failure_detector
@@ -230,8 +230,8 @@
         monitor.record_being_written.clone()
     }
 
-    /// The write of the record has ended; `is_committed` says whether the store is known to hold the record. Otherwise it
-    /// is written again, which is harmless if the first write did succeed.
+    /// The write of the record has ended; `is_committed` says whether the state service is known to hold the record.
+    /// Otherwise it is written again, which is harmless if the first write did succeed.
     pub fn on_zones_record_written(&mut self, is_committed: bool, now: Time) {
         let wall_clock_ms = self.clock.wall_clock_ms;
         let Some(monitor) = &mut self.failure_detector.zone_monitor else {
--- a/src/coordination/leader/jobs.rs
+++ b/src/coordination/leader/jobs.rs
@@ -8,7 +8,7 @@
 use crate::storage::records::{JobRecord, OutcomeRecord};
 use crate::types::{JobId, Time, Version};
 
-/// Most cancelled jobs that are remembered, at some ten bytes each: as many as several peer heartbeats carry.
+/// Most cancelled jobs that are remembered, at about ten bytes each: as many as several peer heartbeats carry.
 const MAX_CANCELLED_JOBS: usize = 12_000;
 /// A new leader that cannot read the records renews workers' leases for this part of the difference between the
 /// cancellation timeout and a worker's lease. The rest is for jobs whose cancellation was confirmed shortly before its
--- a/src/coordination/leader/mod.rs
+++ b/src/coordination/leader/mod.rs
@@ -79,7 +79,8 @@
 
 /// How long a leader waits for first heartbeats if it knows no host.
 const HEARTBEAT_ROUND_WITHOUT_HOSTS: Duration = Duration::from_millis(500);
-/// A new leader places tasks on the hosts that have sent a heartbeat after the heartbeat interval divided by this.
+/// A new leader begins to place tasks after the heartbeat interval divided by this, on those hosts that have already
+/// sent a heartbeat.
 const EARLY_SCHEDULING_DIVISOR: u32 = 4;
 
 impl Leader {
@@ -154,7 +155,7 @@
         self.lease_valid_until = until;
     }
 
-    /// Sets which controllers respond to this one. `zones_without_reachable_peer` are the zones of which none does.
+    /// Sets which controllers respond to this one. In `zones_without_reachable_peer` no controller does.
     pub fn set_controller_reach(
         &mut self,
         zones_without_reachable_peer: Vec<String>,
--- a/src/coordination/policy.rs
+++ b/src/coordination/policy.rs
@@ -38,7 +38,8 @@
     pub teams: Vec<Team>,
     /// The policy of the teams' allowances, if the `quota` feature is enabled.
     pub quota: Option<lichencrank_quota::QuotaPolicy>,
-    /// How lost zones are detected and their hosts released, if the `zones` feature is enabled.
+    /// How the loss of a zone is detected, and how fast its silent hosts are released and it takes tasks again once it
+    /// returns, if the `zones` feature is enabled.
     pub zones: Option<lichencrank_zones::ZoneSettings>,
     /// Job classes that have a wait objective, each with the time in seconds within which its tasks are to start.
     pub wait_objectives_s: Vec<(String, f64)>,
--- a/src/coordination/run_times.rs
+++ b/src/coordination/run_times.rs
@@ -12,9 +12,9 @@
 const DECAY_PER_RUN: f64 = 0.98;
 /// The run time that forecasts assume for replicas, whose end nobody knows.
 const SERVICE_RUN_S: f64 = 600.0;
-/// The number of runs that the owner's estimate counts as, so that the first completed runs do not decide alone.
+/// The number of runs that the user's estimate counts as, so that the first completed runs do not decide alone.
 const PRIOR_RUNS: f64 = 4.0;
-/// Bounds of the ratio of the expected run time to the owner's estimate.
+/// Bounds of the ratio of the expected run time to the user's estimate.
 const MIN_ESTIMATE_RATIO: f64 = 0.4;
 const MAX_ESTIMATE_RATIO: f64 = 2.5;
 /// A task that overruns its expected run time is expected to run on for this share of the time that it has run so far.
@@ -22,7 +22,7 @@
 /// The least remaining run time that is expected of a running task.
 const MIN_REMAINING_S: f64 = 1.0;
 
-/// Run times by job class. Owners' estimates are often wrong, and on some days all in the same direction.
+/// Run times by job class. Users' estimates are often wrong, and on some days all in the same direction.
 #[derive(Debug, Default)]
 pub(crate) struct RunTimes {
     by_class: BTreeMap<String, ClassRunTimes>,
@@ -32,7 +32,7 @@
 #[derive(Clone, Copy, Debug, Default)]
 struct ClassRunTimes {
     actual_s: f64,
-    /// The owners' estimates for the same runs.
+    /// The users' estimates for the same runs.
     estimated_s: f64,
 }
 
@@ -64,8 +64,8 @@
         estimate_s * ratio.clamp(MIN_ESTIMATE_RATIO, MAX_ESTIMATE_RATIO)
     }
 
-    /// How much longer a task that started at `started_at` is likely to run, in seconds. A task that overruns its expected
-    /// run time shows that the estimate was wrong.
+    /// How much longer a task that started at `started_at` is likely to run, in seconds. A task that overruns its
+    /// expected run time shows that the estimate was wrong.
     pub(crate) fn expected_remaining_s(
         &self,
         job: &Job,
--- a/src/coordination/scheduling/placement.rs
+++ b/src/coordination/scheduling/placement.rs
@@ -170,8 +170,8 @@
         }
     }
 
-    /// The limit of urgent records that wait to be written: the higher the job's priority, the higher the limit. A starving
-    /// job counts as critical.
+    /// The limit of urgent records that wait to be written: the higher the job's priority, the higher the limit. A
+    /// starving job counts as critical.
     fn max_urgent_records(&self, rank: &JobRank, spec: &JobSpec) -> usize {
         let priority = if rank.is_not_starving {
             spec.priority
@@ -210,8 +210,8 @@
     }
 
     /// Estimated time that the host takes to fetch the image of a service, in steps of half a second; 0 if the image is
-    /// cached, and for other jobs. It is compared before the score, as a service should start within seconds and fetching
-    /// its image may take longer.
+    /// cached, and for other jobs. It is compared before the score, as a service should start within seconds and
+    /// fetching its image may take longer.
     fn fetch_steps(&self, spec: &JobSpec, name: &HostName) -> u32 {
         let host = self.cluster.host(name).filter(|_| spec.is_service());
         let Some(host) = host.filter(|host| !host.has_cached_image(&spec.image)) else {
@@ -364,8 +364,8 @@
         }
     }
 
-    /// Makes room for the next task of the job, as no host has any: uncordons a host for a service, reserves a host for a
-    /// starving job, or preempts tasks.
+    /// Makes room for the next task of the job, as no host has any: uncordons a host for a service, reserves a host for
+    /// a starving job, or preempts tasks.
     fn make_room(&mut self, placement: &JobPlacement, pass: &mut PlacementPass) {
         let JobPlacement {
             id,
--- a/src/coordination/scheduling/preemption.rs
+++ b/src/coordination/scheduling/preemption.rs
@@ -39,8 +39,8 @@
 }
 
 impl View<'_> {
-    /// Plans which tasks on the host to stop, those that lose least first, to make room for a task of the job; `None` if
-    /// that is not possible, or if there is room already.
+    /// Plans which tasks on the host to stop, those that lose least first, to make room for a task of the job; `None`
+    /// if that is not possible, or if there is room already.
     fn preemption_plan(
         &self,
         host: &Host,
@@ -81,8 +81,8 @@
         })
     }
 
-    /// The run time in seconds that a task would lose if it were stopped for a task of `preemptor`; `None` if it may not
-    /// be stopped, or if that is not worth it.
+    /// The run time in seconds that a task would lose if it were stopped for a task of `preemptor`; `None` if it may
+    /// not be stopped, or if that is not worth it.
     fn preemption_loss_s(
         &self,
         task: TaskId,
@@ -134,8 +134,8 @@
 }
 
 impl Leader {
-    /// Makes room for tasks of the job by stopping tasks that may be preempted and lose little by it. `types` says of each
-    /// machine type whether the job may use it. A later placement pass uses the room once the tasks have ended.
+    /// Makes room for tasks of the job by stopping tasks that may be preempted and lose little by it. `types` says of
+    /// each machine type whether the job may use it. A later placement pass uses the room once the tasks have ended.
     pub(crate) fn preempt_for(&mut self, id: JobId, spec: &JobSpec, types: &[bool], now: Time) {
         let has_preempted_task = |host: &Host| {
             let mut allocations = host.allocations.values();
@@ -173,8 +173,8 @@
                 .reverse()
                 .then(a.lost.total_cmp(&b.lost))
         });
-        // Unless the room is for a service, only best-effort tasks are stopped on several hosts at once: other tasks that
-        // may be stopped have only just started, and the fetch of their images would be wasted.
+        // Unless the room is for a service, only best-effort tasks are stopped on several hosts at once: other tasks
+        // that may be stopped have only just started, and the fetch of their images would be wasted.
         let preferred = plans.iter().filter(|p| p.only_best_effort).count();
         let host_count = if spec.is_service() { limit } else { preferred };
         let host_count = host_count.min(limit).max(1);
--- a/src/coordination/scheduling/ranking.rs
+++ b/src/coordination/scheduling/ranking.rs
@@ -18,8 +18,8 @@
 /// smaller remaining work and the earlier arrival.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct JobRank {
-    /// False for a starving job: it has waited for `starve_after_s` of the tuning, and none of its tasks is allocated or
-    /// done.
+    /// False for a starving job: it has waited for `starve_after_s` of the tuning, and none of its tasks is allocated
+    /// or done.
     pub is_not_starving: bool,
     /// Whether the unfinished tasks of the team's jobs, up to and including this job in order of arrival, exceed the
     /// team's guarantee.
@@ -131,8 +131,8 @@
         duration_from_seconds(age_ms as f64 / 1000.0)
     }
 
-    /// Whether the team's guarantee covers `team_demand`, which includes the job and the team's earlier jobs. GPUs count
-    /// only if the job uses some.
+    /// Whether the team's guarantee covers `team_demand`, which includes the job and the team's earlier jobs. GPUs
+    /// count only if the job uses some.
     fn is_within_guarantee(&self, job: &Job, team_demand: &TeamDemand) -> bool {
         let guarantee = self.policy.team(&job.team).map(|team| team.guaranteed());
         let (cpus, gpus) = guarantee.unwrap_or_default();
--- a/src/coordination/scheduling/type_eligibility.rs
+++ b/src/coordination/scheduling/type_eligibility.rs
@@ -72,10 +72,10 @@
             .any(|index| *index != type_index && scarce_types.get(*index) == Some(&false))
     }
 
-    /// For each machine type, whether the job's tasks may use it if scarce types are allowed too; `None` if that allows no
-    /// more types. Scarce types are allowed only if the job meets its deadline when it starts now, but not when it waits
-    /// for a new host of a usable type. A scarce type stays denied if it is the only suitable type of another job that
-    /// waits and has the same or a higher priority, or has waited for too long.
+    /// For each machine type, whether the job's tasks may use it if scarce types are allowed too; `None` if that allows
+    /// no more types. Scarce types are allowed only if the job meets its deadline when it starts now, but not when it
+    /// waits for a new host of a usable type. A scarce type stays denied if it is the only suitable type of another job
+    /// that waits and has the same or a higher priority, or has waited for too long.
     pub(crate) fn overflow_types(
         &self,
         spec: &JobSpec,
@@ -90,7 +90,7 @@
             return None;
         }
         // Twice `starve_after_s`, as in the queue order, where late jobs no longer yield after that time.
-        let starve_after_ms = self.policy.tuning.starvation_threshold_s * 2000.0;
+        let max_wait_ms = self.policy.tuning.starvation_threshold_s * 2000.0;
         let outranks_dependents = |type_index: usize| {
             let mut waiting_jobs = self
                 .cluster
@@ -98,12 +98,12 @@
                 .values()
                 .filter(|job| job.waiting_count() > 0);
             waiting_jobs.all(|job| {
-                let is_starving = self.clock.wall_clock_ms.saturating_sub(job.submitted_at_ms)
-                    as f64
-                    >= starve_after_ms;
+                let has_waited_too_long =
+                    self.clock.wall_clock_ms.saturating_sub(job.submitted_at_ms) as f64
+                        >= max_wait_ms;
                 let other_spec = job.spec.as_ref();
                 other_spec.is_none_or(|other| {
-                    other.priority > spec.priority && !is_starving
+                    other.priority > spec.priority && !has_waited_too_long
                         || self.suitable_types(other) != [type_index]
                 })
             })
--- a/src/storage/records.rs
+++ b/src/storage/records.rs
@@ -133,7 +133,7 @@
     /// Name of the leading controller.
     #[serde(rename = "node")]
     pub controller: String,
-    /// Random number that each process draws at its start: a node that has restarted is not the same leader.
+    /// Random number that each process draws at its start: a controller that has restarted is not the same leader.
     pub incarnation: u64,
     /// The lease that the key is attached to.
     pub lease: LeaseId,
--- a/src/storage/store.rs
+++ b/src/storage/store.rs
@@ -80,8 +80,8 @@
 const SPARE_BUDGET_FRACTION: f64 = 0.5;
 
 impl StoreClient {
-    /// A client without requests. `requests_per_s` and `changes_per_s` are this node's shares of the rate limits, in
-    /// requests and changes a second.
+    /// A client without requests. `requests_per_s` and `changes_per_s` are this controller's shares of the rate limits,
+    /// in requests and changes a second.
     pub fn new(requests_per_s: f64, changes_per_s: f64) -> StoreClient {
         StoreClient {
             last_id: 0,
@@ -104,7 +104,7 @@
         )
     }
 
-    /// Sets this node's shares of the rate limits, in requests and changes a second.
+    /// Sets this controller's shares of the rate limits, in requests and changes a second.
     pub fn set_rates(&mut self, now: Time, requests_per_s: f64, changes_per_s: f64) {
         self.request_rate_limit.set_rate(now, requests_per_s);
         self.write_rate_limit.set_rate(now, changes_per_s);
@@ -143,8 +143,8 @@
     ///
     /// Requests are taken in the order of their classes, but reads regularly have priority: otherwise a backlog of
     /// writes would leave status queries unanswered as long as it lasts. `is_leader_lease_valid` says whether this
-    /// node holds the leader lease now; if not, transactions on the leader's records that were queued under it are
-    /// refused.
+    /// controller holds the leader lease now; if not, transactions on the leader's records that were queued under it
+    /// are refused.
     pub fn next_outgoing(
         &mut self,
         now: Time,
