--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,8 +1,8 @@
 //! lichencrank: a cluster scheduler in which an elected leader among the controllers places all tasks.
 //!
-//! Its layers: [`transport`] implements HTTP over non-blocking sockets, [`protocol`] defines the messages, [`coordination`]
-//! makes all scheduling decisions, [`storage`] defines the records in the state service, and [`node`] combines them into a
-//! running controller.
+//! Its layers: [`transport`] implements HTTP over non-blocking sockets, [`protocol`] defines the messages,
+//! [`coordination`] makes all scheduling decisions, [`storage`] defines the records in the state service, and [`node`]
+//! combines them into a running controller.
 
 #![deny(
     missing_docs,
--- a/src/logging.rs
+++ b/src/logging.rs
@@ -2,7 +2,8 @@
 
 use tracing::level_filters::LevelFilter;
 
-/// Initializes logging. A missing or unknown level means `info`. Lines have no timestamp, as the service manager adds one.
+/// Initializes logging. A missing or unknown level means `info`. Lines have no timestamp, as the service manager adds
+/// one.
 pub fn init(level: Option<&str>) {
     let level = level
         .and_then(|name| name.parse::<LevelFilter>().ok())
--- a/src/node/cancellations.rs
+++ b/src/node/cancellations.rs
@@ -1,11 +1,11 @@
-//! Acknowledgement of cancellations by the leader, and their distribution to the other nodes.
+//! Acknowledgement of cancellations by the leader, and their distribution to the other controllers.
 //!
 //! A user gets the confirmation of a cancellation only once it is final: either no task of the job is allocated any
 //! more, or the leader knows of the cancellation and is the only one whose commands the workers with the job's tasks
 //! still accept. Later leaders read the cancellation from the records.
 //!
-//! Otherwise a node could confirm a cancellation and crash before it informed any other node. A leader that does not
-//! reach the state service would then keep the job's tasks running throughout the outage.
+//! Otherwise a controller could confirm a cancellation and crash before it informed any other controller. A leader that
+//! does not reach the state service would then keep the job's tasks running throughout the outage.
 
 use std::time::Duration;
 
@@ -23,7 +23,7 @@
 
 impl<N: Network> Node<N> {
     /// The latest cancellations for a heartbeat, with the time that remains until they expire. It only decreases from
-    /// node to node, so that no cancellation circulates forever.
+    /// controller to controller, so that no cancellation circulates forever.
     pub(super) fn recent_cancellations(&self) -> Vec<RecentCancellation> {
         let now = self.network.now();
         let recent = self
@@ -46,7 +46,7 @@
     }
 
     /// Records a job's cancellation for the heartbeats, until `remaining` has passed, and stops the job's tasks if
-    /// this node leads.
+    /// this controller leads.
     pub(super) fn on_job_cancelled(&mut self, job: JobId, remaining: Duration) {
         let now = self.network.now();
         let expires_at = now.after(remaining);
@@ -131,7 +131,7 @@
     }
 
     /// Handles a peer's request to acknowledge cancellations that it has found in the records. The response lists the
-    /// jobs whose cancellation this node acknowledges.
+    /// jobs whose cancellation this controller acknowledges.
     pub(super) fn on_peer_cancellations(&mut self, body: &[u8]) -> Response {
         let message: CancelledJobs = match peers::decode(body) {
             Ok(message) => message,
@@ -144,8 +144,8 @@
         peer_messages::response(&AcknowledgedJobs { jobs })
     }
 
-    /// Stops the tasks of the cancelled job if this node leads. Returns whether its lease is certainly valid at this
-    /// moment and the workers with the job's tasks accept commands from no other leader.
+    /// Stops the tasks of the cancelled job if this controller leads. Returns whether its lease is certainly valid at
+    /// this moment and the workers with the job's tasks accept commands from no other leader.
     fn acknowledge_cancellation(&mut self, job: JobId) -> bool {
         let now = self.network.now();
         let has_valid_lease = self.election.is_lease_valid(now);
--- a/src/node/heartbeats.rs
+++ b/src/node/heartbeats.rs
@@ -1,4 +1,4 @@
-//! Heartbeats between controllers, sent once a second, and what a node learns from them.
+//! Heartbeats between controllers, sent once a second, and what a controller learns from them.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -89,7 +89,7 @@
 }
 
 impl<N: Network> Node<N> {
-    /// The heartbeat that describes this node.
+    /// The heartbeat that describes this controller.
     fn own_heartbeat(&self) -> PeerHeartbeat {
         let now = self.network.now();
         PeerHeartbeat {
@@ -130,7 +130,7 @@
     }
 
     /// Handles a peer's heartbeat. It may be a delayed duplicate, so only the term and the cancellations are applied,
-    /// which are never undone. The peer's reachability is derived from its responses to this node's heartbeats
+    /// which are never undone. The peer's reachability is derived from its responses to this controller's heartbeats
     /// instead.
     pub(super) fn on_peer_heartbeat(&mut self, body: &[u8]) -> Response {
         match peers::decode(body) {
@@ -195,7 +195,7 @@
         }
     }
 
-    /// Updates this node's share of the state service's rate limits to what the other nodes leave of them.
+    /// Updates this controller's share of the state service's rate limits to what the other controllers leave of them.
     pub(super) fn update_store_rates(&mut self, now: Time) {
         let elapsed = now.since(self.store_usage_measured_at);
         if elapsed < HEARTBEAT_INTERVAL {
--- a/src/node/leader_duties/cloud.rs
+++ b/src/node/leader_duties/cloud.rs
@@ -98,7 +98,7 @@
             machine_types: self.leader.machine_types().to_vec(),
         };
         if records::json_size(&types) > self.leader.max_value_bytes() {
-            // Nodes then read them from the cloud.
+            // Controllers then read them from the cloud.
             tracing::info!(
                 "machine types not stored: they exceed the maximum value size of the state service"
             );
--- a/src/node/leader_duties/mod.rs
+++ b/src/node/leader_duties/mod.rs
@@ -85,7 +85,7 @@
 const MAX_DECISION_PAUSE: Duration = Duration::from_millis(500);
 /// Below this available fraction of the write rate limit's bucket, only urgent records are written.
 const SPARE_WRITE_BUDGET_FRACTION: f64 = 0.4;
-/// Changes that the smallest step takes: a record and its job's first run record.
+/// Changes of the smallest batch: a run record, and the first run record of its job, which counts the job's tasks.
 const MIN_BATCH_CHANGES: usize = 2;
 /// A batch is delayed until the rate limit permits this many changes, or all queued ones if they are fewer.
 const FULL_BATCH_CHANGES: usize = 6;
@@ -145,7 +145,7 @@
     host_list_read: PeriodicRead,
     /// The periodic read of the machine types from the cloud.
     machine_types_read: PeriodicRead,
-    /// Whether the machine types have been written in this term, or are too large for it.
+    /// Whether the machine types have been written in this term, or are too large to be written.
     has_written_machine_types: bool,
     /// The periodic read of the quota records; also marked as running while they are written.
     quota_reload: PeriodicRead,
@@ -370,9 +370,9 @@
                     .leader
                     .on_command_result(&host, incarnation, &commands, result, now);
             }
-            Call::Provision(spec) => {
+            Call::Provision(request) => {
                 self.leader
-                    .on_provision_result(&spec.name, provision_result(result), now);
+                    .on_provision_result(&request.name, provision_result(result), now);
             }
             Call::Release(names) => {
                 let is_confirmed = matches!(&result, Ok(r) if r.status == 200);
--- a/src/node/leader_duties/zones.rs
+++ b/src/node/leader_duties/zones.rs
@@ -33,8 +33,8 @@
         }
     }
 
-    /// Writes the zones record after a change of a zone's state, on condition that this node leads. An earlier write
-    /// that is carried out late fails on the version.
+    /// Writes the zones record after a change of a zone's state, on condition that this controller leads. An earlier
+    /// write that is carried out late fails on the version.
     pub(super) fn update_zones_record(&mut self, write_rate_limit: &mut RateLimit, now: Time) {
         if !self.is_loaded || write_rate_limit.available(now) < CHANGES_PER_ZONES_TXN {
             return;
--- a/src/node/leader_locality.rs
+++ b/src/node/leader_locality.rs
@@ -12,30 +12,30 @@
 use crate::transport::Network;
 use crate::types::{Term, Time};
 
-/// How long it is remembered that no node of the home zone claimed the free key in an election. During that time a
-/// leader that is partitioned from the home zone does not resign in its favour, as the nodes there cannot reach the
-/// state service whenever the home zone is partitioned.
+/// How long it is remembered that no controller of the home zone claimed the free key in an election. During that time
+/// a leader that is partitioned from the home zone does not resign in its favour, as the controllers there cannot reach
+/// the state service whenever the home zone is partitioned.
 const HOME_ZONE_ABSENCE: Duration = Duration::from_secs(600);
 
-/// What this node knows about the zones that matters for the choice of the leader.
+/// What this controller knows about the zones that matters for the choice of the leader.
 #[derive(Debug, Default)]
 pub(super) struct Locality {
-    /// The home zone: the zone with the most hosts, as far as this node knows.
+    /// The home zone: the zone with the most hosts, as far as this controller knows.
     pub(super) home_zone: Option<String>,
-    /// Since when this node's zone has been partitioned from the other zones and from the state service.
+    /// Since when this controller's zone has been partitioned from the other zones and from the state service.
     pub(super) zone_isolated_since: Option<Time>,
-    /// Since when a peer has been better placed to lead than this node, which leads.
+    /// Since when a peer has been better placed to lead than this controller, which leads.
     better_peer_since: Option<Time>,
     home_zone_flaps: HomeZoneFlaps,
 }
 
-/// The partitions between this node and the home zone.
+/// The partitions between this controller and the home zone.
 #[derive(Debug, Default)]
 struct HomeZoneFlaps {
     damping: FlapDamping,
     is_partitioned: bool,
-    /// When this node last won an election in which no node of the home zone could take part.
-    won_without_home_at: Option<Time>,
+    /// When this controller last won an election in which no controller of the home zone could take part.
+    won_without_home_zone_at: Option<Time>,
 }
 
 /// After one partition the leadership is not transferred to the home zone for three minutes, after several for
@@ -49,8 +49,8 @@
 }
 
 impl HomeZoneFlaps {
-    /// Updates the damping. `is_partitioned` says whether this leader reaches neither the nodes of the home zone nor
-    /// most workers. Unreachable nodes alone are no partition.
+    /// Updates the damping. `is_partitioned` says whether this leader reaches neither the controllers of the home zone
+    /// nor most workers. Unreachable controllers alone are no partition.
     fn update(&mut self, is_partitioned: bool, now: Time) {
         let settings = home_zone_damping();
         if is_partitioned && !self.is_partitioned {
@@ -67,19 +67,19 @@
         self.damping.penalty(now, &settings) >= settings.reuse_threshold
     }
 
-    /// Whether the nodes of the home zone are known to be unable to claim a free key while they are unreachable.
+    /// Whether the controllers of the home zone are known to be unable to claim a free key while they are unreachable.
     fn is_absent_when_partitioned(&self, now: Time) -> bool {
-        self.won_without_home_at
+        self.won_without_home_zone_at
             .is_some_and(|won_at| now.since(won_at) < HOME_ZONE_ABSENCE)
     }
 }
 
 impl<N: Network> Node<N> {
-    /// Records that this node won an election. Nodes of the home zone campaign first. So if this node is in another
-    /// zone and reaches none of them, none of them could claim the key.
+    /// Records that this controller won an election. Controllers of the home zone campaign first. So if this controller
+    /// is in another zone and reaches none of them, none of them could claim the key.
     pub(super) fn on_election_won(&mut self, now: Time) {
         if !self.is_in_home_zone() && !self.is_home_zone_reachable(now) {
-            self.locality.home_zone_flaps.won_without_home_at = Some(now);
+            self.locality.home_zone_flaps.won_without_home_zone_at = Some(now);
         }
     }
 
@@ -92,7 +92,7 @@
     }
 
     /// Sets the campaign delay and, as the leader, transfers the leadership if a peer is better placed. During a
-    /// partition between zones, workers that do not reach the leader lose their tasks. So nodes of the home zone
+    /// partition between zones, workers that do not reach the leader lose their tasks. So controllers of the home zone
     /// campaign first, and a leader in another zone, or one that most workers do not reach, resigns.
     pub(super) fn check_leader_locality(&mut self, now: Time) {
         self.worker_heartbeats
@@ -132,9 +132,9 @@
             .map(|since| now.since(since));
         let is_transfer_due = better_peer_for.is_some_and(|time| time >= TRANSFER_DELAY)
             && !self.locality.home_zone_flaps.is_unstable(now);
-        // A leader that is partitioned from the home zone can't see whether the nodes there are fit to lead, but they
-        // will find the key free if it resigns. The leader doesn't resign if a node of its own zone has just resigned
-        // without success.
+        // A leader that is partitioned from the home zone can't see whether the controllers there are fit to lead, but
+        // they will find the key free if it resigns. The leader doesn't resign if a controller of its own zone has just
+        // resigned without success.
         let can_resign_for_home_zone = !self.is_in_home_zone()
             && !self.has_zone_peer_resigned()
             && !self
@@ -148,7 +148,7 @@
         }
     }
 
-    /// Whether this node is in the home zone, or there is only one zone, or the home zone is unknown.
+    /// Whether this controller is in the home zone, or there is only one zone, or the home zone is unknown.
     fn is_in_home_zone(&self) -> bool {
         let has_several_zones = self.settings.shared.zones.len() > 1;
         !has_several_zones
@@ -159,7 +159,7 @@
                 .is_none_or(|zone| *zone == self.settings.zone)
     }
 
-    /// How long the leader's key must have been free before this node claims it.
+    /// How long the leader's key must have been free before this controller claims it.
     fn campaign_delay(&self) -> Duration {
         let has_several_zones = self.settings.shared.zones.len() > 1;
         let knows_nothing = self.machine_types.is_empty() && self.election.highest_term == Term(0);
@@ -172,7 +172,7 @@
         }
     }
 
-    /// Whether a peer that reaches the state service is in the home zone while this node is not.
+    /// Whether a peer that reaches the state service is in the home zone while this controller is not.
     fn has_fit_peer_in_home_zone(&self, now: Time) -> bool {
         if self.is_in_home_zone() {
             return false;
@@ -186,9 +186,9 @@
         })
     }
 
-    /// Whether most workers do not reach this node, and a peer that reaches the state service receives the heartbeats
-    /// of more of them. Right after a partition a peer still counts workers that are about to change to this node, so a
-    /// peer is considered only after it has been reachable for the settling time.
+    /// Whether most workers do not reach this controller, and a peer that reaches the state service receives the
+    /// heartbeats of more of them. Right after a partition a peer still counts workers that are about to change to this
+    /// controller, so a peer is considered only after it has been reachable for the settling time.
     fn has_peer_with_more_workers(&self, worker_reach: &WorkerReach, now: Time) -> bool {
         if !worker_reach.is_partitioned() {
             return false;
@@ -206,7 +206,7 @@
         })
     }
 
-    /// Whether a peer of this node's zone had recently resigned as the leader when it sent its last heartbeat.
+    /// Whether a peer of this controller's zone had recently resigned as the leader when it sent its last heartbeat.
     fn has_zone_peer_resigned(&self) -> bool {
         let mut peers = self.settings.peers.iter().zip(&self.peers);
         peers.any(|(peer_settings, peer)| {
@@ -217,7 +217,7 @@
         })
     }
 
-    /// Resigns as the leader, unless this node has recently done so.
+    /// Resigns as the leader, unless this controller has recently done so.
     fn transfer_leadership(&mut self, worker_reach: &WorkerReach, now: Time) {
         self.locality.better_peer_since = None;
         let action = self.election.resign(now);
@@ -249,7 +249,7 @@
         reach_by_zone
     }
 
-    /// Zones of which no node is reachable.
+    /// Zones of which no controller is reachable.
     fn unreachable_zones(&self, now: Time) -> Vec<String> {
         let peers = || self.settings.peers.iter().zip(&self.peers);
         let is_zone_reachable = |zone: &str| {
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -1,5 +1,5 @@
-//! A node, the process of one controller: connects the transport, the state service, the leader election, the users'
-//! API and, while it leads, the leader's duties.
+//! The node, which is the process of one controller (not a worker's host): connects the transport, the state service,
+//! the leader election, the users' API and, while it leads, the leader's duties.
 //!
 //! | module | responsibility |
 //! | --- | --- |
@@ -69,17 +69,17 @@
 const CONTROL_REQUEST_TIMEOUT: Duration = Duration::from_millis(1200);
 const RELAY_TIMEOUT: Duration = Duration::from_millis(1200);
 const MACHINE_TYPES_RETRY_DELAY: Duration = Duration::from_secs(2);
-/// Without a valid response for this long, the state service is regarded as unreachable from this node.
+/// Without a valid response for this long, the state service is regarded as unreachable from this controller.
 const STORE_UNREACHABLE_AFTER: Duration = Duration::from_millis(2500);
-/// Timeout of a user's request to an unreachable state service; after it the request is relayed to another node.
+/// Timeout of a user's request to an unreachable state service; after it the request is relayed to another controller.
 const UNREACHABLE_STORE_TIMEOUT: Duration = Duration::from_millis(450);
 const LOCALITY_CHECK_INTERVAL: Duration = Duration::from_millis(500);
-/// How long the leader's key must have been free before a node outside the home zone, which is the zone with the most
-/// hosts, claims it.
+/// How long the leader's key must have been free before a controller outside the home zone, which is the zone with the
+/// most hosts, claims it.
 const CAMPAIGN_DELAY: Duration = Duration::from_millis(900);
 /// How long a peer must have been better placed to lead before the leader transfers the leadership.
 const TRANSFER_DELAY: Duration = Duration::from_secs(15);
-/// How long a worker counts as one that sends its heartbeats to this node, after the last heartbeat.
+/// How long a worker counts as one that sends its heartbeats to this controller, after the last heartbeat.
 const WORKER_HEARTBEAT_VALIDITY: Duration = Duration::from_secs(6);
 /// Lower bound of the limit on counted workers, which otherwise depends on the number of sockets.
 const MIN_COUNTED_WORKER_LIMIT: usize = 10_000;
@@ -87,8 +87,8 @@
 /// size.
 const MAX_CANCELLATIONS_PER_HEARTBEAT: usize = 3000;
 const SUMMARY_INTERVAL: Duration = Duration::from_secs(10);
-/// The part of the state service's rate limits that all nodes together use. The rest is a margin for requests that
-/// the service counts late.
+/// The part of the state service's rate limits that all controllers together use. The rest is a margin for requests
+/// that the service counts late.
 const USABLE_BUDGET_FRACTION: f64 = 0.92;
 
 /// One controller with all its components.
@@ -99,7 +99,7 @@
     network: N,
     store: StoreClient,
     election: LeaderElection,
-    /// The leader's duties, while this node leads.
+    /// The leader's duties, while this controller leads.
     duties: Option<LeaderDuties>,
     api: ApiServer,
     /// Origins of the requests to the state service that have no outcome yet.
@@ -109,10 +109,10 @@
     machine_types_due_at: Time,
     /// The call that reads the machine types from the cloud.
     machine_types_call: Option<CallId>,
-    /// Users' requests that were relayed to another node, by call.
+    /// Users' requests that were relayed to another controller, by call.
     relay_calls: HashMap<CallId, ApiRequestId>,
     locality: Locality,
-    /// Requests and changes per second that this node sent to the state service in the last measured interval.
+    /// Requests and changes per second that this controller sent to the state service in the last measured interval.
     store_usage_per_s: (f64, f64),
     /// Total requests and changes at the last measurement.
     store_usage_total: (f64, f64),
@@ -123,7 +123,7 @@
     unacknowledged_jobs: BTreeSet<JobId>,
     /// The request for acknowledgement that is in flight, with its jobs.
     acknowledgement_call: Option<(CallId, Vec<JobId>)>,
-    /// When each worker last sent a heartbeat to this node.
+    /// When each worker last sent a heartbeat to this controller.
     worker_heartbeats: BTreeMap<HostName, Time>,
     locality_check_due_at: Time,
     /// Whether the last log line about the state service said that it answers.
@@ -176,7 +176,7 @@
 }
 
 impl<N: Network> Node<N> {
-    /// Creates a node on the given network. `incarnation` has to differ between the processes of one node.
+    /// Creates a node on the given network. `incarnation` has to differ between the processes of one controller.
     pub fn new(settings: Settings, tuning: Tuning, network: N, incarnation: u64) -> Node<N> {
         let shared_settings = &settings.shared;
         let store = new_store(&settings);
@@ -288,7 +288,7 @@
         self.execute_election_action(action);
     }
 
-    /// Whether the state service has recently sent a valid response to this node.
+    /// Whether the state service has recently sent a valid response to this controller.
     fn is_store_reachable(&self, now: Time) -> bool {
         self.store
             .last_response_at
@@ -373,8 +373,9 @@
     }
 }
 
-/// Creates the client of the state service. Until the peers' usage is known, each node takes half of the usable rate
-/// limits: the leader sends the most requests, but any node may lead, and users send requests to all of them.
+/// Creates the client of the state service. Until the peers' usage is known, each controller takes half of the usable
+/// rate limits: the leader sends the most requests, but any controller may lead, and users send requests to all of
+/// them.
 fn new_store(settings: &Settings) -> StoreClient {
     let state = &settings.shared.state_service;
     let budget_fraction = if settings.peers.is_empty() {
--- a/src/node/periodic.rs
+++ b/src/node/periodic.rs
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Logs the state of the queues, the sockets and, while this node leads, the cluster.
+    /// Logs the state of the queues, the sockets and, while this controller leads, the cluster.
     pub(super) fn log_summary(&mut self) {
         let (queued, oldest_age) = self.store.request_backlog(self.network.now());
         tracing::debug!("state service: {queued} requests queued, the oldest for {oldest_age:?}");
@@ -145,7 +145,7 @@
                     ApiAction::Respond(conn, response) => self.network.respond(conn, &response),
                     ApiAction::SendStoreRequest(class, request, purpose) => {
                         // While the state service is unreachable, a short timeout lets the request be relayed to
-                        // another node early.
+                        // another controller early.
                         let timeout = if self.is_store_reachable(now) {
                             self.store.response_timeout()
                         } else {
--- a/src/node/requests.rs
+++ b/src/node/requests.rs
@@ -121,8 +121,8 @@
         }
     }
 
-    /// Records that a worker sends its heartbeats to this node. Each such worker holds a socket, so the number of
-    /// sockets bounds them; the limit is twice that, as workers that have just changed to another node are still
+    /// Records that a worker sends its heartbeats to this controller. Each such worker holds a socket, so the number of
+    /// sockets bounds them; the limit is twice that, as workers that have just changed to another controller are still
     /// counted.
     fn record_worker_heartbeat(&mut self, host: &HostName, now: Time) {
         let max_workers =
@@ -195,9 +195,10 @@
         (is_unreachable && worker_term <= term).then_some(term)
     }
 
-    /// Whether the node can serve users. A node that does not reach the state service relays requests to a peer that
-    /// does, so only a node that reaches neither the state service nor any peer is unhealthy. An outage of the state
-    /// service that affects all nodes removes none of them from the load balancer, as they reach each other.
+    /// Whether the controller can serve users. A controller that does not reach the state service relays requests to a
+    /// peer that does, so only a controller that reaches neither the state service nor any peer is unhealthy. An outage
+    /// of the state service that affects all controllers removes none of them from the load balancer, as they reach
+    /// each other.
     pub(super) fn is_healthy(&self, now: Time) -> bool {
         let reaches_a_peer = self.peers.iter().any(|p| p.is_reachable(now));
         self.is_store_reachable(now) || reaches_a_peer || self.peers.is_empty()
--- a/src/node/zone_isolation.rs
+++ b/src/node/zone_isolation.rs
@@ -18,7 +18,7 @@
 const RESPONSE_PERIOD_FRACTION: f64 = 0.75;
 
 impl<N: Network> Node<N> {
-    /// Updates whether this node's zone seems to be isolated.
+    /// Updates whether this controller's zone seems to be isolated.
     pub(super) fn check_zone_isolation(&mut self, now: Time) {
         let is_isolated = self.reaches_only_own_zone(now) && !self.is_store_reachable(now);
         match (is_isolated, self.locality.zone_isolated_since) {
@@ -40,8 +40,8 @@
         }
     }
 
-    /// Whether no controller of another zone is reachable while one of this zone is. A node that reaches no peer at
-    /// all is partitioned by itself, unless it is the only one of its zone.
+    /// Whether no controller of another zone is reachable while one of this zone is. A controller that reaches no peer
+    /// at all is partitioned by itself, unless it is the only one of its zone.
     fn reaches_only_own_zone(&self, now: Time) -> bool {
         let peers = || self.settings.peers.iter().zip(&self.peers);
         let is_own_zone = |zone: &str| zone == self.settings.zone;
@@ -80,7 +80,7 @@
             .then_some(self.election.highest_term)
     }
 
-    /// Whether the leader is reachable from this node, so that the worker can change to it.
+    /// Whether the leader is reachable from this controller, so that the worker can change to it.
     fn is_leader_reachable(&self, now: Time) -> bool {
         let leader = self.election.known_leader.as_deref();
         let mut peers = self.settings.peers.iter().zip(&self.peers);
--- a/src/protocol/mod.rs
+++ b/src/protocol/mod.rs
@@ -1,4 +1,5 @@
-//! Typed messages of all interfaces. Names on the wire that differ from the Rust names are set by serde attributes here.
+//! Typed messages of all interfaces. Names on the wire that differ from the Rust names are set by serde attributes
+//! here.
 
 pub mod cloud;
 pub mod peers;
--- a/src/protocol/peers.rs
+++ b/src/protocol/peers.rs
@@ -2,14 +2,14 @@
 //!
 //! # Compatibility between versions
 //!
-//! Controllers of different versions run side by side during a rolling upgrade. These rules hold for every message in this
-//! module. Only the last one is enforced by the code, in [`decode`]:
+//! Controllers of different versions run side by side during a rolling upgrade. These rules hold for every message in
+//! this module. Only the last one is enforced by the code, in [`decode`]:
 //!
 //! - The layout of a message never changes: no field or variant is added, removed or reordered.
-//! - A new kind of message gets its own path. A controller that does not know the path responds with 404, and the sender
-//!   has to work without that message.
-//! - A body that is not exactly one message of the expected layout is a [`DecodeError`]. The receiver responds with 400 and
-//!   leaves its state as it is: its term, its leader and the reachability of its peers.
+//! - A new kind of message gets its own path. A controller that does not know the path responds with 404, and the
+//!   sender has to work without that message.
+//! - A body that is not exactly one message of the expected layout is a [`DecodeError`]. The receiver responds with 400
+//!   and leaves its state as it is: its term, its leader and the reachability of its peers.
 
 use borsh::{BorshDeserialize, BorshSerialize};
 use std::fmt;
@@ -33,8 +33,8 @@
     pub has_transferred_leadership: bool,
     /// The part of the state service's rate limits that the sender uses.
     pub store_usage: StoreUsage,
-    /// Jobs whose cancellation was recently confirmed. The leader has to stop their tasks even if the state service does
-    /// not respond to it.
+    /// Jobs whose cancellation was recently confirmed. The leader has to stop their tasks even if the state service
+    /// does not respond to it.
     pub recent_cancellations: Vec<RecentCancellation>,
 }
 
@@ -79,16 +79,16 @@
     pub body: Vec<u8>,
 }
 
-/// Informs the leader of jobs that are cancelled according to the records. The sender confirms a cancellation to its user
-/// only after the leader has acknowledged the job, or once no task of the job is allocated any more.
+/// Informs the leader of jobs that are cancelled according to the records. The sender confirms a cancellation to its
+/// user only after the leader has acknowledged the job, or once no task of the job is allocated any more.
 #[derive(Clone, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct CancelledJobs {
     /// Numbers of the jobs, as in their ids.
     pub jobs: Vec<u64>,
 }
 
-/// The response to [`CancelledJobs`]: the jobs that the responding leader acknowledges, as it alone commands the workers
-/// that hold tasks of them.
+/// The response to [`CancelledJobs`]: the jobs that the responding leader acknowledges, as it alone commands the
+/// workers that hold tasks of them.
 #[derive(Clone, Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct AcknowledgedJobs {
     /// Numbers of the jobs, as in their ids.
--- a/src/protocol/users.rs
+++ b/src/protocol/users.rs
@@ -144,8 +144,8 @@
     }
 }
 
-/// Explains, with the name of the field, why a body could not be decoded as a job. The error of the CBOR decoder does not
-/// name the field if a value has the wrong type.
+/// Explains, with the name of the field, why a body could not be decoded as a job. The error of the CBOR decoder does
+/// not name the field if a value has the wrong type.
 fn field_error(body: &[u8]) -> Option<String> {
     let value: ciborium::Value = decode(body).ok()?;
     let value = serde_json::to_value(value).ok()?;
--- a/src/quota_report.rs
+++ b/src/quota_report.rs
@@ -1,4 +1,5 @@
-//! The output of `lichencrank quota`: limits, guarantees, allowances and usage of all teams, read from the state service.
+//! The output of `lichencrank quota`: limits, guarantees, allowances and usage of all teams, read from the state
+//! service.
 
 use std::fmt::Write;
 use std::time::Duration;
--- a/src/storage/records.rs
+++ b/src/storage/records.rs
@@ -2,7 +2,7 @@
 //!
 //! | key | value |
 //! | --- | --- |
-//! | `live/<job>` | an accepted job that is neither done nor cancelled, or the outcome of a done job until it is archived |
+//! | `live/<job>` | an accepted job that is neither done nor cancelled, or a done job's outcome until it is archived |
 //! | `run/<job>/<number>` | allocations, attempts and finished tasks of a range of the job's tasks |
 //! | `over/<job>` | the archived outcome of a job, which is never deleted |
 //! | `lead/holder`, `lead/term` | the current leader, and the highest term so far |
--- a/src/transport/event.rs
+++ b/src/transport/event.rs
@@ -25,12 +25,12 @@
     },
 }
 
-/// Identifies a listener of a node by the clients that it serves.
+/// Identifies a listener of a controller by the clients that it serves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListenerKind {
     /// Serves users, workers and health checks.
     Public,
-    /// Serves the other nodes of the service.
+    /// Serves the other controllers.
     Internal,
 }
 
--- a/src/transport/mod.rs
+++ b/src/transport/mod.rs
@@ -25,8 +25,8 @@
 pub use event_loop::Transport;
 pub use http::{Request, Response};
 
-/// The clocks and the HTTP server and client that a node runs on. [`Transport`] implements them on real sockets; tests
-/// implement them for several nodes in simulated time.
+/// The clocks and the HTTP server and client that a controller runs on. [`Transport`] implements them on real sockets;
+/// tests implement them for several controllers in simulated time.
 pub trait Network {
     /// The monotonic clock, in milliseconds since the process started.
     fn now(&self) -> Time;
--- a/src/tuning.rs
+++ b/src/tuning.rs
@@ -13,8 +13,8 @@
     /// Minimum time in seconds between two batches of records that are written to the state service.
     #[serde(rename = "batch_interval_s")]
     pub min_batch_interval_s: f64,
-    /// Length in seconds of the window whose peak demand determines which hosts are kept. The other hosts are cordoned and
-    /// released.
+    /// Length in seconds of the window whose peak demand determines which hosts are kept. The other hosts are cordoned
+    /// and released.
     #[serde(rename = "idle_return_s")]
     pub idle_release_s: f64,
     /// Capacity kept in addition to the peak demand of that window, as a share of the peak.
@@ -29,8 +29,8 @@
     /// Seconds after which a job none of whose tasks has started goes ahead of all other jobs.
     #[serde(rename = "starve_after_s")]
     pub starvation_threshold_s: f64,
-    /// CPUs on on-demand hosts that are kept available for services, and for job classes that have not had a job yet and
-    /// whose wait objective is shorter than the boot time of a host.
+    /// CPUs on on-demand hosts that are kept available for services, and for job classes that have not had a job yet
+    /// and whose wait objective is shorter than the boot time of a host.
     pub standby_cpus: f64,
 }
 
--- a/src/types.rs
+++ b/src/types.rs
@@ -32,8 +32,8 @@
     }
 }
 
-/// The duration of a number of seconds from the settings or the protocol. It never panics: a negative number and NaN give
-/// zero, a number that is too large gives a very long duration.
+/// The duration of a number of seconds from the settings or the protocol. It never panics: a negative number and NaN
+/// give zero, a number that is too large gives a very long duration.
 pub fn duration_from_seconds(seconds: f64) -> Duration {
     Duration::try_from_secs_f64(seconds.max(0.0)).unwrap_or(Duration::MAX / 4)
 }
