--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -1,4 +1,5 @@
-//! The protocol of the consensus-backed key-value store that holds all shared state.
+//! The protocol of the consensus-backed key-value store that holds all shared state. Operators and the scheduler call
+//! it the *state service*.
 //!
 //! Every key has a version. A transaction is a compare-and-swap: if all keys in its conditions have the given versions,
 //! all of its changes are committed, otherwise none. [`Outcome`] is the meaning of a response. [`Outcome::Unknown`]
@@ -6,7 +7,7 @@
 //! transaction, whose conditions let it take effect only once, or reads the keys again.
 //!
 //! Programs that embed the libraries access the store through a [`ConditionalStore`], such as [`BlockingClient`]. The
-//! daemon has an event loop and rate limits of its own and uses [`Request::render`] and [`Outcome::read`].
+//! scheduler has an event loop and rate limits of its own and uses [`Request::render`] and [`Outcome::read`].
 //!
 //! - [`request`], [`outcome`]: requests, and the meaning of their responses.
 //! - [`messages`]: transactions, and the bodies of requests and responses.
--- a/crates/store/src/rate_limit.rs
+++ b/crates/store/src/rate_limit.rs
@@ -83,8 +83,8 @@
 }
 
 /// The share of one client in the rate `total_per_s`, which applies to all `client_count` clients together. It is the
-/// part that the other clients leave, which report that they spend `others_per_s`, but at least an equal share. If every
-/// client needs more than that, each learns how much the others spend, and all converge to the equal share.
+/// part that the other clients leave, which report that they spend `others_per_s`, but at least an equal share. If
+/// every client needs more than that, each learns how much the others spend, and all converge to the equal share.
 pub fn client_share(total_per_s: f64, client_count: usize, others_per_s: f64) -> f64 {
     let equal_share_per_s = total_per_s / client_count.max(1) as f64;
     (total_per_s - others_per_s).max(equal_share_per_s)
--- a/crates/zones/src/displacement.rs
+++ b/crates/zones/src/displacement.rs
@@ -27,9 +27,9 @@
 
 /// A silent host that may be released.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Candidate<M> {
+pub struct Candidate<H> {
     /// Id of the host.
-    pub host: M,
+    pub host: H,
     /// Name of the host's zone.
     pub zone: String,
     /// Urgency of the most urgent task on the host.
@@ -38,7 +38,7 @@
 
 /// Sorts the candidates, the most urgent first. Equally urgent ones are sorted by host id, so that the result
 /// doesn't depend on the order of the input.
-pub(crate) fn sort_by_urgency<M: Ord>(candidates: &mut [Candidate<M>]) {
+pub(crate) fn sort_by_urgency<H: Ord>(candidates: &mut [Candidate<H>]) {
     candidates.sort_by(|a, b| {
         let by_urgency = a.urgency.cmp(&b.urgency);
         by_urgency.then_with(|| a.host.cmp(&b.host))
--- a/crates/zones/src/observation.rs
+++ b/crates/zones/src/observation.rs
@@ -59,11 +59,13 @@
     /// Whether hosts and controllers together show that the zone is cut off, rather than that hosts failed
     /// independently.
     pub fn is_disrupted(&self) -> bool {
-        let unreachable = self.controllers == ControllerReach::Unreachable;
+        let are_controllers_unreachable = self.controllers == ControllerReach::Unreachable;
         if self.silent_hosts < MIN_SILENT_HOSTS {
-            return unreachable && self.hosts > 0 && self.silent_hosts == self.hosts;
+            return are_controllers_unreachable
+                && self.hosts > 0
+                && self.silent_hosts == self.hosts;
         }
-        if !unreachable && self.only_spot_hosts_are_silent() {
+        if !are_controllers_unreachable && self.only_spot_hosts_are_silent() {
             return false;
         }
         self.most_are_silent()
--- a/crates/zones/src/tracker.rs
+++ b/crates/zones/src/tracker.rs
@@ -61,7 +61,7 @@
         observations: &BTreeMap<String, ZoneObservation>,
         now: Time,
     ) -> Vec<ZoneTransition> {
-        let isolated = self.detect_isolation(observations, now);
+        let is_observer_isolated = self.detect_isolation(observations, now);
         for zone in observations.keys().filter(|zone| !zone.is_empty()) {
             if !self.zones.contains_key(zone) {
                 self.zones.insert(zone.clone(), Zone::new(now));
@@ -70,7 +70,7 @@
         let settings = &self.settings;
         let transitions = self.zones.iter_mut().filter_map(|(name, zone)| {
             let observation = observations.get(name).copied().unwrap_or_default();
-            zone.observe(name, observation, isolated, now, settings)
+            zone.observe(name, observation, is_observer_isolated, now, settings)
         });
         let transitions: Vec<ZoneTransition> = transitions.collect();
         self.is_record_outdated |= !transitions.is_empty();
@@ -125,7 +125,7 @@
     /// Chooses which of the silent hosts are released now: the most urgent first, within the displacement
     /// budgets of their zones, and none in zones that are only suspected. While the observer is isolated no
     /// host is chosen.
-    pub fn displace<M: Ord>(&mut self, mut candidates: Vec<Candidate<M>>, now: Time) -> Vec<M> {
+    pub fn displace<H: Ord>(&mut self, mut candidates: Vec<Candidate<H>>, now: Time) -> Vec<H> {
         for zone in self.zones.values_mut() {
             zone.begin_displacement();
         }
