--- a/crates/store/src/client.rs
+++ b/crates/store/src/client.rs
@@ -112,7 +112,7 @@
             Ok(response) => Outcome::read(http_request.kind, response.status, &response.body),
             Err(error) => {
                 tracing::debug!(
-                    "store: {} {} failed: {error}",
+                    "state service: {} {} failed: {error}",
                     http_request.method,
                     http_request.target
                 );
--- a/crates/store/src/outcome.rs
+++ b/crates/store/src/outcome.rs
@@ -50,7 +50,7 @@
     pub fn read(kind: RequestKind, status: u16, body: &[u8]) -> Outcome {
         match status {
             429 => {
-                tracing::debug!("store: a request exceeded the rate limit");
+                tracing::debug!("state service: a request exceeded the rate limit");
                 Outcome::RateLimited {
                     retry_after: RATE_LIMIT_PAUSE,
                 }
@@ -58,13 +58,13 @@
             503 => Outcome::Unavailable,
             400 => {
                 tracing::warn!(
-                    "store: rejected a request with status 400: {}",
+                    "state service: rejected a request with status 400: {}",
                     String::from_utf8_lossy(body)
                 );
                 Outcome::Invalid
             }
             _ => Outcome::read_result(kind, status, body).unwrap_or_else(|error| {
-                tracing::warn!("store: malformed response body: {error}");
+                tracing::warn!("state service: malformed response body: {error}");
                 Outcome::Unknown
             }),
         }
@@ -86,7 +86,7 @@
             (200, RequestKind::Watch) => Outcome::WatchEvents(decode(body)?),
             (410, RequestKind::Watch) => Outcome::RevisionTooOld,
             (status, _) => {
-                tracing::warn!("store: unexpected response status {status}");
+                tracing::warn!("state service: unexpected response status {status}");
                 Outcome::Unknown
             }
         };
