--- a/src/coordination/cluster/commands.rs
+++ b/src/coordination/cluster/commands.rs
@@ -148,8 +148,8 @@
         commands
     }
 
-    /// Whether the first `record_change_count` changes of the task's run record are written. Once the job is over in
-    /// the state service, no run record of it is written any more.
+    /// Whether the first `record_change_count` changes of the task's run record are written. While the
+    /// job's records are being deleted, none of its run records is written any more.
     fn is_outcome_written(&self, task: TaskId, record_change_count: u64) -> bool {
         let Some(job) = self.jobs.get(&task.job) else {
             return true;
--- a/src/coordination/cluster/job/mod.rs
+++ b/src/coordination/cluster/job/mod.rs
@@ -29,7 +29,7 @@
     Finishing,
     /// Cancelled, or only run records of it are left. Its allocations remain until they are proven to have ended.
     Cancelled,
-    /// Over, and none of its tasks is allocated; its run records are being deleted.
+    /// Done or cancelled, and none of its tasks is allocated; its run records are being deleted.
     GarbageCollecting,
 }
 
@@ -47,7 +47,7 @@
 pub struct Job {
     /// Id of the job.
     pub id: JobId,
-    /// Its description; `None` if it is over and only run records or its outcome are left.
+    /// Its description; `None` if it is done or cancelled, and only run records or its outcome are left.
     pub spec: Option<Box<JobSpec>>,
     /// Version of its job record. Versions order jobs by their arrival.
     pub record_version: Version,
@@ -206,7 +206,7 @@
         }
     }
 
-    /// Whether it is over and nothing but its archived outcome is left in the state service.
+    /// Whether it is done or cancelled, and nothing but its archived outcome is left in the state service.
     pub(super) fn is_deleted(&self) -> bool {
         let mut chunks = self.chunks.iter().flatten();
         self.phase == JobPhase::GarbageCollecting
--- a/src/coordination/cluster/jobs.rs
+++ b/src/coordination/cluster/jobs.rs
@@ -24,7 +24,7 @@
 }
 
 impl ClusterState {
-    /// Applies the record of a job that is not over.
+    /// Applies the record of an unfinished job.
     pub(crate) fn on_job_record(
         &mut self,
         record: JobRecord,
@@ -71,8 +71,9 @@
         self.record_writer.queue_deletion(id);
     }
 
-    /// Cancels a job. Returns its allocated tasks, which have to be stopped; `None` if the job is unknown or over
-    /// already. [`ClusterState::finish_cancelling`] has to be called once their stop was requested.
+    /// Cancels a job. Returns its allocated tasks, which have to be stopped; `None` if the job is unknown, is cancelled
+    /// already, or its outcome is written. [`ClusterState::finish_cancelling`] has to be called once their stop was
+    /// requested.
     pub(crate) fn begin_cancelling(&mut self, id: JobId, now: Time) -> Option<Vec<AllocatedTask>> {
         let job = self.jobs.get_mut(&id)?;
         if !matches!(job.phase, JobPhase::Active | JobPhase::Finishing) {
--- a/src/coordination/cluster/mod.rs
+++ b/src/coordination/cluster/mod.rs
@@ -94,7 +94,7 @@
         self.hosts.get(name)
     }
 
-    /// All jobs by id. Jobs that are over are included until their records are deleted.
+    /// All jobs by id. Done and cancelled jobs are included until their records are deleted.
     pub fn jobs(&self) -> &BTreeMap<JobId, Job> {
         &self.jobs
     }
