--- a/crates/quota/src/allocation/team.rs
+++ b/crates/quota/src/allocation/team.rs
@@ -62,8 +62,9 @@
         }
     }
 
-    /// How much the team would have to borrow for the first unmet demand; `None` if there is no demand, if
-    /// it exceeds the limit, so that borrowing would not help, or if the guarantee covers it.
+    /// How much the team would have to borrow for the first unmet demand. `None` if there is no demand, if the
+    /// guarantee covers it, or if it does not fit into the ungranted part of the limit: then the client waits for
+    /// the limit and not for capacity, so borrowing would not help.
     pub(crate) fn demand_on_pool(&self) -> Option<ResourceVector> {
         let first = self.unmet_demands.first()?;
         let granted = self.total_granted();
--- a/crates/quota/src/client/reclaim.rs
+++ b/crates/quota/src/client/reclaim.rs
@@ -55,7 +55,8 @@
         Ok(None)
     }
 
-    /// Raises the epoch of the allowance, which changes its version, so that charges in flight fail.
+    /// Raises the epoch of the allowance, which changes its version, and marks it as fenced: no charge to it
+    /// succeeds, not even one in flight, until a process of the client acquires it again.
     fn plan_fence(&mut self, id: &AllowanceId) -> Result<Option<Operation>, CacheMiss> {
         let cached = self.cache.allowance(id)?;
         let version = cached.version;
--- a/crates/quota/src/client/revocation_sweep.rs
+++ b/crates/quota/src/client/revocation_sweep.rs
@@ -197,7 +197,8 @@
     }
 }
 
-/// By how much the capacity is exceeded by the larger of guarantee and usage of each team, summed up.
+/// By how much guarantees and borrowed work together exceed the capacity. Each team counts with its usage or its
+/// guarantee, whichever is larger for each resource.
 fn shortage(pool: &PoolRecord, usage: &BTreeMap<TeamName, TeamUsage>) -> ResourceVector {
     let reserved = usage
         .values()
--- a/crates/quota/src/leader/target.rs
+++ b/crates/quota/src/leader/target.rs
@@ -7,7 +7,7 @@
 use crate::records::PoolRecord;
 use crate::resource_vector::ResourceVector;
 
-/// Unspent allowance up to which the leader is granted more while the capacity is unlimited.
+/// Unspent allowance that the leader is granted if the capacity is unlimited and the team's limit leaves as much.
 const UNLIMITED_GRANT: ResourceVector = ResourceVector {
     cpus: Amount::from_whole(1_000_000),
     gpus: Amount::from_whole(1_000_000),
--- a/crates/quota/src/lib.rs
+++ b/crates/quota/src/lib.rs
@@ -4,8 +4,8 @@
 //! A team's limit is divided into allowances, which are granted to quota clients. A client charges
 //! admissions to its allowance. Each charge is a record in the store, written on condition that the
 //! allowance still has the version that the client knows. So limits hold without communication between
-//! clients, and a client whose allowance was fenced off can't charge anything more, not even with a
-//! transaction that is already in flight.
+//! clients, and a client whose allowance was fenced off can't charge anything before it acquires the allowance
+//! again, not even with a transaction that is already in flight.
 //!
 //! [`QuotaClient`] makes the decisions and does no I/O, [`BlockingQuotaClient`] runs one against a store,
 //! and [`LeaderAllowances`] manages the allowances of the daemon's leader, whose charges are the
--- a/crates/quota/tests/limits.rs
+++ b/crates/quota/tests/limits.rs
@@ -37,7 +37,7 @@
 }
 
 /// Fills 12 CPUs with small work, then requests a large admission while small requests keep arriving and small
-/// work ends one by one. The large request must be answered.
+/// work ends one by one. The large request has to start: as it fits into the limit, an answer to it is its admission.
 fn flood_with_small_requests(mut cluster: Cluster, small_team: &str, large_team: &str) {
     for n in 0..12 {
         cluster.request(n % 3, &admission_id(small_team, n, 1), 1.0);
--- a/crates/quota/tests/random_schedules.rs
+++ b/crates/quota/tests/random_schedules.rs
@@ -55,7 +55,7 @@
         by: usize,
         other: usize,
     },
-    /// A client resumes after a pause.
+    /// A client resumes after a pause that was so long that it must not rely on anything it has read before.
     Resume(usize),
     /// Some running work ends and is released at a client.
     FinishWork {
