--- a/tests/simulated/checker/mod.rs
+++ b/tests/simulated/checker/mod.rs
@@ -49,7 +49,8 @@
     SomeWorkRuns,
     /// All accepted jobs are complete or cancelled at the end of the scenario.
     JobsFinish,
-    /// At the end of the scenario the key-value store holds no records of open jobs.
+    /// The records of an open job are deleted from the key-value store once the job is over: none are left at the
+    /// end of the scenario.
     RecordsAreCollected,
 }
 
--- a/tests/simulated/fleet/heartbeat_copies.rs
+++ b/tests/simulated/fleet/heartbeat_copies.rs
@@ -21,7 +21,7 @@
 
 /// Which heartbeats are copied, and the copies that are retained until a takeover.
 pub struct HeartbeatCopies {
-    /// The lease of workers, which bounds the delay of late copies.
+    /// The lease of workers. Late copies are delayed by up to two leases beyond [`MIN_LATE_COPY_DELAY`].
     worker_lease: Duration,
     late_copies: RandomFault,
     retention: RandomFault,
--- a/tests/simulated/mod.rs
+++ b/tests/simulated/mod.rs
@@ -1,6 +1,7 @@
 //! Deterministic simulation of a cluster. Several controllers run the service's own code in one thread and in
-//! simulated time; the key-value store, the cloud, hosts with their workers, and users are simulated. A seed
-//! determines every delay and fault, so that a failed run can be repeated.
+//! simulated time; the key-value store, the cloud, hosts with their workers, and users are simulated. Nothing that
+//! the service does is implemented here a second time. A seed determines every delay and fault, so that a failed run
+//! can be repeated.
 //!
 //! | modules | purpose |
 //! | --- | --- |
--- a/tests/simulated/worker/mod.rs
+++ b/tests/simulated/worker/mod.rs
@@ -286,7 +286,8 @@
     }
 
     /// Processes the leader's response to a heartbeat: renews the lease and executes the commands. The response is
-    /// ignored if the lease expired in the meantime or its fencing token is outdated.
+    /// ignored if the worker no longer waits for it, as after the lease has expired, or if its fencing token is
+    /// outdated.
     pub fn accept_heartbeat_response(
         &mut self,
         heartbeat: &HeartbeatId,
