--- a/tests/loopback/controller.rs
+++ b/tests/loopback/controller.rs
@@ -109,8 +109,8 @@
     }
 
     /// Starts the process and waits until it responds. A process that exits by itself is started again, as the platform
-    /// does: its address may still be in use, since a child process of another test holds the socket that determined
-    /// the free address from its fork until it executes its program.
+    /// does. It may exit because its address is still in use: a child process that another test forks inherits the
+    /// socket with which [`free_address`] found the address, and holds it until the child executes its program.
     pub fn start(&mut self) {
         for _ in 0..MAX_START_ATTEMPTS {
             let mut process = self.spawn();
--- a/tests/loopback/users.rs
+++ b/tests/loopback/users.rs
@@ -25,8 +25,8 @@
     }
 }
 
-/// The body of a submission of team `vision`: an array of tasks with one CPU each, due `deadline_s` seconds after its
-/// submission if that is given.
+/// The body of a submission for team `vision`: an array job of `tasks` tasks with one CPU each, which is due
+/// `deadline_s` seconds after its submission, or has no deadline.
 pub fn job_body(id: &str, tasks: u64, deadline_s: Option<f64>) -> Vec<u8> {
     encode(&map(vec![
         ("ref", id.into()),
