--- a/examples/scale.rs
+++ b/examples/scale.rs
@@ -233,7 +233,7 @@
                 leader.on_job_record(job_record(number + 1), Version(number + 10));
             }
         }
-        // Several ticks, as one tick allocates only a limited number of tasks.
+        // Takes several ticks until all tasks are placed, as one tick allocates only a limited number of them.
         let started_at = Instant::now();
         place_all_tasks(&mut leader, &mut now);
         placement_time += started_at.elapsed();
--- a/tests/loopback/worker.rs
+++ b/tests/loopback/worker.rs
@@ -73,7 +73,8 @@
         ])
     }
 
-    /// Executes the commands of a message unless its fencing token is below the highest seen. Returns whether it did.
+    /// Executes the commands of a message unless its fencing token is missing or below the highest one seen. Returns
+    /// whether it did.
     fn execute(&mut self, message: &Value) -> bool {
         let fencing_token = number(message, "baton");
         if fencing_token < self.fencing_token || fencing_token == 0 {
