--- a/crates/quota/src/leader/mod.rs
+++ b/crates/quota/src/leader/mod.rs
@@ -1,4 +1,4 @@
-//! The allowances of the scheduler's leader, whose charges are the allocations in its run records.
+//! The allowances of the daemon's leader, whose charges are the allocations in its run records.
 //!
 //! Each allocation is written on condition that its team's allowance has an unchanged version
 //! ([`LeaderAllowances::fence`]), so a charge needs no record besides the allocation. All controllers
--- a/crates/quota/src/lib.rs
+++ b/crates/quota/src/lib.rs
@@ -8,7 +8,7 @@
 //! again, not even with a transaction that is already in flight.
 //!
 //! [`QuotaClient`] makes the decisions and does no I/O, [`BlockingQuotaClient`] runs one against a store,
-//! and [`LeaderAllowances`] manages the allowances of the scheduler's leader, whose charges are the
+//! and [`LeaderAllowances`] manages the allowances of the daemon's leader, whose charges are the
 //! allocations in its own records. [`Ledger::audit`] recomputes every total from the charges.
 //!
 //! # Glossary
@@ -30,7 +30,7 @@
 //! | rebalance | growing an allowance for pending requests, and returning the part that is idle or that others wait for |
 //! | reclaim | freeing the unspent allowance of a client that is considered lost |
 //! | revoke | requesting that borrowed work ends, because the capacity shrank or a guarantee was raised; it stays charged until it has ended |
-//! | preempt | stopping work to make room for other work, as the scheduler does; revoking follows the same rules ([`preemption`]) |
+//! | preempt | stopping work to make room for other work, as the daemon does; revoking follows the same rules ([`preemption`]) |
 //! | epoch, fence | a number in an allowance that each process raises to *acquire* it; the changed version *fences off* the transactions that others still have in flight |
 //! | compare-and-swap | a transaction is conditional on the versions of the records that it was computed from |
 //! | ledger, audit | all records, and the comparison of their totals ([`Ledger`]) |
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -1,4 +1,4 @@
-//! The protocol of the consensus-backed key-value store that holds all shared state. Operators and the scheduler call
+//! The protocol of the consensus-backed key-value store that holds all shared state. Operators and the daemon call
 //! it the *state service*.
 //!
 //! Every key has a version. A transaction is a compare-and-swap: if all keys in its conditions have the given versions,
@@ -7,7 +7,7 @@
 //! transaction, whose conditions let it take effect only once, or reads the keys again.
 //!
 //! Programs that embed the libraries access the store through a [`ConditionalStore`], such as [`BlockingClient`]. The
-//! scheduler has an event loop and rate limits of its own and uses [`Request::render`] and [`Outcome::read`].
+//! daemon has an event loop and rate limits of its own and uses [`Request::render`] and [`Outcome::read`].
 //!
 //! - [`request`], [`outcome`]: requests, and the meaning of their responses.
 //! - [`messages`]: transactions, and the bodies of requests and responses.
